--- a/crates/cli/src/among.rs
+++ b/crates/cli/src/among.rs
@@ -6,13 +6,13 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-use beechloft_core::api::Numbered;
-use beechloft_front::observe::Observer;
-use beechloft_front::{Boxes, Hooks};
-use beechloft_keeper::{Agent, FleetSettings, Keeping, Limiter, Peers, Verdicting};
+use beechloft_coordinator::{Agent, FleetSettings, Keeping, Limiter, Peers, Verdicting};
 use beechloft_leases::Part;
-use beechloft_limits::Gate;
-use beechloft_members::Kind;
+use beechloft_membership::Kind;
+use beechloft_quotas::Gate;
+use beechloft_server::observe::Observer;
+use beechloft_server::{Boxes, Hooks};
+use beechloft_session::api::Numbered;
 
 use crate::witness::Witness;
 
@@ -140,10 +140,10 @@
     }
 
     /// The same, as a front node asks for it.
-    pub fn for_shell(&self) -> beechloft_shell::Fleet {
+    pub fn for_shell(&self) -> beechloft_event_loop::Fleet {
         let (wants, may) = (Arc::clone(&self.agent), Arc::clone(&self.agent));
         let waits = self.agent.restart().map(|r| r.wait);
-        beechloft_shell::Fleet {
+        beechloft_event_loop::Fleet {
             numbered: self.numbers(),
             may_end: Box::new(move || may.may_end()),
             wants_end: Box::new(move || wants.want_turn()),
--- a/crates/cli/src/bench/calls.rs
+++ b/crates/cli/src/bench/calls.rs
@@ -4,12 +4,12 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
+use beechloft_fakes::dice::Dice;
+use beechloft_fakes::{caller, offer};
 use beechloft_http::client::Pool;
 use beechloft_sip::dialog::{Dialog, Local, Mint};
 use beechloft_sip::framing::{Framed, Framer};
 use beechloft_sip::message::{Message, Method, Request, Response};
-use beechloft_standin::dice::Dice;
-use beechloft_standin::{caller, offer};
 
 /// Calls, acknowledges and hangs up; the time to the answer. A connection of its own, as a front's attempt has.
 pub fn one(_: &Pool, to: SocketAddr, dice: &mut Dice) -> io::Result<Duration> {
--- a/crates/cli/src/bench/mod.rs
+++ b/crates/cli/src/bench/mod.rs
@@ -15,12 +15,12 @@
 use std::time::{Duration, Instant};
 
 use beechloft_checker::Recorder;
-use beechloft_front::Front;
+use beechloft_fakes::dice::Dice;
+use beechloft_fakes::fleet::Fleet;
+use beechloft_fakes::offer::{self, Credentials};
 use beechloft_http::client::Pool;
 use beechloft_http::{Method, Request};
-use beechloft_standin::dice::Dice;
-use beechloft_standin::fleet::Fleet;
-use beechloft_standin::offer::{self, Credentials};
+use beechloft_server::Front;
 use beechloft_whep::{SDP, route};
 use hdrhistogram::Histogram;
 
--- a/crates/cli/src/bench/overload.rs
+++ b/crates/cli/src/bench/overload.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use beechloft_checker::Recorder;
-use beechloft_front::Front;
-use beechloft_standin::fleet::Fleet;
-use beechloft_standin::trunk::{Plan, Tally, Trunk};
+use beechloft_fakes::fleet::Fleet;
+use beechloft_fakes::trunk::{Plan, Tally, Trunk};
+use beechloft_server::Front;
 
 use crate::{demo, fail, log};
 
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -14,7 +14,7 @@
         Ok(text) => text,
         Err(e) => return fail(2, format_args!("{}: {e}", file.display())),
     };
-    let day = match beechloft_day::parse(&text, seed) {
+    let day = match beechloft_scenario::parse(&text, seed) {
         Ok(day) => day,
         Err(faults) => {
             faults.0.iter().for_each(|f| eprintln!("{}:{f}", file.display()));
@@ -25,7 +25,7 @@
         Ok(program) => program,
         Err(e) => return fail(1, e),
     };
-    let (trace, report) = match beechloft_day::run(&day, &program, seed, keep) {
+    let (trace, report) = match beechloft_scenario::run(&day, &program, seed, keep) {
         Ok(done) => done,
         Err(e) => return fail(1, e),
     };
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -7,9 +7,9 @@
 
 use beechloft_checker::Recorder;
 use beechloft_config::front;
-use beechloft_front::Front;
-use beechloft_standin::control::Control;
-use beechloft_standin::fleet::{Fleet, FleetBox, FleetSpec, TitleSpec};
+use beechloft_fakes::control::Control;
+use beechloft_fakes::fleet::{Fleet, FleetBox, FleetSpec, TitleSpec};
+use beechloft_server::Front;
 use beechloft_whep::route::endpoint_path;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
--- a/crates/cli/src/fleet/hold.rs
+++ b/crates/cli/src/fleet/hold.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use beechloft_keeper::FleetSettings;
-use beechloft_keeper::client::Way;
+use beechloft_coordinator::FleetSettings;
+use beechloft_coordinator::client::Way;
 use beechloft_leases::{Holder, HolderId, HolderInput, HolderOutput, Name, Permit, Terms, Token};
 use rustix::process::{Pid, Signal, kill_process};
 
--- a/crates/cli/src/fleet/keep.rs
+++ b/crates/cli/src/fleet/keep.rs
@@ -6,9 +6,9 @@
 
 use beechloft_config::front::LogSettings;
 use beechloft_consensus::MemberId;
-use beechloft_keeper::Keeping;
-use beechloft_keeper::client::{self};
-use beechloft_keeper::wire::StatusLine;
+use beechloft_coordinator::Keeping;
+use beechloft_coordinator::client::{self};
+use beechloft_coordinator::wire::StatusLine;
 
 use super::args::{Keeper, KeeperCommand};
 use super::{settings, told_to_end};
--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use beechloft_config::reader;
-use beechloft_keeper::FleetSettings;
+use beechloft_coordinator::FleetSettings;
 use beechloft_leases::{Name, Terms};
 
 use self::hold::hold;
--- a/crates/cli/src/fleet/show.rs
+++ b/crates/cli/src/fleet/show.rs
@@ -5,8 +5,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use beechloft_keeper::client::{self, Watched};
-use beechloft_keeper::wire::{LeaseLine, StatusLine};
+use beechloft_coordinator::client::{self, Watched};
+use beechloft_coordinator::wire::{LeaseLine, StatusLine};
 use beechloft_leases::Name;
 
 use super::settings;
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -4,8 +4,8 @@
 use std::process::ExitCode;
 
 use beechloft_config::front::LogSettings;
-use beechloft_proto::config::Stated;
-use beechloft_shell::Shell;
+use beechloft_event_loop::Shell;
+use beechloft_protocol::config::Stated;
 
 use crate::among::Among;
 use crate::{fail, fleet, log};
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -5,9 +5,9 @@
 use std::time::{Duration, Instant};
 
 use beechloft_config::{FrontSettings, Section, reader};
-use beechloft_front::Front;
-use beechloft_keeper::{FleetSettings, Known};
-use beechloft_limits::bounds;
+use beechloft_coordinator::{FleetSettings, Known};
+use beechloft_quotas::bounds;
+use beechloft_server::Front;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
@@ -104,7 +104,7 @@
         Err(e) => return fail(2, format_args!("{}: {e}", file.display())),
     };
     let read = if day {
-        beechloft_day::parse(&text, 1).map(|_| None)
+        beechloft_scenario::parse(&text, 1).map(|_| None)
     } else {
         reader::read(&text, read_sections).map(|(_, fleet)| fleet)
     };
--- a/crates/cli/src/witness.rs
+++ b/crates/cli/src/witness.rs
@@ -5,12 +5,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechloft_core::api::{Micros, ServerId, ServerState};
-use beechloft_core::catalog::Catalog;
-use beechloft_core::narrow::{Avoid, Narrowed, Shy};
-use beechloft_front::observe::{Observer, Showed, Tried};
-use beechloft_keeper::{Noted, Verdicting};
-use beechloft_verdicts::{Outcome, Place, title_key};
+use beechloft_coordinator::{Noted, Verdicting};
+use beechloft_outlier_detection::{Outcome, Place, title_key};
+use beechloft_server::observe::{Observer, Showed, Tried};
+use beechloft_session::api::{Micros, ServerId, ServerState};
+use beechloft_session::catalog::Catalog;
+use beechloft_session::narrow::{Avoid, Narrowed, Shy};
 
 /// Between a front's core and the fleet's evidence.
 pub struct Witness {
@@ -56,7 +56,8 @@
     fn narrowed(&mut self) -> Option<Narrowed> {
         let (version, outlook) = self.verdicts.outlook(self.seen)?;
         self.seen = version;
-        let shy = |key: &beechloft_verdicts::BoxKey, share| Shy { server: ServerId(key.server), share };
+        let shy =
+            |key: &beechloft_outlier_detection::BoxKey, share| Shy { server: ServerId(key.server), share };
         let mut titles: BTreeMap<Arc<str>, Vec<Shy>> = BTreeMap::new();
         for (key, title) in &outlook.titles {
             if let Some(name) = self.titles.get(title) {
--- a/crates/cli/tests/figures.rs
+++ b/crates/cli/tests/figures.rs
@@ -8,9 +8,9 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use beechloft_keeper::client::Way as ToKeepers;
-use beechloft_keeper::wire::{self, Word};
-use beechloft_keeper::{Agent, FleetSettings};
+use beechloft_coordinator::client::Way as ToKeepers;
+use beechloft_coordinator::wire::{self, Word};
+use beechloft_coordinator::{Agent, FleetSettings};
 use beechloft_leases::{
     Answer, Heard, Holder, HolderId, HolderInput, HolderOutput, Name, Op, Request, Terms, Token,
 };
@@ -281,7 +281,7 @@
 
     /// How many a member sees, and what it has sent: datagrams and bytes.
     fn look(&self, at: SocketAddr) -> Option<(usize, u64, u64)> {
-        let lines = beechloft_keeper::client::members(&self.set, at, Duration::from_secs(5))?;
+        let lines = beechloft_coordinator::client::members(&self.set, at, Duration::from_secs(5))?;
         let there = lines.iter().filter(|l| l.life == "alive" || l.life == "suspected").count();
         lines.iter().find(|l| l.asked).map(|l| (there, l.sent, l.sent_bytes))
     }
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -12,7 +12,7 @@
 use std::process::Stdio;
 use std::time::{Duration, Instant};
 
-use beechloft_trouble::{Mood, Relay, Way};
+use beechloft_fault_proxy::{Mood, Relay, Way};
 use lin::{Answered, Asked, Op};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
--- a/crates/cli/tests/fronts.rs
+++ b/crates/cli/tests/fronts.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use beechloft_trouble::udp::{self, Mood};
+use beechloft_fault_proxy::udp::{self, Mood};
 use rustix::process::Signal;
 use serde_json::Value;
 use support::{Process, beechloft, kept_addresses, until};
--- a/crates/cli/tests/limits.rs
+++ b/crates/cli/tests/limits.rs
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 
 use beechloft_checker::Recorder;
-use beechloft_standin::dice::Dice;
-use beechloft_standin::fleet::{Fleet as Boxes, FleetBox, FleetSpec, TitleSpec};
-use beechloft_standin::media;
-use beechloft_standin::player::{self, Playing, Wish};
+use beechloft_fakes::dice::Dice;
+use beechloft_fakes::fleet::{Fleet as Boxes, FleetBox, FleetSpec, TitleSpec};
+use beechloft_fakes::media;
+use beechloft_fakes::player::{self, Playing, Wish};
 use rustix::process::Signal;
 use support::keepers::Fleet;
 use support::{Process, beechloft, kept_addresses, until};
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -212,3 +212,32 @@
     let apart = a.max(b) - a.min(b);
     assert!(apart > Duration::from_millis(1_500), "both were out within {apart:?}");
 }
+
+/// The first line of the node's log that contains the text.
+fn first_log_line_with(node: &mut Child, text: &str) -> String {
+    let stderr = node.stderr.take().expect("a pipe");
+    let (found, lines) = std::sync::mpsc::channel();
+    let text = text.to_owned();
+    std::thread::spawn(move || {
+        let mut all = BufReader::new(stderr).lines().map_while(Result::ok);
+        let _ = found.send(all.find(|line| line.contains(&text)));
+    });
+    lines.recv_timeout(PATIENCE).expect("the line in time").expect("the line before the end of the log")
+}
+
+#[test]
+fn log_filters_with_the_event_loops_former_name_still_work() {
+    let (_dir, path) = folder();
+    let bus = bus();
+    let addr = bus.local_addr().expect("an address");
+    std::fs::write(&path, config("127.0.0.1:0", addr).to_string()).expect("written");
+    let child = command(&path, &[])
+        .env("RUST_LOG", "warn,beechloft_shell=debug")
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("it starts");
+    let mut node = Running(child);
+    let line = first_log_line_with(&mut node.0, "holds");
+    assert!(line.contains("DEBUG beechloft_event_loop"), "{line}");
+}
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -4,10 +4,10 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
+use beechloft_fakes::dice::Dice;
+use beechloft_fakes::offer::{self, Credentials};
 use beechloft_http::client::Pool;
 use beechloft_http::{Method, Request};
-use beechloft_standin::dice::Dice;
-use beechloft_standin::offer::{self, Credentials};
 
 fn beechloft(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_beechloft")).args(args).output().expect("the program runs")
--- a/crates/cli/tests/support/keepers.rs
+++ b/crates/cli/tests/support/keepers.rs
@@ -6,7 +6,7 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-use beechloft_trouble::{Relay, Way};
+use beechloft_fault_proxy::{Relay, Way};
 use serde_json::Value;
 
 use super::{PATIENCE, Process, beechloft, kept_addresses};
--- a/crates/cli/tests/support/lin.rs
+++ b/crates/cli/tests/support/lin.rs
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use beechloft_keeper::history::{Line, Noted};
+use beechloft_coordinator::history::{Line, Noted};
 use beechloft_leases::{Answer, Op as Wanted, Unable};
 
 /// States that are tried at most: a history that some order explains needs about as many as it has requests.
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use beechloft_trouble::ports::Port;
+use beechloft_fault_proxy::ports::Port;
 use rustix::process::{Pid, Signal, kill_process_group};
 
 /// Long enough for anything that is to happen.
--- a/crates/cli/tests/topic.rs
+++ b/crates/cli/tests/topic.rs
@@ -8,10 +8,10 @@
 use std::time::{Duration, Instant};
 
 use beechloft_checker::topic::{Recorded, Verdict};
-use beechloft_keeper::FleetSettings;
-use beechloft_standin::topic::{Pace, Reader, Writer};
+use beechloft_coordinator::FleetSettings;
+use beechloft_fakes::topic::{Pace, Reader, Writer};
+use beechloft_fault_proxy::{Mood, Way};
 use beechloft_topic::Name;
-use beechloft_trouble::{Mood, Way};
 use rustix::process::Signal;
 use support::keepers::{Fleet, text_of};
 use support::{PATIENCE, until};
--- a/crates/cli/tests/topic_figures.rs
+++ b/crates/cli/tests/topic_figures.rs
@@ -7,8 +7,8 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-use beechloft_keeper::FleetSettings;
-use beechloft_keeper::topics::{Followed, Follower, Publisher, Right};
+use beechloft_coordinator::FleetSettings;
+use beechloft_coordinator::topics::{Followed, Follower, Publisher, Right};
 use beechloft_topic::{Expect, Key, Name, Outcome, PublisherSettings, Record, SubscriberSettings, Value};
 use support::keepers::Fleet;
 
--- a/crates/cli/tests/twenty/clients.rs
+++ b/crates/cli/tests/twenty/clients.rs
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::Duration;
 
-use beechloft_proto::CallId;
-use beechloft_proto::binary::{Decoder, Frame};
+use beechloft_protocol::CallId;
+use beechloft_protocol::binary::{Decoder, Frame};
 
 use crate::facts::{Behaviour, End, Record, What, behaviour_of, id_of, lock, node_of};
 use crate::media::{description, reset};
--- a/crates/cli/tests/verdicts.rs
+++ b/crates/cli/tests/verdicts.rs
@@ -13,13 +13,13 @@
 
 use beechloft_checker::Recorder;
 use beechloft_checker::trace::{Seen, What};
+use beechloft_fakes::dice::Dice;
+use beechloft_fakes::fault::Fault;
+use beechloft_fakes::fleet::{Fleet, FleetBox, FleetSpec, TitleSpec};
+use beechloft_fakes::player::{self, Wish};
+use beechloft_fault_proxy::udp::{self, Mood};
+use beechloft_fault_proxy::{Relay, Way};
 use beechloft_http::client::Pool;
-use beechloft_standin::dice::Dice;
-use beechloft_standin::fault::Fault;
-use beechloft_standin::fleet::{Fleet, FleetBox, FleetSpec, TitleSpec};
-use beechloft_standin::player::{self, Wish};
-use beechloft_trouble::udp::{self, Mood};
-use beechloft_trouble::{Relay, Way};
 use support::{Process, beechloft, kept_addresses, until};
 
 const KEEPERS: usize = 3;
--- a/crates/fleet/consensus/tests/explored.rs
+++ b/crates/fleet/consensus/tests/explored.rs
@@ -14,7 +14,7 @@
 use beechloft_consensus::{
     Body, Change, Fault, Index, Input, MemberId, Message, Outputs, Raft, Settings, Stored, Term, Ticket,
 };
-use beechloft_explore::{Found, Limits, Model, Seen, explore};
+use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
 use siphasher::sip128::SipHasher13;
 use support::{Laws, Memory, members};
 
--- a/crates/fleet/keeper/src/engine.rs
+++ b/crates/fleet/coordinator/src/engine.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use beechloft_consensus::{MemberId, Outputs, Settings, Ticket};
-use beechloft_group::{Asked, Keeper};
-use beechloft_members::Kind;
+use beechloft_membership::Kind;
+use beechloft_replica::{Asked, Keeper};
 #[cfg(feature = "planted")]
 use beechloft_topic::Fault;
 use crossbeam_channel::{Receiver, RecvTimeoutError, bounded};
--- a/crates/fleet/keeper/src/engine/errors.rs
+++ b/crates/fleet/coordinator/src/engine/errors.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use beechloft_group::StateError;
+use beechloft_replica::StateError;
 use beechloft_store::StoreError;
 use thiserror::Error;
 
--- a/crates/fleet/keeper/src/engine/forming.rs
+++ b/crates/fleet/coordinator/src/engine/forming.rs
@@ -7,7 +7,7 @@
 use beechloft_consensus::{
     Change, Disk, Input, MemberId, Membership, Outputs, Save, Settings, Snapshot, Stored, Ticket,
 };
-use beechloft_group::{Asked, Keeper};
+use beechloft_replica::{Asked, Keeper};
 use beechloft_topic::Topic;
 use tracing::info;
 
--- a/crates/fleet/keeper/src/engine/serving.rs
+++ b/crates/fleet/coordinator/src/engine/serving.rs
@@ -7,8 +7,8 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-use beechloft_group::Keeper;
 use beechloft_leases::{Heard, Name};
+use beechloft_replica::Keeper;
 #[cfg(feature = "planted")]
 use beechloft_topic::Fault;
 use beechloft_topic::{Feed, Offset, Position, Said, Topic};
--- a/crates/fleet/keeper/src/engine/words.rs
+++ b/crates/fleet/coordinator/src/engine/words.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 
 use beechloft_consensus::{MemberId, Outputs, Refused};
-use beechloft_group::{Asked, ClientId, KeeperOutput};
 use beechloft_leases::{Event, Heard};
 use beechloft_placement::Event as PlacementEvent;
+use beechloft_replica::{Asked, ClientId, KeeperOutput};
 use beechloft_topic::TopicEvent;
 use tracing::{info, warn};
 
@@ -115,7 +115,7 @@
             }
             KeeperOutput::LimitHeard(client, heard) => self.say(ConnId(client.0), &Word::LimitHeard(heard)),
             KeeperOutput::LimitEvent(
-                beechloft_limits::Event::Renewed(_) | beechloft_limits::Event::Aged(_),
+                beechloft_quotas::Event::Renewed(_) | beechloft_quotas::Event::Aged(_),
             ) => {}
             KeeperOutput::LimitEvent(event) => info!(?event, "limits"),
             KeeperOutput::TopicHeard(client, heard) => self.say(ConnId(client.0), &Word::TopicHeard(heard)),
--- a/crates/fleet/keeper/src/lib.rs
+++ b/crates/fleet/coordinator/src/lib.rs
@@ -1,11 +1,11 @@
-//! A keeper on sockets and disk around `beechloft_group::Keeper`, and the way to keepers for those who ask.
+//! A keeper on sockets and disk around `beechloft_replica::Keeper`, and the way to keepers for those who ask.
 //!
 //! One thread has the machine and the disk: it takes what has come, up to a bound, handles all of it into one set of outputs,
 //! has the disk save once (group commit), and sends. Each connection has a thread that reads and one that writes, with a bounded
 //! queue between: a peer that does not read costs its own messages and nobody else's time. What can't be queued is dropped;
 //! the machine sends it again.
 //!
-//! [`Peers`] is this process as a member of the fleet: one thread with a UDP socket around `beechloft_members::Swim`, on the
+//! [`Peers`] is this process as a member of the fleet: one thread with a UDP socket around `beechloft_membership::Swim`, on the
 //! address that keepers have for TCP.
 //!
 //! [`Agent`] is what a front asks of the fleet: its number, and its turn to restart.
--- a/crates/fleet/keeper/src/limiter.rs
+++ b/crates/fleet/coordinator/src/limiter.rs
@@ -8,11 +8,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use beechloft_limits::{
+use beechloft_gossip::Kind;
+use beechloft_quotas::{
     Answer, Claim, Front, FrontId, FrontInput, FrontOutput, FrontSettings, Gate, Heard, Op, OrphanId,
     Request, tag,
 };
-use beechloft_spread::Kind;
 use tracing::{debug, info, warn};
 
 use crate::client::Way;
--- a/crates/fleet/keeper/src/peers.rs
+++ b/crates/fleet/coordinator/src/peers.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use beechloft_members::{About, Input, Kind, Life, Member, MemberId, Output, Packet, Swim};
+use beechloft_membership::{About, Input, Kind, Life, Member, MemberId, Output, Packet, Swim};
 use crossbeam_channel::bounded;
 use tracing::{debug, info};
 
@@ -110,15 +110,15 @@
         (self.shared.clock)()
     }
 
-    /// Writes a section of this front's row, which others know within [`beechloft_spread::Settings::staleness`].
+    /// Writes a section of this front's row, which others know within [`beechloft_gossip::Settings::staleness`].
     ///
     /// # Errors
     /// The row would be too long; it stays as it was.
     pub fn write_row(
         &self,
-        kind: beechloft_spread::Kind,
+        kind: beechloft_gossip::Kind,
         bytes: Vec<u8>,
-    ) -> Result<(), beechloft_spread::TooLong> {
+    ) -> Result<(), beechloft_gossip::TooLong> {
         self.shared.rows.as_ref().map_or(Ok(()), |r| r.write((self.shared.clock)(), kind, bytes))
     }
 
@@ -130,12 +130,12 @@
     }
 
     /// What all rows that are known say of a matter, this front's own among them.
-    pub fn rows(&self, kind: beechloft_spread::Kind) -> Vec<RowSeen> {
+    pub fn rows(&self, kind: beechloft_gossip::Kind) -> Vec<RowSeen> {
         self.shared.rows.as_ref().map(|r| r.seen((self.shared.clock)(), kind)).unwrap_or_default()
     }
 
     /// What happened to rows so far.
-    pub fn row_counts(&self) -> Option<beechloft_spread::Counts> {
+    pub fn row_counts(&self) -> Option<beechloft_gossip::Counts> {
         self.shared.rows.as_ref().map(Rows::counts)
     }
 
@@ -178,12 +178,12 @@
         let Some(rows) = &self.rows else { return };
         let now = (self.clock)();
         if now >= rows.next_due() {
-            let out = rows.handle(now, beechloft_spread::Input::Tick);
+            let out = rows.handle(now, beechloft_gossip::Input::Tick);
             self.send_rows(out);
         }
     }
 
-    fn send_rows(&self, out: Vec<(SocketAddr, beechloft_spread::Packet)>) {
+    fn send_rows(&self, out: Vec<(SocketAddr, beechloft_gossip::Packet)>) {
         for (to, packet) in out {
             if let Some(bytes) = rows::datagram(self.set.number(), &packet) {
                 let _ = self.socket.send_to(&bytes, self.set.reach_member(to));
@@ -195,7 +195,7 @@
         if let Some(rows) = self.rows.as_ref().filter(|_| bytes.starts_with(&rows::MAGIC)) {
             match rows::read_datagram(self.set.number(), bytes) {
                 Ok(packet) => {
-                    let heard = beechloft_spread::Input::Heard(self.set.behind(from), packet);
+                    let heard = beechloft_gossip::Input::Heard(self.set.behind(from), packet);
                     self.send_rows(rows.handle((self.clock)(), heard));
                 }
                 Err(why) => {
--- a/crates/fleet/keeper/src/rows.rs
+++ b/crates/fleet/coordinator/src/rows.rs
@@ -1,11 +1,11 @@
-//! Rows of `beechloft_spread` on the members' socket: their own kind of datagram, and the way to them for whoever writes and reads.
+//! Rows of `beechloft_gossip` on the members' socket: their own kind of datagram, and the way to them for whoever writes and reads.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use beechloft_members::{Kind as MemberKind, MemberId, Roster};
-use beechloft_spread::{Counts, Input, Kind, Output, Packet, Peer, Settings, Spread, TooLong};
+use beechloft_gossip::{Counts, Input, Kind, Output, Packet, Peer, Settings, Spread, TooLong};
+use beechloft_membership::{Kind as MemberKind, MemberId, Roster};
 
 use crate::wire::{self, WireError};
 
@@ -71,7 +71,7 @@
     /// Whom rows are spread among: the fronts that the roster has there.
     pub(crate) fn peers(&self, now: Duration, roster: &Roster) -> Vec<(SocketAddr, Packet)> {
         let own = self.spread().id();
-        let front = |id: &MemberId, m: &beechloft_members::Member| {
+        let front = |id: &MemberId, m: &beechloft_membership::Member| {
             *id != own && m.life.is_there() && m.about.kind == MemberKind::Front
         };
         let fronts = roster.iter().filter(|(id, m)| front(id, m));
@@ -111,7 +111,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use beechloft_spread::Said;
+    use beechloft_gossip::Said;
 
     #[test]
     fn a_packet_of_rows_is_read_as_it_was_written_and_nothing_else_is() {
--- a/crates/fleet/keeper/src/settings.rs
+++ b/crates/fleet/coordinator/src/settings.rs
@@ -7,7 +7,7 @@
 
 use beechloft_config::{Faults, Section, reader};
 use beechloft_leases::{Drift, Name, Terms};
-use beechloft_members::Zone;
+use beechloft_membership::Zone;
 
 mod limits;
 
@@ -49,7 +49,7 @@
     /// Topics that there are to be, by the keepers' settings.
     pub topics: Vec<TopicSpec>,
     /// How fronts spread rows, if anything that is asked for needs them.
-    pub spread: Option<beechloft_spread::Settings>,
+    pub spread: Option<beechloft_gossip::Settings>,
     /// Limits that hold for all fronts, if there are any.
     pub limits: Option<LimitsSettings>,
     /// How verdicts on boxes are shared, if they are.
@@ -284,7 +284,7 @@
             FleetSettings::read(&format!("{head}  seeds: ['127.0.0.1:7000']\n  verdicts:\n    part: 0.4\n"));
         let on = on.expect("sound");
         assert_eq!(on.verdicts.map(|v| v.rules.part), Some(400));
-        assert_eq!(on.spread, Some(beechloft_spread::Settings::default()));
+        assert_eq!(on.spread, Some(beechloft_gossip::Settings::default()));
         let bad = format!(
             "{head}  rows:\n    round_ms: 5\n  verdicts:\n    fresh_ms: 100\n    fronts: 1\n    party: 1\n"
         );
--- a/crates/fleet/keeper/src/settings/limits.rs
+++ b/crates/fleet/coordinator/src/settings/limits.rs
@@ -4,8 +4,8 @@
 
 use beechloft_config::Section;
 use beechloft_leases::{Drift, Name};
-use beechloft_limits::define::{MOST, MOST_FRONTS};
-use beechloft_limits::{Counts, Definition, Key, Kind, Of, Rules, bounds};
+use beechloft_quotas::define::{MOST, MOST_FRONTS};
+use beechloft_quotas::{Counts, Definition, Key, Kind, Of, Rules, bounds};
 
 /// What the section says.
 #[derive(Debug, Clone, PartialEq, Default)]
--- a/crates/fleet/keeper/src/settings/verdicts.rs
+++ b/crates/fleet/coordinator/src/settings/verdicts.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use beechloft_config::Section;
-use beechloft_spread::Settings;
-use beechloft_verdicts::Rules;
+use beechloft_gossip::Settings;
+use beechloft_outlier_detection::Rules;
 
 /// How verdicts are shared.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/fleet/keeper/src/verdicts.rs
+++ b/crates/fleet/coordinator/src/verdicts.rs
@@ -8,9 +8,9 @@
 use std::thread;
 use std::time::Duration;
 
+use beechloft_gossip::Kind;
 use beechloft_leases::{Holder, HolderId, HolderInput, HolderOutput, Name, Request, Terms};
-use beechloft_spread::Kind;
-use beechloft_verdicts::{
+use beechloft_outlier_detection::{
     BoxKey, BoxLine, Change, Evidence, FrontLife, Ledger, Outcome, Outlook, Places, Report, Seen, Tried,
     Verdicts, Witness, judge_viewers,
 };
@@ -32,7 +32,7 @@
 pub struct Noted {
     /// At which box.
     pub server: u32,
-    /// For which title: see [`beechloft_verdicts::title_key`].
+    /// For which title: see [`beechloft_outlier_detection::title_key`].
     pub title: u32,
     /// How it ended.
     pub outcome: Outcome,
--- a/crates/fleet/keeper/src/wire.rs
+++ b/crates/fleet/coordinator/src/wire.rs
@@ -4,7 +4,7 @@
 
 use beechloft_consensus::{MemberId, Message};
 use beechloft_leases::{Heard, Name, Request};
-use beechloft_members::Packet;
+use beechloft_membership::Packet;
 use beechloft_topic::{Position, Said, Told, TopicHeard, TopicRequest};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -194,9 +194,9 @@
         answer: beechloft_placement::Answer,
     },
     /// A front's request of the ledger of limits.
-    Limit(beechloft_limits::Request),
+    Limit(beechloft_quotas::Request),
     /// What became of it.
-    LimitHeard(beechloft_limits::Heard),
+    LimitHeard(beechloft_quotas::Heard),
 }
 
 /// Why a word could not be read.
@@ -378,7 +378,7 @@
 
     #[test]
     fn a_packet_is_read_as_it_was_written_and_nothing_else_is() {
-        use beechloft_members::{Digests, MemberId, Said};
+        use beechloft_membership::{Digests, MemberId, Said};
         let said = Said::Compare { digests: Digests(vec![u64::MAX; 64]), answers: false };
         let packet = Packet { from: MemberId(7), to: None, said, rumours: Vec::new() };
         let bytes = datagram(9, &packet).expect("short");
--- a/crates/fleet/spread/src/spread.rs
+++ b/crates/fleet/gossip/src/spread.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use beechloft_members::{MemberId, Zone};
+use beechloft_membership::{MemberId, Zone};
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/fleet/spread/src/table.rs
+++ b/crates/fleet/gossip/src/table.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use beechloft_members::MemberId;
+use beechloft_membership::MemberId;
 use thiserror::Error;
 
 use crate::planted::Fault;
--- a/crates/fleet/spread/src/words.rs
+++ b/crates/fleet/gossip/src/words.rs
@@ -1,6 +1,6 @@
 //! What fronts say to each other of their rows.
 
-use beechloft_members::MemberId;
+use beechloft_membership::MemberId;
 use serde::{Deserialize, Serialize};
 
 /// Rows at most: what a full table is offered besides is refused.
--- a/crates/fleet/spread/tests/fleets.rs
+++ b/crates/fleet/gossip/tests/fleets.rs
@@ -4,10 +4,10 @@
 
 use std::time::Duration;
 
-use beechloft_members::MemberId;
-use beechloft_spread::{
+use beechloft_gossip::{
     Delta, Fault, Input, Kind, MOST_ROW, Output, Packet, Peer, Said, Section, Settings, Spread,
 };
+use beechloft_membership::MemberId;
 use support::{Network, World, address, zone};
 
 const SECOND: Duration = Duration::from_secs(1);
--- a/crates/fleet/spread/tests/support/mod.rs
+++ b/crates/fleet/gossip/tests/support/mod.rs
@@ -7,8 +7,8 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use beechloft_members::{MemberId, Zone};
-use beechloft_spread::{Fault, Input, Kind, Output, Packet, Peer, Settings, Spread};
+use beechloft_gossip::{Fault, Input, Kind, Output, Packet, Peer, Settings, Spread};
+use beechloft_membership::{MemberId, Zone};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/fleet/leases/src/lib.rs
+++ b/crates/fleet/leases/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A lease (Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency", SOSP
 //! 1989) is given for a time and renewed before it runs out. [`Table`] is the state that consensus replicates; it knows no
-//! time: the keeper that leads (`beechloft_group`) counts the times at which grants run out.
+//! time: the keeper that leads (`beechloft_replica`) counts the times at which grants run out.
 //! [`Holder`] asks, renews and hands out the [`Permit`] that whatever acts must look at right before each act. Each grant has a
 //! fencing [`Token`] that only rises; whatever is acted on refuses a lower one than it has seen.
 //!
--- a/crates/fleet/members/tests/fleets.rs
+++ b/crates/fleet/membership/tests/fleets.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechloft_members::{
+use beechloft_membership::{
     About, Digests, Fault, Incarnation, Input, Kind, Life, MemberId, Packet, Rumour, Said, Swim, Zone,
 };
 use rand::{RngExt, SeedableRng};
@@ -276,7 +276,7 @@
     assert!(sent < 60_000 * 2 + 60 * 20 * 10, "{sent}");
 }
 
-/// Outside CI: `cargo test --release -p beechloft-members --test fleets -- --ignored --nocapture`.
+/// Outside CI: `cargo test --release -p beechloft-membership --test fleets -- --ignored --nocapture`.
 #[test]
 #[ignore = "five thousand members, minutes"]
 fn five_thousand_members() {
--- a/crates/fleet/members/tests/support/mod.rs
+++ b/crates/fleet/membership/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use beechloft_members::{About, Fault, Input, Kind, Life, MemberId, Output, Packet, Rumour, Swim, Zone};
+use beechloft_membership::{About, Fault, Input, Kind, Life, MemberId, Output, Packet, Rumour, Swim, Zone};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/fleet/verdicts/tests/judged.rs
+++ b/crates/fleet/outlier-detection/tests/judged.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beechloft_verdicts::{
+use beechloft_outlier_detection::{
     BoxKey, BoxLine, Change, Evidence, Fault, FrontLife, Ledger, MOST_REPORT, Outcome, Place, Places, Report,
     Rules, Seen, TitleLine, Tried, Verdicts, ViewerLine, Witness, judge, judge_titles, judge_viewers,
     title_key,
--- a/crates/fleet/verdicts/tests/merges.rs
+++ b/crates/fleet/outlier-detection/tests/merges.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 use std::hash::Hash;
 
-use beechloft_explore::{Limits, Model, explore};
-use beechloft_verdicts::{
+use beechloft_model_checker::{Limits, Model, explore};
+use beechloft_outlier_detection::{
     BoxKey, BoxLine, Evidence, Fault, FrontLife, Place, Places, Report, Rules, Seen, Witness, judge,
 };
 use siphasher::sip128::SipHasher13;
--- a/crates/fleet/verdicts/tests/seeds.rs
+++ b/crates/fleet/outlier-detection/tests/seeds.rs
@@ -4,14 +4,14 @@
 //! Each front chooses among the boxes it is offered by chance, rests one that failed for half a second, twice as long after each
 //! further failure, up to eight seconds, and tries elsewhere: so a front by itself does. Figures here are of simulated fleets.
 
-#[path = "../../spread/tests/support/mod.rs"]
+#[path = "../../gossip/tests/support/mod.rs"]
 mod net;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use beechloft_spread::{Kind, Settings};
-use beechloft_verdicts::{
+use beechloft_gossip::{Kind, Settings};
+use beechloft_outlier_detection::{
     BoxKey, BoxLine, Change, Evidence, Fault, FrontLife, Ledger, Outcome, Place, Places, Report, Rules, Seen,
     Tried, Verdicts, Witness,
 };
--- a/crates/fleet/placement/tests/explored.rs
+++ b/crates/fleet/placement/tests/explored.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechloft_explore::{Found, Limits, Model, Seen, explore};
 use beechloft_leases::{Drift, Token};
+use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
 use beechloft_placement::boxes::{Done, Job};
 use beechloft_placement::front::{Offer, ViewInput};
 use beechloft_placement::names::*;
--- a/crates/fleet/limits/tests/explored.rs
+++ b/crates/fleet/quotas/tests/explored.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechloft_explore::{Found, Limits, Model, Seen, explore};
 use beechloft_leases::{Drift, Name};
-use beechloft_limits::{
+use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
+use beechloft_quotas::{
     Answer, Claim, Command, Counts, Definition, Fault, Front, FrontId, FrontInput, FrontOutput,
     FrontSettings, Heard, Key, Ledger, Of, Op, Request, Rules, Stage, Subject, Taken, Times,
 };
--- a/crates/fleet/limits/tests/seeds.rs
+++ b/crates/fleet/quotas/tests/seeds.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use beechloft_limits::{Counts, Definition, Fault, Key, Kind, Of, Rules};
+use beechloft_quotas::{Counts, Definition, Fault, Key, Kind, Of, Rules};
 use support::{World, ms, name};
 
 const FRONTS: usize = 6;
--- a/crates/fleet/limits/tests/support/mod.rs
+++ b/crates/fleet/quotas/tests/support/mod.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use beechloft_leases::{Drift, Name};
-use beechloft_limits::soft::Row;
-use beechloft_limits::{
+use beechloft_quotas::soft::Row;
+use beechloft_quotas::{
     Answer, Claim, Command, Counts, Definition, Fault, Front, FrontId, FrontInput, FrontOutput,
     FrontSettings, Heard, Key, Ledger, Of, Op, Request, Rules, Stage, Subject, Taken, Times,
 };
@@ -245,7 +245,7 @@
         self.applied += 1;
         let now = self.leader_now();
         for event in &events {
-            if let beechloft_limits::Event::Ended(_, _, Some(_)) = event {
+            if let beechloft_quotas::Event::Ended(_, _, Some(_)) = event {
                 self.orphans_seen += 1;
             }
             if self.leads {
@@ -431,7 +431,7 @@
         let (sum, mut allowed) = (self.plays(claim), self.allowed(&claim.limit));
         if !of.is_hard() {
             self.longest_over = self.longest_over.max(sum.saturating_sub(allowed));
-            allowed += beechloft_limits::bounds::soft_bound(of);
+            allowed += beechloft_quotas::bounds::soft_bound(of);
         }
         if sum > allowed {
             let why = format!("{claim}: {sum} play where {allowed} may, at {:?}", self.now);
@@ -442,9 +442,9 @@
     fn minted(&mut self, of: &Definition, claim: &Claim) {
         let window = Duration::from_secs(1);
         let most = if of.is_hard() {
-            beechloft_limits::bounds::rate_bound(of, self.drift, window)
+            beechloft_quotas::bounds::rate_bound(of, self.drift, window)
         } else {
-            of.limit + beechloft_limits::bounds::soft_bound(of) / 1_000 + 1
+            of.limit + beechloft_quotas::bounds::soft_bound(of) / 1_000 + 1
         };
         let now = self.now;
         let all = self.rates.entry(claim.clone()).or_default();
@@ -544,7 +544,7 @@
                 let (front, seq) = (request.front, request.seq);
                 let first = !self.log.iter().rev().take(4096).any(|l| (l.0, l.1) == (front, seq));
                 let Some(answer) = self.apply(&Command::Request(request)) else { return };
-                if first && answer != Answer::Unable(beechloft_limits::Unable::Overtaken) {
+                if first && answer != Answer::Unable(beechloft_quotas::Unable::Overtaken) {
                     self.log.push((front, seq, self.now));
                 }
                 self.check_sums();
--- a/crates/fleet/group/src/asked.rs
+++ b/crates/fleet/replica/src/asked.rs
@@ -30,7 +30,7 @@
     /// The placement as of now: once this is answered, the keeper's has all that was committed before.
     ReadPlacement(ClientId, u64),
     /// A front's request of the ledger of limits.
-    Limit(ClientId, beechloft_limits::Request),
+    Limit(ClientId, beechloft_quotas::Request),
     /// Whoever asked over this connection is gone.
     Closed(ClientId),
     /// Anything else for the log's machine: changes of members, the lead handed over.
@@ -65,9 +65,9 @@
     /// What has changed with the placement.
     PlacementEvent(beechloft_placement::Event),
     /// For a front that asked the ledger of limits.
-    LimitHeard(ClientId, beechloft_limits::Heard),
+    LimitHeard(ClientId, beechloft_quotas::Heard),
     /// What has changed with the limits.
-    LimitEvent(beechloft_limits::Event),
+    LimitEvent(beechloft_quotas::Event),
     /// What became of something for the log's machine.
     Group(Ticket, Result<LogPos, Refused>),
 }
--- a/crates/fleet/group/src/command.rs
+++ b/crates/fleet/replica/src/command.rs
@@ -12,7 +12,7 @@
     /// For the placement.
     Placement(beechloft_placement::Command),
     /// For the limits.
-    Limits(beechloft_limits::Command),
+    Limits(beechloft_quotas::Command),
 }
 
 /// The parts' numbers, in logs and snapshots. One is never used for another part.
--- a/crates/fleet/group/src/keeper.rs
+++ b/crates/fleet/replica/src/keeper.rs
@@ -105,7 +105,7 @@
     }
 
     /// Its ledger of limits, which may be behind.
-    pub fn limits(&self) -> &beechloft_limits::Ledger {
+    pub fn limits(&self) -> &beechloft_quotas::Ledger {
         self.state.limits.ledger()
     }
 
@@ -176,7 +176,7 @@
             }
             Asked::Limit(client, request) => {
                 let waits = Waits::Limits(LimitsWait::Request(client, request.front, request.seq));
-                let command = Command::Limits(beechloft_limits::Command::Request(request));
+                let command = Command::Limits(beechloft_quotas::Command::Request(request));
                 self.propose(&command, waits, out);
             }
             Asked::Place(client, number, command) => {
--- a/crates/fleet/group/src/parts/limits.rs
+++ b/crates/fleet/replica/src/parts/limits.rs
@@ -4,7 +4,7 @@
 
 use beechloft_consensus::{Chunk, Refused};
 use beechloft_leases::KeeperId;
-use beechloft_limits::{Command, Definition, Fault, FrontId, Heard, Ledger, LedgerError, Times};
+use beechloft_quotas::{Command, Definition, Fault, FrontId, Heard, Ledger, LedgerError, Times};
 
 use super::{Moment, Part};
 use crate::asked::{ClientId, KeeperOutput};
--- a/crates/fleet/group/src/planted.rs
+++ b/crates/fleet/replica/src/planted.rs
@@ -10,11 +10,11 @@
     /// Of the placement.
     Placement(beechloft_placement::Fault),
     /// Of the limits.
-    Limits(beechloft_limits::Fault),
+    Limits(beechloft_quotas::Fault),
 }
 
-impl From<beechloft_limits::Fault> for Fault {
-    fn from(fault: beechloft_limits::Fault) -> Fault {
+impl From<beechloft_quotas::Fault> for Fault {
+    fn from(fault: beechloft_quotas::Fault) -> Fault {
         Fault::Limits(fault)
     }
 }
--- a/crates/fleet/group/src/snapshot.rs
+++ b/crates/fleet/replica/src/snapshot.rs
@@ -20,7 +20,7 @@
     Placement(#[from] beechloft_placement::state::StateError),
     /// Of the limits.
     #[error(transparent)]
-    Limits(#[from] beechloft_limits::LedgerError),
+    Limits(#[from] beechloft_quotas::LedgerError),
     /// What says which pieces are whose.
     #[error("a snapshot whose pieces do not fit together")]
     Pieces,
--- a/crates/fleet/group/tests/explored.rs
+++ b/crates/fleet/replica/tests/explored.rs
@@ -15,11 +15,11 @@
 use beechloft_consensus::{
     Body, Change, Input, MemberId, Membership, Message, Outputs, Settings, Stored, Term, Ticket,
 };
-use beechloft_explore::{Found, Limits, Model, Seen, explore};
-use beechloft_group::{Asked, ClientId, Keeper, KeeperOutput};
 use beechloft_leases::{
     Drift, Fault, Heard, Holder, HolderId, HolderInput, HolderOutput, Name, Request, Terms, Token,
 };
+use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
+use beechloft_replica::{Asked, ClientId, Keeper, KeeperOutput};
 use siphasher::sip128::SipHasher13;
 use support::Memory;
 
@@ -602,7 +602,7 @@
     println!("{} in {} events, {} states", found.why, found.trail.len(), found.states);
 }
 
-/// Outside CI: `cargo test --release -p beechloft-group --test explored -- --ignored --nocapture`.
+/// Outside CI: `cargo test --release -p beechloft-replica --test explored -- --ignored --nocapture`.
 #[test]
 #[ignore = "millions of states, minutes"]
 fn no_two_may_act_at_once_in_any_order_far() {
--- a/crates/fleet/group/tests/leases.rs
+++ b/crates/fleet/replica/tests/leases.rs
@@ -115,7 +115,7 @@
     assert!(replaced > 120, "{replaced} keepers replaced");
 }
 
-/// Outside CI: `cargo test --release -p beechloft-group --test leases -- --ignored --nocapture`.
+/// Outside CI: `cargo test --release -p beechloft-replica --test leases -- --ignored --nocapture`.
 #[test]
 #[ignore = "ten thousand runs with fifty candidates, minutes"]
 fn ten_thousand_runs_with_fifty_candidates() {
--- a/crates/fleet/group/tests/support/mod.rs
+++ b/crates/fleet/replica/tests/support/mod.rs
@@ -9,11 +9,11 @@
 use beechloft_consensus::{
     Change, Disk, Input, MemberId, Membership, Message, Outputs, Save, Settings, Stored, Ticket,
 };
-use beechloft_group::{Asked, ClientId, Keeper, KeeperOutput};
 use beechloft_leases::{
     Answer, Drift, Farewell, Fault, Heard, Holder, HolderId, HolderInput, HolderOutput, Name, Op, Request,
     Route, Terms, Token,
 };
+use beechloft_replica::{Asked, ClientId, Keeper, KeeperOutput};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/fleet/group/tests/topics/main.rs
+++ b/crates/fleet/replica/tests/topics/main.rs
@@ -115,7 +115,7 @@
     assert!(sums.replaced > RUNS as usize && sums.restored > 0 && sums.behind > RUNS as usize, "{sums:?}");
 }
 
-/// Outside CI: `cargo test --release -p beechloft-group --test topics -- --ignored --nocapture`.
+/// Outside CI: `cargo test --release -p beechloft-replica --test topics -- --ignored --nocapture`.
 #[test]
 #[ignore = "a thousand runs, minutes"]
 fn a_thousand_runs() {
--- a/crates/fleet/group/tests/topics/world.rs
+++ b/crates/fleet/replica/tests/topics/world.rs
@@ -10,8 +10,8 @@
     Change, Disk, Input, MemberId, Membership, Message, Outputs, Payload, Refused, Save, Settings, Stored,
     Ticket,
 };
-use beechloft_group::{Asked, ClientId, Command, Keeper, KeeperOutput};
 use beechloft_leases::{Drift, Name, Route};
+use beechloft_replica::{Asked, ClientId, Command, Keeper, KeeperOutput};
 use beechloft_topic::{
     Expect, Fault, Feed, Key, Offset, Outcome, Position, Publisher, PublisherId, PublisherInput,
     PublisherOutput, PublisherSettings, PublisherTicket, Record, Said, Subscriber, SubscriberInput,
--- a/crates/fleet/topic/tests/explored.rs
+++ b/crates/fleet/topic/tests/explored.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechloft_explore::{Found, Limits, Model, Seen, explore};
+use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
 use beechloft_topic::{
     Epoch, Expect, Fault, Feed, Key, Layout, Name, Offset, PublisherId, Record, Session, Subscriber,
     SubscriberInput, SubscriberOutput, SubscriberSettings, Terms, Told, TopicAnswer, TopicCommand, TopicOp,
--- a/crates/front/config/src/front.rs
+++ b/crates/front/config/src/front.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use beechloft::interface::{Settings, ZoneId};
-use beechloft_core::catalog::{BoxLine, TitleLine};
 use beechloft_http::Limits;
 use beechloft_http::server::Sizes;
+use beechloft_session::catalog::{BoxLine, TitleLine};
 
 use crate::list;
 use crate::reader::{self, Faults, Section};
--- a/crates/front/config/src/list.rs
+++ b/crates/front/config/src/list.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use beechloft::interface::*;
-use beechloft_core::catalog::{BoxLine, TitleLine};
+use beechloft_session::catalog::{BoxLine, TitleLine};
 
 use crate::reader::Section;
 use crate::service::Service;
--- a/crates/front/list/src/lib.rs
+++ b/crates/front/discovery/src/lib.rs
@@ -11,8 +11,8 @@
 use std::net::SocketAddr;
 
 use beechloft_config::Service;
-use beechloft_core::api::*;
-use beechloft_core::catalog::{BoxLine, ListUpdate, TitleLine};
+use beechloft_session::api::*;
+use beechloft_session::catalog::{BoxLine, ListUpdate, TitleLine};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
--- a/crates/front/daemon/src/attempt.rs
+++ b/crates/front/server/src/attempt.rs
@@ -9,12 +9,12 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use beechloft_core::api::{LoadReport, Outcome};
-use beechloft_core::io::{BoxNews, Input, Verdict};
-use beechloft_core::session::GRACE;
 use beechloft_http::client::{CallError, Exchange};
 use beechloft_http::server::Link;
 use beechloft_http::{Request, wait};
+use beechloft_session::api::{LoadReport, Outcome};
+use beechloft_session::io::{BoxNews, Input, Verdict};
+use beechloft_session::session::GRACE;
 use beechloft_whep::boxes;
 use tracing::debug;
 
--- a/crates/front/daemon/src/calls.rs
+++ b/crates/front/server/src/calls.rs
@@ -8,11 +8,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use beechloft_core::api::{LoadReport, Outcome, Rung, ServerId};
-use beechloft_core::io::{BoxNews, Input};
-use beechloft_core::release::Ticket;
 use beechloft_http::client::{CallError, Pool};
 use beechloft_http::{Request, Response};
+use beechloft_session::api::{LoadReport, Outcome, Rung, ServerId};
+use beechloft_session::io::{BoxNews, Input};
+use beechloft_session::release::Ticket;
 use beechloft_whep::{boxes, load};
 use tracing::debug;
 
--- a/crates/front/daemon/src/engine/mod.rs
+++ b/crates/front/server/src/engine/mod.rs
@@ -9,8 +9,8 @@
 use std::thread::{self, JoinHandle};
 
 use beechloft_config::FrontSettings;
-use beechloft_core::Core;
 use beechloft_http::client::Pool;
+use beechloft_session::Core;
 use crossbeam_channel::{Sender, unbounded};
 
 use self::run::Run;
--- a/crates/front/daemon/src/engine/run.rs
+++ b/crates/front/server/src/engine/run.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use beechloft_core::Core;
-use beechloft_core::api::{Numbered, SessionId};
-use beechloft_core::io::{Answer, Ask, Input, Output, RequestId};
+use beechloft_session::Core;
+use beechloft_session::api::{Numbered, SessionId};
+use beechloft_session::io::{Answer, Ask, Input, Output, RequestId};
 use beechloft_sip::agent;
 use beechloft_whep::events::PlayerEvent;
 use crossbeam_channel::{Receiver, Sender};
--- a/crates/front/daemon/src/handle.rs
+++ b/crates/front/server/src/handle.rs
@@ -7,9 +7,9 @@
 use std::thread::{self};
 use std::time::{Duration, Instant};
 
-use beechloft_core::api::{ServerId, SessionId};
-use beechloft_core::io::{Answer, Ask, Input, RequestId, Secret};
-use beechloft_limits::Key;
+use beechloft_quotas::Key;
+use beechloft_session::api::{ServerId, SessionId};
+use beechloft_session::io::{Answer, Ask, Input, RequestId, Secret};
 use beechloft_sip::agent;
 use beechloft_whep::events::PlayerEvent;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
--- a/crates/front/daemon/src/lanes.rs
+++ b/crates/front/server/src/lanes.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use beechloft_core::api::Micros;
+use beechloft_session::api::Micros;
 use beechloft_sip::agent::Input;
 use beechloft_sip::message::{Message, Method};
 use beechloft_sip::transaction::layer::Peer;
--- a/crates/front/daemon/src/lib.rs
+++ b/crates/front/server/src/lib.rs
@@ -27,9 +27,9 @@
 use std::time::{Duration, Instant};
 
 use beechloft_config::FrontSettings;
-use beechloft_core::{Core, Input};
 use beechloft_http::client::Pool;
 use beechloft_http::server::Server;
+use beechloft_session::{Core, Input};
 use tracing::info;
 
 use crate::clock::Clock;
--- a/crates/front/daemon/src/limits.rs
+++ b/crates/front/server/src/limits.rs
@@ -6,11 +6,11 @@
 use std::time::Instant;
 
 use beechloft_config::Service;
-use beechloft_core::Core;
-use beechloft_core::api::{Micros, Outcome, ServerId, SessionId};
-use beechloft_core::io::{Answer, Ask, AttemptId, Input, Output, Verdict};
 use beechloft_http::client::CallError;
-use beechloft_limits::{FrontId, Gate, Key, No, Permit, Stage, Subject, tag};
+use beechloft_quotas::{FrontId, Gate, Key, No, Permit, Stage, Subject, tag};
+use beechloft_session::Core;
+use beechloft_session::api::{Micros, Outcome, ServerId, SessionId};
+use beechloft_session::io::{Answer, Ask, AttemptId, Input, Output, Verdict};
 use beechloft_whep::boxes;
 use tracing::{debug, info};
 
--- a/crates/front/daemon/src/list.rs
+++ b/crates/front/server/src/list.rs
@@ -6,13 +6,13 @@
 use std::time::{Duration, Instant};
 
 use beechloft_config::front::ListSource;
-use beechloft_core::catalog::ListUpdate;
-use beechloft_core::io::Input;
+use beechloft_discovery::mirror::Mirror;
+use beechloft_discovery::{BYTES, CHANGE, Form, Message, SNAPSHOT, cache};
 use beechloft_http::client::{CallError, Conn, Stream};
 use beechloft_http::sse::{Event, Parser};
 use beechloft_http::{Method, Request, header};
-use beechloft_list::mirror::Mirror;
-use beechloft_list::{BYTES, CHANGE, Form, Message, SNAPSHOT, cache};
+use beechloft_session::catalog::ListUpdate;
+use beechloft_session::io::Input;
 use beechloft_whep::{EVENTS, boxes};
 use rand_chacha::ChaCha20Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -58,8 +58,11 @@
 fn load(shared: &Shared, path: &Path, mirror: &mut Mirror) {
     match cache::load(path) {
         Ok(Some(message)) => {
-            let read =
-                beechloft_list::read(Form::Snapshot { cached: true }, &message, &shared.settings.service);
+            let read = beechloft_discovery::read(
+                Form::Snapshot { cached: true },
+                &message,
+                &shared.settings.service,
+            );
             info!(target: "list", boxes = message.boxes.len(), titles = message.titles.len(), "copy of the list read");
             mirror.apply(true, &message);
             shared.handle.input(Input::List(read.update));
@@ -155,7 +158,7 @@
             Ok(message) => message,
             Err(error) => return warn!(target: "list", %error, "a message that can't be read is left out"),
         };
-        let read = beechloft_list::read(form, &message, &self.shared.settings.service);
+        let read = beechloft_discovery::read(form, &message, &self.shared.settings.service);
         for fault in read.faults {
             warn!(target: "list", "{fault}");
         }
--- a/crates/front/daemon/src/observe.rs
+++ b/crates/front/server/src/observe.rs
@@ -6,10 +6,10 @@
 
 use std::collections::BTreeMap;
 
-use beechloft_core::api::{Micros, Outcome, ServerId, SessionId};
-use beechloft_core::catalog::Catalog;
-use beechloft_core::io::{Answer, AttemptId, BoxNews, Input, Output, RequestId, Verdict};
-use beechloft_core::narrow::Narrowed;
+use beechloft_session::api::{Micros, Outcome, ServerId, SessionId};
+use beechloft_session::catalog::Catalog;
+use beechloft_session::io::{Answer, AttemptId, BoxNews, Input, Output, RequestId, Verdict};
+use beechloft_session::narrow::Narrowed;
 
 /// Sessions that are followed at once, at most; others are not told of.
 const MOST: usize = 1 << 16;
--- a/crates/front/daemon/src/player.rs
+++ b/crates/front/server/src/player.rs
@@ -5,12 +5,12 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use beechloft_core::api::{Micros, SessionId};
-use beechloft_core::io::{Answer, Ask, Input, Protocol, Secret};
 use beechloft_http::message::HeadError;
 use beechloft_http::server::{Handler, Link, Reply};
 use beechloft_http::{Method, Request, Response, StatusCode, header, sse, wait};
-use beechloft_limits::{Key, No};
+use beechloft_quotas::{Key, No};
+use beechloft_session::api::{Micros, SessionId};
+use beechloft_session::io::{Answer, Ask, Input, Protocol, Secret};
 use beechloft_whep::answer::{self, SessionCall};
 use beechloft_whep::events::{self, PlayerEvent};
 use beechloft_whep::route::{self, Place};
@@ -185,7 +185,7 @@
         }
     }
 
-    fn patch(&self, request: &Request, server: beechloft_core::api::ServerId, resource: &str) -> Response {
+    fn patch(&self, request: &Request, server: beechloft_session::api::ServerId, resource: &str) -> Response {
         let Some(address) = self.shared.handle.address(server) else {
             return Response::text(StatusCode::NOT_FOUND, "no such session");
         };
--- a/crates/front/daemon/src/told.rs
+++ b/crates/front/server/src/told.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
-use beechloft_core::Exchanged;
-use beechloft_core::api::{Micros, Numbered, ServerId};
-use beechloft_core::io::{Answer, AttemptId, Input, Output};
-use beechloft_limits::{Gate, No};
+use beechloft_quotas::{Gate, No};
+use beechloft_session::Exchanged;
+use beechloft_session::api::{Micros, Numbered, ServerId};
+use beechloft_session::io::{Answer, AttemptId, Input, Output};
 
 use crate::observe::Observer;
 
--- a/crates/front/daemon/src/watch.rs
+++ b/crates/front/server/src/watch.rs
@@ -7,11 +7,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use beechloft_core::api::ServerId;
-use beechloft_core::io::{BoxNews, Input};
 use beechloft_http::client::{CallError, Conn, Stream};
 use beechloft_http::sse::Parser;
 use beechloft_http::{Method, Request, header};
+use beechloft_session::api::ServerId;
+use beechloft_session::io::{BoxNews, Input};
 use beechloft_whep::{EVENTS, news};
 use tracing::{debug, warn};
 
--- a/crates/front/daemon/tests/faults.rs
+++ b/crates/front/server/tests/faults.rs
@@ -7,11 +7,11 @@
 
 use beechloft_checker::What;
 use beechloft_checker::trace::Ending;
+use beechloft_fakes::dice::Dice;
+use beechloft_fakes::fault::Fault;
+use beechloft_fakes::offer::{self, Credentials};
+use beechloft_fakes::player::{self, Wish};
 use beechloft_http::{Method, Request};
-use beechloft_standin::dice::Dice;
-use beechloft_standin::fault::Fault;
-use beechloft_standin::offer::{self, Credentials};
-use beechloft_standin::player::{self, Wish};
 use support::*;
 
 /// Box 1 has a fault, box 2 is sound: all of a few sessions for the pair must still play.
@@ -260,7 +260,7 @@
         serde_json::json!({"id": 2, "name": "box-2.a", "address": rig.fleet.listed()[1].address, "state": "ready",
             "zone": "a", "kind": "small"}),
     ];
-    rig.fleet.list.publish(beechloft_list::Message { boxes: lines, ..Default::default() });
+    rig.fleet.list.publish(beechloft_discovery::Message { boxes: lines, ..Default::default() });
     // Named twice: its least ready state holds.
     until("box 2 drains", || {
         rig.play("pair");
@@ -334,11 +334,11 @@
     let cache = dir.path().join("list.json");
     let mut rig = Rig::new(1);
     let list = format!("url: {}\n  cache: {}", rig.fleet.list.url(), cache.display());
-    let first = beechloft_front::Front::start(settings(&list, ""), None).expect("a front");
+    let first = beechloft_server::Front::start(settings(&list, ""), None).expect("a front");
     until("the copy is written", || cache.exists());
     first.stop(Duration::from_secs(1));
     rig.fleet.list.reach(false);
-    let second = beechloft_front::Front::start(settings(&list, ""), None).expect("a front");
+    let second = beechloft_server::Front::start(settings(&list, ""), None).expect("a front");
     rig.address = second.address();
     until("it serves from the copy", || rig.status("all") == 201);
     rig.settle(0);
--- a/crates/front/daemon/tests/replay.rs
+++ b/crates/front/server/tests/replay.rs
@@ -4,16 +4,16 @@
 
 use std::time::Duration;
 
-use beechloft_core::Core;
-use beechloft_core::api::Action;
-use beechloft_standin::player;
+use beechloft_fakes::player;
+use beechloft_session::Core;
+use beechloft_session::api::Action;
 use support::*;
 
 #[test]
 fn a_recorded_front_replays_to_the_same_decisions_in_the_core_and_in_the_module_alone() {
     let mut rig = Rig::new(3);
     let settings = settings(&format!("url: {}", rig.fleet.list.url()), "");
-    let front = beechloft_front::Front::start_recorded(settings.clone()).expect("a front");
+    let front = beechloft_server::Front::start_recorded(settings.clone()).expect("a front");
     rig.address = front.address();
     until("the list is known", || front.status().boxes == 3);
     let mut playing = Vec::new();
--- a/crates/front/daemon/tests/rules.rs
+++ b/crates/front/server/tests/rules.rs
@@ -8,12 +8,12 @@
 use beechloft_checker::check::{ClassRules, ColdRules, Repeat};
 use beechloft_checker::{Recorder, Report, Rules, check};
 use beechloft_config::front;
-use beechloft_front::Front;
-use beechloft_standin::boxes::Warming;
-use beechloft_standin::dice::Dice;
-use beechloft_standin::fault::Fault;
-use beechloft_standin::fleet::Fleet;
-use beechloft_standin::player::{self, Wish};
+use beechloft_fakes::boxes::Warming;
+use beechloft_fakes::dice::Dice;
+use beechloft_fakes::fault::Fault;
+use beechloft_fakes::fleet::Fleet;
+use beechloft_fakes::player::{self, Wish};
+use beechloft_server::Front;
 use support::*;
 
 /// Settings with terms: two seats and a floor, set-ups that must not be repeated, a budget, a rule for cold boxes.
@@ -53,7 +53,7 @@
 }
 
 impl Strict {
-    fn new(boxes: u32, terms: &str, change: impl FnOnce(&mut beechloft_standin::fleet::FleetSpec)) -> Strict {
+    fn new(boxes: u32, terms: &str, change: impl FnOnce(&mut beechloft_fakes::fleet::FleetSpec)) -> Strict {
         let mut spec = fleet_spec(boxes);
         spec.warming = Some(Warming {
             after: Duration::from_secs(6),
--- a/crates/front/daemon/tests/sip.rs
+++ b/crates/front/server/tests/sip.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use beechloft_checker::{Recorder, Report, Rules, What, check};
-use beechloft_front::Front;
-use beechloft_standin::caller::Caller;
-use beechloft_standin::dice::Dice;
-use beechloft_standin::fault::Fault;
-use beechloft_standin::fleet::Fleet;
-use beechloft_standin::player::{self, Wish};
+use beechloft_fakes::caller::Caller;
+use beechloft_fakes::dice::Dice;
+use beechloft_fakes::fault::Fault;
+use beechloft_fakes::fleet::Fleet;
+use beechloft_fakes::player::{self, Wish};
+use beechloft_server::Front;
 use support::*;
 
 struct Sip {
--- a/crates/front/daemon/tests/streams.rs
+++ b/crates/front/server/tests/streams.rs
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 
 use beechloft_checker::Recorder;
-use beechloft_front::Front;
+use beechloft_fakes::fleet::Fleet;
+use beechloft_fakes::offer;
+use beechloft_server::Front;
 use beechloft_sip::framing::{Framed, Framer};
 use beechloft_sip::message::{Message, Method, Response};
-use beechloft_standin::fleet::Fleet;
-use beechloft_standin::offer;
 use support::*;
 
 struct Rig {
--- a/crates/front/daemon/tests/support/mod.rs
+++ b/crates/front/server/tests/support/mod.rs
@@ -8,12 +8,12 @@
 use beechloft_checker::check::ClassRules;
 use beechloft_checker::{Recorder, Report, Rules, check};
 use beechloft_config::{FrontSettings, front};
-use beechloft_front::Front;
+use beechloft_fakes::dice::Dice;
+use beechloft_fakes::fleet::{Fleet, FleetBox, FleetSpec, TitleSpec};
+use beechloft_fakes::media;
+use beechloft_fakes::player::{self, Asked, Playing, Wish};
 use beechloft_http::client::Pool;
-use beechloft_standin::dice::Dice;
-use beechloft_standin::fleet::{Fleet, FleetBox, FleetSpec, TitleSpec};
-use beechloft_standin::media;
-use beechloft_standin::player::{self, Asked, Playing, Wish};
+use beechloft_server::Front;
 
 pub const RATES: [f64; 3] = [200.0, 450.0, 1000.0];
 
--- a/crates/front/daemon/tests/trunk.rs
+++ b/crates/front/server/tests/trunk.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use beechloft_checker::{Recorder, Rules, check};
-use beechloft_front::Front;
-use beechloft_standin::fleet::Fleet;
-use beechloft_standin::trunk::{Plan, Tally, Trunk};
+use beechloft_fakes::fleet::Fleet;
+use beechloft_fakes::trunk::{Plan, Tally, Trunk};
+use beechloft_server::Front;
 use support::*;
 
 /// Calls a front of its own for two seconds; in a build without optimisation this is several times what it holds.
--- a/crates/front/daemon/tests/whep.rs
+++ b/crates/front/server/tests/whep.rs
@@ -4,10 +4,10 @@
 
 use std::time::{Duration, Instant};
 
+use beechloft_fakes::fault::Fault;
+use beechloft_fakes::offer::{self, Credentials};
+use beechloft_fakes::player::{self, Wish};
 use beechloft_http::{Method, Request, Response, header};
-use beechloft_standin::fault::Fault;
-use beechloft_standin::offer::{self, Credentials};
-use beechloft_standin::player::{self, Wish};
 use support::*;
 
 fn call(rig: &Rig, request: &Request) -> Response {
@@ -200,7 +200,7 @@
     rig.fleet.get(1).expect("box 1").fault(Fault::Late { ms: 300 });
     let (wish, recorder) = (rig.wish("all"), rig.recorder.clone());
     let early =
-        std::thread::spawn(move || player::ask(&wish, &mut beechloft_standin::dice::Dice::new(9), &recorder));
+        std::thread::spawn(move || player::ask(&wish, &mut beechloft_fakes::dice::Dice::new(9), &recorder));
     std::thread::sleep(Duration::from_millis(100));
     rig.front.take().expect("the front runs").stop(Duration::from_secs(4));
     assert!(early.join().expect("a player").playing.is_some());
@@ -229,13 +229,13 @@
 #[test]
 fn boxes_that_report_with_probes_alone_are_probed_and_one_that_stands_still_is_found_out() {
     let recorder = beechloft_checker::Recorder::default();
-    let fleet = beechloft_standin::fleet::Fleet::start(&fleet_spec(2), &recorder).expect("a fleet");
+    let fleet = beechloft_fakes::fleet::Fleet::start(&fleet_spec(2), &recorder).expect("a fleet");
     let mut settings = settings(&format!("url: {}", fleet.list.url()), "boxes: {call_ms: 300}\n");
-    settings.settings.reporting = beechloft_core::api::Reporting::InProbes;
+    settings.settings.reporting = beechloft_session::api::Reporting::InProbes;
     settings.settings.limits.probes = true;
-    let front = beechloft_front::Front::start_recorded(settings).expect("a front");
+    let front = beechloft_server::Front::start_recorded(settings).expect("a front");
     until("the list is known", || front.status().boxes == 2);
-    let mut dice = beechloft_standin::dice::Dice::new(4);
+    let mut dice = beechloft_fakes::dice::Dice::new(4);
     let wish = Wish::new(front.address(), 0, "all");
     let probes = || fleet.boxes().map(|(_, b)| b.probes()).sum::<u64>();
     until("a box is probed", || {
@@ -248,9 +248,9 @@
     std::thread::sleep(Duration::from_millis(3500));
     let recording = front.stop(Duration::from_secs(1));
     let told = |ok: bool| {
-        let is = |i: &beechloft_core::io::Input| match i {
-            beechloft_core::io::Input::Probed { outcome, load, .. } => {
-                (*outcome == beechloft_core::api::Outcome::Ok && load.link.is_some()) == ok
+        let is = |i: &beechloft_session::io::Input| match i {
+            beechloft_session::io::Input::Probed { outcome, load, .. } => {
+                (*outcome == beechloft_session::api::Outcome::Ok && load.link.is_some()) == ok
             }
             _ => false,
         };
--- a/crates/front/core/tests/cases.rs
+++ b/crates/front/session/tests/cases.rs
@@ -4,10 +4,10 @@
 
 use std::sync::Arc;
 
-use beechloft_core::api::*;
-use beechloft_core::io::*;
-use beechloft_core::session::{GRACE, OVERDUE};
-use beechloft_core::watch::LOST_AFTER;
+use beechloft_session::api::*;
+use beechloft_session::io::*;
+use beechloft_session::session::{GRACE, OVERDUE};
+use beechloft_session::watch::LOST_AFTER;
 use support::*;
 
 #[test]
@@ -27,7 +27,7 @@
     let mut f = Front::new(1);
     assert!(matches!(replies(&f.ask(1, "nothing"))[..], [Answer::NoTitle]));
     assert!(matches!(replies(&f.ask(2, "title-2"))[..], [Answer::Refused(Some(_))]));
-    let mut young = Front { core: beechloft_core::Core::new(settings(), 1), now: S, log: vec![] };
+    let mut young = Front { core: beechloft_session::Core::new(settings(), 1), now: S, log: vec![] };
     assert!(matches!(replies(&young.ask(1, "title-0"))[..], [Answer::Refused(Some(_))]), "no list yet");
 }
 
--- a/crates/front/core/tests/narrowed.rs
+++ b/crates/front/session/tests/narrowed.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use beechloft_core::api::*;
-use beechloft_core::io::*;
-use beechloft_core::narrow::{Avoid, Narrowed, Shy};
+use beechloft_session::api::*;
+use beechloft_session::io::*;
+use beechloft_session::narrow::{Avoid, Narrowed, Shy};
 use proptest::prelude::*;
 use support::*;
 
--- a/crates/front/core/tests/orders.rs
+++ b/crates/front/session/tests/orders.rs
@@ -4,8 +4,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use beechloft_core::api::*;
-use beechloft_core::io::*;
+use beechloft_session::api::*;
+use beechloft_session::io::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use support::*;
@@ -60,7 +60,7 @@
     out: BTreeMap<SessionId, (AttemptId, ServerId, u64)>,
     past: Vec<(AttemptId, ServerId)>,
     at_box: BTreeMap<(ServerId, String), SessionId>,
-    releasing: BTreeMap<beechloft_core::release::Ticket, (ServerId, String)>,
+    releasing: BTreeMap<beechloft_session::release::Ticket, (ServerId, String)>,
     playing: BTreeMap<SessionId, (ServerId, Secret)>,
     boots: BTreeMap<ServerId, u64>,
     stopped: bool,
@@ -128,7 +128,7 @@
     fn wait(&mut self, us: u64) -> Result<(), TestCaseError> {
         let end = self.front.now + us;
         loop {
-            let grace = beechloft_core::session::GRACE.0;
+            let grace = beechloft_session::session::GRACE.0;
             let ends = self.ledger.out.values().map(|o| o.2 + grace).min();
             let due = self.front.core.next_due().map(|t| t.0);
             let next = ends.into_iter().chain(due).min().filter(|t| *t <= end);
--- a/crates/front/core/tests/support/mod.rs
+++ b/crates/front/session/tests/support/mod.rs
@@ -3,10 +3,10 @@
 
 use std::sync::Arc;
 
-use beechloft_core::Core;
-use beechloft_core::api::*;
-use beechloft_core::catalog::{BoxLine, ListUpdate, TitleLine};
-use beechloft_core::io::*;
+use beechloft_session::Core;
+use beechloft_session::api::*;
+use beechloft_session::catalog::{BoxLine, ListUpdate, TitleLine};
+use beechloft_session::io::*;
 
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
--- a/crates/front/sip/src/agent/boxes.rs
+++ b/crates/front/sip/src/agent/boxes.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use beechloft_core::api::{LoadReport, Micros, Outcome, ServerId};
-use beechloft_core::io::{self as core_io, AttemptId, BoxNews, BoxReply, Verdict};
+use beechloft_session::api::{LoadReport, Micros, Outcome, ServerId};
+use beechloft_session::io::{self as core_io, AttemptId, BoxNews, BoxReply, Verdict};
 use beechloft_whep::sdp;
 
 use super::{Agent, OWN, Output, Owner, Placed, leg_of, resource_of, user_agent};
--- a/crates/front/sip/src/agent/callers.rs
+++ b/crates/front/sip/src/agent/callers.rs
@@ -1,7 +1,7 @@
 //! The agent towards callers: a call comes, is admitted or turned away, and what its leg wants is carried out.
 
-use beechloft_core::api::SessionId;
-use beechloft_core::io::{self as core_io, Ask, Protocol, RequestId, Secret};
+use beechloft_session::api::SessionId;
+use beechloft_session::io::{self as core_io, Ask, Protocol, RequestId, Secret};
 use beechloft_whep::sdp::Offer;
 use rsip::Header;
 
--- a/crates/front/sip/src/agent/gate.rs
+++ b/crates/front/sip/src/agent/gate.rs
@@ -1,7 +1,7 @@
 //! The agent's gate: a new call passes it before anything else is done for it.
 
-use beechloft_core::api::Micros;
-use beechloft_core::io::RequestId;
+use beechloft_session::api::Micros;
+use beechloft_session::io::RequestId;
 use rsip::Header;
 
 use super::{Agent, Output};
--- a/crates/front/sip/src/agent/mod.rs
+++ b/crates/front/sip/src/agent/mod.rs
@@ -11,9 +11,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use beechloft_core::api::{Micros, ServerId, SessionId};
-use beechloft_core::io::{self as core_io, Answer, AttemptId, RequestId, Secret};
-use beechloft_core::release::Ticket;
+use beechloft_session::api::{Micros, ServerId, SessionId};
+use beechloft_session::io::{self as core_io, Answer, AttemptId, RequestId, Secret};
+use beechloft_session::release::Ticket;
 use beechloft_whep::sdp::Offer;
 use rsip::{Header, headers::UntypedHeader};
 
--- a/crates/front/sip/src/callee.rs
+++ b/crates/front/sip/src/callee.rs
@@ -6,8 +6,8 @@
 //! connection that it went out on is closed. The connection is the attempt's own; it is closed [`GRACE`] after the
 //! attempt was given up, so that a box that stands still costs no more than that.
 
-use beechloft_core::api::Micros;
-use beechloft_core::session::GRACE;
+use beechloft_session::api::Micros;
+use beechloft_session::session::GRACE;
 
 use crate::dialog::{Dialog, Local, Mint};
 use crate::message::{Method, Request, Response};
--- a/crates/front/sip/src/caller.rs
+++ b/crates/front/sip/src/caller.rs
@@ -4,7 +4,7 @@
 //! that vanishes without a BYE is noticed by the session timer (RFC 4028): we ask for refreshes by the caller and end
 //! the call when they stay out, so that its room is free again.
 
-use beechloft_core::api::Micros;
+use beechloft_session::api::Micros;
 use rsip::{Header, Headers};
 
 use crate::dialog::{Dialog, Local, Mint};
--- a/crates/front/sip/src/overload/control.rs
+++ b/crates/front/sip/src/overload/control.rs
@@ -9,7 +9,7 @@
 
 use std::net::SocketAddr;
 
-use beechloft_core::api::Micros;
+use beechloft_session::api::Micros;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 
--- a/crates/front/sip/src/overload/neighbours.rs
+++ b/crates/front/sip/src/overload/neighbours.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use beechloft_core::api::Micros;
+use beechloft_session::api::Micros;
 
 /// Neighbours that are remembered; further ones count as claiming nothing.
 pub const MOST: usize = 1024;
--- a/crates/front/sip/src/overload/refused.rs
+++ b/crates/front/sip/src/overload/refused.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use beechloft_core::api::Micros;
+use beechloft_session::api::Micros;
 
 use crate::message::Request;
 use crate::timer::{T4, TRIES};
--- a/crates/front/sip/src/overload/wire.rs
+++ b/crates/front/sip/src/overload/wire.rs
@@ -1,6 +1,6 @@
 //! The parameters of RFC 7339 in the topmost `Via`.
 
-use beechloft_core::api::Micros;
+use beechloft_session::api::Micros;
 use rsip::headers::UntypedHeader;
 use rsip::{Header, Headers};
 
--- a/crates/front/sip/src/standing.rs
+++ b/crates/front/sip/src/standing.rs
@@ -5,7 +5,7 @@
 //! call by itself: a front that is gone leaves nothing there for longer than the interval. An answer that says that the
 //! box does not know the call any more, or none at all, ends it on our side.
 
-use beechloft_core::api::Micros;
+use beechloft_session::api::Micros;
 use rsip::Header;
 use rsip::headers::UntypedHeader;
 
--- a/crates/front/sip/src/timer.rs
+++ b/crates/front/sip/src/timer.rs
@@ -1,6 +1,6 @@
 //! The timer values of RFC 3261, table 4, and RFC 6026, section 7.1.
 
-use beechloft_core::api::Micros;
+use beechloft_session::api::Micros;
 
 /// Estimate of a round trip.
 pub const T1: Micros = Micros(500_000);
--- a/crates/front/sip/src/transaction/client.rs
+++ b/crates/front/sip/src/transaction/client.rs
@@ -1,6 +1,6 @@
 //! Client transactions: figures 5 and 6 of RFC 3261, the first with RFC 6026's Accepted state.
 
-use beechloft_core::api::Micros;
+use beechloft_session::api::Micros;
 
 use super::Transport;
 use crate::message::{Method, Names, Request, Response};
--- a/crates/front/sip/src/transaction/layer.rs
+++ b/crates/front/sip/src/transaction/layer.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use beechloft_core::api::Micros;
+use beechloft_session::api::Micros;
 
 use super::Transport;
 use super::client::{self, Client};
--- a/crates/front/sip/src/transaction/mod.rs
+++ b/crates/front/sip/src/transaction/mod.rs
@@ -9,7 +9,7 @@
 
 pub use layer::{Input, Key, Layer, Output, Side};
 
-use beechloft_core::api::Micros;
+use beechloft_session::api::Micros;
 
 /// Whether the transport repeats lost data by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/front/sip/src/transaction/server.rs
+++ b/crates/front/sip/src/transaction/server.rs
@@ -4,7 +4,7 @@
 //! last copy may be on the way for T4 more; a transaction that ends before would take it for a new request, and a
 //! session would be set up twice.
 
-use beechloft_core::api::Micros;
+use beechloft_session::api::Micros;
 
 use super::Transport;
 use crate::message::{Method, Request, Response};
--- a/crates/front/sip/tests/agent.rs
+++ b/crates/front/sip/tests/agent.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use beechloft_core::Core;
-use beechloft_core::api::*;
-use beechloft_core::catalog::{BoxLine, ListUpdate, TitleLine};
-use beechloft_core::io as core_io;
+use beechloft_session::Core;
+use beechloft_session::api::*;
+use beechloft_session::catalog::{BoxLine, ListUpdate, TitleLine};
+use beechloft_session::io as core_io;
 use beechloft_sip::agent::{Agent, Input, Output};
 use beechloft_sip::message::{Message, Method, Request, Response};
 use beechloft_sip::transaction::Transport;
--- a/crates/front/sip/tests/gate.rs
+++ b/crates/front/sip/tests/gate.rs
@@ -1,8 +1,8 @@
 //! The agent under overload: what is turned away costs no transaction, is answered alike each time, and is told to
 //! those who take part.
 
-use beechloft_core::api::Micros;
-use beechloft_core::io as core_io;
+use beechloft_session::api::Micros;
+use beechloft_session::io as core_io;
 use beechloft_sip::agent::{Agent, Input, Output};
 use beechloft_sip::message::{Message, Method};
 use beechloft_sip::overload::control::{LATE, LOOK};
--- a/crates/front/sip/tests/legs.rs
+++ b/crates/front/sip/tests/legs.rs
@@ -1,7 +1,7 @@
 //! The two legs of a call: towards a box, which is never left with one, and towards a caller, who is owed one answer.
 
-use beechloft_core::api::Micros;
-use beechloft_core::session::GRACE;
+use beechloft_session::api::Micros;
+use beechloft_session::session::GRACE;
 use beechloft_sip::callee::{self, BoxLeg};
 use beechloft_sip::caller::{self, CallerLeg, MIN_SE, Why};
 use beechloft_sip::dialog::{Local, Mint};
--- a/crates/front/sip/tests/overload.rs
+++ b/crates/front/sip/tests/overload.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use beechloft_core::api::Micros;
+use beechloft_session::api::Micros;
 use beechloft_sip::message::{Message, Request};
 use beechloft_sip::overload::control::{BORNE, LATE, LOOK};
 use beechloft_sip::overload::refused::{KEPT, Refused};
--- a/crates/front/sip/tests/standing.rs
+++ b/crates/front/sip/tests/standing.rs
@@ -1,6 +1,6 @@
 //! What is asked of a box while a call stands: one UPDATE at a time, the newest rung, and an end that is noticed.
 
-use beechloft_core::api::Micros;
+use beechloft_session::api::Micros;
 use beechloft_sip::dialog::{Dialog, Local, Mint};
 use beechloft_sip::message::{Message, Request, Response};
 use beechloft_sip::standing::{Means, Standing};
--- a/crates/front/sip/tests/transactions.rs
+++ b/crates/front/sip/tests/transactions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use beechloft_core::api::Micros;
+use beechloft_session::api::Micros;
 use beechloft_sip::message::{Message, Method, Request, Response};
 use beechloft_sip::timer::{ABSORB, T1, T2, T4, TRIES};
 use beechloft_sip::transaction::layer::Peer;
--- a/crates/front/whep/src/answer.rs
+++ b/crates/front/whep/src/answer.rs
@@ -1,8 +1,8 @@
 //! The front as a server: its answers to players and publishers, as RFC 9725 and the WHEP draft have them.
 
-use beechloft_core::api::Micros;
-use beechloft_core::io::Answer;
 use beechloft_http::{HeaderName, Method, Request, Response, StatusCode, header};
+use beechloft_session::api::Micros;
+use beechloft_session::io::Answer;
 
 use crate::{FRAG, SDP, accepts, events, is_type, route};
 
--- a/crates/front/whep/src/boxes.rs
+++ b/crates/front/whep/src/boxes.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use beechloft_core::api::{LoadReport, Outcome, Rung};
-use beechloft_core::io::{BoxReply, Verdict};
 use beechloft_http::{Method, Request, Response, StatusCode, header};
+use beechloft_session::api::{LoadReport, Outcome, Rung};
+use beechloft_session::io::{BoxReply, Verdict};
 
 use crate::{FRAG, SDP, layers, load, route, sdp};
 
--- a/crates/front/whep/src/events.rs
+++ b/crates/front/whep/src/events.rs
@@ -3,9 +3,9 @@
 //! The 201 names the address; a POST there with a JSON list of event names answers with the address of a stream of
 //! them. Which events were asked for is part of that address, so that nothing need be kept between the two calls.
 
-use beechloft_core::api::Rung;
 use beechloft_http::sse::Event;
 use beechloft_http::{Request, Response, StatusCode, header};
+use beechloft_session::api::Rung;
 
 use crate::is_type;
 
--- a/crates/front/whep/src/layers.rs
+++ b/crates/front/whep/src/layers.rs
@@ -3,7 +3,7 @@
 //! A box names the address in a `Link` of its 201; the front posts the layer there. A rung is the encoding of its
 //! number on the video line.
 
-use beechloft_core::api::Rung;
+use beechloft_session::api::Rung;
 use serde::{Deserialize, Serialize};
 
 /// The relation of the `Link` that names a session's layers.
--- a/crates/front/whep/src/load.rs
+++ b/crates/front/whep/src/load.rs
@@ -4,8 +4,8 @@
 //! front knows `streams` (sessions run or being set up), `link` (what is asked of the link over what it gives) and
 //! `uplink` (the same of the rack's).
 
-use beechloft_core::api::LoadReport;
 use beechloft_http::HeaderName;
+use beechloft_session::api::LoadReport;
 use serde_json::Value;
 
 /// The field.
--- a/crates/front/whep/src/news.rs
+++ b/crates/front/whep/src/news.rs
@@ -3,9 +3,9 @@
 //! WHEP's server-sent events extension has a stream for each session. A front with a thousand sessions at a box would
 //! hold a thousand streams, so the box offers one for all sessions of a front, with the event names below.
 
-use beechloft_core::api::{Micros, Note};
-use beechloft_core::io::BoxNews;
 use beechloft_http::sse::Event;
+use beechloft_session::api::{Micros, Note};
+use beechloft_session::io::BoxNews;
 use serde::{Deserialize, Serialize};
 
 /// Path of the stream at a box.
--- a/crates/front/whep/src/route.rs
+++ b/crates/front/whep/src/route.rs
@@ -1,7 +1,7 @@
 //! Addresses at the front: endpoints name a title, sessions carry their number and secret.
 
-use beechloft_core::api::SessionId;
-use beechloft_core::io::Secret;
+use beechloft_session::api::SessionId;
+use beechloft_session::io::Secret;
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, percent_decode_str, utf8_percent_encode};
 
 /// Longest title name, bytes.
--- a/crates/front/whep/src/sdp.rs
+++ b/crates/front/whep/src/sdp.rs
@@ -1,6 +1,6 @@
 //! Session descriptions: what an offer must have before a box sees it, and how a rung is written into it.
 
-use beechloft_core::io::RepeatKey;
+use beechloft_session::io::RepeatKey;
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 use webrtc_sdp::attribute_type::{SdpAttribute, SdpAttributeType};
--- a/crates/platform/shell/src/bounds.rs
+++ b/crates/platform/event-loop/src/bounds.rs
@@ -104,7 +104,7 @@
         let killed = given.deadline.min(COUNTED) + THEN;
         Bounds {
             viewers,
-            viewer_ahead: share.clamp(beechloft_proto::MAX_MESSAGE + 2, 64 * 1024),
+            viewer_ahead: share.clamp(beechloft_protocol::MAX_MESSAGE + 2, 64 * 1024),
             servers,
             per_server: 8,
             viewer_out: 64 * 1024,
--- a/crates/platform/shell/src/bus/mod.rs
+++ b/crates/platform/event-loop/src/bus/mod.rs
@@ -10,8 +10,8 @@
 use std::net::SocketAddr;
 
 use beechloft::interface::Micros;
+use beechloft_front_node::{Backoff, Input};
 use beechloft_http::message::Request;
-use beechloft_node::{Backoff, Input};
 use http::{HeaderName, Method};
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
--- a/crates/platform/shell/src/bus/numbers.rs
+++ b/crates/platform/event-loop/src/bus/numbers.rs
@@ -1,7 +1,7 @@
 //! Which events count, by their numbers.
 
 use beechloft_http::sse;
-use beechloft_proto::bus::{Event, Topology};
+use beechloft_protocol::bus::{Event, Topology};
 use tracing::{info, warn};
 
 /// What can't be read is asked for again so many times, as it may have been spoilt on its way; then it is passed over. The
--- a/crates/platform/shell/src/fleet.rs
+++ b/crates/platform/event-loop/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use beechloft::interface::{Micros, Numbered};
-use beechloft_node::{Input, Node};
+use beechloft_front_node::{Input, Node};
 use tracing::{info, warn};
 
 use crate::run::Shell;
--- a/crates/platform/shell/src/run.rs
+++ b/crates/platform/event-loop/src/run.rs
@@ -8,8 +8,8 @@
 
 use beechloft::interface::Micros;
 use beechloft_clock::Clock;
-use beechloft_node::{Counts, Input, Node, Output};
-use beechloft_proto::config::Stated;
+use beechloft_front_node::{Counts, Input, Node, Output};
+use beechloft_protocol::config::Stated;
 use mio::net::{TcpListener, UnixStream};
 use mio::{Events, Interest, Poll, Token};
 use signal_hook::consts::{SIGHUP, SIGTERM};
--- a/crates/platform/shell/src/servers/conn.rs
+++ b/crates/platform/event-loop/src/servers/conn.rs
@@ -3,9 +3,9 @@
 use std::collections::VecDeque;
 
 use beechloft::interface::Micros;
-use beechloft_node::{Lane, ViewerConn};
-use beechloft_proto::CallId;
-use beechloft_proto::lines::Decoder;
+use beechloft_front_node::{Lane, ViewerConn};
+use beechloft_protocol::CallId;
+use beechloft_protocol::lines::Decoder;
 
 use crate::stream::Stream;
 
--- a/crates/platform/shell/src/servers/lane.rs
+++ b/crates/platform/event-loop/src/servers/lane.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use beechloft::interface::Micros;
-use beechloft_proto::CallId;
+use beechloft_protocol::CallId;
 
 /// A line that found no connection is kept for so long: past it, the media server has ended what it was about by itself, as a
 /// session that can't be released stands for 8 s at most.
--- a/crates/platform/shell/src/servers/mod.rs
+++ b/crates/platform/event-loop/src/servers/mod.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 use beechloft::interface::Micros;
-use beechloft_node::{Broken, Input, Lane};
-use beechloft_proto::CallId;
+use beechloft_front_node::{Broken, Input, Lane};
+use beechloft_protocol::CallId;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 
--- a/crates/platform/shell/src/servers/reading.rs
+++ b/crates/platform/event-loop/src/servers/reading.rs
@@ -2,9 +2,9 @@
 
 use std::io::ErrorKind;
 
-use beechloft_node::{Broken, Input};
-use beechloft_proto::CallId;
-use beechloft_proto::server::{FromServer, Line};
+use beechloft_front_node::{Broken, Input};
+use beechloft_protocol::CallId;
+use beechloft_protocol::server::{FromServer, Line};
 
 use super::{Servers, Turn, Waiting};
 use crate::stream::Got;
--- a/crates/platform/shell/src/servers/sending.rs
+++ b/crates/platform/event-loop/src/servers/sending.rs
@@ -1,7 +1,7 @@
 //! What goes to media servers: set-ups, their giving-up, and lines about sessions that stand.
 
-use beechloft_node::{Broken, Input, Lane};
-use beechloft_proto::CallId;
+use beechloft_front_node::{Broken, Input, Lane};
+use beechloft_protocol::CallId;
 
 use super::{Conn, Servers, SetUp, Turn, Waiting};
 use beechloft::interface::Micros;
--- a/crates/platform/shell/src/servers/sweeping.rs
+++ b/crates/platform/event-loop/src/servers/sweeping.rs
@@ -1,7 +1,7 @@
 //! Looks at what has had its time.
 
 use beechloft::interface::Micros;
-use beechloft_node::{Broken, Lane};
+use beechloft_front_node::{Broken, Lane};
 
 use super::{Servers, Turn};
 
--- a/crates/platform/shell/src/start.rs
+++ b/crates/platform/event-loop/src/start.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 
 use beechloft::interface::Micros;
-use beechloft_node::Node;
-use beechloft_proto::config::{Config, Disagreement};
+use beechloft_front_node::Node;
+use beechloft_protocol::config::{Config, Disagreement};
 use beechloft_settings::Parsed;
 use mio::net::UnixStream;
 use thiserror::Error;
@@ -95,7 +95,7 @@
         connect_within: parsed.connections.connect_within,
         server_idle: parsed.connections.idle,
     });
-    let machine = beechloft_node::Bounds {
+    let machine = beechloft_front_node::Bounds {
         transit: Micros(20_000),
         probe_within: bounds.connect_within,
         sessions: 8192,
--- a/crates/platform/shell/src/viewers/conn.rs
+++ b/crates/platform/event-loop/src/viewers/conn.rs
@@ -3,9 +3,9 @@
 use std::collections::VecDeque;
 
 use beechloft::interface::Micros;
-use beechloft_proto::CallId;
-use beechloft_proto::binary::Decoder;
-use beechloft_proto::viewer::{FromViewer, ToViewer};
+use beechloft_protocol::CallId;
+use beechloft_protocol::binary::Decoder;
+use beechloft_protocol::viewer::{FromViewer, ToViewer};
 
 use crate::stream::{Got, Stream};
 
--- a/crates/platform/shell/src/viewers/mod.rs
+++ b/crates/platform/event-loop/src/viewers/mod.rs
@@ -4,9 +4,9 @@
 use std::io::ErrorKind;
 
 use beechloft::interface::Micros;
-use beechloft_node::{Input, Use, ViewerConn};
-use beechloft_proto::CallId;
-use beechloft_proto::viewer::{FromViewer, ToViewer};
+use beechloft_front_node::{Input, Use, ViewerConn};
+use beechloft_protocol::CallId;
+use beechloft_protocol::viewer::{FromViewer, ToViewer};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry, Token};
 
--- a/crates/platform/shell/tests/bus/rig.rs
+++ b/crates/platform/event-loop/tests/bus/rig.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 use beechloft::interface::Micros;
-use beechloft_node::Input;
-use beechloft_shell::bounds::{Bounds, Given};
-use beechloft_shell::bus::Bus;
+use beechloft_event_loop::bounds::{Bounds, Given};
+use beechloft_event_loop::bus::Bus;
+use beechloft_front_node::Input;
 use mio::{Events, Poll};
 use socket2::{Domain, Socket, Type};
 
--- a/crates/platform/shell/tests/bus/unreadable.rs
+++ b/crates/platform/event-loop/tests/bus/unreadable.rs
@@ -1,6 +1,6 @@
 //! Events and answers that can't be read: they cost themselves alone.
 
-use beechloft_shell::bounds::Bounds;
+use beechloft_event_loop::bounds::Bounds;
 
 use crate::rig::*;
 
--- a/crates/platform/shell/tests/crossings/clients.rs
+++ b/crates/platform/event-loop/tests/crossings/clients.rs
@@ -2,7 +2,7 @@
 
 use std::sync::mpsc;
 
-use beechloft_shell::Moment;
+use beechloft_event_loop::Moment;
 
 use crate::stage::{Client, Stage, Terms, bytes, cancel, set_up, test};
 
@@ -292,7 +292,7 @@
     let open = idle.iter_mut().map(|c| c.hear().is_ok_and(|h| !h.1)).filter(|open| *open).count();
     let bounds = stage.shell.bounds();
     assert!(open <= bounds.viewers, "{open} of {}", bounds.viewers);
-    assert!(bounds.viewers + bounds.servers + beechloft_shell::bounds::OWN_DESCRIPTORS <= 64);
+    assert!(bounds.viewers + bounds.servers + beechloft_event_loop::bounds::OWN_DESCRIPTORS <= 64);
     let (mut honest, _, mut line) = stage.asked(1);
     line.accept(1);
     stage.settle();
--- a/crates/platform/shell/tests/crossings/ends.rs
+++ b/crates/platform/event-loop/tests/crossings/ends.rs
@@ -3,7 +3,7 @@
 use std::sync::mpsc;
 
 use beechloft::interface::Micros;
-use beechloft_shell::Moment;
+use beechloft_event_loop::Moment;
 
 use crate::stage::{Client, Stage, Terms, bytes, set_up, test};
 
--- a/crates/platform/shell/tests/crossings/servers.rs
+++ b/crates/platform/event-loop/tests/crossings/servers.rs
@@ -2,7 +2,7 @@
 
 use std::sync::mpsc;
 
-use beechloft_shell::Moment;
+use beechloft_event_loop::Moment;
 use serde_json::json;
 
 use crate::stage::{Stage, Terms, cancel, set_up};
--- a/crates/platform/shell/tests/crossings/stage.rs
+++ b/crates/platform/event-loop/tests/crossings/stage.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 use beechloft::interface::Micros;
-use beechloft_proto::CallId;
-use beechloft_proto::binary::{Decoder, Frame};
-use beechloft_proto::config::Stated;
-use beechloft_shell::{Control, Goes, Shell};
+use beechloft_event_loop::{Control, Goes, Shell};
+use beechloft_protocol::CallId;
+use beechloft_protocol::binary::{Decoder, Frame};
+use beechloft_protocol::config::Stated;
 use serde_json::{Value, json};
 
 /// Long enough for anything that the kernel is to do.
--- a/crates/platform/shell/tests/replaced.rs
+++ b/crates/platform/event-loop/tests/replaced.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use beechloft_proto::CallId;
+use beechloft_protocol::CallId;
 use support::{Front, Media, Mood, Viewer, wait};
 
 #[test]
--- a/crates/platform/shell/tests/sockets.rs
+++ b/crates/platform/event-loop/tests/sockets.rs
@@ -6,8 +6,8 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-use beechloft_proto::CallId;
-use beechloft_proto::binary::Frame;
+use beechloft_protocol::CallId;
+use beechloft_protocol::binary::Frame;
 use serde_json::json;
 use support::{FakeBus, Front, Media, Mood, Viewer, cause, event, set_up, text, wait, write_config};
 
--- a/crates/platform/shell/tests/support/mod.rs
+++ b/crates/platform/event-loop/tests/support/mod.rs
@@ -9,10 +9,10 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use beechloft_proto::CallId;
-use beechloft_proto::binary::{Decoder, Frame};
-use beechloft_proto::config::Stated;
-use beechloft_shell::{Control, Shell};
+use beechloft_event_loop::{Control, Shell};
+use beechloft_protocol::CallId;
+use beechloft_protocol::binary::{Decoder, Frame};
+use beechloft_protocol::config::Stated;
 use serde_json::{Value, json};
 
 /// Long enough for anything that is to happen.
--- a/crates/platform/node/src/actions.rs
+++ b/crates/platform/front-node/src/actions.rs
@@ -3,9 +3,9 @@
 use beechloft::interface::{
     Action, Attempt as Number, Event, LoadReport, Micros, Outcome, ServerId, SessionId,
 };
-use beechloft_proto::server::ToServer;
-use beechloft_proto::viewer::ToViewer;
-use beechloft_proto::{CallId, Cause};
+use beechloft_protocol::server::ToServer;
+use beechloft_protocol::viewer::ToViewer;
+use beechloft_protocol::{CallId, Cause};
 
 use crate::io::Output;
 use crate::node::{MOST_MOVED, Node};
--- a/crates/platform/node/src/directory.rs
+++ b/crates/platform/front-node/src/directory.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use beechloft::interface::{self as api, Micros, ServerId};
-use beechloft_proto::CallId;
-use beechloft_proto::bus::{Endpoint, Status};
+use beechloft_protocol::CallId;
+use beechloft_protocol::bus::{Endpoint, Status};
 use beechloft_settings::Names;
 
 use crate::io::Lane;
--- a/crates/platform/node/src/io.rs
+++ b/crates/platform/front-node/src/io.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 
 use beechloft::interface::{Micros, Numbered};
-use beechloft_proto::CallId;
-use beechloft_proto::bus::Topology;
-use beechloft_proto::server::Line;
-use beechloft_proto::viewer::{FromViewer, ToViewer};
+use beechloft_protocol::CallId;
+use beechloft_protocol::bus::Topology;
+use beechloft_protocol::server::Line;
+use beechloft_protocol::viewer::{FromViewer, ToViewer};
 
 /// A viewers' connection; numbers never come twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/platform/node/src/node.rs
+++ b/crates/platform/front-node/src/node.rs
@@ -6,9 +6,9 @@
 use beechloft::interface::{
     self as api, Event, LoadReport, Micros, Outcome, ReportField, ServerId, ViewerId,
 };
-use beechloft_proto::CallId;
-use beechloft_proto::bus::Topology;
-use beechloft_proto::viewer::ToViewer;
+use beechloft_protocol::CallId;
+use beechloft_protocol::bus::Topology;
+use beechloft_protocol::viewer::ToViewer;
 use beechloft_settings::{Names, Parsed};
 
 use crate::directory::{Change, Directory};
@@ -319,7 +319,7 @@
     pub(crate) fn report(&self, text: Option<&str>) -> LoadReport {
         let mut report = LoadReport::default();
         let Some(text) = text else { return report };
-        for (name, value) in beechloft_proto::load::read(text) {
+        for (name, value) in beechloft_protocol::load::read(text) {
             let Some(at) = self.names.reported.iter().position(|n| n == name) else { continue };
             match self.fields.get(at) {
                 Some(ReportField::Streams) => report.streams = Some(value),
--- a/crates/platform/node/src/releases.rs
+++ b/crates/platform/front-node/src/releases.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use beechloft::interface::Micros;
-use beechloft_proto::CallId;
-use beechloft_proto::viewer::ToViewer;
+use beechloft_protocol::CallId;
+use beechloft_protocol::viewer::ToViewer;
 
 use crate::io::{Output, ViewerConn};
 
--- a/crates/platform/node/src/servers.rs
+++ b/crates/platform/front-node/src/servers.rs
@@ -1,9 +1,9 @@
 //! What media servers say, and what becomes of them.
 
 use beechloft::interface::{self as api, Event, LoadReport, Outcome, Rung, SessionId};
-use beechloft_proto::server::{FromServer, Line, Note, ToServer};
-use beechloft_proto::viewer::ToViewer;
-use beechloft_proto::{CallId, Cause};
+use beechloft_protocol::server::{FromServer, Line, Note, ToServer};
+use beechloft_protocol::viewer::ToViewer;
+use beechloft_protocol::{CallId, Cause};
 
 use crate::io::{Broken, Lane, Output, ViewerConn};
 use crate::node::Node;
--- a/crates/platform/node/src/session.rs
+++ b/crates/platform/front-node/src/session.rs
@@ -1,7 +1,7 @@
 //! A session as the machine knows it.
 
 use beechloft::interface::{Micros, ServerId, ViewerId};
-use beechloft_proto::viewer::SetUp;
+use beechloft_protocol::viewer::SetUp;
 
 use crate::io::{Lane, ViewerConn};
 
--- a/crates/platform/node/src/timers.rs
+++ b/crates/platform/front-node/src/timers.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 
 use beechloft::interface::{Micros, ServerId, TimerToken};
-use beechloft_proto::CallId;
+use beechloft_protocol::CallId;
 
 /// What is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/platform/node/src/viewers.rs
+++ b/crates/platform/front-node/src/viewers.rs
@@ -3,9 +3,9 @@
 use beechloft::interface::{
     ClassId, Event, LoadReport, Micros, Outcome, Request, Rung, SessionId, TenantId, TitleId, ViewerId,
 };
-use beechloft_proto::server::ToServer;
-use beechloft_proto::viewer::{FromViewer, SetUp, ToViewer};
-use beechloft_proto::{CallId, Cause};
+use beechloft_protocol::server::ToServer;
+use beechloft_protocol::viewer::{FromViewer, SetUp, ToViewer};
+use beechloft_protocol::{CallId, Cause};
 
 use crate::io::{Output, ViewerConn};
 use crate::node::Node;
@@ -17,7 +17,7 @@
         match message {
             FromViewer::SetUp(id, Ok(setup)) => self.set_up(conn, id, setup),
             FromViewer::SetUp(id, Err(error)) => {
-                let missing = matches!(error, beechloft_proto::viewer::SetUpError::Missing(_));
+                let missing = matches!(error, beechloft_protocol::viewer::SetUpError::Missing(_));
                 let cause = if missing { Cause::MissingElement } else { Cause::InvalidElement };
                 self.turn_away(conn, id, cause);
             }
--- a/crates/platform/node/tests/backoff.rs
+++ b/crates/platform/front-node/tests/backoff.rs
@@ -1,7 +1,7 @@
 //! The back-off: how long it waits.
 
 use beechloft::interface::Micros;
-use beechloft_node::Backoff;
+use beechloft_front_node::Backoff;
 
 #[test]
 fn waits_double_up_to_the_bound_and_begin_anew_after_a_success() {
--- a/crates/platform/node/tests/cases.rs
+++ b/crates/platform/front-node/tests/cases.rs
@@ -3,11 +3,11 @@
 mod support;
 
 use beechloft::interface::Micros;
-use beechloft_node::{Broken, Input, Output, Use, ViewerConn};
-use beechloft_proto::bus::{Status, Topology};
-use beechloft_proto::server::{FromServer, Line};
-use beechloft_proto::viewer::{FromViewer, SetUpError, ToViewer};
-use beechloft_proto::{CallId, Cause};
+use beechloft_front_node::{Broken, Input, Output, Use, ViewerConn};
+use beechloft_protocol::bus::{Status, Topology};
+use beechloft_protocol::server::{FromServer, Line};
+use beechloft_protocol::viewer::{FromViewer, SetUpError, ToViewer};
+use beechloft_protocol::{CallId, Cause};
 use support::{Rig, SETTINGS, endpoint, line, set_up};
 
 fn told(outputs: &[Output]) -> Vec<(u64, ToViewer)> {
@@ -171,7 +171,7 @@
 fn what_makes_no_sense_fails_before_the_module_sees_it() {
     let mut rig = Rig::new(3, 4);
     let mut id = 100;
-    let mut fails = |change: &dyn Fn(&mut beechloft_proto::viewer::SetUp)| {
+    let mut fails = |change: &dyn Fn(&mut beechloft_protocol::viewer::SetUp)| {
         id += 1;
         let mut setup = set_up(id, 3_000);
         change(&mut setup);
--- a/crates/platform/node/tests/memory.rs
+++ b/crates/platform/front-node/tests/memory.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use beechloft_proto::bus::Status;
+use beechloft_protocol::bus::Status;
 use support::{Rig, endpoint};
 
 /// Memory that the process has in use, in kB; none: the system does not tell.
@@ -25,12 +25,12 @@
         made += 120;
         // Their processes end, with all that stands there.
         for lane in rig.held.clone() {
-            rig.hear(beechloft_node::Input::Lost(lane));
+            rig.hear(beechloft_front_node::Input::Lost(lane));
         }
         // Sessions come meanwhile, and what is known of their servers with them.
         for _ in 0..50 {
             rig.ask(1, next, 2_000);
-            if rig.out.contains_key(&beechloft_proto::CallId(next)) {
+            if rig.out.contains_key(&beechloft_protocol::CallId(next)) {
                 rig.accept(next);
             }
             next += 1;
--- a/crates/platform/node/tests/orders.rs
+++ b/crates/platform/front-node/tests/orders.rs
@@ -2,11 +2,11 @@
 
 mod support;
 
-use beechloft_node::{Broken, Input, Lane, Output, ViewerConn};
-use beechloft_proto::bus::{Status, Topology};
-use beechloft_proto::server::{FromServer, Line, Note};
-use beechloft_proto::viewer::{FromViewer, SetUpError, ToViewer};
-use beechloft_proto::{CallId, Cause};
+use beechloft_front_node::{Broken, Input, Lane, Output, ViewerConn};
+use beechloft_protocol::bus::{Status, Topology};
+use beechloft_protocol::server::{FromServer, Line, Note};
+use beechloft_protocol::viewer::{FromViewer, SetUpError, ToViewer};
+use beechloft_protocol::{CallId, Cause};
 use proptest::prelude::*;
 use support::{LAST_CALL_MS, Rig, endpoint, line, set_up};
 
--- a/crates/platform/node/tests/support/mod.rs
+++ b/crates/platform/front-node/tests/support/mod.rs
@@ -4,12 +4,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use beechloft::interface::Micros;
-use beechloft_node::{Bounds, Input, Lane, Node, Output, ViewerConn};
-use beechloft_proto::bus::{Endpoint, Status, Topology};
-use beechloft_proto::figures::Figures;
-use beechloft_proto::server::{FromServer, Line};
-use beechloft_proto::viewer::{FromViewer, SetUp, ToViewer};
-use beechloft_proto::{CallId, Cause};
+use beechloft_front_node::{Bounds, Input, Lane, Node, Output, ViewerConn};
+use beechloft_protocol::bus::{Endpoint, Status, Topology};
+use beechloft_protocol::figures::Figures;
+use beechloft_protocol::server::{FromServer, Line};
+use beechloft_protocol::viewer::{FromViewer, SetUp, ToViewer};
+use beechloft_protocol::{CallId, Cause};
 
 pub const SETTINGS: &str = r#"{
     "caps": {"cancel": true, "max_attempts": 3, "probes": true, "retry_after": true, "max_retry_after_us": 500000,
@@ -184,7 +184,7 @@
                 self.held.remove(lane);
             }
             Output::SetUp { lane, id, line: bytes, .. } => {
-                assert!(bytes.ends_with(b"\n") && bytes.len() <= beechloft_proto::MAX_MESSAGE);
+                assert!(bytes.ends_with(b"\n") && bytes.len() <= beechloft_protocol::MAX_MESSAGE);
                 let addr = self.lanes.get(lane).expect("a known lane");
                 assert!(self.out.insert(*id, *lane).is_none(), "two attempts out for {id}");
                 assert!(self.owed.contains_key(id), "an attempt for {id}, to which nothing is owed");
--- a/crates/platform/proto/tests/bus.rs
+++ b/crates/platform/protocol/tests/bus.rs
@@ -1,6 +1,6 @@
 //! Events of the event bus as they are read.
 
-use beechloft_proto::bus::Event;
+use beechloft_protocol::bus::Event;
 
 #[test]
 fn an_event_is_read() {
--- a/crates/proof/standin/src/boxes/life.rs
+++ b/crates/testing/fakes/src/boxes/life.rs
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant};
 
 use beechloft_checker::What;
-use beechloft_core::api::{LoadReport, Note};
-use beechloft_core::io::BoxNews;
 use beechloft_http::Limits;
 use beechloft_http::server::{Server, Sizes};
+use beechloft_session::api::{LoadReport, Note};
+use beechloft_session::io::BoxNews;
 
 use super::Inner;
 use super::serve::Door;
--- a/crates/proof/standin/src/boxes/mod.rs
+++ b/crates/testing/fakes/src/boxes/mod.rs
@@ -14,10 +14,10 @@
 use std::time::{Duration, Instant};
 
 use beechloft_checker::Recorder;
-use beechloft_core::api::LoadReport;
-use beechloft_core::io::BoxNews;
 use beechloft_http::server::Server;
 use beechloft_http::wait;
+use beechloft_session::api::LoadReport;
+use beechloft_session::io::BoxNews;
 use crossbeam_channel::Sender;
 
 use crate::dice::Dice;
--- a/crates/proof/standin/src/boxes/serve.rs
+++ b/crates/testing/fakes/src/boxes/serve.rs
@@ -8,9 +8,9 @@
 use std::time::{Duration, Instant};
 
 use beechloft_checker::What;
-use beechloft_core::io::BoxNews;
 use beechloft_http::server::{Handler, Link, Reply};
 use beechloft_http::{Method, Request, Response, StatusCode, header, sse, wait};
+use beechloft_session::io::BoxNews;
 use beechloft_whep::route::{self, Place};
 use beechloft_whep::{EVENTS, FRAG, SDP, boxes, is_type, layers, load, news, sdp};
 use crossbeam_channel::{Receiver, Sender, bounded};
--- a/crates/proof/standin/src/fleet.rs
+++ b/crates/testing/fakes/src/fleet.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use beechloft_checker::Recorder;
-use beechloft_list::{BoxText, TitleText};
+use beechloft_discovery::{BoxText, TitleText};
 
 use crate::boxes::{BoxSpec, StandBox, Warming};
 use crate::fault::Fault;
--- a/crates/proof/standin/src/list.rs
+++ b/crates/testing/fakes/src/list.rs
@@ -8,10 +8,10 @@
 use std::time::{Duration, Instant};
 
 use beechloft_checker::{Recorder, What};
+use beechloft_discovery::mirror::Mirror;
+use beechloft_discovery::{BoxText, CHANGE, Message, PATH, SNAPSHOT, TitleText};
 use beechloft_http::server::{Handler, Link, Reply, Server, Sizes};
 use beechloft_http::{Method, Request, Response, StatusCode, header, sse, wait};
-use beechloft_list::mirror::Mirror;
-use beechloft_list::{BoxText, CHANGE, Message, PATH, SNAPSHOT, TitleText};
 use beechloft_whep::{EVENTS, boxes};
 
 /// How often a stream looks for changes.
--- a/crates/proof/standin/src/topic.rs
+++ b/crates/testing/fakes/src/topic.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use beechloft_checker::topic::{Recorded, Saw, Told, Write};
-use beechloft_keeper::FleetSettings;
-use beechloft_keeper::topics::{Followed, Follower, Publisher, Right, Settled};
+use beechloft_coordinator::FleetSettings;
+use beechloft_coordinator::topics::{Followed, Follower, Publisher, Right, Settled};
 use beechloft_topic::{Expect, Key, Name, Outcome, PublisherSettings, Record, SubscriberSettings, Value};
 
 /// Values' numbers: no two values that are ever written in this process have the same.
--- a/crates/proof/standin/tests/topic_planted.rs
+++ b/crates/testing/fakes/tests/topic_planted.rs
@@ -8,11 +8,11 @@
 use std::time::{Duration, Instant};
 
 use beechloft_checker::topic::{Recorded, Verdict};
-use beechloft_keeper::{FleetSettings, Keeping};
-use beechloft_standin::topic::{Pace, Reader, Writer};
+use beechloft_coordinator::{FleetSettings, Keeping};
+use beechloft_fakes::topic::{Pace, Reader, Writer};
+use beechloft_fault_proxy::ports::Port;
+use beechloft_fault_proxy::{Relay, Way};
 use beechloft_topic::{Fault, Name};
-use beechloft_trouble::ports::Port;
-use beechloft_trouble::{Relay, Way};
 
 const KEEPERS: usize = 3;
 const TOPIC: &str = "planted";
--- a/crates/proof/herd/src/fleet.rs
+++ b/crates/testing/fleet-simulation/src/fleet.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 
 use beechloft::interface::Micros;
-use beechloft_node::{Bounds, Broken, Input, Lane, Node, Output, ViewerConn};
-use beechloft_proto::bus::{Status, Topology};
-use beechloft_proto::figures::Figures;
-use beechloft_proto::server::{FromServer, Line};
-use beechloft_proto::viewer::{FromViewer, SetUp, ToViewer};
-use beechloft_proto::{CallId, Cause};
+use beechloft_front_node::{Bounds, Broken, Input, Lane, Node, Output, ViewerConn};
+use beechloft_protocol::bus::{Status, Topology};
+use beechloft_protocol::figures::Figures;
+use beechloft_protocol::server::{FromServer, Line};
+use beechloft_protocol::viewer::{FromViewer, SetUp, ToViewer};
+use beechloft_protocol::{CallId, Cause};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/proof/herd/tests/cold.rs
+++ b/crates/testing/fleet-simulation/tests/cold.rs
@@ -2,8 +2,8 @@
 //! told of its start send no more than N + 2 x root of N + 2, whatever restarts, whoever asks, and however late connections are.
 
 use beechloft::interface::Micros;
-use beechloft_herd::Fleet;
-use beechloft_herd::settings::Terms;
+use beechloft_fleet_simulation::Fleet;
+use beechloft_fleet_simulation::settings::Terms;
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
--- a/crates/proof/herd/tests/herds.rs
+++ b/crates/testing/fleet-simulation/tests/herds.rs
@@ -2,11 +2,11 @@
 //! is stated where it is checked.
 
 use beechloft::interface::Micros;
-use beechloft_herd::media::{Media, Span};
-use beechloft_herd::settings::Terms;
-use beechloft_herd::{Fleet, Sum};
-use beechloft_node::Backoff;
-use beechloft_proto::bus::Status;
+use beechloft_fleet_simulation::media::{Media, Span};
+use beechloft_fleet_simulation::settings::Terms;
+use beechloft_fleet_simulation::{Fleet, Sum};
+use beechloft_front_node::Backoff;
+use beechloft_protocol::bus::Status;
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 const S: u64 = 1_000_000;
--- a/crates/proof/day/src/crowd.rs
+++ b/crates/testing/scenario/src/crowd.rs
@@ -10,12 +10,12 @@
 
 use beechloft_checker::trace::Ending;
 use beechloft_checker::{Recorder, What};
+use beechloft_fakes::caller::Caller;
+use beechloft_fakes::dice::Dice;
+use beechloft_fakes::media;
+use beechloft_fakes::offer::Credentials;
+use beechloft_fakes::player::{self, Playing, Wish};
 use beechloft_http::client::Pool;
-use beechloft_standin::caller::Caller;
-use beechloft_standin::dice::Dice;
-use beechloft_standin::media;
-use beechloft_standin::offer::Credentials;
-use beechloft_standin::player::{self, Playing, Wish};
 
 use crate::script::{Day, Load};
 
--- a/crates/proof/day/src/fronts.rs
+++ b/crates/testing/scenario/src/fronts.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 use beechloft_checker::{Recorder, What};
+use beechloft_fault_proxy::ports::Port;
 use beechloft_http::client::Pool;
 use beechloft_http::{Method, Request};
-use beechloft_trouble::ports::Port;
 
 use crate::script::Day;
 
--- a/crates/proof/day/src/keepers/mod.rs
+++ b/crates/testing/scenario/src/keepers/mod.rs
@@ -16,10 +16,10 @@
 use std::time::{Duration, Instant};
 
 use beechloft_checker::{Recorder, What};
-use beechloft_keeper::FleetSettings;
-use beechloft_standin::resource::Resource;
-use beechloft_trouble::Relay;
-use beechloft_trouble::ports::Port;
+use beechloft_coordinator::FleetSettings;
+use beechloft_fakes::resource::Resource;
+use beechloft_fault_proxy::Relay;
+use beechloft_fault_proxy::ports::Port;
 use serde_json::json;
 
 use self::group::Group;
--- a/crates/proof/day/src/keepers/processes.rs
+++ b/crates/testing/scenario/src/keepers/processes.rs
@@ -7,7 +7,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use beechloft_keeper::client;
+use beechloft_coordinator::client;
 use serde_json::{Value, json};
 
 use super::Keepers;
--- a/crates/proof/day/src/keepers/topic.rs
+++ b/crates/testing/scenario/src/keepers/topic.rs
@@ -5,8 +5,8 @@
 
 use beechloft_checker::topic::{Recorded, Verdict};
 use beechloft_config::Section;
-use beechloft_keeper::FleetSettings;
-use beechloft_standin::topic::{Pace, Reader, Writer};
+use beechloft_coordinator::FleetSettings;
+use beechloft_fakes::topic::{Pace, Reader, Writer};
 use beechloft_topic::Name;
 use serde_json::{Value, json};
 
--- a/crates/proof/day/src/keepers/troubles.rs
+++ b/crates/testing/scenario/src/keepers/troubles.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use beechloft_checker::What;
-use beechloft_trouble::{Mood, Way};
+use beechloft_fault_proxy::{Mood, Way};
 use rustix::process::Signal;
 
 use super::Keepers;
--- a/crates/proof/day/src/run.rs
+++ b/crates/testing/scenario/src/run.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use beechloft_checker::{Recorder, Report, Seen, check};
-use beechloft_standin::fault::Fault;
-use beechloft_standin::fleet::Fleet;
+use beechloft_fakes::fault::Fault;
+use beechloft_fakes::fleet::Fleet;
 use thiserror::Error;
 
 use crate::crowd::{CrowdRun, Reach};
--- a/crates/proof/day/src/script/fleet.rs
+++ b/crates/testing/scenario/src/script/fleet.rs
@@ -4,8 +4,8 @@
 
 use beechloft_config::Service;
 use beechloft_config::reader::Section;
-use beechloft_standin::dice::Dice;
-use beechloft_standin::fleet::{FleetBox, TitleSpec};
+use beechloft_fakes::dice::Dice;
+use beechloft_fakes::fleet::{FleetBox, TitleSpec};
 
 pub(super) fn boxes(s: &Section<'_>, service: &Service) -> Vec<FleetBox> {
     let mut all = Vec::new();
--- a/crates/proof/day/src/script/mod.rs
+++ b/crates/testing/scenario/src/script/mod.rs
@@ -10,9 +10,9 @@
 use beechloft_checker::Rules;
 use beechloft_config::reader::{self, Faults, Section};
 use beechloft_config::{Service, service};
-use beechloft_standin::boxes::Warming;
-use beechloft_standin::dice::Dice;
-use beechloft_standin::fleet::FleetSpec;
+use beechloft_fakes::boxes::Warming;
+use beechloft_fakes::dice::Dice;
+use beechloft_fakes::fleet::FleetSpec;
 
 use self::fleet::{boxes, titles};
 use self::load::{crowd, load};
--- a/crates/proof/day/src/script/rules.rs
+++ b/crates/testing/scenario/src/script/rules.rs
@@ -4,8 +4,8 @@
 use beechloft_checker::check::{ClassRules, ColdRules, Repeat};
 use beechloft_config::Service;
 use beechloft_config::reader::Section;
-use beechloft_core::api::Effect;
-use beechloft_standin::fleet::FleetSpec;
+use beechloft_fakes::fleet::FleetSpec;
+use beechloft_session::api::Effect;
 
 pub(super) fn rules(s: &Section<'_>, service: &Service, fleet: &FleetSpec) -> Rules {
     let set = &service.settings;
--- a/crates/proof/day/src/script/troubles.rs
+++ b/crates/testing/scenario/src/script/troubles.rs
@@ -4,8 +4,8 @@
 
 use beechloft_config::Service;
 use beechloft_config::reader::Section;
-use beechloft_standin::fault::Fault;
-use beechloft_standin::fleet::FleetSpec;
+use beechloft_fakes::fault::Fault;
+use beechloft_fakes::fleet::FleetSpec;
 
 use super::seconds;
 use crate::keepers::{Between, KeepersSpec};
