--- a/crates/base/clock/src/lib.rs
+++ b/crates/base/clock/src/lib.rs
@@ -1,4 +1,6 @@
 //! The time that fronts of either kind go by: microseconds since 1970, which never go back.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation)]
 #![forbid(unsafe_code)]
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/crates/base/http/src/lib.rs
+++ b/crates/base/http/src/lib.rs
@@ -2,6 +2,8 @@
 //!
 //! Heads are parsed by `httparse`, terms come from `http`; what is here is the framing of bodies, the waiting, and
 //! the accounting of connections. No async runtime: a connection is a thread with a small stack, taken from a pool.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::missing_errors_doc, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 pub mod body;
--- a/crates/base/http/tests/sockets.rs
+++ b/crates/base/http/tests/sockets.rs
@@ -1,4 +1,6 @@
 //! The server and the client against each other and against rude peers, on loopback.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
--- a/crates/base/store/src/lib.rs
+++ b/crates/base/store/src/lib.rs
@@ -7,6 +7,8 @@
 //!
 //! The store is written against a small file-system trait ([`fs`]), so that tests cut, lose and reorder under the real
 //! code. A write or sync that failed stops the store for good: what the disk then holds is known to a new start alone.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc)]
 #![forbid(unsafe_code)]
 
 pub mod frame;
--- a/crates/base/store/tests/model/main.rs
+++ b/crates/base/store/tests/model/main.rs
@@ -1,4 +1,6 @@
 //! The store against a model: an ordered map and the list of its committed states.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod sim;
 
--- a/crates/base/store/tests/typed.rs
+++ b/crates/base/store/tests/typed.rs
@@ -1,4 +1,6 @@
 //! Typed tables on a real folder: versions, upgrades, order, and entries beyond reading.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 use beechloft_store::fs::Disk;
 use beechloft_store::typed::older;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,6 @@
 //! `beechloft`: the session front and what is run around it.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 mod act;
--- a/crates/cli/tests/figures.rs
+++ b/crates/cli/tests/figures.rs
@@ -1,5 +1,7 @@
 //! Figures for `docs/fleet.md`, outside CI:
 //! `cargo test --release -p beechloft-cli --test figures -- --ignored --nocapture --test-threads 1`.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,6 +1,8 @@
 //! Keepers and candidates as real processes, with faults between them: killed, stopped beyond the lease's time and let go on,
 //! all stopped and started, a disk emptied, clocks apart. Acts go on all the time; a record of every act shows its token, and a
 //! token under one that came before it is a stale act.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 #[path = "support/lin.rs"]
 mod lin;
--- a/crates/cli/tests/fronts.rs
+++ b/crates/cli/tests/fronts.rs
@@ -1,5 +1,7 @@
 //! Fronts as real processes of one fleet: numbers by lease, restarts in turn, who sees whom; with keepers and fronts killed,
 //! stopped and started, and datagrams between them lost, doubled, late and cut.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/cli/tests/limits.rs
+++ b/crates/cli/tests/limits.rs
@@ -1,4 +1,6 @@
 //! Limits over fronts as real processes: keepers, fronts and stand-in boxes. What plays is counted at the boxes.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -1,4 +1,6 @@
 //! The front node as a process: what it says of a start that can't be, and real signals.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -1,4 +1,6 @@
 //! The program itself: its commands, exit codes, signals, and a short day with everything in it.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Output, Stdio};
--- a/crates/cli/tests/store.rs
+++ b/crates/cli/tests/store.rs
@@ -1,4 +1,6 @@
 //! The store's commands: what they say and how they exit, for a sound, a torn and a damaged folder.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 use std::path::Path;
 use std::process::{Command, Output};
--- a/crates/cli/tests/topic.rs
+++ b/crates/cli/tests/topic.rs
@@ -1,6 +1,8 @@
 //! A topic on keepers as real processes with faults between them and to them. Publishers and subscribers are stand-ins; what they
 //! are told and see is judged: no message that was acknowledged is lost, none is there twice, no subscriber misses one, and nothing
 //! that was deleted or overtaken comes back.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/cli/tests/twenty/main.rs
+++ b/crates/cli/tests/twenty/main.rs
@@ -1,6 +1,8 @@
 //! Twenty processes of the program between stand-ins: restarted in turn with set-ups in flight, discovery moved,
 //! connections cut, clients that go, a cold media server, a list that comes empty. The rules are read off what crossed
 //! the sockets alone. Plays take turns, and the first gives one record that several tests judge, each for itself.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/crates/cli/tests/verdicts.rs
+++ b/crates/cli/tests/verdicts.rs
@@ -1,5 +1,7 @@
 //! Verdicts shared by fronts as real processes: 3 keepers, 8 fronts in 3 zones, 6 stand-in boxes, relays. What is judged here is what boxes
 //! and players saw, not what fronts say of themselves.
+// Counts of a test are small.
+#![allow(clippy::cast_possible_truncation)]
 
 mod support;
 
--- a/crates/fleet/consensus/src/lib.rs
+++ b/crates/fleet/consensus/src/lib.rs
@@ -12,6 +12,8 @@
 //!
 //! A member is a disk, not an address: its id is drawn with its folder, and one whose disk is lost never comes back under
 //! its old id. It joins as a new member, and the lost one is removed.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 mod election;
--- a/crates/fleet/consensus/tests/explored.rs
+++ b/crates/fleet/consensus/tests/explored.rs
@@ -3,6 +3,8 @@
 //!
 //! Time is left out in the way that allows most: all times are nought, so that any member may ask for votes at any moment,
 //! whatever it has heard, and consent to stand is always had. What holds so holds whatever clocks do.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/fleet/consensus/tests/seeds.rs
+++ b/crates/fleet/consensus/tests/seeds.rs
@@ -1,5 +1,7 @@
 //! Five members under random faults: crashes at any input, lost disks with members replaced, cuts, lost, late and doubled
 //! messages, clocks 5% apart. The laws are checked at each step, and once all is well again it must go on.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/fleet/coordinator/src/lib.rs
+++ b/crates/fleet/coordinator/src/lib.rs
@@ -14,6 +14,8 @@
 //!
 //! Peers listen on an address of their own, meant for a private network: there is no sign-in. A word for another fleet, of
 //! another version, too long or with a wrong checksum costs its connection, and is counted.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 mod agent;
--- a/crates/fleet/gossip/src/lib.rs
+++ b/crates/fleet/gossip/src/lib.rs
@@ -12,6 +12,8 @@
 //!
 //! A network of one's own is assumed: there is no sign-in. A row comes in only in answer to a question of one's own, from the
 //! address that was asked; a front whose row another forges sees that, counts it and overwrites it.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 mod planted;
--- a/crates/fleet/gossip/tests/fleets.rs
+++ b/crates/fleet/gossip/tests/fleets.rs
@@ -1,4 +1,6 @@
 //! Fleets of rows: how old they get, what is lost and doubled, who is gone, who is cut off, who forges.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/fleet/leases/src/lib.rs
+++ b/crates/fleet/leases/src/lib.rs
@@ -8,6 +8,8 @@
 //!
 //! No wall clock decides, and no two clocks are compared: [`Drift`] bounds how far their rates differ, the holder counts from
 //! before it asked, the keeper from after the commit. `docs/fleet.md` has the argument.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 mod drift;
--- a/crates/fleet/membership/src/lib.rs
+++ b/crates/fleet/membership/src/lib.rs
@@ -8,6 +8,8 @@
 //!
 //! [`Swim`] has no I/O and goes by one monotonic clock of its own. It says who is believed to be there, and never more: nothing
 //! that must hold (who acts, who counts) may rest on it. That is what leases are for.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 mod planted;
--- a/crates/fleet/membership/tests/fleets.rs
+++ b/crates/fleet/membership/tests/fleets.rs
@@ -1,4 +1,6 @@
 //! Fleets of members that start, fail, are parted and meet again.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/fleet/outlier-detection/src/lib.rs
+++ b/crates/fleet/outlier-detection/src/lib.rs
@@ -5,6 +5,8 @@
 //! the same. [`Verdicts`] keeps what was judged, lets it age, hands out trials to whoever holds their lease, and lets boxes back in steps.
 //!
 //! `docs/verdicts.md` weighs the options and argues each bound. Nothing here has I/O, a clock or threads.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 mod evidence;
--- a/crates/fleet/outlier-detection/tests/judged.rs
+++ b/crates/fleet/outlier-detection/tests/judged.rs
@@ -1,4 +1,6 @@
 //! The verdict on all small cases, and what is held of it over time.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 use std::time::Duration;
 
--- a/crates/fleet/outlier-detection/tests/merges.rs
+++ b/crates/fleet/outlier-detection/tests/merges.rs
@@ -1,5 +1,7 @@
 //! All orders in which reports of three fronts are written, sent, doubled, lost and forged: what is known converges, and nobody's own
 //! report is another's.
+// Counts of a test are small.
+#![allow(clippy::cast_possible_truncation)]
 
 use std::collections::BTreeSet;
 use std::hash::Hash;
--- a/crates/fleet/outlier-detection/tests/seeds.rs
+++ b/crates/fleet/outlier-detection/tests/seeds.rs
@@ -3,6 +3,8 @@
 //!
 //! Each front chooses among the boxes it is offered by chance, rests one that failed for half a second, twice as long after each
 //! further failure, up to eight seconds, and tries elsewhere: so a front by itself does. Figures here are of simulated fleets.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 #[path = "../../gossip/tests/support/mod.rs"]
 mod net;
--- a/crates/fleet/placement/src/lib.rs
+++ b/crates/fleet/placement/src/lib.rs
@@ -4,6 +4,8 @@
 //! [`Worker`] does the work under a lease: it proposes steps and gives orders to boxes, and keeps nothing that a successor would miss.
 //! [`Disk`] is a box's side of it. [`View`] is a front's: which boxes a title may be played by, and the right to go by that.
 //! `docs/placement.md` has the rules and their arguments.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated, clippy::wildcard_imports)]
 #![forbid(unsafe_code)]
 
 pub mod boxes;
--- a/crates/fleet/placement/tests/explored.rs
+++ b/crates/fleet/placement/tests/explored.rs
@@ -1,6 +1,8 @@
 //! Every order of proposals, orders, what boxes say, jobs, records, words of fronts, answers, steps of clocks, changes of the lease and of the
 //! leader, restarts and losses of boxes, for one shard in two regions, a worker and its successor and two fronts, up to a depth, with the
 //! real machines. What is never delivered is lost; what is delivered and left on its way is a copy.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated, clippy::too_many_lines)]
 
 mod support;
 
--- a/crates/fleet/placement/tests/meetings.rs
+++ b/crates/fleet/placement/tests/meetings.rs
@@ -1,4 +1,6 @@
 //! Words of boxes and to boxes that come late, after the box was lost or started again.
+// Counts of a test are small.
+#![allow(clippy::cast_possible_truncation)]
 
 mod support;
 
--- a/crates/fleet/placement/tests/plans.rs
+++ b/crates/fleet/placement/tests/plans.rs
@@ -1,4 +1,6 @@
 //! Planning against exact solutions of small cases, its properties, and its time.
+// Counts of a test are small.
+#![allow(clippy::cast_possible_truncation)]
 
 mod support;
 
--- a/crates/fleet/placement/tests/requests.rs
+++ b/crates/fleet/placement/tests/requests.rs
@@ -1,4 +1,6 @@
 //! What customers ask, and what becomes of it at once.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/fleet/placement/tests/seeds.rs
+++ b/crates/fleet/placement/tests/seeds.rs
@@ -1,5 +1,7 @@
 //! Three zones of boxes, workers, fronts and customers under random faults: rules (a) to (e) at every moment, and all as asked for soon
 //! after all is well.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/fleet/placement/tests/views.rs
+++ b/crates/fleet/placement/tests/views.rs
@@ -1,4 +1,6 @@
 //! A front's view by itself: what it offers, when it loses its right, what its core is told.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/fleet/quotas/src/lib.rs
+++ b/crates/fleet/quotas/src/lib.rs
@@ -6,6 +6,8 @@
 //! parts that fronts tell each other by gossip ([`soft`]), and is over by at most a bound that follows from settings ([`bounds`]).
 //!
 //! There is no I/O here and no clock: whoever drives these machines passes the time in. `docs/limits.md` has the argument.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 mod admission;
--- a/crates/fleet/quotas/tests/seeds.rs
+++ b/crates/fleet/quotas/tests/seeds.rs
@@ -1,5 +1,7 @@
 //! Fronts, a ledger and boxes under a simulated clock, by seeds: what plays at the boxes is never over a hard limit, and a limit is
 //! used in full.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/fleet/replica/src/lib.rs
+++ b/crates/fleet/replica/src/lib.rs
@@ -8,6 +8,8 @@
 //!
 //! Adding a part: a module in `parts` that implements `Part`, a field of `State`, and a variant of [`Command`] with its tag
 //! and of `Waits`. `docs/fleet.md` has the argument for each.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 mod asked;
--- a/crates/fleet/replica/tests/explored.rs
+++ b/crates/fleet/replica/tests/explored.rs
@@ -4,6 +4,8 @@
 //! Any keeper may stand for election at any moment (all its spans are nought), as in the explorer of `crates/fleet/consensus`. True
 //! time goes on by a part of a lease's time at once, and each process's clock by that at its own rate: the fastest and the slowest
 //! that the drift allows, in each way that they can lie between keepers and candidates.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/fleet/replica/tests/leases.rs
+++ b/crates/fleet/replica/tests/leases.rs
@@ -1,5 +1,7 @@
 //! Five keepers and many candidates under random faults: never more holders than places at any true moment, tokens that rise,
 //! a history that some one order explains, and a holder again soon after all is well.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/fleet/replica/tests/numbers.rs
+++ b/crates/fleet/replica/tests/numbers.rs
@@ -1,5 +1,7 @@
 //! Fronts' numbers by lease under random faults: whatever each front believes, all of them together never do more than the pace
 //! of one server allows within its span.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/fleet/replica/tests/topics/main.rs
+++ b/crates/fleet/replica/tests/topics/main.rs
@@ -1,6 +1,8 @@
 //! Five keepers with their real machines, twenty subscribers and twenty publishers under random faults: crashes, lost disks and keepers
 //! that take the place of lost ones, cuts, pauses, messages lost, doubled and late, clocks 5% apart. What a subscriber that is
 //! complete has is what the log says; no key comes back, none is missing; what was acknowledged is there.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod world;
 
--- a/crates/fleet/topic/src/lib.rs
+++ b/crates/fleet/topic/src/lib.rs
@@ -9,6 +9,8 @@
 //! [`Feed`] serves one subscriber from any keeper's topic; [`Subscriber`] is the client's side of it. [`Publisher`] sends
 //! messages until each has one answer. [`Retention`] counts, at the leader, how long deletions are remembered. Nothing here does
 //! I/O or reads a clock; `docs/topic.md` has the promises and the arguments.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 mod bits;
--- a/crates/fleet/topic/tests/cleaning.rs
+++ b/crates/fleet/topic/tests/cleaning.rs
@@ -1,5 +1,7 @@
 //! A topic beside a plain model, with the cleaner stopped at every step: what is read from a snapshot taken there is the same topic,
 //! answers do not depend on how it is laid out, and what a reader holds does not change.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/fleet/topic/tests/explored.rs
+++ b/crates/fleet/topic/tests/explored.rs
@@ -1,6 +1,8 @@
 //! Every order of messages, deletions, moves of the horizon, entries applied, steps of cleaning, snapshots, restarts, words of a
 //! feed and changes of the keeper, up to a depth, with the real machines. Two keepers follow one log; one subscriber goes from
 //! one to the other. A word that is lost is a connection that breaks.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 use std::collections::BTreeMap;
 use std::hash::Hash;
--- a/crates/fleet/topic/tests/linear.rs
+++ b/crates/fleet/topic/tests/linear.rs
@@ -1,6 +1,8 @@
 //! Histories of compare-and-set, as publishers saw them, are those of a register each of whose operations happened at some
 //! moment between its beginning and its end (Herlihy and Wing, "Linearizability", TOPLAS 1990; the search is Wing and Gong's, "Testing
 //! and Verifying Concurrent Objects", JPDC 1993, with what was tried remembered).
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/fleet/topic/tests/measured.rs
+++ b/crates/fleet/topic/tests/measured.rs
@@ -1,5 +1,7 @@
 //! Figures of `docs/topic.md`, of one thread and without sockets or disk:
 //! `cargo test --release -p beechloft-topic --test measured -- --ignored --nocapture --test-threads 1`.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/fleet/topic/tests/seeds.rs
+++ b/crates/fleet/topic/tests/seeds.rs
@@ -1,5 +1,7 @@
 //! Keepers, subscribers and publishers under random faults: what a subscriber that is complete has is what was written, no key comes
 //! back, no message is written twice or lost once it is acknowledged, and when all is well everybody is complete to the head.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/fleet/topic/tests/simple.rs
+++ b/crates/fleet/topic/tests/simple.rs
@@ -1,4 +1,6 @@
 //! The parts put together, without anything that fails.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/fleet/topic/tests/writers.rs
+++ b/crates/fleet/topic/tests/writers.rs
@@ -1,5 +1,7 @@
 //! A topic with one writer: whoever has an older token writes nothing once a newer one has begun, whatever is late or doubled.
 //! And how long deletions are remembered, on clocks that run at different rates.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/front/discovery/src/lib.rs
+++ b/crates/front/discovery/src/lib.rs
@@ -2,6 +2,13 @@
 //!
 //! A line that can't be used is left out and said, and the rest of its message holds: one operator's slip must not
 //! cost a front its list.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(
+    clippy::cast_possible_truncation,
+    clippy::missing_errors_doc,
+    clippy::shadow_unrelated,
+    clippy::wildcard_imports
+)]
 #![forbid(unsafe_code)]
 
 pub mod cache;
--- a/crates/front/server/src/lib.rs
+++ b/crates/front/server/src/lib.rs
@@ -1,9 +1,11 @@
 //! The session front on sockets.
 //!
-//! One thread owns the core ([`engine`]); everything else talks to it through a channel. A viewer's connection has a
-//! thread of its own ([`player`]), and the attempts of its session run on that thread ([`attempt`]): it waits for the
+//! One thread owns the core (`engine`); everything else talks to it through a channel. A viewer's connection has a
+//! thread of its own (`player`), and the attempts of its session run on that thread (`attempt`): it waits for the
 //! box and watches its viewer at once, with no hand-over in between. Each box has a thread that reads its events
-//! ([`watch`]), the list has one ([`list`]), and short calls to boxes run on a few workers ([`calls`]).
+//! (`watch`), the list has one (`list`), and short calls to boxes run on a few workers (`calls`).
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 mod attempt;
--- a/crates/front/server/tests/faults.rs
+++ b/crates/front/server/tests/faults.rs
@@ -1,4 +1,6 @@
 //! Each fault of a box or of the list, by itself, on sockets; the rules from what the stand-ins saw.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/front/server/tests/rules.rs
+++ b/crates/front/server/tests/rules.rs
@@ -1,4 +1,6 @@
 //! Terms, budget and cold boxes on sockets, and what a class that must not be set up twice is told.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/front/server/tests/sip.rs
+++ b/crates/front/server/tests/sip.rs
@@ -1,4 +1,6 @@
 //! SIP on sockets: callers over datagrams, the front, boxes over streams; one front serves both protocols.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/front/server/tests/streams.rs
+++ b/crates/front/server/tests/streams.rs
@@ -1,4 +1,6 @@
 //! Callers over streams: messages in pieces, keep-alives, nonsense, callers that do not read, and more than fit.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/front/server/tests/whep.rs
+++ b/crates/front/server/tests/whep.rs
@@ -1,4 +1,6 @@
 //! WHEP and WHIP over HTTP on the whole path: player, front, box and back.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/front/session/src/lib.rs
+++ b/crates/front/session/src/lib.rs
@@ -7,6 +7,8 @@
 //! whether it is tried again and when it is turned away. The core adds what the module leaves to a front: one answer
 //! for each request ([`session`]), attempts that end once, sessions left behind on boxes ([`release`]), boxes that
 //! are lost ([`watch`]) and the merging of lists ([`catalog`]).
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated, clippy::wildcard_imports)]
 #![forbid(unsafe_code)]
 
 pub mod catalog;
--- a/crates/front/session/src/release.rs
+++ b/crates/front/session/src/release.rs
@@ -1,6 +1,6 @@
 //! Sessions left behind on boxes: those whose client never got or no longer wants them are ended there, for certain.
 //!
-//! A release is tried until the box says that the session is gone, the box itself is gone, or [`GIVE_UP`] has passed:
+//! A release is tried until the box says that the session is gone, the box itself is gone, or `GIVE_UP` has passed:
 //! by then the box has freed it by itself, as no client keeps its media consent fresh (RFC 7675).
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/front/session/tests/cases.rs
+++ b/crates/front/session/tests/cases.rs
@@ -1,4 +1,6 @@
 //! The hard cases one by one.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/front/session/tests/narrowed.rs
+++ b/crates/front/session/tests/narrowed.rs
@@ -1,4 +1,6 @@
 //! Boxes that are not offered to the module.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/front/sip/src/agent/mod.rs
+++ b/crates/front/sip/src/agent/mod.rs
@@ -1,6 +1,6 @@
 //! The back-to-back user agent: callers' calls on one side, boxes' on the other, and the front's core in between.
 //!
-//! A caller's INVITE is an [`Ask`] of the core; each attempt that the core asks for is an INVITE to a box on a
+//! A caller's INVITE is an `Ask` of the core; each attempt that the core asks for is an INVITE to a box on a
 //! connection of its own; a leg's end is a verdict, a release a BYE. Retransmissions stop at the transaction layer and
 //! never reach the core. No I/O, clock or randomness but seeded.
 
--- a/crates/front/sip/src/lib.rs
+++ b/crates/front/sip/src/lib.rs
@@ -6,6 +6,8 @@
 //! remember; [`caller`] and [`callee`] are the two legs of a call, [`standing`] is what a
 //! call that stands still asks of its box; both legs the back-to-back user agent in
 //! [`agent`] ties to the front's core.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 pub mod admission;
--- a/crates/front/sip/tests/agent.rs
+++ b/crates/front/sip/tests/agent.rs
@@ -1,4 +1,6 @@
 //! The user agent and the front's core together, between scripted callers and boxes on a simulated clock and network.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/front/sip/tests/gate.rs
+++ b/crates/front/sip/tests/gate.rs
@@ -1,5 +1,7 @@
 //! The agent under overload: what is turned away costs no transaction, is answered alike each time, and is told to
 //! those who take part.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 use beechloft_session::api::Micros;
 use beechloft_session::io as core_io;
--- a/crates/front/sip/tests/legs.rs
+++ b/crates/front/sip/tests/legs.rs
@@ -1,4 +1,6 @@
 //! The two legs of a call: towards a box, which is never left with one, and towards a caller, who is owed one answer.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 use beechloft_session::api::Micros;
 use beechloft_session::session::GRACE;
--- a/crates/front/sip/tests/overload.rs
+++ b/crates/front/sip/tests/overload.rs
@@ -1,4 +1,6 @@
 //! Overload control on a simulated clock: a front that works calls off one by one, and neighbours of all kinds.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
--- a/crates/front/sip/tests/transactions.rs
+++ b/crates/front/sip/tests/transactions.rs
@@ -1,4 +1,6 @@
 //! Transactions against the figures of RFC 3261 and RFC 6026, and over a network that loses, repeats and reorders.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/front/whep/src/lib.rs
+++ b/crates/front/whep/src/lib.rs
@@ -4,6 +4,8 @@
 //! the box's answer goes back. In between the front checks the descriptions ([`sdp`], [`frag`]), sets the rung by a
 //! bandwidth line (RFC 3890) at set-up and by WHEP's layer selection while playing ([`layers`]), and hears of boxes'
 //! load in ORCA's published form ([`load`]) and on one event stream for each box ([`news`]).
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::missing_errors_doc, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 pub mod answer;
--- a/crates/platform/event-loop/tests/bus/main.rs
+++ b/crates/platform/event-loop/tests/bus/main.rs
@@ -1,4 +1,6 @@
 //! What the watch on the event bus believes, and when it asks again, on real sockets.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 mod broken;
 mod doubts;
--- a/crates/platform/event-loop/tests/descriptors.rs
+++ b/crates/platform/event-loop/tests/descriptors.rs
@@ -1,4 +1,6 @@
 //! A front node that has no descriptor left. Alone in its process, as it takes all of them.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 #[allow(dead_code)]
 #[path = "crossings/stage.rs"]
--- a/crates/platform/event-loop/tests/replaced.rs
+++ b/crates/platform/event-loop/tests/replaced.rs
@@ -1,4 +1,6 @@
 //! Media servers that are replaced all day. Alone in its process, as it counts that process's descriptors.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/platform/event-loop/tests/sockets.rs
+++ b/crates/platform/event-loop/tests/sockets.rs
@@ -1,4 +1,6 @@
 //! A front node on loopback sockets between small fakes; the rules are read off what crossed the sockets.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/platform/front-node/tests/cases.rs
+++ b/crates/platform/front-node/tests/cases.rs
@@ -1,4 +1,6 @@
 //! The machine, case by case.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/platform/front-node/tests/memory.rs
+++ b/crates/platform/front-node/tests/memory.rs
@@ -1,5 +1,7 @@
 //! Two hundred media servers of which a hundred and twenty are replaced at once, again and again. Alone in its process,
 //! as it reads that process's memory.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 mod support;
 
--- a/crates/platform/front-node/tests/orders.rs
+++ b/crates/platform/front-node/tests/orders.rs
@@ -1,4 +1,6 @@
 //! Any order of inputs keeps the rules: the rig checks them on each output.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
 
 mod support;
 
--- a/crates/platform/protocol/src/lib.rs
+++ b/crates/platform/protocol/src/lib.rs
@@ -1,5 +1,7 @@
 //! The front node's protocol, without I/O: both framings as incremental decoders with bounds, typed messages,
 //! causes, load reports, the configuration and the events of the event bus. Malformed input is an error value.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 pub mod binary;
--- a/crates/platform/protocol/tests/bus.rs
+++ b/crates/platform/protocol/tests/bus.rs
@@ -1,4 +1,6 @@
 //! Events of the event bus as they are read.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 use beechloft_protocol::bus::Event;
 
--- a/crates/platform/settings/src/lib.rs
+++ b/crates/platform/settings/src/lib.rs
@@ -1,5 +1,7 @@
 //! The platform's settings, as JSON, turned into the module's settings and what a driver needs besides.
 //! Unknown keys are skipped. The simulator's adapter and the front node read the same text.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::too_many_lines)]
 #![forbid(unsafe_code)]
 
 use beechloft::interface as api;
--- a/crates/platform/simhost/tests/codec.rs
+++ b/crates/platform/simhost/tests/codec.rs
@@ -1,4 +1,6 @@
 //! The codec against the examples of the wire's description, and against malformed input.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated, clippy::unwrap_used)]
 
 use beechloft_simhost::wire::{self, Action, Entry, Event, Visit, WireError};
 
--- a/crates/platform/simhost/tests/host.rs
+++ b/crates/platform/simhost/tests/host.rs
@@ -1,4 +1,6 @@
 //! Hosting: lists resolved in order, killed instances forgotten, instances kept apart.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 use beechloft_simhost::host::Host;
 use beechloft_simhost::wire::{Action, Batch, Entry, Event, Visit};
--- a/crates/platform/simhost/tests/process.rs
+++ b/crates/platform/simhost/tests/process.rs
@@ -1,4 +1,6 @@
 //! The adapter as a process: malformed input ends it with a plain message, never a panic or a partial reply.
+// Counts of a test are small.
+#![allow(clippy::cast_possible_truncation)]
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
--- a/crates/testing/checker/tests/falsified.rs
+++ b/crates/testing/checker/tests/falsified.rs
@@ -1,4 +1,6 @@
 //! A sound trace passes; falsified in one way each, it breaks the rule that it should, and no other.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 use beechloft_checker::check::{ClassRules, ColdRules, Repeat};
 use beechloft_checker::trace::{Ending, Speaks};
--- a/crates/testing/fakes/src/lib.rs
+++ b/crates/testing/fakes/src/lib.rs
@@ -2,6 +2,8 @@
 //! published texts, run on loopback, record what they see, and fail when told to.
 //!
 //! Figures measured against them are figures of simulated servers.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 pub mod boxes;
--- a/crates/testing/fakes/tests/topic_planted.rs
+++ b/crates/testing/fakes/tests/topic_planted.rs
@@ -1,5 +1,7 @@
 //! Faults planted in what three keepers do with a topic, over their real sockets and disks: each is found by what writers were told
 //! and readers saw, and without one nothing is.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/testing/fault-proxy/src/lib.rs
+++ b/crates/testing/fault-proxy/src/lib.rs
@@ -8,6 +8,8 @@
 //!
 //! [`udp`] does the like for datagrams, which may also be lost, come twice and overtake each other. [`ports`] keeps ports for
 //! processes that are to listen there.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 pub mod ports;
--- a/crates/testing/fleet-simulation/src/lib.rs
+++ b/crates/testing/fleet-simulation/src/lib.rs
@@ -4,6 +4,8 @@
 //!
 //! [`Fleet`] moves time on and carries messages; [`media`] has the media servers and their counts; [`settings`] the
 //! platform's settings as text.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 mod fleet;
--- a/crates/testing/fleet-simulation/tests/herds.rs
+++ b/crates/testing/fleet-simulation/tests/herds.rs
@@ -1,5 +1,7 @@
 //! What is harmless in one front node, summed over three hundred of them that all do it at the same instant. Each bound
 //! is stated where it is checked.
+// Counts of a test are small.
+#![allow(clippy::cast_possible_truncation)]
 
 use beechloft::interface::Micros;
 use beechloft_fleet_simulation::media::{Media, Span};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,6 +2,8 @@
 //!
 //! [`choice::Choice`] is a pure state machine: it is fed events with the time at which they happened and
 //! answers with actions. [`interface`] holds every type that passes between it and whatever drives it.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated, clippy::wildcard_imports)]
 #![forbid(unsafe_code)]
 
 mod audit;
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,4 +1,6 @@
 //! One test for each failure found on the way, and for those thought through without the bench.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,4 +1,6 @@
 //! Random legal event orders: whatever happens, the rules hold and nothing crashes.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated, clippy::too_many_lines)]
 
 #[path = "support/customers.rs"]
 mod customers;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,6 @@
 //! One group of tests for each of the six rules.
+// Not reworked yet, see docs/ROADMAP.md.
+#![allow(clippy::shadow_unrelated)]
 
 mod support;
 
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,4 +1,6 @@
 //! A front of a large service: what a decision costs, counted in steps of work, and how many act on one figure.
+// Counts of a test are small.
+#![allow(clippy::cast_possible_truncation)]
 
 mod support;
 
--- a/tests/shortage.rs
+++ b/tests/shortage.rs
@@ -1,4 +1,6 @@
 //! Where servers tell nothing but that they fall short: what that says of all others.
+// Counts of a test are small.
+#![allow(clippy::cast_possible_truncation)]
 
 mod support;
 
