--- a/crates/fleet/coordinator/src/rows.rs
+++ b/crates/fleet/coordinator/src/rows/mod.rs
@@ -109,26 +109,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use beechloft_gossip::Said;
-
-    #[test]
-    fn a_packet_of_rows_is_read_as_it_was_written_and_nothing_else_is() {
-        let said = Said::Compare { seq: u64::MAX, parts: vec![[255; 8]; 32] };
-        let packet = Packet { from: MemberId(7), to: MemberId(8), said };
-        let bytes = datagram(9, &packet).expect("short");
-        assert_eq!(read_datagram(9, &bytes).expect("sound"), packet);
-        assert!(matches!(read_datagram(8, &bytes), Err(WireError::Fleet)));
-        // It is no packet of members, nor is one of theirs a packet of rows.
-        assert!(matches!(wire::read_datagram(9, &bytes), Err(WireError::Version)));
-        for bit in 0..bytes.len() * 8 {
-            let mut bad = bytes.clone();
-            bad[bit / 8] ^= 1 << (bit % 8);
-            assert!(read_datagram(9, &bad).is_err(), "bit {bit}");
-        }
-        for cut in 0..bytes.len() {
-            assert!(read_datagram(9, &bytes[..cut]).is_err(), "{cut}");
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/fleet/coordinator/tests/wire_format.rs
@@ -0,0 +1,297 @@
+//! Bytes of every message on a connection, and of membership datagrams, compared with a fixture both ways. Another release reads
+//! and writes the same bytes, so a difference here breaks rolling upgrades.
+
+use std::sync::Arc;
+
+use beechloft_consensus::{self as consensus, Body, Entry, Index, LogPos, Payload, Term};
+use beechloft_coordinator::wire::{
+    self, ChangeLine, LeaseLine, MemberLine, SeenLine, StatusLine, TopicLine, Word,
+};
+use beechloft_leases::{self as leases, HolderId, KeeperId, Name, Op, Token};
+use beechloft_membership::{self as membership, About, Digests, Incarnation, Kind, Packet, Rumour, Zone};
+use beechloft_placement as placement;
+use beechloft_quotas as quotas;
+use beechloft_topic::{
+    Batch, Epoch, Offset, Position, PublisherId, Said, Session, Told, TopicAnswer, TopicAsk, TopicHeard,
+    TopicOp, TopicRequest,
+};
+
+const FLEET: u64 = 0x0102_0304_0506_0708;
+const WIRE: &str = include_str!("fixtures/wire_format.txt");
+const DATAGRAMS: &str = include_str!("fixtures/membership_datagrams.txt");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hex")).collect()
+}
+
+/// The fixture's lines, `name hex`.
+fn lines(fixture: &str) -> Vec<(&str, Vec<u8>)> {
+    fixture.lines().filter_map(|l| l.split_once(' ')).map(|(name, bytes)| (name, unhex(bytes))).collect()
+}
+
+fn name(text: &str) -> Name {
+    Name::try_from(text.to_owned()).expect("a name")
+}
+
+fn lease_line() -> LeaseLine {
+    LeaseLine {
+        name: "task/1".into(),
+        places: 3,
+        place: 1,
+        token: 300,
+        holder: u64::MAX,
+        ttl_ms: 3_000,
+        renewals: 7,
+    }
+}
+
+fn change_line() -> ChangeLine {
+    ChangeLine {
+        name: "task/1".into(),
+        token: 300,
+        what: "granted".into(),
+        holder: Some(9),
+        before: Some(299),
+    }
+}
+
+fn status_line() -> StatusLine {
+    StatusLine {
+        id: "00000000000000ff".into(),
+        role: "leader".into(),
+        term: 2,
+        leader: Some("00000000000000ff".into()),
+        commit: 16,
+        last: 17,
+        members: vec![MemberLine {
+            id: "00000000000000ff".into(),
+            address: "127.0.0.1:7301".into(),
+            voter: true,
+        }],
+        refused_words: 4,
+        silent_ms: 5,
+        told_bytes: 6,
+        topics: vec![TopicLine {
+            name: "quotas".into(),
+            head: 1,
+            horizon: 2,
+            keys: 3,
+            bytes: 4,
+            held_bytes: 5,
+            subscribers: 6,
+        }],
+    }
+}
+
+fn seen_line() -> SeenLine {
+    SeenLine {
+        id: "00000000000000fe".into(),
+        address: "127.0.0.1:7311".into(),
+        zone: "hala-a".into(),
+        kind: "front".into(),
+        life: "alive".into(),
+        since_ms: 1,
+        known_ms: 2,
+        incarnation: 3,
+        asked: true,
+        sent: 4,
+        sent_bytes: 5,
+    }
+}
+
+fn messages() -> Vec<(&'static str, Word)> {
+    let at = LogPos { term: Term(2), index: Index(300) };
+    let append = Body::Append {
+        prev: at,
+        entries: vec![Entry {
+            at: LogPos { term: Term(2), index: Index(301) },
+            payload: Payload::Command(vec![1, 2, 3].into()),
+        }],
+        commit: Index(299),
+        round: 8,
+    };
+    let peer = consensus::Message {
+        from: consensus::MemberId(1),
+        to: consensus::MemberId(2),
+        term: Term(2),
+        body: append,
+    };
+    let acquire = Op::Acquire { name: name("task/1"), places: 3, ttl_ms: 3_000 };
+    let publish = TopicRequest {
+        publisher: PublisherId(5),
+        topic: name("quotas"),
+        op: TopicOp::Begin { epoch: Epoch(6) },
+    };
+    let topic_heard = TopicHeard {
+        publisher: PublisherId(5),
+        ask: TopicAsk::Session(Epoch(6)),
+        answer: TopicAnswer::Began(Session(7)),
+    };
+    let position = Position { life: 1, next: Offset(2), base: Offset(3), seen: Offset(4) };
+    let batch = Batch { from: Offset(1), to: Offset(300), head: Offset(301), messages: Vec::new() };
+    let told = |said| Word::Told(Told { feed: 7, applied: 300, silent_ms: 1_000, said });
+    vec![
+        ("hello", Word::Hello { id: consensus::MemberId(7), listen: "127.0.0.1:7301".into(), formed: true }),
+        ("peer", Word::Peer(peer)),
+        ("ask", Word::Ask(leases::Request { holder: HolderId(9), seq: 2, op: acquire })),
+        (
+            "heard.answer",
+            Word::Heard(leases::Heard::Answer {
+                holder: HolderId(9),
+                seq: 2,
+                answer: leases::Answer::Released,
+            }),
+        ),
+        ("heard.not_leader", Word::Heard(leases::Heard::NotLeader(Some(KeeperId(3))))),
+        ("heard.busy", Word::Heard(leases::Heard::Busy)),
+        ("not_leader", Word::NotLeader(Some("127.0.0.1:7302".into()))),
+        ("not_leader.unknown", Word::NotLeader(None)),
+        ("list", Word::List),
+        ("listed", Word::Listed(vec![lease_line()])),
+        ("status", Word::Status),
+        ("status_is", Word::StatusIs(status_line())),
+        ("replace", Word::Replace { old: consensus::MemberId(1), new: consensus::MemberId(2) }),
+        ("replacing.done", Word::Replacing(Ok(()))),
+        ("replacing.refused", Word::Replacing(Err("no".into()))),
+        ("watch", Word::Watch(Some(name("task/1")))),
+        ("watch.all", Word::Watch(None)),
+        ("changed", Word::Changed(change_line())),
+        ("members", Word::Members),
+        ("members_are", Word::MembersAre(Some(vec![seen_line()]))),
+        ("members_are.none", Word::MembersAre(None)),
+        ("publish", Word::Publish(publish)),
+        ("topic_heard", Word::TopicHeard(topic_heard)),
+        (
+            "subscribe",
+            Word::Subscribe { feed: 7, topic: name("quotas"), from: Some(position), allow: 65_536 },
+        ),
+        ("allow", Word::Allow { feed: 7, total: 131_072 }),
+        ("told.anew", told(Said::Anew { life: 1, base: Offset(300) })),
+        ("told.behind", told(Said::Behind { head: Offset(9) })),
+        ("told.batch", told(Said::Batch(batch))),
+        ("told.still", told(Said::Still)),
+        (
+            "place",
+            Word::Place {
+                number: 300,
+                command: Box::new(placement::Command::Expire {
+                    front: placement::names::FrontId(4),
+                    renewals: 5,
+                }),
+            },
+        ),
+        ("placed", Word::Placed { number: 300, answer: placement::Answer::Stale(Token(6)) }),
+        (
+            "limit",
+            Word::Limit(quotas::Request {
+                front: quotas::FrontId(4),
+                seq: 5,
+                op: quotas::Op::Open { ttl_ms: 15_000, tagged: true },
+            }),
+        ),
+        (
+            "limit_heard",
+            Word::LimitHeard(quotas::Heard::Answer {
+                front: quotas::FrontId(4),
+                seq: 5,
+                answer: quotas::Answer::Closed,
+            }),
+        ),
+        ("limit_heard.again", Word::LimitHeard(quotas::Heard::Again)),
+    ]
+}
+
+fn packets() -> Vec<(&'static str, Packet)> {
+    use membership::{MemberId, Said};
+    let about = About {
+        address: "127.0.0.1:7311".parse().expect("an address"),
+        zone: Zone::try_from("hala-a".to_owned()).expect("a zone"),
+        kind: Kind::Front,
+    };
+    let rumours = vec![
+        Rumour::Alive { id: MemberId(1), incarnation: Incarnation(2), about: Arc::new(about) },
+        Rumour::Suspected { id: MemberId(3), incarnation: Incarnation(4), by: MemberId(5) },
+        Rumour::Gone { id: MemberId(6), incarnation: Incarnation(7), by: MemberId(8) },
+    ];
+    let packet = |said, rumours| Packet { from: MemberId(300), to: Some(MemberId(301)), said, rumours };
+    let address = "[::1]:7312".parse().expect("an address");
+    vec![
+        ("ping", packet(Said::Ping { seq: 1, digest: u64::MAX }, rumours)),
+        ("ping_for", packet(Said::PingFor { seq: 1, target: MemberId(2), address }, Vec::new())),
+        ("ack", packet(Said::Ack { seq: 1, digest: 2 }, Vec::new())),
+        ("nack", packet(Said::Nack { seq: 1 }, Vec::new())),
+        ("another", packet(Said::Another { seq: 1 }, Vec::new())),
+        (
+            "compare",
+            packet(Said::Compare { digests: Digests(vec![1, 300, u64::MAX]), answers: true }, Vec::new()),
+        ),
+        ("entries", packet(Said::Entries, Vec::new())),
+    ]
+}
+
+/// Fails with the whole text as it would be, so that a difference can be read.
+fn compare(fixture: &str, encoded: &[(&str, Vec<u8>)]) {
+    let made: String = encoded.iter().map(|(name, bytes)| format!("{name} {}\n", hex(bytes))).collect();
+    assert_eq!(fixture, made, "\n{made}");
+}
+
+#[test]
+fn every_message_is_encoded_as_the_fixture_has_it() {
+    let encoded = messages().into_iter().map(|(name, m)| (name, wire::encode(FLEET, &m).expect("short")));
+    compare(WIRE, &encoded.collect::<Vec<_>>());
+}
+
+#[test]
+fn every_message_of_the_fixture_is_decoded_to_its_value() {
+    let expected = messages();
+    let fixture = lines(WIRE);
+    assert_eq!(fixture.len(), expected.len());
+    for ((in_fixture, bytes), (in_code, message)) in fixture.into_iter().zip(expected) {
+        assert_eq!(in_fixture, in_code);
+        assert_eq!(wire::read(FLEET, &mut &bytes[..]).expect(in_code), message);
+    }
+}
+
+#[test]
+fn every_membership_datagram_is_encoded_as_the_fixture_has_it() {
+    let encoded = packets().into_iter().map(|(name, p)| (name, wire::datagram(FLEET, &p).expect("short")));
+    compare(DATAGRAMS, &encoded.collect::<Vec<_>>());
+}
+
+#[test]
+fn every_membership_datagram_of_the_fixture_is_decoded_to_its_value() {
+    let expected = packets();
+    let fixture = lines(DATAGRAMS);
+    assert_eq!(fixture.len(), expected.len());
+    for ((in_fixture, bytes), (in_code, packet)) in fixture.into_iter().zip(expected) {
+        assert_eq!(in_fixture, in_code);
+        assert_eq!(wire::read_datagram(FLEET, &bytes).expect(in_code), packet);
+    }
+}
+
+/// The exact text that `lease list`, `lease watch`, `fleet status` and `fleet members` print with `--json`, less what the
+/// program puts around it.
+#[test]
+fn lines_for_people_have_the_same_json_text() {
+    let json = |line: serde_json::Result<String>| line.expect("it has a form");
+    assert_eq!(
+        json(serde_json::to_string(&lease_line())),
+        r#"{"name":"task/1","places":3,"place":1,"token":300,"holder":18446744073709551615,"ttl_ms":3000,"renewals":7}"#
+    );
+    assert_eq!(
+        json(serde_json::to_string(&change_line())),
+        r#"{"name":"task/1","token":300,"what":"granted","holder":9,"before":299}"#
+    );
+    assert_eq!(
+        json(serde_json::to_string(&seen_line())),
+        r#"{"id":"00000000000000fe","address":"127.0.0.1:7311","zone":"hala-a","kind":"front","life":"alive","since_ms":1,"known_ms":2,"incarnation":3,"asked":true,"sent":4,"sent_bytes":5}"#
+    );
+    assert_eq!(
+        json(serde_json::to_string(&status_line())),
+        r#"{"id":"00000000000000ff","role":"leader","term":2,"leader":"00000000000000ff","commit":16,"last":17,"members":[{"id":"00000000000000ff","address":"127.0.0.1:7301","voter":true}],"refused_words":4,"silent_ms":5,"told_bytes":6,"topics":[{"name":"quotas","head":1,"horizon":2,"keys":3,"bytes":4,"held_bytes":5,"subscribers":6}]}"#
+    );
+}
