--- a/crates/platform/event-loop/tests/crossings/main.rs
+++ b/crates/platform/event-loop/tests/crossings/main.rs
@@ -5,5 +5,6 @@
 
 mod clients;
 mod ends;
+mod phases;
 mod servers;
 mod stage;
