--- a/crates/base/clock/src/lib.rs
+++ b/crates/base/clock/src/lib.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 
 /// A clock set once, at its start, by the system's; box starts in the list are told in that one's time.
 #[derive(Debug, Clone, Copy)]
--- a/crates/fleet/leases/src/numbering.rs
+++ b/crates/fleet/leases/src/numbering.rs
@@ -180,7 +180,7 @@
 mod tests {
     use super::*;
 
-    /// As the module paces (`Choice::pace_allows`): how much of `all` a front may do at one server.
+    /// As the module paces (`Policy::pace_allows`): how much of `all` a front may do at one server.
     fn allowed(server: u32, all: u32, part: Part) -> u32 {
         let Part::Of { number, of } = part else { return 0 };
         let turn = (server + number) % of;
--- a/crates/fleet/replica/tests/numbers.rs
+++ b/crates/fleet/replica/tests/numbers.rs
@@ -53,7 +53,7 @@
     fault: Option<Fault>,
 }
 
-/// As the module paces (`Choice::pace_allows`).
+/// As the module paces (`Policy::pace_allows`).
 fn allowed(server: u32, whole: usize, part: Part) -> usize {
     let Part::Of { number, of } = part else { return 0 };
     match whole / of as usize {
--- a/crates/front/config/src/front.rs
+++ b/crates/front/config/src/front.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use beechloft::interface::{Settings, ZoneId};
+use beechloft::api::{Settings, ZoneId};
 use beechloft_http::Limits;
 use beechloft_http::server::Sizes;
 use beechloft_session::catalog::{BoxLine, TitleLine};
--- a/crates/front/config/src/list.rs
+++ b/crates/front/config/src/list.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use beechloft::interface::*;
+use beechloft::api::*;
 use beechloft_session::catalog::{BoxLine, TitleLine};
 
 use crate::reader::Section;
--- a/crates/front/config/src/service.rs
+++ b/crates/front/config/src/service.rs
@@ -1,6 +1,6 @@
 //! The deployment: classes, ladder, links, rules. The same for every front of it.
 
-use beechloft::interface::*;
+use beechloft::api::*;
 
 use crate::reader::Section;
 
--- a/crates/front/server/tests/replay.rs
+++ b/crates/front/server/tests/replay.rs
@@ -41,7 +41,7 @@
     }
     assert_eq!(outputs, recording.outputs);
 
-    let mut module = beechloft::choice::Choice::new(settings.settings, 7);
+    let mut module = beechloft::policy::Policy::new(settings.settings, 7);
     let mut set_ups = 0;
     for (now, event, actions) in recording.exchanged {
         let mut same = Vec::new();
--- a/crates/front/session/src/catalog.rs
+++ b/crates/front/session/src/catalog.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use beechloft::interface::*;
+use beechloft::api::*;
 
 /// Boxes in one message at most; a longer one is refused whole.
 pub const MAX_BOXES: usize = 20_000;
--- a/crates/front/session/src/core/acts.rs
+++ b/crates/front/session/src/core/acts.rs
@@ -1,6 +1,6 @@
 //! The module's turn: events in, actions carried out.
 
-use beechloft::interface::*;
+use beechloft::api::*;
 
 use super::Core;
 use crate::io::*;
--- a/crates/front/session/src/core/asked.rs
+++ b/crates/front/session/src/core/asked.rs
@@ -1,6 +1,6 @@
 //! What clients ask: a session, its end, and where it is.
 
-use beechloft::interface::*;
+use beechloft::api::*;
 
 use super::Core;
 use crate::io::*;
--- a/crates/front/session/src/core/attempts.rs
+++ b/crates/front/session/src/core/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts at boxes, from set-up to verdict.
 
-use beechloft::interface::{self as api, *};
+use beechloft::api::{self as api, *};
 
 use super::Core;
 use crate::io::*;
--- a/crates/front/session/src/core/boxes.rs
+++ b/crates/front/session/src/core/boxes.rs
@@ -1,6 +1,6 @@
 //! The list and what boxes tell: which are watched, and which are lost.
 
-use beechloft::interface::*;
+use beechloft::api::*;
 
 use super::Core;
 use crate::catalog::ListUpdate;
--- a/crates/front/session/src/core/ending.rs
+++ b/crates/front/session/src/core/ending.rs
@@ -1,6 +1,6 @@
 //! How sessions leave the table.
 
-use beechloft::interface::{self as api, *};
+use beechloft::api::{self as api, *};
 
 use super::Core;
 use super::attempts::overdue;
--- a/crates/front/session/src/core/mod.rs
+++ b/crates/front/session/src/core/mod.rs
@@ -8,8 +8,8 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use beechloft::choice::Choice;
-use beechloft::interface::*;
+use beechloft::api::*;
+use beechloft::policy::Policy;
 
 use crate::catalog::Catalog;
 use crate::io::*;
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct Core {
     set: Settings,
-    choice: Choice,
+    choice: Policy,
     now: Micros,
     catalog: Catalog,
     sessions: BTreeMap<SessionId, Session>,
@@ -54,7 +54,7 @@
     /// A front that knows its settings and nothing else. The list comes as the first input.
     pub fn new(set: Settings, seed: u64) -> Self {
         Core {
-            choice: Choice::new(set.clone(), seed),
+            choice: Policy::new(set.clone(), seed),
             set,
             now: Micros(0),
             catalog: Catalog::default(),
--- a/crates/front/session/src/io.rs
+++ b/crates/front/session/src/io.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use beechloft::interface::{LoadReport, Micros, Note, Numbered, Outcome, Rung, ServerId, SessionId};
+use beechloft::api::{LoadReport, Micros, Note, Numbered, Outcome, Rung, ServerId, SessionId};
 
 use crate::catalog::ListUpdate;
 pub use crate::catalog::Protocol;
--- a/crates/front/session/src/lib.rs
+++ b/crates/front/session/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Core::handle`] takes what happened and when, and appends what is to be done. It has no socket, clock, thread or
 //! random source, so that the front on sockets, a simulated clock, a fuzzer and a replay all drive the same code.
 //!
-//! What the module ([`beechloft::choice::Choice`]) decides, it decides here too: where a session goes, at which rung,
+//! What the module ([`beechloft::policy::Policy`]) decides, it decides here too: where a session goes, at which rung,
 //! whether it is tried again and when it is turned away. The core adds what the module leaves to a front: one answer
 //! for each request ([`session`]), attempts that end once, sessions left behind on boxes ([`release`]), boxes that
 //! are lost ([`watch`]) and the merging of lists ([`catalog`]).
@@ -21,4 +21,4 @@
 
 pub use crate::core::{Core, Exchanged};
 pub use crate::io::{Answer, Input, Output};
-pub use beechloft::interface as api;
+pub use beechloft::api;
--- a/crates/front/session/src/narrow.rs
+++ b/crates/front/session/src/narrow.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use beechloft::interface::{ServerId, SessionId, TitleId};
+use beechloft::api::{ServerId, SessionId, TitleId};
 
 /// A box to be avoided for now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/front/session/src/release.rs
+++ b/crates/front/session/src/release.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use beechloft::interface::{Micros, ServerId};
+use beechloft::api::{Micros, ServerId};
 
 /// First pause between two tries; doubled by each.
 const PAUSE: Micros = Micros(250_000);
--- a/crates/front/session/src/session.rs
+++ b/crates/front/session/src/session.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use beechloft::interface::{ClassId, Micros, Rung, ServerId, SessionId};
+use beechloft::api::{ClassId, Micros, Rung, ServerId, SessionId};
 
 use crate::io::{Answer, AttemptId, BoxReply, Output, Protocol, RepeatKey, RequestId, Secret};
 
--- a/crates/front/session/src/watch.rs
+++ b/crates/front/session/src/watch.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use beechloft::interface::{Micros, ServerId};
+use beechloft::api::{Micros, ServerId};
 
 /// A box whose stream is down so long is lost, whatever it does.
 pub const LOST_AFTER: Micros = Micros(10_000_000);
--- a/crates/platform/event-loop/src/bounds.rs
+++ b/crates/platform/event-loop/src/bounds.rs
@@ -1,6 +1,6 @@
 //! What the sockets may take: counts, sizes and times.
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 
 /// Bounds of the shell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/platform/event-loop/src/bus/mod.rs
+++ b/crates/platform/event-loop/src/bus/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_front_node::{Backoff, Input};
 use beechloft_http::message::Request;
 use http::{HeaderName, Method};
--- a/crates/platform/event-loop/src/bus/watch.rs
+++ b/crates/platform/event-loop/src/bus/watch.rs
@@ -1,6 +1,6 @@
 //! What comes on a connection to the event bus, put together: a head, a body, lines, events.
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_http::body::Decoder;
 use beechloft_http::limits::Limits;
 use beechloft_http::message;
--- a/crates/platform/event-loop/src/ending.rs
+++ b/crates/platform/event-loop/src/ending.rs
@@ -1,6 +1,6 @@
 //! The end of a front node after SIGTERM: what is owed to whom, and in which order it is done.
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use tracing::info;
 
 use crate::run::Shell;
--- a/crates/platform/event-loop/src/fleet.rs
+++ b/crates/platform/event-loop/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use beechloft::interface::{Micros, Numbered};
+use beechloft::api::{Micros, Numbered};
 use beechloft_front_node::{Input, Node};
 use tracing::{info, warn};
 
--- a/crates/platform/event-loop/src/run.rs
+++ b/crates/platform/event-loop/src/run.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_clock::Clock;
 use beechloft_front_node::{Counts, Input, Node, Output};
 use beechloft_protocol::config::Stated;
--- a/crates/platform/event-loop/src/servers/lane.rs
+++ b/crates/platform/event-loop/src/servers/lane.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_protocol::CallId;
 
 /// A line that found no connection is kept for so long: past it, the media server has ended what it was about by itself, as a
--- a/crates/platform/event-loop/src/servers/mod.rs
+++ b/crates/platform/event-loop/src/servers/mod.rs
@@ -4,7 +4,7 @@
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_front_node::{Broken, Input, Lane};
 use beechloft_protocol::CallId;
 use mio::net::TcpStream;
--- a/crates/platform/event-loop/src/servers/sending.rs
+++ b/crates/platform/event-loop/src/servers/sending.rs
@@ -4,7 +4,7 @@
 use beechloft_protocol::CallId;
 
 use super::{Conn, Servers, SetUp, Turn, Waiting};
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 
 /// Connections of set-ups that are kept in mind; the one that came first goes first.
 const MOST_HOMES: usize = 8192;
--- a/crates/platform/event-loop/src/servers/sweeping.rs
+++ b/crates/platform/event-loop/src/servers/sweeping.rs
@@ -1,6 +1,6 @@
 //! Looks at what has had its time.
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_front_node::{Broken, Lane};
 
 use super::{Servers, Turn};
--- a/crates/platform/event-loop/src/start.rs
+++ b/crates/platform/event-loop/src/start.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_front_node::Node;
 use beechloft_protocol::config::{Config, Disagreement};
 use beechloft_settings::Parsed;
--- a/crates/platform/event-loop/src/time.rs
+++ b/crates/platform/event-loop/src/time.rs
@@ -1,6 +1,6 @@
 //! The time that the loop goes by.
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_clock::Clock;
 
 /// A clock that runs, or a time that a test gives.
--- a/crates/platform/event-loop/src/viewers/conn.rs
+++ b/crates/platform/event-loop/src/viewers/conn.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_protocol::CallId;
 use beechloft_protocol::binary::Decoder;
 use beechloft_protocol::viewer::{FromViewer, ToViewer};
--- a/crates/platform/event-loop/src/viewers/lingering.rs
+++ b/crates/platform/event-loop/src/viewers/lingering.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::net::Shutdown;
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use mio::Registry;
 
 use crate::stream::{Got, Stream};
--- a/crates/platform/event-loop/src/viewers/mod.rs
+++ b/crates/platform/event-loop/src/viewers/mod.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::ErrorKind;
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_front_node::{Input, Use, ViewerConn};
 use beechloft_protocol::CallId;
 use beechloft_protocol::viewer::{FromViewer, ToViewer};
--- a/crates/platform/event-loop/tests/bus/broken.rs
+++ b/crates/platform/event-loop/tests/bus/broken.rs
@@ -1,6 +1,6 @@
 //! Answers that end, break, never come or are others than asked for: the watch asks again, less and less often.
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 
 use crate::rig::*;
 
--- a/crates/platform/event-loop/tests/bus/doubts.rs
+++ b/crates/platform/event-loop/tests/bus/doubts.rs
@@ -2,7 +2,7 @@
 
 use std::io::{ErrorKind, Read};
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 
 use crate::rig::*;
 
--- a/crates/platform/event-loop/tests/bus/moves.rs
+++ b/crates/platform/event-loop/tests/bus/moves.rs
@@ -1,6 +1,6 @@
 //! Discovery moves, as SIGHUP has it: the numbering goes on at the other address, whatever the watch was about.
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 
 use crate::rig::*;
 
--- a/crates/platform/event-loop/tests/bus/rig.rs
+++ b/crates/platform/event-loop/tests/bus/rig.rs
@@ -6,7 +6,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_event_loop::bounds::{Bounds, Given};
 use beechloft_event_loop::bus::Bus;
 use beechloft_front_node::Input;
--- a/crates/platform/event-loop/tests/crossings/clients.rs
+++ b/crates/platform/event-loop/tests/crossings/clients.rs
@@ -186,7 +186,7 @@
     let mut stage = Stage::new(1);
     let mut client = Some(stage.client());
     stage.pass(1_775);
-    stage.now = stage.now + beechloft::interface::Micros(200_000);
+    stage.now = stage.now + beechloft::api::Micros(200_000);
     let (give, given) = mpsc::channel();
     stage.shell.at_moments(move |moment| {
         if moment == Moment::Taken
--- a/crates/platform/event-loop/tests/crossings/servers.rs
+++ b/crates/platform/event-loop/tests/crossings/servers.rs
@@ -86,7 +86,7 @@
         let (mut client, _, mut line) = stage.asked(1);
         // The only attempt's time is the aim, from when it was asked for.
         stage.pass(775);
-        stage.now = stage.now + beechloft::interface::Micros(25_000 + late_ms * 1000);
+        stage.now = stage.now + beechloft::api::Micros(25_000 + late_ms * 1000);
         line.accept(1);
         stage.settle();
         stage.pass(200);
@@ -144,7 +144,7 @@
         line.end(1, 47);
         // The further attempt is begun, and its connection too; the connection is seen to be up only later.
         stage.turn();
-        stage.now = stage.now + beechloft::interface::Micros(waits_ms * 1000);
+        stage.now = stage.now + beechloft::api::Micros(waits_ms * 1000);
         stage.settle();
         let other = &mut stage.media[1 - first];
         assert_eq!(other.heard("offer").len(), sent, "after {waits_ms} ms more");
--- a/crates/platform/event-loop/tests/crossings/stage.rs
+++ b/crates/platform/event-loop/tests/crossings/stage.rs
@@ -5,7 +5,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_event_loop::{Control, Goes, Shell};
 use beechloft_protocol::CallId;
 use beechloft_protocol::binary::{Decoder, Frame};
--- a/crates/platform/front-node/src/actions.rs
+++ b/crates/platform/front-node/src/actions.rs
@@ -1,8 +1,6 @@
 //! What the module says, done.
 
-use beechloft::interface::{
-    Action, Attempt as Number, Event, LoadReport, Micros, Outcome, ServerId, SessionId,
-};
+use beechloft::api::{Action, Attempt as Number, Event, LoadReport, Micros, Outcome, ServerId, SessionId};
 use beechloft_protocol::server::ToServer;
 use beechloft_protocol::viewer::ToViewer;
 use beechloft_protocol::{CallId, Cause};
--- a/crates/platform/front-node/src/backoff.rs
+++ b/crates/platform/front-node/src/backoff.rs
@@ -1,6 +1,6 @@
 //! When to try again after a failure, by many at once.
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 
 /// An exponential back-off with jitter: each wait is twice the one before, up to a bound, and between half of that and all of it by chance.
 /// Guards against hundreds of front nodes that lose the same event bus at the same instant and would ask again together, at
--- a/crates/platform/front-node/src/directory.rs
+++ b/crates/platform/front-node/src/directory.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use beechloft::interface::{self as api, Micros, ServerId};
+use beechloft::api::{self as api, Micros, ServerId};
 use beechloft_protocol::CallId;
 use beechloft_protocol::bus::{Endpoint, Status};
 use beechloft_settings::Names;
--- a/crates/platform/front-node/src/io.rs
+++ b/crates/platform/front-node/src/io.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use beechloft::interface::{Micros, Numbered};
+use beechloft::api::{Micros, Numbered};
 use beechloft_protocol::CallId;
 use beechloft_protocol::bus::Topology;
 use beechloft_protocol::server::Line;
--- a/crates/platform/front-node/src/node.rs
+++ b/crates/platform/front-node/src/node.rs
@@ -2,10 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use beechloft::choice::Choice;
-use beechloft::interface::{
-    self as api, Event, LoadReport, Micros, Outcome, ReportField, ServerId, ViewerId,
-};
+use beechloft::api::{self as api, Event, LoadReport, Micros, Outcome, ReportField, ServerId, ViewerId};
+use beechloft::policy::Policy;
 use beechloft_protocol::CallId;
 use beechloft_protocol::bus::Topology;
 use beechloft_protocol::viewer::ToViewer;
@@ -64,7 +62,7 @@
 /// The front node.
 #[derive(Debug)]
 pub struct Node {
-    pub(crate) choice: Choice,
+    pub(crate) choice: Policy,
     pub(crate) settings: api::Settings,
     pub(crate) names: Names,
     fields: Vec<ReportField>,
@@ -95,7 +93,7 @@
     pub fn new(parsed: Parsed, seed: u64, bounds: Bounds) -> Self {
         let settings = parsed.settings;
         Node {
-            choice: Choice::new(settings.clone(), seed),
+            choice: Policy::new(settings.clone(), seed),
             settings,
             names: parsed.names,
             fields: parsed.fields,
--- a/crates/platform/front-node/src/releases.rs
+++ b/crates/platform/front-node/src/releases.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_protocol::CallId;
 use beechloft_protocol::viewer::ToViewer;
 
--- a/crates/platform/front-node/src/servers.rs
+++ b/crates/platform/front-node/src/servers.rs
@@ -1,6 +1,6 @@
 //! What media servers say, and what becomes of them.
 
-use beechloft::interface::{self as api, Event, LoadReport, Outcome, Rung, SessionId};
+use beechloft::api::{self as api, Event, LoadReport, Outcome, Rung, SessionId};
 use beechloft_protocol::server::{FromServer, Line, Note, ToServer};
 use beechloft_protocol::viewer::ToViewer;
 use beechloft_protocol::{CallId, Cause};
--- a/crates/platform/front-node/src/session.rs
+++ b/crates/platform/front-node/src/session.rs
@@ -1,6 +1,6 @@
 //! A session as the machine knows it.
 
-use beechloft::interface::{Micros, ServerId, ViewerId};
+use beechloft::api::{Micros, ServerId, ViewerId};
 use beechloft_protocol::viewer::SetUp;
 
 use crate::io::{Lane, ViewerConn};
--- a/crates/platform/front-node/src/timers.rs
+++ b/crates/platform/front-node/src/timers.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use beechloft::interface::{Micros, ServerId, TimerToken};
+use beechloft::api::{Micros, ServerId, TimerToken};
 use beechloft_protocol::CallId;
 
 /// What is due.
--- a/crates/platform/front-node/src/viewers.rs
+++ b/crates/platform/front-node/src/viewers.rs
@@ -1,6 +1,6 @@
 //! What viewers say.
 
-use beechloft::interface::{
+use beechloft::api::{
     ClassId, Event, LoadReport, Micros, Outcome, Request, Rung, SessionId, TenantId, TitleId, ViewerId,
 };
 use beechloft_protocol::server::ToServer;
@@ -167,7 +167,7 @@
         self.last_call = true;
         let owed = self.sessions.iter().filter(|(_, s)| matches!(s.phase, Phase::Owed { .. }));
         for (id, out) in owed.map(|(id, s)| (*id, s.out())).collect::<Vec<_>>() {
-            self.act(beechloft::interface::Action::Fail(SessionId(id.0)));
+            self.act(beechloft::api::Action::Fail(SessionId(id.0)));
             self.feed(Event::Withdrawn(SessionId(id.0)));
             if let Some(attempt) = out {
                 self.give_up(id, attempt, Outcome::Cancelled);
@@ -185,7 +185,7 @@
         if let Some(attempt) = *out {
             self.give_up(id, attempt, Outcome::Timeout);
         } else {
-            self.act(beechloft::interface::Action::Fail(SessionId(id.0)));
+            self.act(beechloft::api::Action::Fail(SessionId(id.0)));
             self.feed(Event::Withdrawn(SessionId(id.0)));
         }
     }
--- a/crates/platform/front-node/tests/backoff.rs
+++ b/crates/platform/front-node/tests/backoff.rs
@@ -1,6 +1,6 @@
 //! The back-off: how long it waits.
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_front_node::Backoff;
 
 #[test]
--- a/crates/platform/front-node/tests/cases.rs
+++ b/crates/platform/front-node/tests/cases.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_front_node::{Broken, Input, Output, Use, ViewerConn};
 use beechloft_protocol::bus::{Status, Topology};
 use beechloft_protocol::server::{FromServer, Line};
--- a/crates/platform/front-node/tests/orders.rs
+++ b/crates/platform/front-node/tests/orders.rs
@@ -186,7 +186,7 @@
         }
         // After SIGTERM all is answered by the last call, whatever was asked for when; without it, in time.
         if let Some(since) = rig.node.terminated() {
-            let call = since + beechloft::interface::Micros(LAST_CALL_MS * 1000);
+            let call = since + beechloft::api::Micros(LAST_CALL_MS * 1000);
             rig.pass((call - rig.now).0.div_ceil(1000));
             prop_assert!(rig.owed.is_empty() && rig.node.counts().owed == 0, "after the last call: {:?}", rig.owed);
             rig.ask(0, 1 << 50, 3_000);
--- a/crates/platform/front-node/tests/support/mod.rs
+++ b/crates/platform/front-node/tests/support/mod.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_front_node::{Bounds, Input, Lane, Node, Output, ViewerConn};
 use beechloft_protocol::bus::{Endpoint, Status, Topology};
 use beechloft_protocol::figures::Figures;
--- a/crates/platform/settings/src/lib.rs
+++ b/crates/platform/settings/src/lib.rs
@@ -4,7 +4,7 @@
 #![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::too_many_lines)]
 #![forbid(unsafe_code)]
 
-use beechloft::interface as api;
+use beechloft::api;
 use serde::Deserialize;
 
 #[derive(Deserialize)]
--- a/crates/platform/simhost/src/host.rs
+++ b/crates/platform/simhost/src/host.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use beechloft::choice::Choice;
-use beechloft::interface as api;
+use beechloft::api;
+use beechloft::policy::Policy;
 use thiserror::Error;
 
 use crate::wire::{self, Action, Batch, Event, WireError};
@@ -34,7 +34,7 @@
 }
 
 struct Instance {
-    choice: Choice,
+    policy: Policy,
     fields: Vec<api::ReportField>,
 }
 
@@ -58,8 +58,8 @@
                 }
                 Event::Born { prng, setup } => {
                     let parsed = setup::parse(&setup).map_err(|source| HostError::Setup { who, source })?;
-                    let choice = Choice::new(parsed.settings, prng);
-                    self.instances.insert(who, Instance { choice, fields: parsed.fields });
+                    let policy = Policy::new(parsed.settings, prng);
+                    self.instances.insert(who, Instance { policy, fields: parsed.fields });
                 }
                 Event::Shutdown => {
                     self.instances.remove(&who);
@@ -69,7 +69,7 @@
                     let Some(event) = translate(event, index, &instance.fields, &self.tables)? else {
                         continue;
                     };
-                    instance.choice.handle(now, event, &mut actions);
+                    instance.policy.handle(now, event, &mut actions);
                     reply.extend(actions.drain(..).filter_map(|a| Some((who, outbound(a)?))));
                 }
             }
--- a/crates/testing/fleet-simulation/src/fleet.rs
+++ b/crates/testing/fleet-simulation/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_front_node::{Bounds, Broken, Input, Lane, Node, Output, ViewerConn};
 use beechloft_protocol::bus::{Status, Topology};
 use beechloft_protocol::figures::Figures;
--- a/crates/testing/fleet-simulation/src/media.rs
+++ b/crates/testing/fleet-simulation/src/media.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_protocol::CallId;
 use beechloft_protocol::bus::{Endpoint, Status};
 
--- a/crates/testing/fleet-simulation/tests/cold.rs
+++ b/crates/testing/fleet-simulation/tests/cold.rs
@@ -1,7 +1,7 @@
 //! Cold media servers under the sum of the fleet: of N set-ups that the settings let one stand within a span, those who were
 //! told of its start send no more than N + 2 x root of N + 2, whatever restarts, whoever asks, and however late connections are.
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_fleet_simulation::Fleet;
 use beechloft_fleet_simulation::settings::Terms;
 
--- a/crates/testing/fleet-simulation/tests/herds.rs
+++ b/crates/testing/fleet-simulation/tests/herds.rs
@@ -3,7 +3,7 @@
 // Counts of a test are small.
 #![allow(clippy::cast_possible_truncation)]
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_fleet_simulation::media::{Media, Span};
 use beechloft_fleet_simulation::settings::Terms;
 use beechloft_fleet_simulation::{Fleet, Sum};
--- a/src/audit.rs
+++ b/src/invariants.rs
@@ -3,11 +3,11 @@
 
 use std::fmt::Write as _;
 
-use crate::choice::Choice;
-use crate::interface::Micros;
+use crate::api::Micros;
+use crate::policy::Policy;
 use crate::state::{Books, Gauge, Phase};
 
-impl Choice {
+impl Policy {
     /// Steps of work so far: loads of resources looked up, and sessions entered in the sums or taken out.
     pub fn work(&self) -> u64 {
         let servers = self.servers.values().map(|s| s.link.reads.get() + s.streams.reads.get());
@@ -35,7 +35,7 @@
             let held = if now < g.held_until { " held" } else { "" };
             format!("{:.0}/{:.0} {}{held}", g.own, g.size, heard.unwrap_or_default())
         };
-        let server = |(id, s): (&crate::interface::ServerId, &crate::state::Server)| {
+        let server = |(id, s): (&crate::api::ServerId, &crate::state::Server)| {
             let (state, out, strikes) = (s.entry.state, s.out, s.strikes);
             let rest = (s.shut_until - now).secs();
             let cold = s.cold_since.map_or(-1.0, |t| (now - t).secs());
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
 //! beechloft decides, for one session front, who plays, on which streaming server and at what rung.
 //!
-//! [`choice::Choice`] is a pure state machine: it is fed events with the time at which they happened and
-//! answers with actions. [`interface`] holds every type that passes between it and whatever drives it.
+//! [`policy::Policy`] is a pure state machine: it is fed events with the time at which they happened and
+//! answers with actions. [`api`] holds every type that passes between it and whatever drives it.
 // Not reworked yet, see docs/ROADMAP.md.
 #![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated, clippy::wildcard_imports)]
 #![forbid(unsafe_code)]
 
-mod audit;
-pub mod choice;
-pub mod interface;
+pub mod api;
+mod invariants;
+pub mod policy;
 mod state;
--- a/src/choice/attempts.rs
+++ b/src/policy/attempts.rs
@@ -6,7 +6,7 @@
 const LEAST_TRY: Micros = Micros(100_000); // with less time than this left to the aim, no further attempt
 const WAY: Micros = Micros(50_000); // a set-up given up may still arrive so much later: a long turn
 
-impl Choice {
+impl Policy {
     pub(super) fn send(&mut self, id: SessionId, server: ServerId, rung: Rung) {
         if self.sessions.get(&id).is_some_and(|s| !s.tried.is_empty()) {
             self.extra.note(self.now, self.set.budget_window());
--- a/src/choice/estimates.rs
+++ b/src/policy/estimates.rs
@@ -24,7 +24,7 @@
     }
 }
 
-impl Choice {
+impl Policy {
     /// Size and load of a link; a cold server's is smaller.
     pub(super) fn link(&self, s: &Server) -> (f64, f64) {
         let size = s.link.size * self.warmth(s);
--- a/src/choice/list.rs
+++ b/src/policy/list.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Choice {
+impl Policy {
     pub(super) fn list(&mut self, form: ListForm, entries: Vec<ServerEntry>) {
         // A whole list that names nobody is a directory that has lost its state, not a service without
         // servers. It counts as failed: servers that are gone fail. A shorter list is believed.
--- a/src/choice/mod.rs
+++ b/src/policy/mod.rs
@@ -1,5 +1,5 @@
 //! Every decision of beechloft: who plays, on which server, at what rung, and what happens when things fail.
-//! The types it is fed and answers with are in `src/interface.rs`; `docs/design.md` gives the reasons.
+//! The types it is fed and answers with are in `src/api.rs`; `docs/design.md` gives the reasons.
 //!
 //! One struct, a file for each concern: `list` and `request` take what comes in; `placing`, `attempts`,
 //! `trust` and `pace` tell where a set-up goes; `rungs` steps sessions that play; `reports`, `estimates` and
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::interface::*;
+use crate::api::*;
 use crate::state::*;
 
 mod attempts;
@@ -33,7 +33,7 @@
 
 /// The controller of one front.
 #[derive(Debug, Default)]
-pub struct Choice {
+pub struct Policy {
     pub(crate) set: Settings,
     best_step: f64, // the most that any step of any class earns for its rate
     rng: Random,
@@ -55,11 +55,11 @@
     turn: Option<(u32, u32)>, // this front's number, of so many, where cold servers are paced
 }
 
-impl Choice {
+impl Policy {
     /// A controller that knows its settings and nothing else.
     pub fn new(set: Settings, seed: u64) -> Self {
         let turn = Some((set.number, set.fronts.max(1)));
-        Choice { best_step: set.best_step(), turn, set, rng: Random(seed), ..Choice::default() }
+        Policy { best_step: set.best_step(), turn, set, rng: Random(seed), ..Policy::default() }
     }
 
     /// Takes one event and appends what is to be done, in order.
--- a/src/choice/pace.rs
+++ b/src/policy/pace.rs
@@ -4,7 +4,7 @@
 
 const COLD_SAFETY: f64 = 0.75; // part of the set-ups that would topple a cold server, for all fronts
 
-impl Choice {
+impl Policy {
     /// How much of its capacity a server has for certain: less than 1 while it warms up.
     pub(super) fn warmth(&self, s: &Server) -> f64 {
         let c = &self.set.cold;
--- a/src/choice/placing.rs
+++ b/src/policy/placing.rs
@@ -6,7 +6,7 @@
 const TIE: f64 = 0.05; // load factors are equal within this; then link, streams and uplink alone decide...
 const ALIKE: f64 = 0.4; // ...by the logarithm, in steps of this times the root of other fronts; then the zone
 
-impl Choice {
+impl Policy {
     /// Tries holders by rising load factor and sends to the first whose every resource covers the rung's
     /// rate; none: an answer at once.
     pub(super) fn place(&mut self, id: SessionId) {
--- a/src/choice/probes.rs
+++ b/src/policy/probes.rs
@@ -4,7 +4,7 @@
 
 const PROBE_AGE: Micros = Micros(2_000_000); // where only probes tell load, a rack unheard so long is probed
 
-impl Choice {
+impl Policy {
     /// Where only probes tell load, a server of each rack unheard for a while is probed, the stalest
     /// first, own before others. Each session taken pays for a part of a probe, so that their price
     /// stays the same however many fronts and racks there are. Guards against stepping up blind; it hurts
--- a/src/choice/reports.rs
+++ b/src/policy/reports.rs
@@ -5,7 +5,7 @@
 const SHORT: f64 = 0.98; // delivered under this share, a server is short
 const SAME: f64 = 0.03; // shares delivered that differ by less are taken for the doing of one uplink
 
-impl Choice {
+impl Policy {
     pub(super) fn report(&mut self, id: ServerId, report: LoadReport) {
         let Some(s) = self.servers.get_mut(&id) else { return };
         s.link.hear(self.now, REPORT_WINDOW, report.link);
--- a/src/choice/request.rs
+++ b/src/policy/request.rs
@@ -5,7 +5,7 @@
 const TRIALS: f64 = 0.25; // part of the sessions taken that may be risked on distrusted servers
 const PROBE_SPEND: f64 = 0.01; // part of the result that probes may cost, at one for each session at most
 
-impl Choice {
+impl Policy {
     pub(super) fn request(&mut self, req: Request) {
         self.taken.note(self.now, self.set.budget_window());
         self.trials = (self.trials + TRIALS).min(1.0);
--- a/src/choice/rungs.rs
+++ b/src/policy/rungs.rs
@@ -21,7 +21,7 @@
     }
 }
 
-impl Choice {
+impl Policy {
     /// Steps own sessions down where a link or uplink is asked for more than it gives; each front takes
     /// its own part of the excess off. A part of a step is rounded by chance, once for each figure heard:
     /// of many fronts with a small part each, none would step otherwise, or all would.
--- a/src/choice/trust.rs
+++ b/src/policy/trust.rs
@@ -4,7 +4,7 @@
 
 const FULL_FOR: Micros = Micros(1_000_000); // a server that turned a set-up away counts as full so long
 
-impl Choice {
+impl Policy {
     /// A failure: the server rests, longer each time, and then takes one set-up at a time. Holds against
     /// silent, erring, dead and unreachable servers alike, whatever the list says; it hurts when a lossy
     /// network shuts out a sound one. Set-ups sent before the last strike add none, nor a late answer of one
--- a/src/state.rs
+++ b/src/state/mod.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::interface::*;
+use crate::api::*;
 
 /// One resource: its size, what own sessions ask, and what was heard of its use.
 #[derive(Debug, Default)]
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use beechloft::interface::*;
+use beechloft::api::*;
 use support::*;
 
 /// Plays a session at once and gives its server and rung.
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use beechloft::interface::*;
+use beechloft::api::*;
 use support::*;
 
 /// A directory that has lost its state answers with nothing, without an error: it must not stop the front.
@@ -13,9 +13,9 @@
         f.hand_over(1, 2);
         f.list(0, ServerState::Draining, 0);
         f.list(1, ServerState::Gone, 0);
-        let before = f.choice.sums();
+        let before = f.policy.sums();
         assert_eq!(f.send(Event::Servers(form, vec![])), [], "it ends nothing that plays");
-        assert_eq!(f.choice.sums(), before, "what plays is still counted");
+        assert_eq!(f.policy.sums(), before, "what plays is still counted");
         for id in 10..40 {
             let (server, _) = set_up(&f.ask(id)).expect("the front serves on");
             assert!(server >= 2, "{server}: what the list before said of each still holds");
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -8,8 +8,8 @@
 
 use std::collections::BTreeMap;
 
-use beechloft::choice::Choice;
-use beechloft::interface::*;
+use beechloft::api::*;
+use beechloft::policy::Policy;
 use customers::{Odd, odd, settings_of};
 use proptest::prelude::*;
 use support::*;
@@ -95,8 +95,8 @@
 impl World {
     /// Checks actions against the rules and applies them.
     fn apply(&mut self, actions: Vec<Action>) {
-        let kept = self.front.choice.sums();
-        assert_eq!(kept, self.front.choice.sums_anew(), "sums kept up by events, and counted anew");
+        let kept = self.front.policy.sums();
+        assert_eq!(kept, self.front.policy.sums_anew(), "sums kept up by events, and counted anew");
         for a in actions {
             match a {
                 Action::SetUp(id, server, until) => {
@@ -325,7 +325,7 @@
 
 fn play(odd: &Odd, seed: u64, list: &[Move]) -> Vec<String> {
     let set = settings_of(odd);
-    let front = Front { choice: Choice::new(set.clone(), seed), now: 50 * S };
+    let front = Front { policy: Policy::new(set.clone(), seed), now: 50 * S };
     let mut world = World {
         set,
         zones: odd.zones,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use beechloft::interface::*;
+use beechloft::api::*;
 use support::*;
 
 // 1. No session is lost.
@@ -162,7 +162,7 @@
 #[test]
 fn asked_discovery_is_subscribed_to_at_once_and_anew_after_a_failure() {
     let mut f = Front {
-        choice: beechloft::choice::Choice::new(Settings { discovery: Discovery::Ask, ..settings() }, 1),
+        policy: beechloft::policy::Policy::new(Settings { discovery: Discovery::Ask, ..settings() }, 1),
         now: S,
     };
     let first = f.send(Event::Servers(ListForm::Cached, vec![]));
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use beechloft::interface::*;
+use beechloft::api::*;
 use support::*;
 
 const SERVERS: u32 = 300;
@@ -27,9 +27,9 @@
 
 /// Steps of work that something takes.
 fn cost(f: &mut Front, act: impl FnOnce(&mut Front) -> Vec<Action>) -> u64 {
-    let before = f.choice.work();
+    let before = f.policy.work();
     act(f);
-    f.choice.work() - before
+    f.policy.work() - before
 }
 
 /// Found on the grown deployments: what a holder costs grew with the number of servers, an outcome with sessions.
--- a/tests/shortage.rs
+++ b/tests/shortage.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use beechloft::interface::*;
+use beechloft::api::*;
 use support::*;
 
 /// Sixty servers on twenty racks of which some play a session of this front's each; no report ever comes.
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -32,13 +32,13 @@
 #[test]
 fn each_file_of_the_module_is_named() {
     let named: BTreeSet<PathBuf> = policy().into_iter().collect();
-    let folder = std::fs::read_dir(root().join("src/choice")).expect("the module's folder");
+    let folder = std::fs::read_dir(root().join("src/policy")).expect("the module's folder");
     let there: BTreeSet<PathBuf> = folder.map(|f| f.expect("an entry").path()).collect();
     assert_eq!(named, there);
 }
 
 #[test]
-fn the_module_names_its_interface_first() {
+fn the_module_names_its_api_file_first() {
     let first = text(&policy()[0]);
-    assert!(first.lines().take(5).any(|l| l.contains("src/interface.rs")));
+    assert!(first.lines().take(5).any(|l| l.contains("src/api.rs")));
 }
--- a/tests/support/customers.rs
+++ b/tests/support/customers.rs
@@ -1,6 +1,6 @@
 //! Settings as any customer might have them, drawn by chance.
 
-use beechloft::interface::*;
+use beechloft::api::*;
 use proptest::prelude::*;
 
 use crate::support::{MS, class, settings};
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,8 +1,8 @@
 //! A small driver for the module's tests: settings, servers, and a front that only records.
 #![allow(dead_code)]
 
-use beechloft::choice::Choice;
-use beechloft::interface::*;
+use beechloft::api::*;
+use beechloft::policy::Policy;
 
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
@@ -78,7 +78,7 @@
 }
 
 pub struct Front {
-    pub choice: Choice,
+    pub policy: Policy,
     pub now: u64,
 }
 
@@ -99,16 +99,16 @@
     /// The same with another seed.
     pub fn seeded(settings: Settings, seed: u64) -> Self {
         let all = (0..4).map(|n| entry(n, ServerState::Ready, 0)).collect();
-        Front::from_start(Choice::new(settings, seed), all)
+        Front::from_start(Policy::new(settings, seed), all)
     }
 
     /// The same with another cached list.
     pub fn with_list(settings: Settings, list: Vec<ServerEntry>) -> Self {
-        Front::from_start(Choice::new(settings, 1), list)
+        Front::from_start(Policy::new(settings, 1), list)
     }
 
-    fn from_start(choice: Choice, list: Vec<ServerEntry>) -> Self {
-        let mut front = Front { choice, now: 100 * S };
+    fn from_start(policy: Policy, list: Vec<ServerEntry>) -> Self {
+        let mut front = Front { policy, now: 100 * S };
         front.send(Event::Servers(ListForm::Cached, list));
         front
     }
@@ -121,7 +121,7 @@
 
     pub fn send(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.choice.handle(Micros(self.now), event, &mut out);
+        self.policy.handle(Micros(self.now), event, &mut out);
         out
     }
 
