--- a/crates/platform/event-loop/tests/crossings/phases.rs
+++ b/crates/platform/event-loop/tests/crossings/phases.rs
@@ -2,7 +2,7 @@
 
 use std::sync::mpsc;
 
-use beechloft::interface::Micros;
+use beechloft::api::Micros;
 use beechloft_event_loop::Moment;
 
 use crate::stage::{Client, Stage, test};
