--- /dev/null
+++ b/crates/fleet/leases/tests/encodings.rs
@@ -0,0 +1,178 @@
+//! The encoded bytes of each message, command and event, and of the written table, compared with fixtures in both directions.
+//!
+//! Peers of other versions read these messages and replicas read tables that earlier versions wrote, so a change here breaks an
+//! upgrade.
+
+use std::fmt::Debug;
+
+use beechloft_leases::{
+    Answer, Command, Event, Heard, HolderId, Inherited, KeeperId, Name, Op, Request, Seated, Standing, Table,
+    Token, Unable, Will,
+};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+const POSTCARD: &str = include_str!("fixtures/postcard.txt");
+const JSON: &str = include_str!("fixtures/json.txt");
+const TABLE: &str = include_str!("fixtures/table.txt");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    assert!(text.len().is_multiple_of(2), "half a byte in {text}");
+    (0..text.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits"))
+        .collect()
+}
+
+/// One fixture: each value has a line of the postcard file and a line of the JSON file, in the same order.
+struct Fixtures {
+    postcard: Vec<String>,
+    json: Vec<String>,
+}
+
+impl Fixtures {
+    fn new() -> Fixtures {
+        Fixtures { postcard: Vec::new(), json: Vec::new() }
+    }
+
+    /// Encodes the values, and decodes the fixtures' lines at the same positions.
+    fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, values: &[T]) {
+        for value in values {
+            let at = self.postcard.len();
+            self.postcard.push(hex(&postcard::to_allocvec(value).expect("encodes")));
+            self.json.push(serde_json::to_string(value).expect("encodes"));
+            if let Some(line) = POSTCARD.lines().nth(at) {
+                let decoded: T = postcard::from_bytes(&unhex(line)).expect("the fixture decodes");
+                assert_eq!(decoded, *value, "line {at} of the postcard fixture");
+            }
+            if let Some(line) = JSON.lines().nth(at) {
+                let decoded: T = serde_json::from_str(line).expect("the fixture decodes");
+                assert_eq!(decoded, *value, "line {at} of the JSON fixture");
+            }
+        }
+    }
+
+    fn finish(self) {
+        let differences =
+            [difference("postcard", &self.postcard, POSTCARD), difference("JSON", &self.json, JSON)];
+        assert_eq!(differences.concat(), "");
+    }
+}
+
+/// What the fixture would have to be, if it differs; else empty.
+fn difference(kind: &str, encoded: &[String], fixture: &str) -> String {
+    let text: String = encoded.iter().map(|line| format!("{line}\n")).collect();
+    if text == fixture { String::new() } else { format!("the {kind} fixture differs; encoded now:\n{text}") }
+}
+
+fn name(text: &str) -> Name {
+    Name::try_from(text.to_owned()).expect("a valid name")
+}
+
+fn handoff() -> Will {
+    Will { of: 8, rest_ms: 700, newest: Token(300), keep_ms: 5_000 }
+}
+
+fn operations() -> Vec<Op> {
+    vec![
+        Op::Acquire { name: name("task/a"), places: 300, ttl_ms: 3_000 },
+        Op::Renew { name: name("task/a"), token: Token(1_000) },
+        Op::Release { name: name("task/a"), token: Token(2_000) },
+        Op::AcquireAs { name: name("task/b"), places: 9, ttl_ms: 100_000, seat: name("front-1") },
+        Op::Leave { name: name("task/b"), token: Token(4), will: handoff() },
+    ]
+}
+
+fn requests() -> Vec<Request> {
+    let request = |(seq, op)| Request { holder: HolderId(u64::MAX - 1), seq, op };
+    (127..).zip(operations()).map(request).collect()
+}
+
+fn commands() -> Vec<Command> {
+    let expire = Command::Expire { token: Token(500), renewals: 129 };
+    requests().into_iter().map(Command::Request).chain([expire]).collect()
+}
+
+fn answers() -> Vec<Answer> {
+    let standing = Standing { place: 2, reach: 300, longest_ms: 9_000 };
+    let inherited = Some(Inherited { of: 16, rest_ms: 250 });
+    vec![
+        Answer::Granted(Token(1), standing),
+        Answer::Renewed(Token(128), Standing::default()),
+        Answer::Released,
+        Answer::Unable(Unable::Taken),
+        Answer::Unable(Unable::NotHeld),
+        Answer::Unable(Unable::Places),
+        Answer::Unable(Unable::Time),
+        Answer::Unable(Unable::Overtaken),
+        Answer::Unable(Unable::TooMany),
+        Answer::Seat(Token(3), standing, Seated { newest: Token(4), inherited: None }),
+        Answer::Seat(Token(3), standing, Seated { newest: Token(400), inherited }),
+        Answer::Left,
+    ]
+}
+
+fn replies() -> Vec<Heard> {
+    let reply = |(seq, answer)| Heard::Answer { holder: HolderId(77), seq, answer };
+    let to_requests = (1..).zip(answers()).map(reply);
+    to_requests.chain([Heard::NotLeader(None), Heard::NotLeader(Some(KeeperId(200))), Heard::Busy]).collect()
+}
+
+fn events() -> Vec<Event> {
+    let granted =
+        |before| Event::Granted { name: name("task"), token: Token(9), holder: HolderId(10), before };
+    vec![
+        granted(None),
+        granted(Some(Token(8))),
+        Event::Renewed(name("task"), Token(9)),
+        Event::Released(name("task"), Token(9)),
+        Event::Expired(name("task"), Token(9)),
+        Event::Left(name("task"), Token(9)),
+    ]
+}
+
+#[test]
+fn messages_commands_and_events_keep_their_encodings() {
+    let mut fixtures = Fixtures::new();
+    fixtures.check(&operations());
+    fixtures.check(&requests());
+    fixtures.check(&commands());
+    fixtures.check(&answers());
+    fixtures.check(&replies());
+    fixtures.check(&events());
+    fixtures.finish();
+}
+
+/// A table with grants with and without slots, one that is kept for its successor, one that ended and the last answers.
+fn table() -> Table {
+    let mut table = Table::default();
+    let acquire_as =
+        |seat| Op::AcquireAs { name: name("task/b"), places: 9, ttl_ms: 4_000, seat: name(seat) };
+    let operations = [
+        (1, Op::Acquire { name: name("task/a"), places: 2, ttl_ms: 3_000 }),
+        (2, Op::Acquire { name: name("task/a"), places: 2, ttl_ms: 300 }),
+        (3, Op::Acquire { name: name("task/a"), places: 2, ttl_ms: 3_000 }),
+        (1, Op::Renew { name: name("task/a"), token: Token(1) }),
+        (4, acquire_as("front-1")),
+        (5, acquire_as("front-2")),
+        (6, acquire_as("front-3")),
+        (5, Op::Leave { name: name("task/b"), token: Token(4), will: handoff() }),
+        (2, Op::Release { name: name("task/a"), token: Token(2) }),
+    ];
+    for (seq, (holder, op)) in (1..).zip(operations) {
+        table.apply(&Command::Request(Request { holder: HolderId(holder), seq, op }));
+    }
+    table.apply(&Command::Expire { token: Token(5), renewals: 0 });
+    table
+}
+
+#[test]
+fn a_written_table_keeps_its_encoding() {
+    let fixture: Vec<&str> = TABLE.lines().collect();
+    assert_eq!(difference("table", &[hex(&table().write())], TABLE), "");
+    assert_eq!(Table::read(&unhex(fixture[0])), Ok(table()));
+}
