--- a/crates/fleet/coordinator/tests/wire_format.rs
+++ b/crates/fleet/coordinator/tests/wire_format.rs
@@ -217,7 +217,8 @@
         Rumour::Suspected { id: MemberId(3), incarnation: Incarnation(4), by: MemberId(5) },
         Rumour::Gone { id: MemberId(6), incarnation: Incarnation(7), by: MemberId(8) },
     ];
-    let packet = |said, rumours| Packet { from: MemberId(300), to: Some(MemberId(301)), said, rumours };
+    let packet =
+        |said, carried| Packet { from: MemberId(300), to: Some(MemberId(301)), said, rumours: carried };
     let address = "[::1]:7312".parse().expect("an address");
     vec![
         ("ping", packet(Said::Ping { seq: 1, digest: u64::MAX }, rumours)),
