--- a/crates/cli/src/among.rs
+++ b/crates/cli/src/among.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use beechloft_coordinator::{Agent, FleetSettings, Keeping, Limiter, Peers, Verdicting};
-use beechloft_leases::Part;
+use beechloft_leases::SlotShare;
 use beechloft_membership::Kind;
 use beechloft_quotas::Gate;
 use beechloft_server::observe::Observer;
@@ -84,8 +84,8 @@
         Box::new(move || {
             // Without a part: a number that is not under them all.
             let (number, of, reach) = match agent.part()? {
-                (Part::Of { number, of }, reach) => (number, of, reach),
-                (Part::None, reach) => (0, 0, reach),
+                (SlotShare::Of { slot: number, slot_count: of }, reach) => (number, of, reach),
+                (SlotShare::None, reach) => (0, 0, reach),
             };
             let fronts = peers.as_ref().map_or(reach, |p| p.fronts()).max(1);
             Some(Numbered { number, of, fronts })
--- a/crates/cli/src/fleet/hold.rs
+++ b/crates/cli/src/fleet/hold.rs
@@ -7,7 +7,7 @@
 
 use beechloft_coordinator::FleetSettings;
 use beechloft_coordinator::client::Way;
-use beechloft_leases::{Holder, HolderId, HolderInput, HolderOutput, Name, Permit, Terms, Token};
+use beechloft_leases::{Holder, HolderId, HolderInput, HolderOutput, LeaseSpec, Name, Permit, Token};
 use rustix::process::{Pid, Signal, kill_process};
 
 use super::told_to_end;
@@ -51,12 +51,12 @@
 
 /// How much of its time is left to a lease.
 fn left(permit: Option<&Permit>, now: Duration) -> Duration {
-    permit.map_or(Duration::ZERO, |p| p.until().saturating_sub(now))
+    permit.map_or(Duration::ZERO, |p| p.expires_at().saturating_sub(now))
 }
 
 pub(super) fn hold(
     set: FleetSettings,
-    terms: &Terms,
+    terms: &LeaseSpec,
     wait: Option<Duration>,
     command: &[String],
 ) -> ExitCode {
@@ -69,26 +69,26 @@
     let mut way = Way::new(set);
     let began = clock();
     let mut running: Option<Running> = None;
-    let mut inputs = vec![HolderInput::Want];
+    let mut inputs = vec![HolderInput::Acquire];
     loop {
         for input in std::mem::take(&mut inputs) {
             for output in holder.handle(clock(), input) {
                 match output {
                     HolderOutput::Send(request) => way.send(request),
-                    HolderOutput::Held(token) if running.is_none() => {
+                    HolderOutput::Acquired(token) if running.is_none() => {
                         match Running::start(command, &terms.name, token) {
                             Ok(started) => running = Some(started),
                             Err(e) => return fail(2, format_args!("{}: {e}", command[0])),
                         }
                     }
-                    HolderOutput::Held(_) => {}
+                    HolderOutput::Acquired(_) => {}
                     HolderOutput::Lost(_) => {
                         if let Some(mut run) = running.take() {
                             run.end();
                             return fail(LOST, format_args!("the lease {} was lost", terms.name));
                         }
                     }
-                    HolderOutput::Never(why) => return fail(2, why),
+                    HolderOutput::Rejected(why) => return fail(2, why),
                 }
             }
         }
@@ -122,7 +122,7 @@
 /// Gives it back, as far as a keeper can be reached soon; otherwise it runs out.
 fn release(holder: &mut Holder, way: &mut Way, clock: &impl Fn() -> Duration) {
     let until = clock() + Duration::from_millis(500);
-    let mut input = HolderInput::GiveBack;
+    let mut input = HolderInput::Release;
     while clock() < until {
         for output in holder.handle(clock(), input) {
             if let HolderOutput::Send(request) = output {
--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -13,7 +13,7 @@
 
 use beechloft_config::reader;
 use beechloft_coordinator::FleetSettings;
-use beechloft_leases::{Name, Terms};
+use beechloft_leases::{LeaseSpec, Name};
 
 use self::hold::hold;
 use self::show::{list, members, status, watch};
@@ -68,7 +68,7 @@
                 Ok(name) => name,
                 Err(e) => return fail(2, e),
             };
-            let terms = Terms { name, places: *holders, ttl_ms: *ttl_ms };
+            let terms = LeaseSpec { name, slots: *holders, ttl_ms: *ttl_ms };
             if let Err(e) = terms.check(set.drift) {
                 return fail(2, e);
             }
--- a/crates/cli/tests/figures.rs
+++ b/crates/cli/tests/figures.rs
@@ -14,7 +14,7 @@
 use beechloft_coordinator::wire::{self, Word};
 use beechloft_coordinator::{Agent, FleetSettings};
 use beechloft_leases::{
-    Answer, Heard, Holder, HolderId, HolderInput, HolderOutput, Name, Op, Request, Terms, Token,
+    Answer, Holder, HolderId, HolderInput, HolderOutput, LeaseSpec, Name, Op, Request, Response, Token,
 };
 use support::keepers::{Fleet, TTL_MS};
 
@@ -49,18 +49,18 @@
 /// One holder that gets a lease and gives it back, so many times: how long each grant took.
 fn grants(set: &FleetSettings, count: usize) -> Vec<Duration> {
     let clock = set.clock();
-    let terms = Terms { name: name("figures"), places: 1, ttl_ms: 3_000 };
+    let terms = LeaseSpec { name: name("figures"), slots: 1, ttl_ms: 3_000 };
     let mut holder = Holder::new(HolderId(7), terms, set.drift, 1);
     let mut way = ToKeepers::new(set.clone());
     let mut grants = Vec::new();
     while grants.len() < count {
         let began = Instant::now();
-        let (mut input, mut held) = (HolderInput::Want, false);
+        let (mut input, mut held) = (HolderInput::Acquire, false);
         while !held || !holder.is_idle() {
             for output in holder.handle(clock(), input) {
                 match output {
                     HolderOutput::Send(request) => way.send(request),
-                    HolderOutput::Held(_) => {
+                    HolderOutput::Acquired(_) => {
                         held = true;
                         grants.push(began.elapsed());
                     }
@@ -68,7 +68,7 @@
                 }
             }
             input = if held && holder.permit(clock()).is_some() {
-                HolderInput::GiveBack
+                HolderInput::Release
             } else {
                 way.hear(Duration::from_millis(5)).unwrap_or(HolderInput::Tick)
             };
@@ -88,9 +88,9 @@
         let bytes = wire::encode(set.number(), &Word::Ask(Request { holder, seq, op })).expect("short");
         stream.write_all(&bytes).expect("written");
     };
-    say(&mut stream, 1, Op::Acquire { name: task.clone(), places: 1, ttl_ms: 60_000 });
+    say(&mut stream, 1, Op::Acquire { name: task.clone(), slots: 1, ttl_ms: 60_000 });
     let token: Token = match wire::read(set.number(), &mut stream).expect("an answer") {
-        Word::Heard(Heard::Answer { answer: Answer::Granted(token, _), .. }) => token,
+        Word::Heard(Response::Answer { answer: Answer::Granted(token, _), .. }) => token,
         other => panic!("{other:?}"),
     };
     let mut seq = 1;
@@ -102,7 +102,7 @@
         for _ in 0..at_once {
             let heard = wire::read(set.number(), &mut stream).expect("an answer");
             assert!(
-                matches!(heard, Word::Heard(Heard::Answer { answer: Answer::Renewed(..), .. })),
+                matches!(heard, Word::Heard(Response::Answer { answer: Answer::Renewed(..), .. })),
                 "{heard:?}"
             );
         }
@@ -218,13 +218,13 @@
     let fleet = Fleet::new(3);
     fleet.leader(3);
     let mut set = settings(&fleet);
-    set.number = Some(Terms { name: name("front/number"), places: 64, ttl_ms: 2_000 });
+    set.number = Some(LeaseSpec { name: name("front/number"), slots: 64, ttl_ms: 2_000 });
     let agent = Agent::start(&set, Duration::from_millis(500)).expect("it starts");
     std::thread::sleep(Duration::from_secs(4));
     let (count, began) = (1_000_000u32, Instant::now());
     let mut held = 0;
     for _ in 0..count {
-        held += u32::from(agent.part().is_some_and(|p| p.0 != beechloft_leases::Part::None));
+        held += u32::from(agent.part().is_some_and(|p| p.0 != beechloft_leases::SlotShare::None));
     }
     println!("one look: {:?}; {held} of {count} with a part", began.elapsed() / count);
 }
--- a/crates/cli/tests/support/lin.rs
+++ b/crates/cli/tests/support/lin.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use beechloft_coordinator::history::{Line, Noted};
-use beechloft_leases::{Answer, Op as Wanted, Unable};
+use beechloft_leases::{Answer, Op as Wanted, Rejection};
 
 /// States that are tried at most: a history that some order explains needs about as many as it has requests.
 const MOST_TRIED: usize = 100_000;
@@ -231,10 +231,10 @@
                     Answer::Granted(token, _) => Answered::Granted(token.0),
                     Answer::Renewed(..) => Answered::Renewed,
                     Answer::Released => Answered::Released,
-                    Answer::Unable(Unable::Taken) => Answered::Taken,
-                    Answer::Unable(Unable::NotHeld) => Answered::NotHeld,
+                    Answer::Rejected(Rejection::NoFreeSlot) => Answered::Taken,
+                    Answer::Rejected(Rejection::NotHeld) => Answered::NotHeld,
                     // A later one was done before this: whether this was, too, nobody heard.
-                    Answer::Unable(Unable::Overtaken) => continue,
+                    Answer::Rejected(Rejection::Superseded) => continue,
                     other => return Err(format!("{other:?} of a task")),
                 };
                 book.hears(holder.0, seq, answered, at)?;
--- a/crates/fleet/coordinator/src/agent.rs
+++ b/crates/fleet/coordinator/src/agent.rs
@@ -7,7 +7,9 @@
 use std::thread;
 use std::time::Duration;
 
-use beechloft_leases::{Holder, HolderId, HolderInput, HolderOutput, Name, Numbering, Part, Request, Terms};
+use beechloft_leases::{
+    Holder, HolderId, HolderInput, HolderOutput, LeaseSpec, Name, Request, SlotAssignment, SlotShare,
+};
 use tracing::{error, info};
 
 use crate::client::Way;
@@ -28,10 +30,10 @@
 }
 
 impl Task {
-    fn new(terms: Terms, seat: Option<&Name>, set: &FleetSettings) -> Task {
+    fn new(terms: LeaseSpec, seat: Option<&Name>, set: &FleetSettings) -> Task {
         let name = terms.name.to_string();
         let holder = Holder::new(HolderId(rand::random()), terms, set.drift, rand::random());
-        let holder = seat.map_or(holder.clone(), |seat| holder.seated(seat.clone()));
+        let holder = seat.map_or(holder.clone(), |seat| holder.with_instance(seat.clone()));
         Task { holder, name, over: false }
     }
 
@@ -42,9 +44,9 @@
             match output {
                 HolderOutput::Send(request) if !self.over => requests.push(request),
                 HolderOutput::Send(_) => {}
-                HolderOutput::Held(token) => info!(lease = self.name, token = token.0, "held"),
+                HolderOutput::Acquired(token) => info!(lease = self.name, token = token.0, "held"),
                 HolderOutput::Lost(token) => info!(lease = self.name, token = token.0, "lost"),
-                HolderOutput::Never(why) => {
+                HolderOutput::Rejected(why) => {
                     error!(lease = self.name, "can't be had: {why}");
                     self.over = true;
                 }
@@ -67,7 +69,7 @@
 
 struct State {
     number: Option<Task>,
-    numbering: Numbering,
+    numbering: SlotAssignment,
     /// For how long its number is kept for the next one of its seat; none: it has no seat.
     keep_ms: Option<u32>,
     ending: Ending,
@@ -78,7 +80,7 @@
 
 impl State {
     fn want(&mut self, now: Duration, of: impl FnOnce(&mut State) -> Option<&mut Task>) {
-        let requests = of(self).map(|task| task.take(now, HolderInput::Want)).unwrap_or_default();
+        let requests = of(self).map(|task| task.take(now, HolderInput::Acquire)).unwrap_or_default();
         self.requests.extend(requests);
     }
 
@@ -87,18 +89,18 @@
     fn leave(&mut self, now: Duration, at_once: bool) -> bool {
         let Some(keep_ms) = self.keep_ms else { return true };
         self.numbering.stop(now);
-        let stopped = self.numbering.stopped().filter(|_| self.numbering.number().is_some());
-        let counts = stopped.is_some_and(|(at, span)| now < at + span);
+        let stopped = self.numbering.stopped().filter(|_| self.numbering.slot().is_some());
+        let counts = stopped.is_some_and(|stopped| now < stopped.at + stopped.counts_for);
         let patience = if at_once { FAREWELL.1 } else { FAREWELL.0 };
         match self.ending {
             Ending::Not if counts && !at_once => {}
             Ending::Not => {
                 self.ending = Ending::Over;
                 if let (Some(task), Some(farewell)) =
-                    (&mut self.number, self.numbering.farewell(now, keep_ms))
+                    (&mut self.number, self.numbering.handoff_offer(now, keep_ms))
                 {
-                    info!(of = farewell.of, rest_ms = farewell.rest_ms, "leaves its number");
-                    let requests = task.take(now, HolderInput::Leave(farewell));
+                    info!(of = farewell.slot_count, rest_ms = farewell.remaining_ms, "leaves its number");
+                    let requests = task.take(now, HolderInput::HandOff(farewell));
                     self.requests.extend(requests);
                     self.ending = Ending::Leaving(now + patience);
                 }
@@ -106,7 +108,7 @@
             Ending::Leaving(until) => {
                 // Told again to end at once, it waits no longer than that allows.
                 let until = until.min(now + patience);
-                let kept = self.number.as_ref().is_some_and(|t| t.holder.has_left());
+                let kept = self.number.as_ref().is_some_and(|t| t.holder.has_handed_off());
                 if kept || now >= until {
                     info!(kept, "has left its number");
                     self.ending = Ending::Over;
@@ -151,7 +153,7 @@
         let seat = set.seat.as_ref();
         let number = set.number.clone().map(|terms| Task::new(terms, seat, set));
         let turn = set.restart.as_ref().map(|r| Task::new(r.terms.clone(), None, set));
-        let numbering = Numbering::new(set.drift, span);
+        let numbering = SlotAssignment::new(set.drift, span);
         // For as long as a front takes to be back, if that is said; it costs nobody anything but a larger `of`.
         let back_ms = set.restart.as_ref().map_or(0, |r| r.terms.ttl_ms);
         let keep_ms =
@@ -165,16 +167,16 @@
     }
 
     /// This front's part, now, and how far numbers reach; nothing if its settings ask for no number.
-    pub fn part(&self) -> Option<(Part, u32)> {
+    pub fn part(&self) -> Option<(SlotShare, u32)> {
         let mut state = self.shared.state();
         let State { number, numbering, .. } = &mut *state;
         let task = number.as_ref()?;
         // After the lock was waited for.
         let now = (self.shared.clock)();
         let permit = task.holder.permit(now);
-        numbering.look(now, permit.as_ref());
-        let reach = permit.map_or(0, |p| u32::from(p.standing().reach));
-        Some((numbering.part(now), reach))
+        numbering.update(now, permit.as_ref());
+        let reach = permit.map_or(0, |p| u32::from(p.position().slot_bound));
+        Some((numbering.share(now), reach))
     }
 
     /// How turns are taken, if they are.
@@ -225,7 +227,7 @@
                 let now = (self.clock)();
                 let more: Vec<Request> = state.tasks().flat_map(|t| t.take(now, input.clone())).collect();
                 let State { number, numbering, .. } = &mut *state;
-                numbering.look(now, number.as_ref().and_then(|t| t.holder.permit(now)).as_ref());
+                numbering.update(now, number.as_ref().and_then(|t| t.holder.permit(now)).as_ref());
                 let mut requests = std::mem::take(&mut state.requests);
                 requests.extend(more);
                 requests
--- a/crates/fleet/coordinator/src/client.rs
+++ b/crates/fleet/coordinator/src/client.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use beechloft_consensus::MemberId;
-use beechloft_leases::{Heard, HolderInput, Name, Request, Route};
+use beechloft_leases::{HolderInput, LeaderLocator, Name, Request, Response};
 use crossbeam_channel::{Receiver, Sender, bounded};
 
 use crate::history::Book;
@@ -60,14 +60,14 @@
 
 /// Watches a task's grants, or all, by whichever keeper leads, until `hear` wants no more.
 pub fn watch(set: &FleetSettings, name: Option<&Name>, mut hear: impl FnMut(Watched) -> bool) {
-    let mut route = Route::new(set.keepers.len(), 0);
+    let mut route = LeaderLocator::new(set.keepers.len(), 0);
     loop {
-        let keeper = set.keepers[route.take()];
+        let keeper = set.keepers[route.next_target()];
         if let Some(mut stream) = open_watch(set, keeper, name) {
             loop {
                 match wire::read(set.number(), &mut stream) {
                     Ok(Word::Listed(mut lines)) => {
-                        route.answered();
+                        route.on_response();
                         lines.retain(|l| name.is_none_or(|n| n.to_string() == l.name));
                         if !hear(Watched::Stands(lines)) {
                             return;
@@ -79,7 +79,7 @@
                         }
                     }
                     Ok(Word::NotLeader(leader)) => {
-                        route.not_leader(place(set, leader.as_deref()));
+                        route.on_not_leader(place(set, leader.as_deref()));
                         break;
                     }
                     _ => break,
@@ -118,11 +118,11 @@
 /// Asks whichever keeper leads, until one answers.
 fn ask_leader(set: &FleetSettings, word: &Word, within: Duration) -> Option<Word> {
     let until = Instant::now() + within;
-    let mut route = Route::new(set.keepers.len(), 0);
+    let mut route = LeaderLocator::new(set.keepers.len(), 0);
     while Instant::now() < until {
-        let keeper = set.keepers[route.take()];
+        let keeper = set.keepers[route.next_target()];
         match call(set, keeper, word, Duration::from_millis(500)) {
-            Some(Word::NotLeader(leader)) => route.not_leader(place(set, leader.as_deref())),
+            Some(Word::NotLeader(leader)) => route.on_not_leader(place(set, leader.as_deref())),
             None | Some(Word::Heard(_)) => {}
             Some(answer) => return Some(answer),
         }
@@ -139,7 +139,7 @@
 /// A holder's connection to whichever keeper leads.
 pub struct Way {
     set: FleetSettings,
-    route: Route,
+    route: LeaderLocator,
     conn: Option<(usize, TcpStream)>,
     hears: Sender<Word>,
     heard: Receiver<Word>,
@@ -149,7 +149,7 @@
 impl Way {
     /// A way that begins at any keeper.
     pub fn new(set: FleetSettings) -> Way {
-        let route = Route::new(set.keepers.len(), rand::random_range(0..set.keepers.len().max(1)));
+        let route = LeaderLocator::new(set.keepers.len(), rand::random_range(0..set.keepers.len().max(1)));
         let (hears, heard) = bounded(64);
         let book = Book::open(set.test_history.as_deref());
         Way { set, route, conn: None, hears, heard, book }
@@ -162,7 +162,7 @@
 
     /// Says a word to the keeper that leads, as far as is known; what can't be sent is lost, as on any network.
     pub fn say(&mut self, word: &Word) {
-        let at = self.route.take();
+        let at = self.route.next_target();
         if self.conn.as_ref().is_none_or(|c| c.0 != at) {
             self.conn = self.open(at);
         }
@@ -204,9 +204,9 @@
         match self.hear_word(within)? {
             Word::Heard(heard) => {
                 self.book.hears(&heard);
-                Some(HolderInput::Heard(heard))
+                Some(HolderInput::Response(heard))
             }
-            Word::NotLeader(_) => Some(HolderInput::Heard(Heard::NotLeader(None))),
+            Word::NotLeader(_) => Some(HolderInput::Response(Response::NotLeader(None))),
             _ => None,
         }
     }
@@ -215,8 +215,8 @@
     pub fn hear_word(&mut self, within: Duration) -> Option<Word> {
         let word = self.heard.recv_timeout(within).ok()?;
         match &word {
-            Word::NotLeader(leader) => self.route.not_leader(place(&self.set, leader.as_deref())),
-            _ => self.route.answered(),
+            Word::NotLeader(leader) => self.route.on_not_leader(place(&self.set, leader.as_deref())),
+            _ => self.route.on_response(),
         }
         Some(word)
     }
--- a/crates/fleet/coordinator/src/engine/lines.rs
+++ b/crates/fleet/coordinator/src/engine/lines.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 
 use beechloft_consensus::{Member, MemberId};
-use beechloft_leases::{Event, Grant, Name, Table, Token};
+use beechloft_leases::{Event, GrantEntry, Name, Table};
 use beechloft_topic::Topic;
 
 use super::Keeping;
@@ -51,11 +51,11 @@
         Event::Granted { name, token, .. } => (name, token, "granted"),
         Event::Released(name, token) => (name, token, "released"),
         Event::Expired(name, token) => (name, token, "expired"),
-        Event::Left(name, token) => (name, token, "left"),
+        Event::HandedOff(name, token) => (name, token, "left"),
         Event::Renewed(..) => return None,
     };
     let (holder, before) = match event {
-        Event::Granted { holder, before, .. } => (Some(holder.0), before.map(|t| t.0)),
+        Event::Granted { holder, previous: before, .. } => (Some(holder.0), before.map(|t| t.0)),
         _ => (None, None),
     };
     Some(ChangeLine { name: name.to_string(), token: token.0, what: what.to_owned(), holder, before })
@@ -63,14 +63,14 @@
 
 /// All grants.
 pub(super) fn grants(table: &Table) -> Vec<LeaseLine> {
-    let line = |(name, places, token, g): (&Name, u16, Token, &Grant)| LeaseLine {
-        name: name.to_string(),
-        places,
-        place: g.place,
-        token: token.0,
-        holder: g.holder.0,
-        ttl_ms: g.ttl_ms,
-        renewals: g.renewals,
+    let line = |entry: GrantEntry<'_>| LeaseLine {
+        name: entry.task.to_string(),
+        places: entry.slots,
+        place: entry.grant.slot,
+        token: entry.token.0,
+        holder: entry.grant.holder.0,
+        ttl_ms: entry.grant.ttl_ms,
+        renewals: entry.grant.renewals,
     };
     table.grants().map(line).collect()
 }
--- a/crates/fleet/coordinator/src/engine/serving.rs
+++ b/crates/fleet/coordinator/src/engine/serving.rs
@@ -7,7 +7,7 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-use beechloft_leases::{Heard, Name};
+use beechloft_leases::{Name, Response};
 use beechloft_replica::Keeper;
 #[cfg(feature = "planted")]
 use beechloft_topic::Fault;
@@ -83,9 +83,9 @@
         from: Option<Position>,
         allow: u64,
         now: Duration,
-    ) -> Result<(), Heard> {
+    ) -> Result<(), Response> {
         if self.all.len() >= MOST_FEEDS && !self.all.contains_key(&conn) {
-            return Err(Heard::Busy);
+            return Err(Response::Busy);
         }
         debug!(conn = conn.0, %topic, ?from, "subscribed");
         let mut place = Feed::open(from);
--- a/crates/fleet/coordinator/src/engine/words.rs
+++ b/crates/fleet/coordinator/src/engine/words.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use beechloft_consensus::{MemberId, Outputs, Refused};
-use beechloft_leases::{Event, Heard};
+use beechloft_leases::{Event, Response};
 use beechloft_placement::Event as PlacementEvent;
 use beechloft_replica::{Asked, ClientId, KeeperOutput};
 use beechloft_topic::TopicEvent;
@@ -57,7 +57,7 @@
             | Word::Publish(_)
             | Word::Subscribe { .. }
             | Word::Limit(_)
-            | Word::Place { .. } => self.say(conn, &Word::Heard(Heard::Busy)),
+            | Word::Place { .. } => self.say(conn, &Word::Heard(Response::Busy)),
             Word::Status => self.say(conn, &Word::StatusIs(self.status())),
             Word::Replace { old, new } => self.replace(conn, old, new, out),
             Word::Members => {
@@ -100,7 +100,7 @@
                     link.say(bytes);
                 }
             }
-            KeeperOutput::Heard(client, Heard::NotLeader(leader)) => {
+            KeeperOutput::Heard(client, Response::NotLeader(leader)) => {
                 let address = leader.and_then(|l| self.address_of(MemberId(l.0))).map(|a| a.to_string());
                 self.say(ConnId(client.0), &Word::NotLeader(address));
             }
@@ -125,7 +125,7 @@
                 self.say(ConnId(client.0), &Word::NotLeader(address));
             }
             KeeperOutput::NotPublished(client, ..) | KeeperOutput::NotPlaced(client, ..) => {
-                self.say(ConnId(client.0), &Word::Heard(Heard::Busy));
+                self.say(ConnId(client.0), &Word::Heard(Response::Busy));
             }
             KeeperOutput::Placed(client, number, answer) => {
                 self.say(ConnId(client.0), &Word::Placed { number, answer });
--- a/crates/fleet/coordinator/src/history.rs
+++ b/crates/fleet/coordinator/src/history.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 use std::path::Path;
 
-use beechloft_leases::{Answer, Heard, HolderId, Request};
+use beechloft_leases::{Answer, HolderId, Request, Response};
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 
@@ -50,8 +50,8 @@
         }
     }
 
-    pub fn hears(&mut self, heard: &Heard) {
-        if let (true, Heard::Answer { holder, seq, answer }) = (self.0.is_some(), heard) {
+    pub fn hears(&mut self, heard: &Response) {
+        if let (true, Response::Answer { holder, seq, answer }) = (self.0.is_some(), heard) {
             self.note(Noted::Hears { holder: *holder, seq: *seq, answer: *answer });
         }
     }
--- a/crates/fleet/coordinator/src/settings.rs
+++ b/crates/fleet/coordinator/src/settings.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use beechloft_config::{Faults, Section, reader};
-use beechloft_leases::{Drift, Name, Terms};
+use beechloft_leases::{DriftBound, LeaseSpec, Name};
 use beechloft_membership::Zone;
 
 mod limits;
@@ -35,13 +35,13 @@
     /// The folder of this keeper's log.
     pub store: Option<PathBuf>,
     /// How far clocks' rates may differ.
-    pub drift: Drift,
+    pub drift: DriftBound,
     /// This process's zone.
     pub zone: Zone,
     /// Where others are looked for at first; none: this process is no member.
     pub seeds: Vec<SocketAddr>,
     /// The lease of a front's number, if it is to have one.
-    pub number: Option<Terms>,
+    pub number: Option<LeaseSpec>,
     /// What is the same of a front from one start to the next: who starts in it takes over the number that was left there.
     pub seat: Option<Name>,
     /// How fronts restart in turn, if they do.
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Restart {
     /// The lease: as many places as fronts may be out at once, each for as long as a front takes to be back.
-    pub terms: Terms,
+    pub terms: LeaseSpec,
     /// How long one is waited for.
     pub wait: Duration,
 }
@@ -151,7 +151,7 @@
     }
     let ppm = s.whole("drift_ppm", 0..=99_999).unwrap_or(10_000) as u32;
     // Within bounds by the range above; a file with a fault there is not used.
-    let drift = Drift::ppm(ppm).unwrap_or_default();
+    let drift = DriftBound::ppm(ppm).unwrap_or_default();
     let limits = s.has("limits").then(|| limits::limits(&s.section("limits"), drift, known));
     if limits.as_ref().is_some_and(LimitsSettings::any_soft) && !s.has("seeds") {
         s.fault(
@@ -191,9 +191,15 @@
 }
 
 /// A lease's terms; what is wrong with them is a fault of the key that says the time.
-fn terms(s: &Section<'_>, name: &str, places: u16, ttl: (&'static str, u64), drift: Drift) -> Option<Terms> {
+fn terms(
+    s: &Section<'_>,
+    name: &str,
+    places: u16,
+    ttl: (&'static str, u64),
+    drift: DriftBound,
+) -> Option<LeaseSpec> {
     let ttl_ms = s.whole(ttl.0, 1..=3_600_000).unwrap_or(ttl.1) as u32;
-    let terms = Terms { name: Name::try_from(name.to_owned()).ok()?, places, ttl_ms };
+    let terms = LeaseSpec { name: Name::try_from(name.to_owned()).ok()?, slots: places, ttl_ms };
     if let Err(why) = terms.check(drift) {
         s.fault(ttl.0, why.to_string());
     }
@@ -210,7 +216,7 @@
     s.has("verdicts")
 }
 
-fn number(s: &Section<'_>, drift: Drift) -> Option<Terms> {
+fn number(s: &Section<'_>, drift: DriftBound) -> Option<LeaseSpec> {
     s.choice("number", &[("lease", ())])?;
     let places = most_fronts(s) as u16;
     terms(s, "front/number", places, ("number_ttl_ms", 10_000), drift)
@@ -224,7 +230,7 @@
     Name::try_from(text).map_err(|e| s.fault("seat", e.to_string())).ok()
 }
 
-fn restart(s: &Section<'_>, drift: Drift) -> Option<Restart> {
+fn restart(s: &Section<'_>, drift: DriftBound) -> Option<Restart> {
     let places = s.needed_whole("at_most", 1..=4_096) as u16;
     let wait = s.millis("wait_ms", 1..=3_600_000).unwrap_or(Duration::from_secs(60));
     let terms = terms(s, "front/restart", places, ("back_ms", 15_000), drift)?;
--- a/crates/fleet/coordinator/src/settings/limits.rs
+++ b/crates/fleet/coordinator/src/settings/limits.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use beechloft_config::Section;
-use beechloft_leases::{Drift, Name};
+use beechloft_leases::{DriftBound, Name};
 use beechloft_quotas::define::{MOST, MOST_FRONTS};
 use beechloft_quotas::{Counts, Definition, Key, Kind, Of, Rules, bounds};
 
@@ -35,7 +35,7 @@
 }
 
 /// Reads the section.
-pub(super) fn limits(s: &Section<'_>, drift: Drift, known: Option<Known<'_>>) -> LimitsSettings {
+pub(super) fn limits(s: &Section<'_>, drift: DriftBound, known: Option<Known<'_>>) -> LimitsSettings {
     let d = Rules::default();
     let rules = Rules {
         fronts: s.needed_whole("fronts", 1..=u64::from(MOST_FRONTS)) as u32,
@@ -155,7 +155,7 @@
     fn read(list: &str) -> Result<LimitsSettings, String> {
         let customers = ["market".to_owned(), "school".to_owned()];
         let known = Known { customers: &customers, classes: &[] };
-        let drift = Drift::ppm(10_000).expect("within bounds");
+        let drift = DriftBound::ppm(10_000).expect("within bounds");
         let text = format!("limits:\n  fronts: 10\n  list:\n{list}");
         reader::read(&text, |top| limits(&top.section("limits"), drift, Some(known)))
             .map_err(|f| f.to_string())
@@ -197,7 +197,7 @@
         one("name: a b, counts: sessions, of: all, kind: hard, limit: 20", "name: a name has");
         one("name: x, counts: seats, of: all, kind: hard, limit: 20", "counts");
         let short = reader::read("limits: {fronts: 3, ttl_ms: 300}", |top| {
-            limits(&top.section("limits"), Drift::default(), None)
+            limits(&top.section("limits"), DriftBound::default(), None)
         });
         assert!(short.expect_err("short").to_string().contains("limits.ttl_ms: 300 ms leave 300 ms"));
     }
--- a/crates/fleet/coordinator/src/verdicts.rs
+++ b/crates/fleet/coordinator/src/verdicts.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use beechloft_gossip::Kind;
-use beechloft_leases::{Holder, HolderId, HolderInput, HolderOutput, Name, Request, Terms};
+use beechloft_leases::{Holder, HolderId, HolderInput, HolderOutput, LeaseSpec, Name, Request};
 use beechloft_outlier_detection::{
     BoxKey, BoxLine, Change, Evidence, FrontLife, Ledger, Outcome, Outlook, Places, Report, Seen, Tried,
     Verdicts, Witness, judge_viewers,
@@ -95,7 +95,7 @@
             end: AtomicBool::new(false),
         });
         let name = Name::try_from("verdict/trial".to_owned()).map_err(io::Error::other)?;
-        let terms = Terms { name, places: 1, ttl_ms: verdicts.trial_ttl_ms };
+        let terms = LeaseSpec { name, slots: 1, ttl_ms: verdicts.trial_ttl_ms };
         let holder = Holder::new(HolderId(rand::random()), terms, set.drift, rand::random());
         let (its, way) = (Arc::clone(&shared), Way::new(set.clone()));
         thread::Builder::new()
@@ -200,7 +200,7 @@
                 judge_at = now + JUDGE;
                 self.read();
                 let wants = self.look(now, holder.permit(now).is_some());
-                let wish = if wants { HolderInput::Want } else { HolderInput::GiveBack };
+                let wish = if wants { HolderInput::Acquire } else { HolderInput::Release };
                 requests.extend(take(&mut holder, now, wish));
                 self.write(now);
             }
@@ -288,9 +288,9 @@
     for output in holder.handle(now, input) {
         match output {
             HolderOutput::Send(request) => requests.push(request),
-            HolderOutput::Held(token) => info!(token = token.0, "the lease of trials is held"),
+            HolderOutput::Acquired(token) => info!(token = token.0, "the lease of trials is held"),
             HolderOutput::Lost(token) => info!(token = token.0, "the lease of trials is lost"),
-            HolderOutput::Never(why) => warn!("the lease of trials can't be had: {why}"),
+            HolderOutput::Rejected(why) => warn!("the lease of trials can't be had: {why}"),
         }
     }
     requests
--- a/crates/fleet/coordinator/src/wire.rs
+++ b/crates/fleet/coordinator/src/wire.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Read};
 
 use beechloft_consensus::{MemberId, Message};
-use beechloft_leases::{Heard, Name, Request};
+use beechloft_leases::{Name, Request, Response};
 use beechloft_membership::Packet;
 use beechloft_topic::{Position, Said, Told, TopicHeard, TopicRequest};
 use serde::de::DeserializeOwned;
@@ -127,7 +127,7 @@
     /// A holder's request.
     Ask(Request),
     /// What became of it.
-    Heard(Heard),
+    Heard(Response),
     /// This keeper does not lead; where the one is that does, if it knows.
     NotLeader(Option<String>),
     /// All grants, please.
--- a/crates/fleet/coordinator/tests/wire_format.rs
+++ b/crates/fleet/coordinator/tests/wire_format.rs
@@ -7,7 +7,7 @@
 use beechloft_coordinator::wire::{
     self, ChangeLine, LeaseLine, MemberLine, SeenLine, StatusLine, TopicLine, Word,
 };
-use beechloft_leases::{self as leases, HolderId, KeeperId, Name, Op, Token};
+use beechloft_leases::{self as leases, HolderId, Name, Op, ReplicaId, Token};
 use beechloft_membership::{self as membership, About, Digests, Incarnation, Kind, Packet, Rumour, Zone};
 use beechloft_placement as placement;
 use beechloft_quotas as quotas;
@@ -120,7 +120,7 @@
         term: Term(2),
         body: append,
     };
-    let acquire = Op::Acquire { name: name("task/1"), places: 3, ttl_ms: 3_000 };
+    let acquire = Op::Acquire { name: name("task/1"), slots: 3, ttl_ms: 3_000 };
     let publish = TopicRequest {
         publisher: PublisherId(5),
         topic: name("quotas"),
@@ -140,14 +140,14 @@
         ("ask", Word::Ask(leases::Request { holder: HolderId(9), seq: 2, op: acquire })),
         (
             "heard.answer",
-            Word::Heard(leases::Heard::Answer {
+            Word::Heard(leases::Response::Answer {
                 holder: HolderId(9),
                 seq: 2,
                 answer: leases::Answer::Released,
             }),
         ),
-        ("heard.not_leader", Word::Heard(leases::Heard::NotLeader(Some(KeeperId(3))))),
-        ("heard.busy", Word::Heard(leases::Heard::Busy)),
+        ("heard.not_leader", Word::Heard(leases::Response::NotLeader(Some(ReplicaId(3))))),
+        ("heard.busy", Word::Heard(leases::Response::Busy)),
         ("not_leader", Word::NotLeader(Some("127.0.0.1:7302".into()))),
         ("not_leader.unknown", Word::NotLeader(None)),
         ("list", Word::List),
--- a/crates/fleet/leases/src/lib.rs
+++ b/crates/fleet/leases/src/lib.rs
@@ -1,32 +1,34 @@
-//! Tasks that one front of the fleet does at a time: leases on which a few keepers agree.
+//! Leases on tasks that at most a given number of processes may run at a time, agreed on by a group of replicas.
 //!
 //! A lease (Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency", SOSP
-//! 1989) is given for a time and renewed before it runs out. [`Table`] is the state that consensus replicates; it knows no
-//! time: the keeper that leads (`beechloft_replica`) counts the times at which grants run out.
-//! [`Holder`] asks, renews and hands out the [`Permit`] that whatever acts must look at right before each act. Each grant has a
-//! fencing [`Token`] that only rises; whatever is acted on refuses a lower one than it has seen.
+//! 1989) is granted for a time to live (TTL) and renewed before it expires. [`Table`] is the state machine that consensus
+//! replicates. It has no clock: the leading replica (`beechloft_replica`) measures TTLs and proposes expiries.
+//! [`Holder`] acquires and renews a lease and issues [`Permit`]s, which must be checked right before each protected operation.
+//! Each grant has a fencing [`Token`], above those of all earlier grants; a protected resource refuses a token lower than one it
+//! has seen.
 //!
-//! No wall clock decides, and no two clocks are compared: [`Drift`] bounds how far their rates differ, the holder counts from
-//! before it asked, the keeper from after the commit. `docs/fleet.md` has the argument.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
+//! Wall clocks are not used and readings of different clocks are never compared: [`DriftBound`] bounds how far clock rates
+//! differ, a holder measures from before it sent its request and a replica from after the commit. `docs/fleet.md` has the
+//! argument.
 #![forbid(unsafe_code)]
 
-mod drift;
+mod drift_bound;
+mod fault_injection;
 mod holder;
-mod numbering;
-mod planted;
-mod route;
+mod leader_locator;
+mod message;
+mod name;
+mod slot_assignment;
 mod table;
-mod words;
 
-pub use drift::Drift;
-pub use holder::{Farewell, Holder, HolderInput, HolderOutput, Permit, Terms, TermsError};
-pub use numbering::{Numbering, Part};
-pub use planted::Fault;
-pub use route::Route;
-pub use table::{Event, Grant, Table, TableError};
-pub use words::{
-    Answer, Command, Heard, HolderId, Inherited, KeeperId, Name, NameError, Op, Request, Seated, Standing,
-    Token, Unable, Will,
+pub use drift_bound::DriftBound;
+pub use fault_injection::Fault;
+pub use holder::{HandoffOffer, Holder, HolderInput, HolderOutput, LeaseSpec, LeaseSpecError, Permit};
+pub use leader_locator::LeaderLocator;
+pub use message::{
+    Answer, Command, GrantPosition, Handoff, HolderId, InstanceGrant, Op, Rejection, ReplicaId, Request,
+    Response, Succession, Token,
 };
+pub use name::{MAX_NAME_LEN, Name, NameError};
+pub use slot_assignment::{SlotAssignment, SlotShare, StoppedUse};
+pub use table::{Applied, Event, Grant, GrantEntry, Table, TableError};
--- /dev/null
+++ b/crates/fleet/leases/src/table/snapshot.rs
@@ -0,0 +1,57 @@
+//! The encoded form of the table.
+
+use std::collections::BTreeMap;
+
+use serde::Deserialize;
+use thiserror::Error;
+
+use super::Table;
+use super::lease::Lease;
+use super::requests::LastAnswer;
+use crate::message::{HolderId, Token};
+use crate::name::Name;
+
+/// A snapshot that can't be decoded.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+#[error("the table of leases can't be decoded: {0}")]
+pub struct TableError(#[from] postcard::Error);
+
+/// A table as written by versions without instances.
+#[derive(Deserialize)]
+struct TableWithoutInstances {
+    leases: BTreeMap<Name, Lease>,
+    tasks: BTreeMap<Token, Name>,
+    last_answers: BTreeMap<HolderId, LastAnswer>,
+    last_token: u64,
+    commands_applied: u64,
+}
+
+impl From<TableWithoutInstances> for Table {
+    fn from(older: TableWithoutInstances) -> Table {
+        let TableWithoutInstances { leases, tasks, last_answers, last_token, commands_applied } = older;
+        Table { leases, tasks, last_answers, last_token, commands_applied, ..Table::default() }
+    }
+}
+
+impl Table {
+    /// Encodes the table.
+    pub fn write(&self) -> Vec<u8> {
+        // Encoding fails only for sequences of unknown length, and the table has none.
+        postcard::to_allocvec(self).unwrap_or_default()
+    }
+
+    /// Decodes what [`Table::write`] wrote in this version or in one without instances. No bytes are an empty table.
+    ///
+    /// # Errors
+    /// The bytes are no table.
+    pub fn read(bytes: &[u8]) -> Result<Table, TableError> {
+        if bytes.is_empty() {
+            return Ok(Table::default());
+        }
+        let (older, rest) = postcard::take_from_bytes::<TableWithoutInstances>(bytes)?;
+        if rest.is_empty() {
+            return Ok(older.into());
+        }
+        Ok(postcard::from_bytes(bytes)?)
+    }
+}
--- a/crates/fleet/leases/tests/encodings.rs
+++ b/crates/fleet/leases/tests/encodings.rs
@@ -6,8 +6,8 @@
 use std::fmt::Debug;
 
 use beechloft_leases::{
-    Answer, Command, Event, Heard, HolderId, Inherited, KeeperId, Name, Op, Request, Seated, Standing, Table,
-    Token, Unable, Will,
+    Answer, Command, Event, GrantPosition, Handoff, HolderId, InstanceGrant, Name, Op, Rejection, ReplicaId,
+    Request, Response, Succession, Table, Token,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -73,17 +73,17 @@
     Name::try_from(text.to_owned()).expect("a valid name")
 }
 
-fn handoff() -> Will {
-    Will { of: 8, rest_ms: 700, newest: Token(300), keep_ms: 5_000 }
+fn handoff() -> Handoff {
+    Handoff { slot_count: 8, remaining_ms: 700, newest_token: Token(300), reserve_ms: 5_000 }
 }
 
 fn operations() -> Vec<Op> {
     vec![
-        Op::Acquire { name: name("task/a"), places: 300, ttl_ms: 3_000 },
+        Op::Acquire { name: name("task/a"), slots: 300, ttl_ms: 3_000 },
         Op::Renew { name: name("task/a"), token: Token(1_000) },
         Op::Release { name: name("task/a"), token: Token(2_000) },
-        Op::AcquireAs { name: name("task/b"), places: 9, ttl_ms: 100_000, seat: name("front-1") },
-        Op::Leave { name: name("task/b"), token: Token(4), will: handoff() },
+        Op::AcquireAs { name: name("task/b"), slots: 9, ttl_ms: 100_000, instance: name("front-1") },
+        Op::HandOff { name: name("task/b"), token: Token(4), handoff: handoff() },
     ]
 }
 
@@ -98,40 +98,46 @@
 }
 
 fn answers() -> Vec<Answer> {
-    let standing = Standing { place: 2, reach: 300, longest_ms: 9_000 };
-    let inherited = Some(Inherited { of: 16, rest_ms: 250 });
+    let position = GrantPosition { slot: 2, slot_bound: 300, max_ttl_ms: 9_000 };
+    let succession = Some(Succession { slot_count: 16, remaining_ms: 250 });
     vec![
-        Answer::Granted(Token(1), standing),
-        Answer::Renewed(Token(128), Standing::default()),
+        Answer::Granted(Token(1), position),
+        Answer::Renewed(Token(128), GrantPosition::default()),
         Answer::Released,
-        Answer::Unable(Unable::Taken),
-        Answer::Unable(Unable::NotHeld),
-        Answer::Unable(Unable::Places),
-        Answer::Unable(Unable::Time),
-        Answer::Unable(Unable::Overtaken),
-        Answer::Unable(Unable::TooMany),
-        Answer::Seat(Token(3), standing, Seated { newest: Token(4), inherited: None }),
-        Answer::Seat(Token(3), standing, Seated { newest: Token(400), inherited }),
-        Answer::Left,
+        Answer::Rejected(Rejection::NoFreeSlot),
+        Answer::Rejected(Rejection::NotHeld),
+        Answer::Rejected(Rejection::SlotCount),
+        Answer::Rejected(Rejection::TtlOutOfRange),
+        Answer::Rejected(Rejection::Superseded),
+        Answer::Rejected(Rejection::TooManyLeases),
+        Answer::HeldByInstance(
+            Token(3),
+            position,
+            InstanceGrant { newest_token: Token(4), succession: None },
+        ),
+        Answer::HeldByInstance(Token(3), position, InstanceGrant { newest_token: Token(400), succession }),
+        Answer::HandedOff,
     ]
 }
 
-fn replies() -> Vec<Heard> {
-    let reply = |(seq, answer)| Heard::Answer { holder: HolderId(77), seq, answer };
+fn replies() -> Vec<Response> {
+    let reply = |(seq, answer)| Response::Answer { holder: HolderId(77), seq, answer };
     let to_requests = (1..).zip(answers()).map(reply);
-    to_requests.chain([Heard::NotLeader(None), Heard::NotLeader(Some(KeeperId(200))), Heard::Busy]).collect()
+    to_requests
+        .chain([Response::NotLeader(None), Response::NotLeader(Some(ReplicaId(200))), Response::Busy])
+        .collect()
 }
 
 fn events() -> Vec<Event> {
     let granted =
-        |before| Event::Granted { name: name("task"), token: Token(9), holder: HolderId(10), before };
+        |previous| Event::Granted { name: name("task"), token: Token(9), holder: HolderId(10), previous };
     vec![
         granted(None),
         granted(Some(Token(8))),
         Event::Renewed(name("task"), Token(9)),
         Event::Released(name("task"), Token(9)),
         Event::Expired(name("task"), Token(9)),
-        Event::Left(name("task"), Token(9)),
+        Event::HandedOff(name("task"), Token(9)),
     ]
 }
 
@@ -151,16 +157,16 @@
 fn table() -> Table {
     let mut table = Table::default();
     let acquire_as =
-        |seat| Op::AcquireAs { name: name("task/b"), places: 9, ttl_ms: 4_000, seat: name(seat) };
+        |instance| Op::AcquireAs { name: name("task/b"), slots: 9, ttl_ms: 4_000, instance: name(instance) };
     let operations = [
-        (1, Op::Acquire { name: name("task/a"), places: 2, ttl_ms: 3_000 }),
-        (2, Op::Acquire { name: name("task/a"), places: 2, ttl_ms: 300 }),
-        (3, Op::Acquire { name: name("task/a"), places: 2, ttl_ms: 3_000 }),
+        (1, Op::Acquire { name: name("task/a"), slots: 2, ttl_ms: 3_000 }),
+        (2, Op::Acquire { name: name("task/a"), slots: 2, ttl_ms: 300 }),
+        (3, Op::Acquire { name: name("task/a"), slots: 2, ttl_ms: 3_000 }),
         (1, Op::Renew { name: name("task/a"), token: Token(1) }),
         (4, acquire_as("front-1")),
         (5, acquire_as("front-2")),
         (6, acquire_as("front-3")),
-        (5, Op::Leave { name: name("task/b"), token: Token(4), will: handoff() }),
+        (5, Op::HandOff { name: name("task/b"), token: Token(4), handoff: handoff() }),
         (2, Op::Release { name: name("task/a"), token: Token(2) }),
     ];
     for (seq, (holder, op)) in (1..).zip(operations) {
--- a/crates/fleet/placement/src/front/mod.rs
+++ b/crates/fleet/placement/src/front/mod.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use beechloft_leases::Drift;
+use beechloft_leases::DriftBound;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -85,7 +85,7 @@
 #[derive(Debug, Clone)]
 pub struct View {
     front: FrontId,
-    drift: Drift,
+    drift: DriftBound,
     ttl_ms: u32,
     customers: BTreeSet<Customer>,
     index: Index,
@@ -120,7 +120,13 @@
 
 impl View {
     /// A view without anything. `front` is drawn anew by each process; `customers` are those whose titles may be pinned.
-    pub fn new(front: FrontId, customers: BTreeSet<Customer>, ttl_ms: u32, drift: Drift, seed: u64) -> View {
+    pub fn new(
+        front: FrontId,
+        customers: BTreeSet<Customer>,
+        ttl_ms: u32,
+        drift: DriftBound,
+        seed: u64,
+    ) -> View {
         View {
             front,
             drift,
--- a/crates/fleet/placement/src/state/rights.rs
+++ b/crates/fleet/placement/src/state/rights.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use beechloft_leases::Drift;
+use beechloft_leases::DriftBound;
 
 use super::Placements;
 use crate::planted::Fault;
@@ -23,7 +23,7 @@
 /// Deadlines of a leader. They are counted from after the commit, and a new leader counts all from when it begins to lead.
 #[derive(Debug, Clone)]
 pub struct Rights {
-    drift: Drift,
+    drift: DriftBound,
     deadlines: BTreeMap<FrontId, Deadline>,
     fault: Option<Fault>,
 }
@@ -37,7 +37,7 @@
 
 impl Rights {
     /// Of a keeper that does not lead yet.
-    pub fn new(drift: Drift) -> Rights {
+    pub fn new(drift: DriftBound) -> Rights {
         Rights { drift, deadlines: BTreeMap::new(), fault: None }
     }
 
--- a/crates/fleet/placement/src/worker/mod.rs
+++ b/crates/fleet/placement/src/worker/mod.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use beechloft_leases::{Drift, Token};
+use beechloft_leases::{DriftBound, Token};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -37,7 +37,7 @@
     /// Orders given in one sweep at most.
     pub orders: usize,
     /// How far clocks' rates may differ.
-    pub drift: Drift,
+    pub drift: DriftBound,
 }
 
 impl Default for WorkerSettings {
@@ -49,7 +49,7 @@
             again: Duration::from_millis(500),
             proposals: 64,
             orders: 256,
-            drift: Drift::default(),
+            drift: DriftBound::default(),
         }
     }
 }
--- a/crates/fleet/placement/tests/explored.rs
+++ b/crates/fleet/placement/tests/explored.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechloft_leases::{Drift, Token};
+use beechloft_leases::{DriftBound, Token};
 use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
 use beechloft_placement::boxes::{Done, Job};
 use beechloft_placement::front::{Offer, ViewInput};
@@ -160,8 +160,8 @@
 }
 
 impl Small {
-    fn drift(&self) -> Drift {
-        Drift::ppm(PPM).expect("within bounds")
+    fn drift(&self) -> DriftBound {
+        DriftBound::ppm(PPM).expect("within bounds")
     }
 
     fn clock(&self, rate: f64, steps: u32) -> Duration {
--- a/crates/fleet/placement/tests/support/world.rs
+++ b/crates/fleet/placement/tests/support/world.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use beechloft_leases::{Drift, Token};
+use beechloft_leases::{DriftBound, Token};
 use beechloft_placement::boxes::{Done, Job};
 use beechloft_placement::front::{Offer, ViewInput};
 use beechloft_placement::names::*;
@@ -131,7 +131,7 @@
         let dice = ChaCha8Rng::seed_from_u64(seed);
         let state = fleet(3, 3, 3_500_000, rules());
         #[allow(unused_mut)]
-        let (mut state, drift) = (state, Drift::ppm(PPM).expect("within bounds"));
+        let (mut state, drift) = (state, DriftBound::ppm(PPM).expect("within bounds"));
         let mut rights = Rights::new(drift);
         if let Some(fault) = fault {
             state.plant(fault);
@@ -229,7 +229,7 @@
     }
 
     fn worker(&mut self) -> Worker {
-        let drift = Drift::ppm(PPM).expect("within bounds");
+        let drift = DriftBound::ppm(PPM).expect("within bounds");
         let set = WorkerSettings {
             look: ms(200),
             lost_after: ms(800),
@@ -247,7 +247,7 @@
     }
 
     fn view(&mut self) -> View {
-        let drift = Drift::ppm(PPM).expect("within bounds");
+        let drift = DriftBound::ppm(PPM).expect("within bounds");
         let id = FrontId(self.draw());
         #[allow(unused_mut)]
         let mut view = View::new(id, self.customers.clone(), TTL_MS, drift, self.dice.random());
--- a/crates/fleet/placement/tests/views.rs
+++ b/crates/fleet/placement/tests/views.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use beechloft_leases::Drift;
+use beechloft_leases::DriftBound;
 use beechloft_placement::front::{Change, Narrower, Offer, Refusal, ViewInput};
 use beechloft_placement::names::*;
 use beechloft_placement::words::shard::title_hash;
@@ -20,7 +20,7 @@
 
 fn view() -> View {
     let customers = [name::<Customer>("ann")].into();
-    View::new(FrontId(1), customers, 1_000, Drift::ppm(10_000).expect("within bounds"), 1)
+    View::new(FrontId(1), customers, 1_000, DriftBound::ppm(10_000).expect("within bounds"), 1)
 }
 
 fn record(revision: u64, titles: &[&str], boxes: &[u32], home: &[u32]) -> Record {
--- a/crates/fleet/quotas/src/bounds.rs
+++ b/crates/fleet/quotas/src/bounds.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beechloft_leases::Drift;
+use beechloft_leases::DriftBound;
 
 use crate::define::{Counts, Definition, Kind, MILLI, Rules};
 
@@ -23,7 +23,7 @@
 }
 
 /// How fast a soft part grows: units a second at most, and units at once.
-pub fn soft_pace(of: &Definition, rules: &Rules, drift: Drift) -> (u64, u64) {
+pub fn soft_pace(of: &Definition, rules: &Rules, drift: DriftBound) -> (u64, u64) {
     let most = unseen(of);
     let cap = (most / 5).max(1).min(most);
     // A front hears of another's growth within twice the horizon, or one of the two stops to grow.
@@ -33,7 +33,7 @@
 }
 
 /// The most that a rate may admit in a window.
-pub fn rate_bound(of: &Definition, drift: Drift, window: Duration) -> u64 {
+pub fn rate_bound(of: &Definition, drift: DriftBound, window: Duration) -> u64 {
     let minted = u128::from(of.units()) * drift.longer(window).as_millis();
     let stored = u128::from(of.units()) * u128::from(of.burst_milli);
     let whole = (minted + stored).div_ceil(1_000 * u128::from(MILLI));
@@ -48,12 +48,12 @@
 }
 
 /// After so long a lowered limit is in force for all that comes new, and a lender has back what stands unused.
-pub fn in_force_after(rules: &Rules, drift: Drift) -> Duration {
+pub fn in_force_after(rules: &Rules, drift: DriftBound) -> Duration {
     drift.longer(Duration::from_millis(u64::from(rules.ttl_ms)))
 }
 
 /// What is promised of a limit, for people.
-pub fn lines(of: &Definition, rules: &Rules, drift: Drift) -> Vec<String> {
+pub fn lines(of: &Definition, rules: &Rules, drift: DriftBound) -> Vec<String> {
     let mut all = Vec::new();
     let whole = |units: u64| if of.counts.is_rate() { units as f64 / MILLI as f64 } else { units as f64 };
     match of.kind {
--- a/crates/fleet/quotas/src/define.rs
+++ b/crates/fleet/quotas/src/define.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use beechloft_leases::{Drift, Name};
+use beechloft_leases::{DriftBound, Name};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -341,7 +341,7 @@
     ///
     /// # Errors
     /// The time is under what the drift allows, or there are too many fronts.
-    pub fn check(&self, drift: Drift) -> Result<(), Untimely> {
+    pub fn check(&self, drift: DriftBound) -> Result<(), Untimely> {
         let ttl = std::time::Duration::from_millis(u64::from(self.ttl_ms));
         let left_ms = drift.shorter(ttl).as_millis() as u64;
         if left_ms < LEAST_MS {
--- a/crates/fleet/quotas/src/front.rs
+++ b/crates/fleet/quotas/src/front.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechloft_leases::{Drift, Name};
+use beechloft_leases::{DriftBound, Name};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -33,7 +33,7 @@
     /// Times.
     pub rules: Rules,
     /// How far clocks' rates may differ.
-    pub drift: Drift,
+    pub drift: DriftBound,
     /// Each of its sessions carries a tag by which boxes can say what is left of them.
     pub tagged: bool,
     /// For what is drawn by chance.
--- a/crates/fleet/quotas/src/soft.rs
+++ b/crates/fleet/quotas/src/soft.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use beechloft_leases::Drift;
+use beechloft_leases::DriftBound;
 use serde::{Deserialize, Serialize};
 
 use crate::bounds;
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Parts {
     rules: Rules,
-    drift: Drift,
+    drift: DriftBound,
     own: BTreeMap<Claim, Own>,
     rows: BTreeMap<FrontId, Seen>,
     changed: bool,
@@ -59,7 +59,7 @@
 
 impl Parts {
     /// No part yet.
-    pub fn new(rules: Rules, drift: Drift) -> Parts {
+    pub fn new(rules: Rules, drift: DriftBound) -> Parts {
         let (own, rows) = (BTreeMap::new(), BTreeMap::new());
         Parts { rules, drift, own, rows, changed: true, fault: None }
     }
--- a/crates/fleet/quotas/src/times.rs
+++ b/crates/fleet/quotas/src/times.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use beechloft_leases::Drift;
+use beechloft_leases::DriftBound;
 
 use crate::ledger::Ledger;
 use crate::planted::Fault;
@@ -31,7 +31,7 @@
 /// Times of all accounts and orphans, while this keeper leads.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Times {
-    drift: Drift,
+    drift: DriftBound,
     leads: bool,
     accounts: BTreeMap<AccountId, Deadline>,
     orphans: BTreeMap<OrphanId, Deadline>,
@@ -40,7 +40,7 @@
 
 impl Times {
     /// Counts nothing yet.
-    pub fn new(drift: Drift) -> Times {
+    pub fn new(drift: DriftBound) -> Times {
         Times { drift, leads: false, accounts: BTreeMap::new(), orphans: BTreeMap::new(), fault: None }
     }
 
--- a/crates/fleet/quotas/tests/explored.rs
+++ b/crates/fleet/quotas/tests/explored.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechloft_leases::{Drift, Name};
+use beechloft_leases::{DriftBound, Name};
 use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
 use beechloft_quotas::{
     Answer, Claim, Command, Counts, Definition, Fault, Front, FrontId, FrontInput, FrontOutput,
@@ -76,8 +76,8 @@
 }
 
 impl Small {
-    fn drift(&self) -> Drift {
-        Drift::ppm(PPM).expect("within bounds")
+    fn drift(&self) -> DriftBound {
+        DriftBound::ppm(PPM).expect("within bounds")
     }
 
     fn clock(&self, rate: f64, steps: u32) -> Duration {
--- a/crates/fleet/quotas/tests/support/mod.rs
+++ b/crates/fleet/quotas/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use beechloft_leases::{Drift, Name};
+use beechloft_leases::{DriftBound, Name};
 use beechloft_quotas::soft::Row;
 use beechloft_quotas::{
     Answer, Claim, Command, Counts, Definition, Fault, Front, FrontId, FrontInput, FrontOutput,
@@ -71,7 +71,7 @@
     pub now: Duration,
     rng: ChaCha8Rng,
     pub rules: Rules,
-    drift: Drift,
+    drift: DriftBound,
     pub ledger: Ledger,
     times: Times,
     leader_rate: f64,
@@ -115,7 +115,7 @@
         definitions: Vec<Definition>,
         fault: Option<Fault>,
     ) -> World {
-        let drift = Drift::ppm(PPM).expect("within bounds");
+        let drift = DriftBound::ppm(PPM).expect("within bounds");
         #[allow(unused_mut)]
         let mut ledger = Ledger::default();
         let mut times = Times::new(drift);
--- a/crates/fleet/replica/src/asked.rs
+++ b/crates/fleet/replica/src/asked.rs
@@ -1,7 +1,7 @@
 //! What a keeper is asked, and what it wants done.
 
 use beechloft_consensus::{Input, LogPos, Message, Refused, Ticket};
-use beechloft_leases::{Event, Heard, Name, Request, Table};
+use beechloft_leases::{Event, Name, Request, Response, Table};
 use beechloft_topic::{PublisherId, TopicEvent, TopicHeard, TopicRequest};
 
 /// Whoever asked over one connection, as the shell names it.
@@ -43,7 +43,7 @@
     /// For another keeper.
     Peer(Message),
     /// For who asked for a lease.
-    Heard(ClientId, Heard),
+    Heard(ClientId, Response),
     /// All grants, for who asked for them: the table as of now.
     Listed(ClientId, Table),
     /// What has changed, for the log of this keeper.
--- a/crates/fleet/replica/src/keeper.rs
+++ b/crates/fleet/replica/src/keeper.rs
@@ -5,7 +5,7 @@
 use beechloft_consensus::{
     Index, Input, MemberId, Outputs, Payload, Raft, Refused, Released, Settings, Status, Stored, Term,
 };
-use beechloft_leases::{Drift, Table};
+use beechloft_leases::{DriftBound, Table};
 use beechloft_topic::{TopicCommand, Topics};
 
 use crate::asked::{Asked, KeeperOutput};
@@ -27,7 +27,7 @@
 pub struct Keeper {
     raft: Raft,
     state: State,
-    drift: Drift,
+    drift: DriftBound,
     applied: Index,
     snapshot_at: Index,
     waiting: Waiting,
@@ -55,7 +55,7 @@
         id: MemberId,
         settings: Settings,
         stored: Stored,
-        drift: Drift,
+        drift: DriftBound,
         seed: u64,
         now: Duration,
     ) -> Result<Keeper, StateError> {
--- a/crates/fleet/replica/src/keeper/tests.rs
+++ b/crates/fleet/replica/src/keeper/tests.rs
@@ -1,5 +1,5 @@
 use beechloft_consensus::{Disk, Membership, Save};
-use beechloft_leases::{Event, Heard, HolderId, Name, Op, Request, Token};
+use beechloft_leases::{Event, HolderId, Name, Op, Request, Response, Token};
 
 use super::*;
 use crate::asked::ClientId;
@@ -27,7 +27,7 @@
     let more = 100;
     for n in 0..MOST_WAITING as u64 + more {
         let name = Name::try_from("task".to_owned()).expect("a name");
-        let op = Op::Acquire { name, places: 1, ttl_ms: 1_000 };
+        let op = Op::Acquire { name, slots: 1, ttl_ms: 1_000 };
         keeper.handle(
             now,
             Asked::Request(ClientId(n), Request { holder: HolderId(n), seq: 1, op }),
@@ -36,15 +36,16 @@
     }
     let Ok(released) = out.commit(&mut Nowhere);
     let told = keeper.released(now, released).expect("a table");
-    let busy = told.iter().filter(|o| matches!(o, KeeperOutput::Heard(_, Heard::Busy))).count();
-    let answered = told.iter().filter(|o| matches!(o, KeeperOutput::Heard(_, Heard::Answer { .. }))).count();
+    let busy = told.iter().filter(|o| matches!(o, KeeperOutput::Heard(_, Response::Busy))).count();
+    let answered =
+        told.iter().filter(|o| matches!(o, KeeperOutput::Heard(_, Response::Answer { .. }))).count();
     assert_eq!((busy as u64, answered), (more, MOST_WAITING));
 }
 
 /// A keeper alone, that leads.
 fn alone() -> Keeper {
     let stored = Stored::first(Membership::of([(MemberId(1), "a".into())]));
-    let drift = Drift::ppm(100).expect("within bounds");
+    let drift = DriftBound::ppm(100).expect("within bounds");
     Keeper::new(MemberId(1), Settings::default(), stored, drift, 1, Duration::ZERO).expect("a table")
 }
 
@@ -60,7 +61,7 @@
     let mut k = alone();
     let name = |text: &str| Name::try_from(text.to_owned()).expect("a name");
     let ask = |holder: u64, seq, of: &str| {
-        let op = Op::Acquire { name: name(of), places: 1, ttl_ms: 1_000 };
+        let op = Op::Acquire { name: name(of), slots: 1, ttl_ms: 1_000 };
         Asked::Request(ClientId(9), Request { holder: HolderId(holder), seq, op })
     };
     does(&mut k, 2_000, Asked::Tick);
@@ -97,7 +98,7 @@
     let mut busy = 0;
     for n in 0..MOST_WATCHERS as u64 + 5 {
         let out = does(&mut k, 2_001, Asked::Watch(ClientId(n), None));
-        busy += out.iter().filter(|o| matches!(o, KeeperOutput::Heard(_, Heard::Busy))).count();
+        busy += out.iter().filter(|o| matches!(o, KeeperOutput::Heard(_, Response::Busy))).count();
     }
     assert_eq!(busy, 5);
 }
--- a/crates/fleet/replica/src/parts.rs
+++ b/crates/fleet/replica/src/parts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use beechloft_consensus::{Chunk, Refused, Rope};
-use beechloft_leases::Drift;
+use beechloft_leases::DriftBound;
 use beechloft_topic::{Record, TopicCommand, TopicEvent, TopicOp, TopicRequest};
 
 use crate::asked::{ClientId, KeeperOutput};
@@ -29,7 +29,7 @@
     /// This keeper's clock.
     pub now: Duration,
     /// How far clocks' rates may differ.
-    pub drift: Drift,
+    pub drift: DriftBound,
     /// This keeper leads, as far as it knows.
     pub leads: bool,
 }
--- a/crates/fleet/replica/src/parts/leases.rs
+++ b/crates/fleet/replica/src/parts/leases.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use beechloft_consensus::Refused;
-use beechloft_leases::{Command, Event, Fault, Heard, HolderId, KeeperId, Name, Table, TableError, Token};
+use beechloft_leases::{
+    Applied, Command, Event, Fault, HolderId, Name, ReplicaId, Response, Table, TableError, Token,
+};
 
 use super::{Moment, Part};
 use crate::asked::{ClientId, KeeperOutput};
@@ -78,7 +80,7 @@
     pub fn plant(&mut self, fault: Fault) {
         self.fault = Some(fault);
         #[cfg(feature = "planted")]
-        self.table.plant(fault);
+        self.table.inject(fault);
     }
 
     fn planted(&self, fault: Fault) -> bool {
@@ -107,7 +109,7 @@
     fn count(&mut self, at: Moment, token: Token) {
         let Some(grant) = self.table.grant(token).filter(|_| at.leads) else { return };
         let ttl = Duration::from_millis(u64::from(grant.ttl_ms));
-        let time = if self.planted(Fault::NoDrift) { ttl } else { at.drift.longer(ttl) };
+        let time = if self.planted(Fault::DriftIgnored) { ttl } else { at.drift.longer(ttl) };
         let deadline = Deadline { at: at.now + time, renewals: grant.renewals, told_until: None };
         self.deadlines.insert(token, deadline);
     }
@@ -119,7 +121,7 @@
             Event::Granted { name, .. }
             | Event::Released(name, _)
             | Event::Expired(name, _)
-            | Event::Left(name, _) => name,
+            | Event::HandedOff(name, _) => name,
         };
         let wants = |w: &Watcher| w.told && w.name.as_ref().is_none_or(|n| n == name);
         let watchers = self.watchers.iter().filter(|(_, w)| wants(w));
@@ -138,13 +140,13 @@
         waits: Option<LeasesWait>,
         out: &mut Vec<KeeperOutput>,
     ) {
-        let (answer, event) = self.table.apply(&command);
+        let Applied { answer, event } = self.table.apply(&command);
         match &event {
-            Some(Event::Granted { token, before, .. }) => {
+            Some(Event::Granted { token, previous: before, .. }) => {
                 self.deadlines.retain(|t, _| Some(*t) != *before);
                 self.count(at, *token);
             }
-            Some(Event::Renewed(_, token) | Event::Left(_, token)) => self.count(at, *token),
+            Some(Event::Renewed(_, token) | Event::HandedOff(_, token)) => self.count(at, *token),
             Some(Event::Released(_, token) | Event::Expired(_, token)) => {
                 self.deadlines.remove(token);
             }
@@ -155,7 +157,7 @@
             out.push(KeeperOutput::Event(event));
         }
         if let (Some(LeasesWait::Request(client, holder, seq)), Some(answer)) = (waits, answer) {
-            out.push(KeeperOutput::Heard(client, Heard::Answer { holder, seq, answer }));
+            out.push(KeeperOutput::Heard(client, Response::Answer { holder, seq, answer }));
         }
     }
 
@@ -175,8 +177,8 @@
 
     fn refuse(&mut self, waits: LeasesWait, why: Refused, out: &mut Vec<KeeperOutput>) {
         let heard = match why {
-            Refused::NotLeader(leader) => Heard::NotLeader(leader.map(|l| KeeperId(l.0))),
-            _ => Heard::Busy,
+            Refused::NotLeader(leader) => Response::NotLeader(leader.map(|l| ReplicaId(l.0))),
+            _ => Response::Busy,
         };
         match waits {
             LeasesWait::Request(client, ..) | LeasesWait::List(client) => {
@@ -198,9 +200,9 @@
         self.unwatched.extend(told);
         self.watchers.clear();
         if at.leads {
-            let all: Vec<Token> = self.table.grants().map(|(_, _, token, _)| token).collect();
+            let all: Vec<Token> = self.table.grants().map(|entry| entry.token).collect();
             all.into_iter().for_each(|token| self.count(at, token));
-            if self.planted(Fault::NoTimeAnew) {
+            if self.planted(Fault::TtlNotRestartedOnElection) {
                 self.deadlines.values_mut().for_each(|d| d.at = at.now);
             }
         }
--- a/crates/fleet/replica/src/parts/limits.rs
+++ b/crates/fleet/replica/src/parts/limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use beechloft_consensus::{Chunk, Refused};
-use beechloft_leases::KeeperId;
+use beechloft_leases::ReplicaId;
 use beechloft_quotas::{Command, Definition, Fault, FrontId, Heard, Ledger, LedgerError, Times};
 
 use super::{Moment, Part};
@@ -110,8 +110,10 @@
     fn refuse(&mut self, waits: LimitsWait, why: Refused, out: &mut Vec<KeeperOutput>) {
         let LimitsWait::Request(client, ..) = waits else { return };
         let heard = match why {
-            Refused::NotLeader(leader) => beechloft_leases::Heard::NotLeader(leader.map(|l| KeeperId(l.0))),
-            _ => beechloft_leases::Heard::Busy,
+            Refused::NotLeader(leader) => {
+                beechloft_leases::Response::NotLeader(leader.map(|l| ReplicaId(l.0)))
+            }
+            _ => beechloft_leases::Response::Busy,
         };
         out.push(KeeperOutput::Heard(client, heard));
     }
--- a/crates/fleet/replica/tests/explored.rs
+++ b/crates/fleet/replica/tests/explored.rs
@@ -18,7 +18,7 @@
     Body, Change, Input, MemberId, Membership, Message, Outputs, Settings, Stored, Term, Ticket,
 };
 use beechloft_leases::{
-    Drift, Fault, Heard, Holder, HolderId, HolderInput, HolderOutput, Name, Request, Terms, Token,
+    DriftBound, Fault, Holder, HolderId, HolderInput, HolderOutput, LeaseSpec, Name, Request, Response, Token,
 };
 use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
 use beechloft_replica::{Asked, ClientId, Keeper, KeeperOutput};
@@ -26,7 +26,7 @@
 use support::Memory;
 
 const TTL: Duration = Duration::from_millis(1_000);
-/// In parts of a million; the bound that `Drift` has.
+/// In parts of a million; the bound that `DriftBound` has.
 const PPM: u32 = 90_000;
 
 /// What may happen how often.
@@ -56,7 +56,7 @@
     holders: Vec<Arc<Holder>>,
     on_way: Vec<Arc<Message>>,
     asked: Vec<Arc<(usize, Request)>>,
-    told: Vec<Arc<(usize, Heard)>>,
+    told: Vec<Arc<(usize, Response)>>,
     highest: Token,
     breach: Option<String>,
     left: Left,
@@ -76,7 +76,7 @@
     Look(MemberId),
     Ask(MemberId, Arc<(usize, Request)>),
     AskCopy(MemberId, Arc<(usize, Request)>),
-    Tell(Arc<(usize, Heard)>),
+    Tell(Arc<(usize, Response)>),
     Want(usize),
     /// A candidate looks at its clock.
     Tick(usize),
@@ -133,8 +133,8 @@
 }
 
 impl Small {
-    fn drift(&self) -> Drift {
-        Drift::ppm(PPM).expect("within bounds")
+    fn drift(&self) -> DriftBound {
+        DriftBound::ppm(PPM).expect("within bounds")
     }
 
     fn clock(&self, rate: f64, steps: u32) -> Duration {
@@ -155,11 +155,11 @@
 
     fn holder(&self, n: usize, life: u64) -> Holder {
         let name = Name::try_from("task".to_owned()).expect("a name");
-        let terms = Terms { name, places: 1, ttl_ms: TTL.as_millis() as u32 };
+        let terms = LeaseSpec { name, slots: 1, ttl_ms: TTL.as_millis() as u32 };
         #[allow(unused_mut)]
         let mut holder = Holder::new(HolderId(10 * (n as u64 + 1) + life), terms, self.drift(), 7);
         if let Some(fault) = self.fault {
-            holder.plant(fault);
+            holder.inject(fault);
         }
         holder
     }
@@ -198,7 +198,7 @@
         for output in keeper.released(now, released).expect("a table") {
             match output {
                 KeeperOutput::Peer(message) => put(&mut w.on_way, message),
-                KeeperOutput::Heard(client, heard @ Heard::Answer { .. }) => {
+                KeeperOutput::Heard(client, heard @ Response::Answer { .. }) => {
                     put(&mut w.told, (client.0 as usize, heard));
                 }
                 _ => {}
@@ -211,13 +211,13 @@
         for output in Arc::make_mut(&mut w.holders[n]).handle(now, input) {
             match output {
                 HolderOutput::Send(request) => put(&mut w.asked, (n, request)),
-                HolderOutput::Held(token) => {
+                HolderOutput::Acquired(token) => {
                     if token <= w.highest {
                         w.breach.get_or_insert(format!("{token:?} is held after {:?}", w.highest));
                     }
                     w.highest = w.highest.max(token);
                 }
-                HolderOutput::Lost(_) | HolderOutput::Never(_) => {}
+                HolderOutput::Lost(_) | HolderOutput::Rejected(_) => {}
             }
         }
     }
@@ -283,7 +283,7 @@
             return w;
         }
         for n in 0..2 {
-            self.candidate(&mut w, n, HolderInput::Want);
+            self.candidate(&mut w, n, HolderInput::Acquire);
             self.delivered(&mut w, first);
         }
         if before == Before::HeldByTwo {
@@ -291,7 +291,7 @@
             std::mem::swap(&mut w, &mut without);
             self.stand(&mut w, first);
             self.settle(&mut w);
-            self.candidate(&mut w, 0, HolderInput::Want);
+            self.candidate(&mut w, 0, HolderInput::Acquire);
             while let Some(asked) = w.asked.pop() {
                 self.keeper(&mut w, first, Asked::Request(ClientId(0), asked.1.clone()), false);
             }
@@ -302,9 +302,9 @@
                 }
             }
             while let Some(told) = w.told.pop() {
-                self.candidate(&mut w, told.0, HolderInput::Heard(told.1.clone()));
+                self.candidate(&mut w, told.0, HolderInput::Response(told.1.clone()));
             }
-            self.candidate(&mut w, 1, HolderInput::Want);
+            self.candidate(&mut w, 1, HolderInput::Acquire);
             assert!(w.holders[0].permit(self.clock(self.rates.1, 0)).is_some());
             return w;
         }
@@ -351,7 +351,7 @@
         }
         self.settle(w);
         while let Some(told) = w.told.pop() {
-            self.candidate(w, told.0, HolderInput::Heard(told.1.clone()));
+            self.candidate(w, told.0, HolderInput::Response(told.1.clone()));
         }
     }
 }
@@ -469,16 +469,16 @@
             }
             Event::Tell(t) => {
                 w.told.retain(|x| x != t);
-                self.candidate(w, t.0, HolderInput::Heard(t.1.clone()));
+                self.candidate(w, t.0, HolderInput::Response(t.1.clone()));
             }
-            Event::Want(n) => self.candidate(w, *n, HolderInput::Want),
+            Event::Want(n) => self.candidate(w, *n, HolderInput::Acquire),
             Event::Tick(n) => {
                 w.left.ticks -= 1;
                 self.candidate(w, *n, HolderInput::Tick);
             }
             Event::GiveBack(n) => {
                 w.left.releases -= 1;
-                self.candidate(w, *n, HolderInput::GiveBack);
+                self.candidate(w, *n, HolderInput::Release);
             }
             Event::Lose(id) => {
                 w.left.losses -= 1;
@@ -628,10 +628,10 @@
     let plain = Left { stands: 0, crashes: 0, copies: 0, steps: 3, ticks: 2, releases: 0, kills: 0, ..NONE };
     let looks = Left { steps: 1, ..plain };
     let all: [(Fault, Left, u32, &[Before]); 4] = [
-        (Fault::NoDrift, plain, 5, &[Before::Held]),
-        (Fault::CountsFromArrival, Left { steps: 3, ticks: 1, ..plain }, 4, &[Before::Renewed]),
-        (Fault::SameToken, Left { releases: 1, ..plain }, 5, &[Before::Held]),
-        (Fault::NoTimeAnew, looks, 5, &[Before::HeldAndLedAnew]),
+        (Fault::DriftIgnored, plain, 5, &[Before::Held]),
+        (Fault::TtlFromArrival, Left { steps: 3, ticks: 1, ..plain }, 4, &[Before::Renewed]),
+        (Fault::TokenReused, Left { releases: 1, ..plain }, 5, &[Before::Held]),
+        (Fault::TtlNotRestartedOnElection, looks, 5, &[Before::HeldAndLedAnew]),
     ];
     for (fault, left, parts, before) in all {
         let found = run(left, (1.0, -1.0), parts, Some(fault), before, limits(12, 150_000));
--- a/crates/fleet/replica/tests/leases.rs
+++ b/crates/fleet/replica/tests/leases.rs
@@ -147,9 +147,13 @@
 
 #[test]
 fn planted_faults_are_found() {
-    for fault in
-        [Fault::NoDrift, Fault::CountsFromArrival, Fault::SameToken, Fault::RenewsReleased, Fault::NoTimeAnew]
-    {
+    for fault in [
+        Fault::DriftIgnored,
+        Fault::TtlFromArrival,
+        Fault::TokenReused,
+        Fault::ReleasedGrantRenewed,
+        Fault::TtlNotRestartedOnElection,
+    ] {
         let found = (0..400).find_map(|seed| run(seed, 8, 200, Some(fault)).breach.map(|why| (seed, why)));
         println!("{fault:?}: {found:?}");
         assert!(found.is_some(), "{fault:?} is not found");
--- a/crates/fleet/replica/tests/numbers.rs
+++ b/crates/fleet/replica/tests/numbers.rs
@@ -10,8 +10,8 @@
 
 use beechloft_consensus::MemberId;
 use beechloft_leases::{
-    Answer, Command, Drift, Fault, HolderId, Inherited, Name, Numbering, Op, Part, Request, Table, Token,
-    Will,
+    Answer, Command, DriftBound, Fault, Handoff, HolderId, Name, Op, Request, SlotAssignment, SlotShare,
+    Succession, Table, Token,
 };
 use rand::RngExt;
 use rand::seq::IndexedRandom;
@@ -36,7 +36,7 @@
 struct Front {
     life: HolderId,
     restarts: Option<Restarts>,
-    numbering: Numbering,
+    numbering: SlotAssignment,
     /// Of each server, what it did within the span, by its own clock.
     did: BTreeMap<u32, VecDeque<Duration>>,
 }
@@ -54,10 +54,10 @@
 }
 
 /// As the module paces (`Policy::pace_allows`).
-fn allowed(server: u32, whole: usize, part: Part) -> usize {
-    let Part::Of { number, of } = part else { return 0 };
-    match whole / of as usize {
-        0 => usize::from(((server + number) % of) < whole as u32),
+fn allowed(server: u32, whole: usize, part: SlotShare) -> usize {
+    let SlotShare::Of { slot, slot_count } = part else { return 0 };
+    match whole / slot_count as usize {
+        0 => usize::from(((server + slot) % slot_count) < whole as u32),
         part => part,
     }
 }
@@ -65,9 +65,9 @@
 impl Fronts {
     fn front(&self, life: HolderId) -> Front {
         #[allow(unused_mut)]
-        let mut numbering = Numbering::new(Drift::ppm(50_000).expect("within bounds"), SPAN);
+        let mut numbering = SlotAssignment::new(DriftBound::ppm(50_000).expect("within bounds"), SPAN);
         if let Some(fault) = self.fault {
-            numbering.plant(fault);
+            numbering.inject(fault);
         }
         Front { life, restarts: None, numbering, did: BTreeMap::new() }
     }
@@ -84,12 +84,12 @@
             }
             let front = &mut self.all[n];
             let permit = w.candidates[n].holder.permit(now);
-            if let Some(taken) = permit.as_ref().filter(|p| p.inherited().is_some()) {
+            if let Some(taken) = permit.as_ref().filter(|p| p.succession().is_some()) {
                 self.taken_over.extend(taken.token_at(now));
             }
-            front.numbering.look(now, permit.as_ref());
-            let part = front.numbering.part(now);
-            self.with_part += u64::from(part != Part::None);
+            front.numbering.update(now, permit.as_ref());
+            let part = front.numbering.share(now);
+            self.with_part += u64::from(part != SlotShare::None);
             for (server, whole) in SERVERS {
                 let did = front.did.entry(server).or_default();
                 while did.front().is_some_and(|t| now - *t > SPAN) {
@@ -149,7 +149,7 @@
             let (Some(now), Some(restarts)) = (w.clock(n), &mut front.restarts) else { continue };
             if w.now >= restarts.leaves && !restarts.left {
                 restarts.left = true;
-                if let Some(farewell) = front.numbering.farewell(now, 1_500) {
+                if let Some(farewell) = front.numbering.handoff_offer(now, 1_500) {
                     w.leave(n, farewell);
                 }
             } else if w.now >= restarts.starts {
@@ -224,16 +224,16 @@
 #[test]
 fn planted_faults_are_found() {
     for fault in [
-        Fault::NumberAtOnce,
-        Fault::SmallerAtOnce,
-        Fault::PlaceTwice,
-        Fault::RestForgotten,
-        Fault::ActsAfterLeaving,
-        Fault::OfForgotten,
-        Fault::LeftTwice,
+        Fault::SlotUsedAtOnce,
+        Fault::SmallerCountAtOnce,
+        Fault::SlotGrantedTwice,
+        Fault::RemainderIgnored,
+        Fault::UsedAfterHandoff,
+        Fault::SlotCountNotInherited,
+        Fault::HandoffRepeated,
     ] {
         // It takes a fleet that shrinks while a number is taken over: the first seed from nought that shows it is 436.
-        let first = if fault == Fault::OfForgotten { 400 } else { 0 };
+        let first = if fault == Fault::SlotCountNotInherited { 400 } else { 0 };
         let found =
             (first..first + 100).find_map(|seed| run(seed, Some(fault)).0.breach.map(|why| (seed, why)));
         println!("{fault:?}: {found:?}");
@@ -252,35 +252,35 @@
         // The time of the lease, the span, and two seconds for a leader and to be asked for.
         if step * STEP.as_millis() > 1_000 + 700 + 2_000 {
             for (n, front) in fronts.all.iter().enumerate() {
-                let part = front.numbering.part(w.clock(n).expect("it runs"));
-                assert!(matches!(part, Part::Of { of: 16, .. }), "{n}: {part:?} at step {step}");
+                let part = front.numbering.share(w.clock(n).expect("it runs"));
+                assert!(matches!(part, SlotShare::Of { slot_count: 16, .. }), "{n}: {part:?} at step {step}");
             }
         }
     }
-    let numbers: std::collections::BTreeSet<_> = fronts.all.iter().map(|f| f.numbering.number()).collect();
+    let numbers: std::collections::BTreeSet<_> = fronts.all.iter().map(|f| f.numbering.slot()).collect();
     assert_eq!(numbers.len(), FRONTS);
 }
 
 /// What a third one in the first one's seat takes over, if a second was granted after the first last heard of its own grant, and has
 /// ended: what that one did by a part of more than one is not over.
-fn taken_over_after_another_has_gone(fault: Option<Fault>) -> Option<Inherited> {
+fn taken_over_after_another_has_gone(fault: Option<Fault>) -> Option<Succession> {
     let mut table = Table::default();
     if let Some(fault) = fault {
-        table.plant(fault);
+        table.inject(fault);
     }
     let name = |text: &str| Name::try_from(text.to_owned()).expect("a name");
     let mut ask = |holder, seq, op| {
         let request = Request { holder: HolderId(holder), seq, op };
-        table.apply(&Command::Request(request)).0.expect("an answer")
+        table.apply(&Command::Request(request)).answer.expect("an answer")
     };
-    let sits = |seat| Op::AcquireAs { name: name("task"), places: 9, ttl_ms: 3_000, seat: name(seat) };
+    let sits = |seat| Op::AcquireAs { name: name("task"), slots: 9, ttl_ms: 3_000, instance: name(seat) };
     ask(1, 1, sits("a"));
     ask(2, 1, sits("b"));
-    let will = Will { of: 1, rest_ms: 700, newest: Token(1), keep_ms: 5_000 };
-    assert_eq!(ask(1, 2, Op::Leave { name: name("task"), token: Token(1), will }), Answer::Left);
+    let handoff = Handoff { slot_count: 1, remaining_ms: 700, newest_token: Token(1), reserve_ms: 5_000 };
+    assert_eq!(ask(1, 2, Op::HandOff { name: name("task"), token: Token(1), handoff }), Answer::HandedOff);
     ask(2, 2, Op::Release { name: name("task"), token: Token(2) });
     match ask(3, 1, sits("a")) {
-        Answer::Seat(Token(3), standing, seated) if standing.place == 0 => seated.inherited,
+        Answer::HeldByInstance(Token(3), position, grant) if position.slot == 0 => grant.succession,
         other => panic!("{other:?}"),
     }
 }
@@ -288,5 +288,8 @@
 #[test]
 fn a_number_is_taken_over_as_any_other_if_one_that_was_not_heard_of_has_gone() {
     assert_eq!(taken_over_after_another_has_gone(None), None);
-    assert!(taken_over_after_another_has_gone(Some(Fault::GoneUnseen)).is_some(), "the fault is not found");
+    assert!(
+        taken_over_after_another_has_gone(Some(Fault::EndedGrantIgnored)).is_some(),
+        "the fault is not found"
+    );
 }
--- a/crates/fleet/replica/tests/support/mod.rs
+++ b/crates/fleet/replica/tests/support/mod.rs
@@ -10,8 +10,8 @@
     Change, Disk, Input, MemberId, Membership, Message, Outputs, Save, Settings, Stored, Ticket,
 };
 use beechloft_leases::{
-    Answer, Drift, Farewell, Fault, Heard, Holder, HolderId, HolderInput, HolderOutput, Name, Op, Request,
-    Route, Terms, Token,
+    Answer, DriftBound, Fault, HandoffOffer, Holder, HolderId, HolderInput, HolderOutput, LeaderLocator,
+    LeaseSpec, Name, Op, Request, Response, Token,
 };
 use beechloft_replica::{Asked, ClientId, Keeper, KeeperOutput};
 use rand::{RngExt, SeedableRng};
@@ -45,7 +45,7 @@
     pub id: HolderId,
     rate: f64,
     stopped_until: Duration,
-    route: Route,
+    route: LeaderLocator,
     start: u32,
     /// The entry that has it look at its clock next, and when; what was put in before is none any more.
     looks: (u64, Duration),
@@ -56,7 +56,7 @@
 enum Ahead {
     Peer(Message),
     Ask(MemberId, usize, Request),
-    Tell(usize, u32, Heard),
+    Tell(usize, u32, Response),
     KeeperTick(MemberId, u32),
     CandidateTick(usize, u64),
     Restart(MemberId),
@@ -81,7 +81,7 @@
     pub cut: BTreeSet<(MemberId, MemberId)>,
     pub deaf: BTreeSet<(usize, MemberId)>,
     pub dice: ChaCha8Rng,
-    drift: Drift,
+    drift: DriftBound,
     off_by: f64,
     places: u16,
     ttl_ms: u32,
@@ -128,7 +128,7 @@
             crash: 0,
             cut: BTreeSet::new(),
             deaf: BTreeSet::new(),
-            drift: Drift::ppm(ppm).expect("within bounds"),
+            drift: DriftBound::ppm(ppm).expect("within bounds"),
             off_by: f64::from(ppm) / 1e6,
             places,
             ttl_ms: 1_000,
@@ -175,7 +175,7 @@
                 id,
                 rate,
                 stopped_until: Duration::ZERO,
-                route: Route::new(keepers as usize, n),
+                route: LeaderLocator::new(keepers as usize, n),
                 start: 0,
                 looks: (0, Duration::MAX),
                 wants: false,
@@ -207,15 +207,15 @@
 
     fn holder(&mut self, id: HolderId) -> Holder {
         let name = Name::try_from("task".to_owned()).expect("a name");
-        let terms = Terms { name, places: self.places, ttl_ms: self.ttl_ms };
+        let terms = LeaseSpec { name, slots: self.places, ttl_ms: self.ttl_ms };
         #[allow(unused_mut)]
         let mut holder = Holder::new(id, terms, self.drift, self.dice.random());
         if self.seats {
             let seat = Name::try_from(format!("seat-{}", id.0 % 1_000 / 2)).expect("a name");
-            holder = holder.seated(seat);
+            holder = holder.with_instance(seat);
         }
         if let Some(fault) = self.fault {
-            holder.plant(fault);
+            holder.inject(fault);
         }
         holder
     }
@@ -460,7 +460,7 @@
 
     pub fn want(&mut self, n: usize) {
         self.candidates[n].wants = true;
-        self.candidate(n, HolderInput::Want);
+        self.candidate(n, HolderInput::Acquire);
     }
 
     /// All candidates have seats from now on; none has asked for anything yet.
@@ -473,9 +473,9 @@
     }
 
     /// Its place is left to the next one of its seat.
-    pub fn leave(&mut self, n: usize, farewell: Farewell) {
+    pub fn leave(&mut self, n: usize, farewell: HandoffOffer) {
         self.candidates[n].wants = false;
-        self.candidate(n, HolderInput::Leave(farewell));
+        self.candidate(n, HolderInput::HandOff(farewell));
     }
 
     /// A candidate's process is killed, and another starts that wants the lease.
@@ -486,7 +486,7 @@
 
     pub fn give_back(&mut self, n: usize) {
         self.candidates[n].wants = false;
-        self.candidate(n, HolderInput::GiveBack);
+        self.candidate(n, HolderInput::Release);
     }
 
     pub fn leader(&self) -> Option<MemberId> {
@@ -498,26 +498,26 @@
         self.keepers.keys().copied().collect()
     }
 
-    fn told(&mut self, n: usize, heard: Heard) {
-        if let Heard::NotLeader(leader) = &heard {
+    fn told(&mut self, n: usize, heard: Response) {
+        if let Response::NotLeader(leader) = &heard {
             let ids = self.keeper_ids();
             let at = leader.and_then(|l| ids.iter().position(|i| i.0 == l.0));
-            self.candidates[n].route.not_leader(at);
+            self.candidates[n].route.on_not_leader(at);
         } else {
-            self.candidates[n].route.answered();
+            self.candidates[n].route.on_response();
         }
-        if let Heard::Answer { holder, seq, answer } = heard {
+        if let Response::Answer { holder, seq, answer } = heard {
             // A process that was killed in between hears nothing of what was asked before.
             let asked = self.made.get(&(holder, seq)).copied().unwrap_or_default();
             match answer {
                 _ if holder != self.candidates[n].id => {}
                 Answer::Granted(token, _) => self.lives(Lived { token, asked }, true),
-                Answer::Seat(token, ..) => self.lives(Lived { token, asked }, false),
+                Answer::HeldByInstance(token, ..) => self.lives(Lived { token, asked }, false),
                 Answer::Renewed(token, _) => self.lives(Lived { token, asked }, false),
                 _ => {}
             }
         }
-        self.candidate(n, HolderInput::Heard(heard));
+        self.candidate(n, HolderInput::Response(heard));
     }
 
     /// The history as holders saw it. For one place: a grant or renewal that was asked for after a higher token's grant had
@@ -554,7 +554,7 @@
         for output in outputs {
             match output {
                 HolderOutput::Send(request) => self.send(n, request),
-                HolderOutput::Held(token) => {
+                HolderOutput::Acquired(token) => {
                     self.granted += 1;
                     self.candidates[n].last_token = Some(token);
                     if token <= self.highest && self.places == 1 {
@@ -565,7 +565,7 @@
                     self.overlap(n);
                 }
                 HolderOutput::Lost(_) => {}
-                HolderOutput::Never(why) => panic!("never: {why}"),
+                HolderOutput::Rejected(why) => panic!("never: {why}"),
             }
         }
         self.wake_candidate(n);
@@ -578,7 +578,7 @@
         if matches!(request.op, Op::Renew { .. }) {
             self.renewed += 1;
         }
-        let to = ids[self.candidates[n].route.take()];
+        let to = ids[self.candidates[n].route.next_target()];
         if self.deaf.contains(&(n, to)) || self.chance(self.lost) {
             return;
         }
--- a/crates/fleet/replica/tests/topics/world.rs
+++ b/crates/fleet/replica/tests/topics/world.rs
@@ -10,7 +10,7 @@
     Change, Disk, Input, MemberId, Membership, Message, Outputs, Payload, Refused, Save, Settings, Stored,
     Ticket,
 };
-use beechloft_leases::{Drift, Name, Route};
+use beechloft_leases::{DriftBound, LeaderLocator, Name};
 use beechloft_replica::{Asked, ClientId, Command, Keeper, KeeperOutput};
 use beechloft_topic::{
     Expect, Fault, Feed, Key, Offset, Outcome, Position, Publisher, PublisherId, PublisherInput,
@@ -57,7 +57,7 @@
 
 pub struct Pub {
     machine: Publisher,
-    route: Route,
+    route: LeaderLocator,
     life: u64,
 }
 
@@ -87,7 +87,7 @@
     pub crash: u32,
     pub cut: BTreeSet<(MemberId, MemberId)>,
     pub dice: ChaCha8Rng,
-    drift: Drift,
+    drift: DriftBound,
     set: Settings,
     fault: Option<Fault>,
     ahead: BTreeMap<(Duration, u64), Ahead>,
@@ -142,7 +142,7 @@
             crash: 0,
             cut: BTreeSet::new(),
             dice: ChaCha8Rng::seed_from_u64(seed),
-            drift: Drift::ppm(50_000).expect("within bounds"),
+            drift: DriftBound::ppm(50_000).expect("within bounds"),
             set,
             fault,
             ahead: BTreeMap::new(),
@@ -224,7 +224,7 @@
         };
         let id = PublisherId(1_000 * life + n as u64);
         let machine = Publisher::one_of_many(id, name(), settings, self.dice.random());
-        Pub { machine, route: Route::new(self.keepers.len(), n), life }
+        Pub { machine, route: LeaderLocator::new(self.keepers.len(), n), life }
     }
 
     fn later(&mut self, after: Duration, what: Ahead) {
@@ -297,11 +297,11 @@
                 if self.pubs[n].life == life {
                     let input = match answer {
                         Ok(heard) => {
-                            self.pubs[n].route.answered();
+                            self.pubs[n].route.on_response();
                             PublisherInput::Heard(heard)
                         }
                         Err(leader) => {
-                            self.pubs[n].route.not_leader(leader);
+                            self.pubs[n].route.on_not_leader(leader);
                             PublisherInput::NotNow
                         }
                     };
@@ -575,7 +575,7 @@
             match output {
                 PublisherOutput::Send(request) => {
                     let ids = self.keeper_ids();
-                    let to = ids[self.pubs[n].route.take() % ids.len()];
+                    let to = ids[self.pubs[n].route.next_target() % ids.len()];
                     let copies = u32::from(!self.chance(self.lost)) + u32::from(self.chance(self.doubled));
                     for _ in 0..copies {
                         let way = self.way();
--- a/crates/fleet/topic/src/lib.rs
+++ b/crates/fleet/topic/src/lib.rs
@@ -29,7 +29,7 @@
 mod topics;
 mod words;
 
-pub use beechloft_leases::{Drift, Name};
+pub use beechloft_leases::{DriftBound, Name};
 pub use chunks::{Chunk, ChunkError, ChunkName};
 pub use feed::{Batch, Feed, Position, Said, Told};
 pub use log::Layout;
--- a/crates/fleet/topic/src/retention.rs
+++ b/crates/fleet/topic/src/retention.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use beechloft_leases::{Drift, Name};
+use beechloft_leases::{DriftBound, Name};
 
 use crate::planted::Fault;
 use crate::topic::Topic;
@@ -67,7 +67,7 @@
 /// The leader's count.
 #[derive(Debug, Clone)]
 pub struct Retention {
-    drift: Drift,
+    drift: DriftBound,
     topics: BTreeMap<Name, Marks>,
     fault: Option<Fault>,
 }
@@ -81,7 +81,7 @@
 
 impl Retention {
     /// Nothing is counted yet.
-    pub fn new(drift: Drift) -> Retention {
+    pub fn new(drift: DriftBound) -> Retention {
         Retention { drift, topics: BTreeMap::new(), fault: None }
     }
 
--- a/crates/fleet/topic/tests/support/mod.rs
+++ b/crates/fleet/topic/tests/support/mod.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use beechloft_topic::{
-    Drift, Expect, Fault, Feed, Key, Layout, Name, Offset, Outcome, Publisher, PublisherId, PublisherInput,
-    PublisherOutput, PublisherSettings, PublisherTicket, Record, Retention, Said, Subscriber,
+    DriftBound, Expect, Fault, Feed, Key, Layout, Name, Offset, Outcome, Publisher, PublisherId,
+    PublisherInput, PublisherOutput, PublisherSettings, PublisherTicket, Record, Retention, Said, Subscriber,
     SubscriberInput, SubscriberOutput, SubscriberSettings, Terms, Told, TopicAnswer, TopicCommand,
     TopicEvent, TopicHeard, TopicOp, TopicRequest, Topics, Value,
 };
@@ -130,7 +130,7 @@
         first.apply(&TopicCommand::Declare { topic: name(), life: 1, terms });
         let chunks: Vec<_> = first.write_chunks().into_iter().map(|c| c.bytes).collect();
         #[allow(unused_mut)]
-        let mut retention = Retention::new(Drift::ppm(1_000).expect("within bounds"));
+        let mut retention = Retention::new(DriftBound::ppm(1_000).expect("within bounds"));
         if let Some(fault) = fault {
             retention.plant(fault);
         }
--- a/crates/fleet/topic/tests/writers.rs
+++ b/crates/fleet/topic/tests/writers.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use beechloft_topic::{
-    Drift, Epoch, Expect, Fault, Layout, Offset, Outcome, Publisher, PublisherId, PublisherInput,
+    DriftBound, Epoch, Expect, Fault, Layout, Offset, Outcome, Publisher, PublisherId, PublisherInput,
     PublisherOutput, PublisherSettings, PublisherTicket, Record, Retention, Terms, TopicAnswer, TopicCommand,
     TopicEvent, TopicHeard, TopicOp, TopicRequest, Topics, Value, Writers,
 };
@@ -118,7 +118,7 @@
 /// changes of the lead it is forgotten soon after.
 fn remembered(seed: u64, fault: Option<Fault>) -> (Option<String>, usize) {
     let mut dice = ChaCha8Rng::seed_from_u64(seed);
-    let drift = Drift::ppm(50_000).expect("within bounds");
+    let drift = DriftBound::ppm(50_000).expect("within bounds");
     let mut topics = Topics::new(Layout::default());
     let terms = Terms { retention_ms: RETENTION.as_millis() as u32, ..Terms::default() };
     topics.apply(&TopicCommand::Declare { topic: name(), life: 1, terms });
