--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-use beechloft_config::reader;
+use beechloft_config_reader as config_reader;
 use beechloft_coordinator::FleetSettings;
 use beechloft_leases::{Name, Terms};
 
@@ -25,7 +25,7 @@
 pub fn settings(file: &Path) -> Result<FleetSettings, ExitCode> {
     let text = std::fs::read_to_string(file).map_err(|e| fail(2, format_args!("{}: {e}", file.display())))?;
     // A front's file, with all that is in it, or one of the fleet's section alone.
-    let read = reader::read(&text, |top| match top.has("service") {
+    let read = config_reader::read(&text, |top| match top.has("service") {
         true => serve::read_sections(top).1,
         false => Some(FleetSettings::of(&top.section("fleet"), None)),
     });
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -4,7 +4,8 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use beechloft_config::{FrontSettings, Section, reader};
+use beechloft_config::FrontSettings;
+use beechloft_config_reader::{self as config_reader, ConfigError, Section};
 use beechloft_coordinator::{FleetSettings, Known};
 use beechloft_quotas::bounds;
 use beechloft_server::Front;
@@ -31,7 +32,7 @@
             limits.tagged = front.sip.is_none();
         }
         if fleet.number.is_some() && front.numbered {
-            section.fault("number", "it comes by lease; front.number and front.of say something else");
+            section.report("number", "it comes by lease; front.number and front.of say something else");
         }
         fleet
     });
@@ -44,7 +45,7 @@
         Ok(text) => text,
         Err(e) => return fail(2, format_args!("{}: {e}", file.display())),
     };
-    let (settings, fleet) = match reader::read(&text, read_sections) {
+    let (settings, fleet) = match config_reader::read(&text, read_sections) {
         Ok(settings) => settings,
         Err(faults) => return faulty(file, &faults.0),
     };
@@ -106,7 +107,7 @@
     let read = if day {
         beechloft_scenario::parse(&text, 1).map(|_| None)
     } else {
-        reader::read(&text, read_sections).map(|(_, fleet)| fleet)
+        config_reader::read(&text, read_sections).map(|(_, fleet)| fleet)
     };
     match read {
         Err(faults) => faulty(file, &faults.0),
@@ -128,7 +129,7 @@
     }
 }
 
-fn faulty(file: &Path, faults: &[beechloft_config::Fault]) -> ExitCode {
+fn faulty(file: &Path, faults: &[ConfigError]) -> ExitCode {
     for fault in faults {
         eprintln!("{}:{fault}", file.display());
     }
--- a/crates/fleet/coordinator/src/settings.rs
+++ b/crates/fleet/coordinator/src/settings.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use beechloft_config::{Faults, Section, reader};
+use beechloft_config_reader::{self as config_reader, ConfigErrors, Section};
 use beechloft_leases::{Drift, Name, Terms};
 use beechloft_membership::Zone;
 
@@ -77,8 +77,8 @@
 
 impl FleetSettings {
     /// Reads a file; all faults together, each with its line and key.
-    pub fn read(text: &str) -> Result<FleetSettings, Faults> {
-        reader::read(text, |top| FleetSettings::of(&top.section("fleet"), None))
+    pub fn read(text: &str) -> Result<FleetSettings, ConfigErrors> {
+        config_reader::read(text, |top| FleetSettings::of(&top.section("fleet"), None))
     }
 
     /// Reads the section of a file that says more than this; `zones` are those that the rest of it names.
@@ -125,36 +125,36 @@
 }
 
 fn fleet(s: &Section<'_>, zones: Option<&[String]>, known: Option<Known<'_>>) -> FleetSettings {
-    let name = s.needed_text("name");
+    let name = s.required_text("name");
     if name.is_empty() || name.len() > 64 {
-        s.fault("name", "1 to 64 bytes are needed");
+        s.report("name", "1 to 64 bytes are needed");
     }
     let keepers = addresses(s, "keepers");
     let count = s.texts("keepers").len();
     if count == 0 {
-        s.fault("keepers", "one at least is needed");
+        s.report("keepers", "one at least is needed");
     } else if count.is_multiple_of(2) {
-        s.fault("keepers", format!("{count} are as good as {}: an odd number is needed", count - 1));
+        s.report("keepers", format!("{count} are as good as {}: an odd number is needed", count - 1));
     } else if count > MOST_KEEPERS {
-        s.fault("keepers", format!("{MOST_KEEPERS} at most"));
+        s.report("keepers", format!("{MOST_KEEPERS} at most"));
     }
     let listen: Option<SocketAddr> = s.address("listen");
     let seeds = addresses(s, "seeds");
     if seeds.len() > MOST_SEEDS {
-        s.fault("seeds", format!("{MOST_SEEDS} at most"));
+        s.report("seeds", format!("{MOST_SEEDS} at most"));
     }
     if s.has("seeds") && listen.is_none() {
-        s.fault("seeds", "others reach a member at fleet.listen, which is missing");
+        s.report("seeds", "others reach a member at fleet.listen, which is missing");
     }
     if s.has("seeds") && listen.is_some_and(|l| l.ip().is_unspecified()) {
-        s.fault("listen", "others are told this address, and can't reach this one");
+        s.report("listen", "others are told this address, and can't reach this one");
     }
-    let ppm = s.whole("drift_ppm", 0..=99_999).unwrap_or(10_000) as u32;
+    let ppm = s.integer("drift_ppm", 0..=99_999).unwrap_or(10_000) as u32;
     // Within bounds by the range above; a file with a fault there is not used.
     let drift = Drift::ppm(ppm).unwrap_or_default();
     let limits = s.has("limits").then(|| limits::limits(&s.section("limits"), drift, known));
     if limits.as_ref().is_some_and(LimitsSettings::any_soft) && !s.has("seeds") {
-        s.fault(
+        s.report(
             "limits",
             "soft limits go from front to front, and fleet.seeds, by which they know each other, is missing",
         );
@@ -165,7 +165,7 @@
         .filter(|_| s.has("verdicts"))
         .map(|rows| verdicts::verdicts(&s.section("verdicts"), rows.staleness(most_fronts(s))));
     if spread.is_some() && (!s.has("seeds") || listen.is_none()) {
-        s.fault("verdicts", "fronts share them as members: fleet.seeds and fleet.listen are needed");
+        s.report("verdicts", "fronts share them as members: fleet.seeds and fleet.listen are needed");
     }
     FleetSettings {
         name,
@@ -192,17 +192,17 @@
 
 /// A lease's terms; what is wrong with them is a fault of the key that says the time.
 fn terms(s: &Section<'_>, name: &str, places: u16, ttl: (&'static str, u64), drift: Drift) -> Option<Terms> {
-    let ttl_ms = s.whole(ttl.0, 1..=3_600_000).unwrap_or(ttl.1) as u32;
+    let ttl_ms = s.integer(ttl.0, 1..=3_600_000).unwrap_or(ttl.1) as u32;
     let terms = Terms { name: Name::try_from(name.to_owned()).ok()?, places, ttl_ms };
     if let Err(why) = terms.check(drift) {
-        s.fault(ttl.0, why.to_string());
+        s.report(ttl.0, why.to_string());
     }
     Some(terms)
 }
 
 /// Fronts at most.
 fn most_fronts(s: &Section<'_>) -> usize {
-    s.whole("most_fronts", 1..=4_096).unwrap_or(1_024) as usize
+    s.integer("most_fronts", 1..=4_096).unwrap_or(1_024) as usize
 }
 
 /// Whether anything is asked for that needs rows.
@@ -219,13 +219,13 @@
 fn seat(s: &Section<'_>) -> Option<Name> {
     let text = s.text("seat")?;
     if !s.has("number") {
-        s.fault("seat", "a number is left there, and fleet.number is missing");
+        s.report("seat", "a number is left there, and fleet.number is missing");
     }
-    Name::try_from(text).map_err(|e| s.fault("seat", e.to_string())).ok()
+    Name::try_from(text).map_err(|e| s.report("seat", e.to_string())).ok()
 }
 
 fn restart(s: &Section<'_>, drift: Drift) -> Option<Restart> {
-    let places = s.needed_whole("at_most", 1..=4_096) as u16;
+    let places = s.required_integer("at_most", 1..=4_096) as u16;
     let wait = s.millis("wait_ms", 1..=3_600_000).unwrap_or(Duration::from_secs(60));
     let terms = terms(s, "front/restart", places, ("back_ms", 15_000), drift)?;
     Some(Restart { terms, wait })
@@ -236,9 +236,9 @@
     let mut all: Vec<SocketAddr> = Vec::new();
     for text in s.texts(key) {
         match text.parse() {
-            Ok(address) if all.contains(&address) => s.fault(key, format!("{address} is there twice")),
+            Ok(address) if all.contains(&address) => s.report(key, format!("{address} is there twice")),
             Ok(address) => all.push(address),
-            Err(_) => s.fault(key, format!("'{text}' is no address with a port")),
+            Err(_) => s.report(key, format!("'{text}' is no address with a port")),
         }
     }
     all
@@ -250,10 +250,10 @@
     let known = zones.filter(|z| !z.is_empty()).unwrap_or(&listed);
     let text = s.text("zone").unwrap_or_default();
     if !text.is_empty() && !known.is_empty() && !known.contains(&text) {
-        s.fault("zone", format!("there is no zone '{text}'; there are {}", known.join(", ")));
+        s.report("zone", format!("there is no zone '{text}'; there are {}", known.join(", ")));
     }
     Zone::try_from(text).unwrap_or_else(|e| {
-        s.fault("zone", e.to_string());
+        s.report("zone", e.to_string());
         Zone::default()
     })
 }
@@ -265,7 +265,7 @@
         let pair = text.split_once('=').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
         match pair {
             Some((keeper, address)) => drop(all.insert(keeper, address)),
-            None => s.fault(key, format!("'{text}' is not PROCESS=ADDRESS")),
+            None => s.report(key, format!("'{text}' is not PROCESS=ADDRESS")),
         }
     }
     all
--- a/crates/fleet/coordinator/src/settings/limits.rs
+++ b/crates/fleet/coordinator/src/settings/limits.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use beechloft_config::Section;
+use beechloft_config_reader::Section;
 use beechloft_leases::{Drift, Name};
 use beechloft_quotas::define::{MOST, MOST_FRONTS};
 use beechloft_quotas::{Counts, Definition, Key, Kind, Of, Rules, bounds};
@@ -38,19 +38,19 @@
 pub(super) fn limits(s: &Section<'_>, drift: Drift, known: Option<Known<'_>>) -> LimitsSettings {
     let d = Rules::default();
     let rules = Rules {
-        fronts: s.needed_whole("fronts", 1..=u64::from(MOST_FRONTS)) as u32,
-        ttl_ms: s.whole("ttl_ms", 1..=600_000).unwrap_or(u64::from(d.ttl_ms)) as u32,
-        settle_ms: s.whole("settle_ms", 100..=600_000).unwrap_or(u64::from(d.settle_ms)) as u32,
-        horizon_ms: s.whole("horizon_ms", 100..=600_000).unwrap_or(u64::from(d.horizon_ms)) as u32,
+        fronts: s.required_integer("fronts", 1..=u64::from(MOST_FRONTS)) as u32,
+        ttl_ms: s.integer("ttl_ms", 1..=600_000).unwrap_or(u64::from(d.ttl_ms)) as u32,
+        settle_ms: s.integer("settle_ms", 100..=600_000).unwrap_or(u64::from(d.settle_ms)) as u32,
+        horizon_ms: s.integer("horizon_ms", 100..=600_000).unwrap_or(u64::from(d.horizon_ms)) as u32,
     };
     if let Err(why) = rules.check(drift) {
-        s.fault("ttl_ms", why.to_string());
+        s.report("ttl_ms", why.to_string());
     }
     let mut definitions: Vec<Definition> = Vec::new();
     for one in s.sections("list") {
         let Some(definition) = definition(&one, &rules, known) else { continue };
         if definitions.iter().any(|d| d.name == definition.name) {
-            one.fault("name", "a second limit of this name");
+            one.report("name", "a second limit of this name");
         }
         definitions.push(definition);
     }
@@ -58,8 +58,8 @@
 }
 
 fn definition(s: &Section<'_>, rules: &Rules, known: Option<Known<'_>>) -> Option<Definition> {
-    let text = s.needed_text("name");
-    let name = Name::try_from(text).map_err(|e| s.fault("name", e.to_string())).ok();
+    let text = s.required_text("name");
+    let name = Name::try_from(text).map_err(|e| s.report("name", e.to_string())).ok();
     let counts = [
         ("sessions", Counts::Sessions),
         ("kbits", Counts::Kbits),
@@ -77,7 +77,7 @@
     ];
     for key in ["counts", "of", "kind"] {
         if !s.has(key) {
-            s.fault(key, "missing");
+            s.report(key, "missing");
         }
     }
     let counts = s.choice("counts", &counts).unwrap_or(Counts::Sessions);
@@ -86,7 +86,7 @@
     let over = s.number("over", 0.0..=10.0);
     let hard = s.choice("kind", &[("hard", true), ("soft", false)]).unwrap_or(true);
     if hard && over.is_some() {
-        s.fault("over", "a hard limit is never over");
+        s.report("over", "a hard limit is never over");
     }
     let kind = if hard { Kind::Hard } else { Kind::Soft { over_milli: milli(over.unwrap_or(0.1)) } };
     let only = s.text("key");
@@ -103,7 +103,7 @@
         && !what.is_empty()
         && !all.contains(only)
     {
-        s.fault("key", format!("no {what} is called '{only}'"));
+        s.report("key", format!("no {what} is called '{only}'"));
     }
     let definition = Definition {
         name: name?,
@@ -111,21 +111,21 @@
         counts,
         of,
         only: only.as_deref().map(Key::of),
-        limit: s.needed_whole("limit", 1..=MOST),
+        limit: s.required_integer("limit", 1..=MOST),
         kind,
         least: least.round() as u64,
         weights,
         keep_milli: milli(s.number("keep", 0.0..=1.0).unwrap_or(0.0)),
-        longest_ms: s.whole("longest_s", 1..=604_800).unwrap_or(4 * 3_600) * 1_000,
-        burst_milli: s.whole("burst_ms", 0..=60_000).unwrap_or(1_000) as u32,
+        longest_ms: s.integer("longest_s", 1..=604_800).unwrap_or(4 * 3_600) * 1_000,
+        burst_milli: s.integer("burst_ms", 0..=60_000).unwrap_or(1_000) as u32,
         fronts: rules.fronts,
         settle_ms: rules.settle_ms,
     };
     for fault in definition.faults() {
-        s.fault(fault.key(), fault.to_string());
+        s.report(fault.key(), fault.to_string());
     }
     if !bounds::soft_can_grow(&definition) {
-        s.fault(
+        s.report(
             "over",
             format!("it lets none of {} fronts grow by one: a larger over, or hard", rules.fronts),
         );
@@ -136,12 +136,12 @@
 fn weights(s: &Section<'_>, known: Option<Known<'_>>) -> BTreeMap<Key, u32> {
     let mut all = BTreeMap::new();
     for one in s.sections("weights") {
-        let customer = one.needed_text("customer");
+        let customer = one.required_text("customer");
         if known.is_some_and(|k| !k.customers.contains(&customer)) {
-            one.fault("customer", format!("no customer is called '{customer}'"));
+            one.report("customer", format!("no customer is called '{customer}'"));
         }
-        if all.insert(Key::of(&customer), one.needed_whole("weight", 1..=1_000_000) as u32).is_some() {
-            one.fault("customer", "it is there twice");
+        if all.insert(Key::of(&customer), one.required_integer("weight", 1..=1_000_000) as u32).is_some() {
+            one.report("customer", "it is there twice");
         }
     }
     all
@@ -150,14 +150,14 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use beechloft_config::reader;
+    use beechloft_config_reader as config_reader;
 
     fn read(list: &str) -> Result<LimitsSettings, String> {
         let customers = ["market".to_owned(), "school".to_owned()];
         let known = Known { customers: &customers, classes: &[] };
         let drift = Drift::ppm(10_000).expect("within bounds");
         let text = format!("limits:\n  fronts: 10\n  list:\n{list}");
-        reader::read(&text, |top| limits(&top.section("limits"), drift, Some(known)))
+        config_reader::read(&text, |top| limits(&top.section("limits"), drift, Some(known)))
             .map_err(|f| f.to_string())
     }
 
@@ -196,7 +196,7 @@
         );
         one("name: a b, counts: sessions, of: all, kind: hard, limit: 20", "name: a name has");
         one("name: x, counts: seats, of: all, kind: hard, limit: 20", "counts");
-        let short = reader::read("limits: {fronts: 3, ttl_ms: 300}", |top| {
+        let short = config_reader::read("limits: {fronts: 3, ttl_ms: 300}", |top| {
             limits(&top.section("limits"), Drift::default(), None)
         });
         assert!(short.expect_err("short").to_string().contains("limits.ttl_ms: 300 ms leave 300 ms"));
--- a/crates/fleet/coordinator/src/settings/topics.rs
+++ b/crates/fleet/coordinator/src/settings/topics.rs
@@ -1,6 +1,6 @@
 //! Topics in the `fleet:` section.
 
-use beechloft_config::Section;
+use beechloft_config_reader::Section;
 use beechloft_leases::Name;
 use beechloft_topic::{Terms, Writers};
 
@@ -23,22 +23,22 @@
     let mut all: Vec<TopicSpec> = Vec::new();
     let sections = s.sections("topics");
     if sections.len() > MOST_TOPICS {
-        s.fault("topics", format!("{MOST_TOPICS} at most"));
+        s.report("topics", format!("{MOST_TOPICS} at most"));
     }
     for t in &sections {
         let terms = terms(t);
-        match Name::try_from(t.needed_text("name")) {
+        match Name::try_from(t.required_text("name")) {
             Ok(name) if all.iter().any(|other| other.name == name) => {
-                t.fault("name", format!("{name} is there twice"));
+                t.report("name", format!("{name} is there twice"));
                 all.push(TopicSpec { name, terms });
             }
             Ok(name) => all.push(TopicSpec { name, terms }),
-            Err(why) => t.fault("name", why.to_string()),
+            Err(why) => t.report("name", why.to_string()),
         }
     }
     let bytes: u64 = all.iter().map(|t| t.terms.bytes).sum();
     if bytes > MOST_BYTES {
-        s.fault("topics", format!("{bytes} bytes together are more than {MOST_BYTES}"));
+        s.report("topics", format!("{bytes} bytes together are more than {MOST_BYTES}"));
     }
     all
 }
@@ -49,9 +49,9 @@
     Terms {
         writers: writers.unwrap_or(normal.writers),
         retention_ms: t
-            .whole("retention_ms", 1_000..=30 * 86_400_000)
+            .integer("retention_ms", 1_000..=30 * 86_400_000)
             .map_or(normal.retention_ms, |ms| ms as u32),
-        keys: t.whole("keys", 1..=1 << 20).map_or(normal.keys, |keys| keys as u32),
-        bytes: t.whole("bytes", 1..=MOST_BYTES).unwrap_or(8 << 20),
+        keys: t.integer("keys", 1..=1 << 20).map_or(normal.keys, |keys| keys as u32),
+        bytes: t.integer("bytes", 1..=MOST_BYTES).unwrap_or(8 << 20),
     }
 }
--- a/crates/fleet/coordinator/src/settings/verdicts.rs
+++ b/crates/fleet/coordinator/src/settings/verdicts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beechloft_config::Section;
+use beechloft_config_reader::Section;
 use beechloft_gossip::Settings;
 use beechloft_outlier_detection::Rules;
 
@@ -28,14 +28,14 @@
     let default = Settings::default();
     let set = Settings {
         round: span(s, "round_ms", default.round),
-        peers: s.whole("peers", 1..=8).map_or(default.peers, |n| n as usize),
+        peers: s.integer("peers", 1..=8).map_or(default.peers, |n| n as usize),
         refresh: span(s, "refresh_ms", default.refresh),
         forget: span(s, "forget_ms", default.forget),
-        bytes: s.whole("bytes_per_s", 4_096..=1 << 30).map_or(default.bytes, |n| n as u32),
+        bytes: s.integer("bytes_per_s", 4_096..=1 << 30).map_or(default.bytes, |n| n as u32),
         drift_ppm,
     };
     if let Err(why) = set.check(fronts) {
-        s.fault("round_ms", why.to_string());
+        s.report("round_ms", why.to_string());
     }
     set
 }
@@ -44,8 +44,8 @@
 pub(super) fn verdicts(s: &Section<'_>, staleness: Duration) -> VerdictSettings {
     let default = Rules::default();
     let mut rules = default;
-    rules.fronts = s.whole("fronts", 2..=64).map_or(default.fronts, |n| n as usize);
-    rules.failures = s.whole("failures", 1..=1_000).map_or(default.failures, |n| n as u32);
+    rules.fronts = s.integer("fronts", 2..=64).map_or(default.fronts, |n| n as usize);
+    rules.failures = s.integer("failures", 1..=1_000).map_or(default.failures, |n| n as u32);
     rules.part = s.number("part", 0.01..=0.9).map_or(default.part, |p| (p * 1_000.0) as u16);
     rules.window = span(s, "window_ms", default.window);
     rules.fresh = span(s, "fresh_ms", default.fresh);
@@ -55,12 +55,12 @@
     rules.trial_for = span(s, "trial_for_ms", default.trial_for);
     rules.step = span(s, "step_ms", default.step);
     if let Err(why) = rules.check(staleness) {
-        s.fault("window_ms", why.to_string());
+        s.report("window_ms", why.to_string());
     }
     VerdictSettings {
         rules,
         slow: span(s, "slow_ms", Duration::from_millis(500)),
-        trial_ttl_ms: s.whole("trial_ttl_ms", 500..=3_600_000).unwrap_or(3_000) as u32,
+        trial_ttl_ms: s.integer("trial_ttl_ms", 500..=3_600_000).unwrap_or(3_000) as u32,
         test_lies: s.choice("test_lies", &[("yes", true), ("no", false)]).unwrap_or(false),
     }
 }
--- a/crates/front/config/src/front.rs
+++ b/crates/front/config/src/front.rs
@@ -10,8 +10,8 @@
 use beechloft_session::catalog::{BoxLine, TitleLine};
 
 use crate::list;
-use crate::reader::{self, Faults, Section};
 use crate::service::{self, Service};
+use beechloft_config_reader::{self as config_reader, ConfigErrors, Section};
 
 /// Where the list comes from.
 #[derive(Debug, Clone, PartialEq)]
@@ -74,8 +74,8 @@
 }
 
 /// Reads a front's settings file; all its faults, if it has any.
-pub fn parse(text: &str) -> Result<FrontSettings, Faults> {
-    reader::read(text, FrontSettings::of)
+pub fn parse(text: &str) -> Result<FrontSettings, ConfigErrors> {
+    config_reader::read(text, FrontSettings::of)
 }
 
 impl FrontSettings {
@@ -89,13 +89,13 @@
     let service = service::service(&top.section("service"));
     let f = top.section("front");
     if !f.has("listen") {
-        f.fault("listen", "missing");
+        f.report("listen", "missing");
     }
     let listen = f.address("listen").unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
-    let fronts = f.whole("of", 1..=100_000).unwrap_or(1);
-    let number = f.whole("number", 0..=100_000).unwrap_or(0);
+    let fronts = f.integer("of", 1..=100_000).unwrap_or(1);
+    let number = f.integer("number", 0..=100_000).unwrap_or(0);
     if number >= fronts {
-        f.fault("number", format!("fronts are counted from 0, and there are {fronts}"));
+        f.report("number", format!("fronts are counted from 0, and there are {fronts}"));
     }
     let zone = ZoneId(f.index("zone", &service.zones, "zone").unwrap_or(0) as u16);
     let settings =
@@ -107,7 +107,7 @@
         sip_control: true,
         settings,
         numbered: f.has("number") || f.has("of"),
-        seed: f.whole("seed", 0..=u64::MAX),
+        seed: f.integer("seed", 0..=u64::MAX),
         list: list_source(&top.section("list"), &service),
         sizes: sizes(&top.section("sockets")),
         connect_time: b.millis("connect_ms", 1..=60_000).unwrap_or(Duration::from_millis(250)),
@@ -121,25 +121,25 @@
     if !s.has("url") {
         let (boxes, titles) = list::written(s, service);
         if s.has("cache") {
-            s.fault("cache", "a list written here needs no copy");
+            s.report("cache", "a list written here needs no copy");
         }
         if boxes.is_empty() {
-            s.fault("", "either url or boxes is needed");
+            s.report("", "either url or boxes is needed");
         }
         return ListSource::Written(boxes, titles);
     }
     for key in ["boxes", "titles"] {
         if s.has(key) {
-            s.fault(key, "the list comes from url; it can't be written here as well");
+            s.report(key, "the list comes from url; it can't be written here as well");
         }
     }
-    let url = s.needed_text("url");
+    let url = s.required_text("url");
     let parsed = url.strip_prefix("http://").and_then(|rest| {
         let (host, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
         Some((host.parse().ok()?, if path.is_empty() { "/" } else { path }.to_owned()))
     });
     if parsed.is_none() {
-        s.fault("url", format!("'{url}' is not http:// with an address, a port and a path"));
+        s.report("url", format!("'{url}' is not http:// with an address, a port and a path"));
     }
     let (address, path) = parsed.unwrap_or_else(|| (SocketAddr::from(([127, 0, 0, 1], 0)), "/".into()));
     ListSource::Pushed { address, path, cache: s.text("cache").map(PathBuf::from) }
@@ -149,11 +149,11 @@
     let d = Sizes::default();
     let l = &d.limits;
     Sizes {
-        connections: s.whole("connections", 1..=100_000).map_or(d.connections, |n| n as usize),
-        stack: s.whole("stack_kb", 64..=8192).map_or(d.stack, |kb| kb as usize * 1024),
+        connections: s.integer("connections", 1..=100_000).map_or(d.connections, |n| n as usize),
+        stack: s.integer("stack_kb", 64..=8192).map_or(d.stack, |kb| kb as usize * 1024),
         limits: Limits {
-            head_bytes: s.whole("head_bytes", 1024..=1_048_576).map_or(l.head_bytes, |n| n as usize),
-            body_bytes: s.whole("body_bytes", 1024..=16_777_216).map_or(l.body_bytes, |n| n as usize),
+            head_bytes: s.integer("head_bytes", 1024..=1_048_576).map_or(l.head_bytes, |n| n as usize),
+            body_bytes: s.integer("body_bytes", 1024..=16_777_216).map_or(l.body_bytes, |n| n as usize),
             head_time: s.millis("head_ms", 10..=600_000).unwrap_or(l.head_time),
             body_time: s.millis("body_ms", 10..=600_000).unwrap_or(l.body_time),
             idle_time: s.millis("idle_ms", 10..=3_600_000).unwrap_or(l.idle_time),
@@ -251,7 +251,7 @@
             .replace("streams: 20", "streams: x")
             .replace("hala-b\n", "q\n");
         let faults = parse(&text).expect_err("three faults").0;
-        let lines: Vec<usize> = faults.iter().map(|f| f.place.line).collect();
+        let lines: Vec<usize> = faults.iter().map(|f| f.position.line).collect();
         assert_eq!(lines.len(), 4, "{faults:?}");
         assert!(lines.is_sorted());
     }
--- a/crates/front/config/src/lib.rs
+++ b/crates/front/config/src/lib.rs
@@ -10,13 +10,9 @@
 )]
 #![forbid(unsafe_code)]
 
-pub mod fault;
 pub mod front;
 pub mod list;
-pub mod reader;
 pub mod service;
-pub mod yaml;
 
 pub use front::FrontSettings;
-pub use reader::{Fault, Faults, Section};
 pub use service::Service;
--- a/crates/front/config/src/list.rs
+++ b/crates/front/config/src/list.rs
@@ -5,8 +5,8 @@
 use beechloft::api::*;
 use beechloft_session::catalog::{BoxLine, TitleLine};
 
-use crate::reader::Section;
 use crate::service::Service;
+use beechloft_config_reader::Section;
 
 /// Reads `boxes` and `titles` of a section.
 pub fn written(s: &Section<'_>, service: &Service) -> (Vec<BoxLine>, Vec<TitleLine>) {
@@ -14,7 +14,7 @@
     for b in s.sections("boxes") {
         let line = box_line(&b, service);
         if boxes.iter().any(|known| known.id == line.id) {
-            b.fault("id", "a second box of this number");
+            b.report("id", "a second box of this number");
         }
         boxes.push(line);
     }
@@ -22,7 +22,7 @@
     for t in s.sections("titles") {
         let line = title_line(&t, service, &boxes);
         if titles.iter().any(|known| known.name == line.name) {
-            t.fault("name", "a second title of this name");
+            t.report("name", "a second title of this name");
         }
         titles.push(line);
     }
@@ -30,10 +30,10 @@
 }
 
 fn box_line(b: &Section<'_>, service: &Service) -> BoxLine {
-    let id = ServerId(b.needed_whole("id", 0..=u64::from(u32::MAX)) as u32);
+    let id = ServerId(b.required_integer("id", 0..=u64::from(u32::MAX)) as u32);
     let address: Option<std::net::SocketAddr> = b.address("address");
     if !b.has("address") {
-        b.fault("address", "missing");
+        b.report("address", "missing");
     }
     let sip: Option<std::net::SocketAddr> = b.address("sip");
     let states = [("ready", ServerState::Ready), ("draining", ServerState::Draining)];
@@ -44,7 +44,7 @@
         url: address.map_or_else(String::new, |a| a.to_string()).into(),
         sip: sip.map(|a| a.to_string().into()),
         state: b.choice("state", &states).unwrap_or(ServerState::Ready),
-        rack: b.whole("rack", 0..=last).unwrap_or(0) as u16,
+        rack: b.integer("rack", 0..=last).unwrap_or(0) as u16,
         zone: ZoneId(b.index("zone", &service.zones, "zone").unwrap_or(0) as u16),
         kind: KindId(b.index("kind", &service.kinds, "kind").unwrap_or(0) as u8),
         started: Micros(0),
@@ -59,11 +59,11 @@
             Some(known) => {
                 holders.insert(known.id);
             }
-            None => t.fault("holders", format!("no box is called '{text}'")),
+            None => t.report("holders", format!("no box is called '{text}'")),
         }
     }
     TitleLine {
-        name: t.needed_text("name").into(),
+        name: t.required_text("name").into(),
         class: ClassId(t.index("class", &service.classes, "class").unwrap_or(0) as u16),
         tenant: TenantId(t.index("tenant", &service.tenants, "tenant").unwrap_or(0) as u16),
         holders,
--- a/crates/front/config/src/service.rs
+++ b/crates/front/config/src/service.rs
@@ -2,7 +2,7 @@
 
 use beechloft::api::*;
 
-use crate::reader::Section;
+use beechloft_config_reader::Section;
 
 /// A deployment, as settings tell it.
 #[derive(Debug, Clone, PartialEq, Default)]
@@ -22,15 +22,15 @@
 const DAY_MS: u64 = 86_400_000;
 
 fn micros(s: &Section<'_>, key: &'static str, from: u64, default: u64) -> Micros {
-    Micros(s.whole(key, from..=DAY_MS).unwrap_or(default) * 1000)
+    Micros(s.integer(key, from..=DAY_MS).unwrap_or(default) * 1000)
 }
 
 fn names(list: &[Section<'_>], what: &str) -> Vec<String> {
     let mut names: Vec<String> = Vec::new();
     for s in list {
-        let name = s.needed_text("name");
+        let name = s.required_text("name");
         if names.contains(&name) {
-            s.fault("name", format!("a second {what} of this name"));
+            s.report("name", format!("a second {what} of this name"));
         }
         names.push(name);
     }
@@ -41,14 +41,14 @@
 pub fn service(s: &Section<'_>) -> Service {
     let zones = s.texts("zones");
     if zones.is_empty() {
-        s.fault("zones", "at least one zone is needed");
+        s.report("zones", "at least one zone is needed");
     }
     let ladder = ladder(s);
     let steps = ladder.rates_kb.len().max(1);
 
     let class_sections = s.sections("classes");
     if class_sections.is_empty() {
-        s.fault("classes", "at least one class is needed");
+        s.report("classes", "at least one class is needed");
     }
     let classes = names(&class_sections, "class");
     let class_list = class_sections.iter().map(|c| class(c, steps)).collect();
@@ -60,13 +60,13 @@
 
     let kind_sections = s.sections("kinds");
     if kind_sections.is_empty() {
-        s.fault("kinds", "at least one kind of box is needed");
+        s.report("kinds", "at least one kind of box is needed");
     }
     let kinds = names(&kind_sections, "kind");
     let kind_streams =
-        kind_sections.iter().map(|k| k.needed_whole("streams", 1..=1_000_000) as u32).collect();
+        kind_sections.iter().map(|k| k.required_integer("streams", 1..=1_000_000) as u32).collect();
 
-    let racks = s.whole("racks", 1..=60_000).unwrap_or(1) as u32;
+    let racks = s.integer("racks", 1..=60_000).unwrap_or(1) as u32;
     let links = s.section("links");
     let limits = s.section("limits");
     let prices = s.section("prices");
@@ -101,10 +101,10 @@
             .unwrap_or(Sizes::Size),
         discovery: Discovery::Push,
         limits: Limits {
-            max_attempts: limits.whole("attempts", 1..=100).unwrap_or(4) as u32,
+            max_attempts: limits.integer("attempts", 1..=100).unwrap_or(4) as u32,
             probes: limits.flag("probes", false),
             cancel: true,
-            retry_after: limits.whole("retry_after_ms", 0..=DAY_MS).map(|ms| Micros(ms * 1000)),
+            retry_after: limits.integer("retry_after_ms", 0..=DAY_MS).map(|ms| Micros(ms * 1000)),
         },
         budget: s.has("budget").then(|| budget(&s.section("budget"))),
         cold: cold(&s.section("cold")),
@@ -113,7 +113,7 @@
         over_share_worth: prices.number("over_share_worth", 0.0..=1.0).unwrap_or(1.0),
     };
     if settings.reporting == Reporting::InProbes && !settings.limits.probes {
-        s.fault("reports", "boxes report with probes alone, but limits.probes does not allow any");
+        s.report("reports", "boxes report with probes alone, but limits.probes does not allow any");
     }
     Service { zones, classes, tenants, kinds, settings }
 }
@@ -121,20 +121,20 @@
 fn ladder(s: &Section<'_>) -> Ladder {
     let rungs = s.sections("ladder");
     if rungs.is_empty() || rungs.len() > 64 {
-        s.fault("ladder", "1 to 64 rungs are needed, the lowest first");
+        s.report("ladder", "1 to 64 rungs are needed, the lowest first");
     }
     let mut ladder = Ladder {
         change_cost_s: s.number("change_costs_s", 0.0..=3600.0).unwrap_or(0.5),
         ..Ladder::default()
     };
     for rung in &rungs {
-        let rate = rung.needed_number("rate_kb", 0.001..=1e9);
-        let worth = rung.needed_number("worth", 0.0..=1e6);
+        let rate = rung.required_number("rate_kb", 0.001..=1e9);
+        let worth = rung.required_number("worth", 0.0..=1e6);
         if ladder.rates_kb.last().is_some_and(|below| rate <= *below) {
-            rung.fault("rate_kb", "each rung needs a higher rate than the one before");
+            rung.report("rate_kb", "each rung needs a higher rate than the one before");
         }
         if ladder.worth.last().is_some_and(|below| worth < *below) {
-            rung.fault("worth", "a rung can't be worth less than the one before");
+            rung.report("worth", "a rung can't be worth less than the one before");
         }
         ladder.rates_kb.push(rate);
         ladder.worth.push(worth);
@@ -144,16 +144,17 @@
 
 fn class(c: &Section<'_>, steps: usize) -> Class {
     let last = steps as u64 - 1;
-    let aim = Micros(c.needed_whole("aim_ms", 1..=DAY_MS) * 1000);
-    let deadline = Micros(c.needed_whole("patience_ms", 1..=DAY_MS) * 1000);
+    let aim = Micros(c.required_integer("aim_ms", 1..=DAY_MS) * 1000);
+    let deadline = Micros(c.required_integer("patience_ms", 1..=DAY_MS) * 1000);
     if aim > deadline {
-        c.fault("aim_ms", "more than patience_ms: a session can't be wanted later than its viewer waits");
+        c.report("aim_ms", "more than patience_ms: a session can't be wanted later than its viewer waits");
     }
-    let (floor, top) = (c.whole("floor", 0..=last).unwrap_or(0), c.whole("top", 0..=last).unwrap_or(last));
+    let (floor, top) =
+        (c.integer("floor", 0..=last).unwrap_or(0), c.integer("top", 0..=last).unwrap_or(last));
     if floor > top {
-        c.fault("floor", "above top");
+        c.report("floor", "above top");
     }
-    let window = || Micros(c.needed_whole("window_ms", 1..=DAY_MS) * 1000);
+    let window = || Micros(c.required_integer("window_ms", 1..=DAY_MS) * 1000);
     let group = || {
         let groups = [("all", Group::All), ("zone", Group::Zone), ("rack", Group::Cell)];
         c.choice("group", &groups).unwrap_or(Group::All)
@@ -178,16 +179,16 @@
         scale: c.number("rate_scale", 0.001..=1000.0).unwrap_or(1.0),
         floor: Rung(floor as u8),
         top: Rung(top as u8),
-        seats: c.whole("seats", 1..=1_000_000).map(|n| n as u32),
+        seats: c.integer("seats", 1..=1_000_000).map(|n| n as u32),
         join: c.number("join", 0.0..=1.0).unwrap_or(1.0),
     }
 }
 
 fn budget(b: &Section<'_>) -> RetryBudget {
     RetryBudget {
-        free: b.needed_number("free", 0.0..=1e6),
-        share: b.needed_number("share", 0.0..=100.0),
-        window: Micros(b.needed_whole("window_ms", 1..=DAY_MS) * 1000),
+        free: b.required_number("free", 0.0..=1e6),
+        share: b.required_number("share", 0.0..=100.0),
+        window: Micros(b.required_integer("window_ms", 1..=DAY_MS) * 1000),
     }
 }
 
@@ -196,7 +197,7 @@
     if multiple > 0.0 {
         for key in ["warm_ms", "span_ms"] {
             if !c.has(key) {
-                c.fault(key, "missing, though multiple is given");
+                c.report(key, "missing, though multiple is given");
             }
         }
     }
--- a/crates/testing/scenario/src/keepers/between.rs
+++ b/crates/testing/scenario/src/keepers/between.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beechloft_config::Section;
+use beechloft_config_reader::Section;
 
 /// Which keeper.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,7 +49,7 @@
             text => match text.parse() {
                 Ok(n) if n < keepers as usize => Some(Which::Keeper(n)),
                 _ => {
-                    s.fault(key, format!("'leader' or a keeper's number under {keepers} is needed"));
+                    s.report(key, format!("'leader' or a keeper's number under {keepers} is needed"));
                     None
                 }
             },
@@ -64,7 +64,7 @@
             let one_way = s.flag("one_way", false);
             which("cut_keeper").map(|which| Between::CutKeeper { which, one_way })
         } else if s.has("slow_keeper") {
-            let ms = s.needed_whole("ms", 1..=60_000);
+            let ms = s.required_integer("ms", 1..=60_000);
             which("slow_keeper").map(|which| Between::SlowKeeper(which, Duration::from_millis(ms)))
         } else if s.has("cut_leader_with_holder") {
             s.flag("cut_leader_with_holder", true).then_some(Between::CutLeaderWithHolder)
@@ -73,7 +73,7 @@
         } else if s.has("stop_holder") {
             s.flag("stop_holder", true).then_some(Between::StopHolder)
         } else if s.has("cut_front") {
-            Some(Between::CutFront(s.whole("cut_front", 0..=fronts as u64 - 1)? as usize))
+            Some(Between::CutFront(s.integer("cut_front", 0..=fronts as u64 - 1)? as usize))
         } else {
             None
         }
--- a/crates/testing/scenario/src/keepers/spec.rs
+++ b/crates/testing/scenario/src/keepers/spec.rs
@@ -1,6 +1,6 @@
 //! What a script says of keepers and candidates.
 
-use beechloft_config::Section;
+use beechloft_config_reader::Section;
 
 use super::TopicSpec;
 
@@ -32,27 +32,27 @@
 impl KeepersSpec {
     /// Reads the section.
     pub fn of(s: &Section<'_>) -> KeepersSpec {
-        let drift_ppm = s.whole("drift_ppm", 0..=99_999).unwrap_or(20_000);
-        let clocks_apart_ppm = s.whole("clocks_apart_ppm", 0..=99_999).unwrap_or(10_000);
+        let drift_ppm = s.integer("drift_ppm", 0..=99_999).unwrap_or(20_000);
+        let clocks_apart_ppm = s.integer("clocks_apart_ppm", 0..=99_999).unwrap_or(10_000);
         if clocks_apart_ppm > 2 * drift_ppm {
-            s.fault("clocks_apart_ppm", "that is more than the drift allows for");
+            s.report("clocks_apart_ppm", "that is more than the drift allows for");
         }
-        let count = s.whole("count", 1..=9).unwrap_or(3);
+        let count = s.integer("count", 1..=9).unwrap_or(3);
         if count.is_multiple_of(2) {
-            s.fault("count", "an odd number is needed");
+            s.report("count", "an odd number is needed");
         }
         let restart = s.has("restart").then(|| {
             let r = s.section("restart");
-            (r.needed_whole("at_most", 1..=64), r.whole("back_ms", 500..=60_000).unwrap_or(3_000))
+            (r.required_integer("at_most", 1..=64), r.integer("back_ms", 500..=60_000).unwrap_or(3_000))
         });
         KeepersSpec {
             count,
-            candidates: s.whole("candidates", 0..=256).unwrap_or(4),
-            ttl_ms: s.whole("ttl_ms", 500..=60_000).unwrap_or(1_500),
-            act_ms: s.whole("act_ms", 1..=10_000).unwrap_or(20),
+            candidates: s.integer("candidates", 0..=256).unwrap_or(4),
+            ttl_ms: s.integer("ttl_ms", 500..=60_000).unwrap_or(1_500),
+            act_ms: s.integer("act_ms", 1..=10_000).unwrap_or(20),
             drift_ppm,
             clocks_apart_ppm,
-            number_ttl_ms: s.whole("number_ttl_ms", 500..=60_000),
+            number_ttl_ms: s.integer("number_ttl_ms", 500..=60_000),
             seats: s.flag("seats", false),
             restart,
             topic: s.has("topic").then(|| TopicSpec::of(&s.section("topic"))),
--- a/crates/testing/scenario/src/keepers/topic.rs
+++ b/crates/testing/scenario/src/keepers/topic.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use beechloft_checker::topic::{Recorded, Verdict};
-use beechloft_config::Section;
+use beechloft_config_reader::Section;
 use beechloft_coordinator::FleetSettings;
 use beechloft_fakes::topic::{Pace, Reader, Writer};
 use beechloft_topic::Name;
@@ -42,14 +42,14 @@
     /// Reads the section.
     pub fn of(s: &Section<'_>) -> TopicSpec {
         TopicSpec {
-            writers: s.whole("writers", 1..=64).unwrap_or(2),
-            readers: s.whole("readers", 0..=256).unwrap_or(4),
-            late_s: s.wholes("late_s", 0..=86_400),
-            every_ms: s.whole("every_ms", 1..=60_000).unwrap_or(5),
-            keys: s.whole("keys", 1..=10_000).unwrap_or(50),
-            bytes: s.whole("bytes", 8..=65_536).unwrap_or(100),
-            deletes: s.whole("deletes", 0..=100).unwrap_or(20),
-            retention_ms: s.whole("retention_ms", 1_000..=86_400_000).unwrap_or(2_000),
+            writers: s.integer("writers", 1..=64).unwrap_or(2),
+            readers: s.integer("readers", 0..=256).unwrap_or(4),
+            late_s: s.integers("late_s", 0..=86_400),
+            every_ms: s.integer("every_ms", 1..=60_000).unwrap_or(5),
+            keys: s.integer("keys", 1..=10_000).unwrap_or(50),
+            bytes: s.integer("bytes", 8..=65_536).unwrap_or(100),
+            deletes: s.integer("deletes", 0..=100).unwrap_or(20),
+            retention_ms: s.integer("retention_ms", 1_000..=86_400_000).unwrap_or(2_000),
         }
     }
 
--- a/crates/testing/scenario/src/script/fleet.rs
+++ b/crates/testing/scenario/src/script/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use beechloft_config::Service;
-use beechloft_config::reader::Section;
+use beechloft_config_reader::Section;
 use beechloft_fakes::dice::Dice;
 use beechloft_fakes::fleet::{FleetBox, TitleSpec};
 
@@ -11,21 +11,21 @@
     let mut all = Vec::new();
     let racks = u64::from(service.settings.racks.max(1));
     for b in s.sections("boxes") {
-        let count = b.whole("count", 1..=10_000).unwrap_or(1);
+        let count = b.integer("count", 1..=10_000).unwrap_or(1);
         b.index("zone", &service.zones, "zone");
         let kind = b.index("kind", &service.kinds, "kind").unwrap_or(0);
-        let mut in_racks = b.wholes("racks", 0..=racks - 1);
+        let mut in_racks = b.integers("racks", 0..=racks - 1);
         if in_racks.is_empty() {
             in_racks = (0..racks).collect();
         }
         let made = FleetBox {
             rack: 0,
-            zone: b.needed_text("zone"),
+            zone: b.required_text("zone"),
             kind: service.kinds.get(kind).cloned().unwrap_or_default(),
             size: b.number("size", 0.001..=1e6).unwrap_or(1.0),
-            link_kb: b.needed_number("link_kb", 1.0..=1e9),
+            link_kb: b.required_number("link_kb", 1.0..=1e9),
             streams: service.settings.kind_streams.get(kind).map_or(1, |n| *n as usize),
-            cores: b.whole("cores", 1..=1024).unwrap_or(2) as usize,
+            cores: b.integer("cores", 1..=1024).unwrap_or(2) as usize,
         };
         for n in 0..count {
             let rack = in_racks[(n % in_racks.len() as u64) as usize] as u16;
@@ -33,7 +33,7 @@
         }
     }
     if all.is_empty() {
-        s.fault("boxes", "at least one box is needed");
+        s.report("boxes", "at least one box is needed");
     }
     all
 }
@@ -46,10 +46,10 @@
 ) -> Vec<TitleSpec> {
     let mut all = Vec::new();
     for t in sections {
-        let count = t.whole("count", 1..=100_000).unwrap_or(1);
-        let name = t.needed_text("name");
+        let count = t.integer("count", 1..=100_000).unwrap_or(1);
+        let name = t.required_text("name");
         let class = t.index("class", &service.classes, "class").unwrap_or(0);
-        let holders = t.whole("holders", 0..=u64::from(boxes.max(1))).unwrap_or(3);
+        let holders = t.integer("holders", 0..=u64::from(boxes.max(1))).unwrap_or(3);
         let scale = service.settings.classes.get(class).map_or(1.0, |c| c.scale);
         let rates_kb: Vec<f64> = service.settings.ladder.rates_kb.iter().map(|r| r * scale).collect();
         for n in 0..count {
--- a/crates/testing/scenario/src/script/load.rs
+++ b/crates/testing/scenario/src/script/load.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use beechloft_config::reader::Section;
+use beechloft_config_reader::Section;
 
 use super::seconds;
 
@@ -56,7 +56,7 @@
     let lasts = seconds(s, "seconds", 10.0);
     let flat = s.numbers("per_s", 0.0..=1e5);
     if flat.is_empty() {
-        s.fault("per_s", "rates of new viewers a second, evenly over the day, are needed");
+        s.report("per_s", "rates of new viewers a second, evenly over the day, are needed");
     }
     let step = lasts.as_secs_f64() / (flat.len().max(2) - 1) as f64;
     let curve = flat.iter().enumerate().map(|(n, rate)| (n as f64 * step, *rate)).collect();
@@ -87,7 +87,7 @@
         Some(None) => share.unwrap_or(0.5),
         said => {
             if share.is_some() {
-                s.fault("sip_share", "makes sense with 'protocol: mix' alone");
+                s.report("sip_share", "makes sense with 'protocol: mix' alone");
             }
             said.flatten().unwrap_or(0.0)
         }
@@ -98,7 +98,7 @@
     Crowd {
         at: seconds(s, "at_s", 0.0),
         lasts: seconds(s, "for_s", 5.0),
-        titles: s.whole("titles", 1..=1000).unwrap_or(2) as usize,
-        share: s.needed_number("share", 0.0..=1.0),
+        titles: s.integer("titles", 1..=1000).unwrap_or(2) as usize,
+        share: s.required_number("share", 0.0..=1.0),
     }
 }
--- a/crates/testing/scenario/src/script/mod.rs
+++ b/crates/testing/scenario/src/script/mod.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use beechloft_checker::Rules;
-use beechloft_config::reader::{self, Faults, Section};
 use beechloft_config::{Service, service};
+use beechloft_config_reader::{self as config_reader, ConfigErrors, Section};
 use beechloft_fakes::boxes::Warming;
 use beechloft_fakes::dice::Dice;
 use beechloft_fakes::fleet::FleetSpec;
@@ -54,8 +54,8 @@
 }
 
 /// Reads a script; what a seed draws in it (which boxes hold which title) follows from the seed.
-pub fn parse(text: &str, seed: u64) -> Result<Day, Faults> {
-    reader::read(text, |top| day(top, seed))
+pub fn parse(text: &str, seed: u64) -> Result<Day, ConfigErrors> {
+    config_reader::read(text, |top| day(top, seed))
 }
 
 fn seconds(s: &Section<'_>, key: &'static str, default: f64) -> Duration {
@@ -79,7 +79,7 @@
     let uplinks_kb = fleet_section.numbers("uplinks_kb", 1.0..=1e12);
     let racks = service.settings.racks as usize;
     if uplinks_kb.len() != racks {
-        fleet_section.fault("uplinks_kb", format!("one uplink for each of the {racks} racks is expected"));
+        fleet_section.report("uplinks_kb", format!("one uplink for each of the {racks} racks is expected"));
     }
     let fleet = FleetSpec {
         uplinks_kb,
@@ -95,11 +95,11 @@
         .iter()
         .map(|f| {
             f.index("zone", &service.zones, "zone");
-            FrontSpec { zone: f.needed_text("zone") }
+            FrontSpec { zone: f.required_text("zone") }
         })
         .collect();
     if fronts.is_empty() || fronts.len() > 64 {
-        top.fault("fronts", "1 to 64 fronts are needed");
+        top.report("fronts", "1 to 64 fronts are needed");
     }
     let keepers = top.has("keepers").then(|| KeepersSpec::of(&top.section("keepers")));
     let load = load(&top.section("load"));
--- a/crates/testing/scenario/src/script/rules.rs
+++ b/crates/testing/scenario/src/script/rules.rs
@@ -3,7 +3,7 @@
 use beechloft_checker::Rules;
 use beechloft_checker::check::{ClassRules, ColdRules, Repeat};
 use beechloft_config::Service;
-use beechloft_config::reader::Section;
+use beechloft_config_reader::Section;
 use beechloft_fakes::fleet::FleetSpec;
 use beechloft_session::api::Effect;
 
@@ -19,7 +19,7 @@
     Rules {
         titles: fleet.titles.iter().map(|t| (t.name.clone(), class_of(&t.class))).collect(),
         classes: classes.collect(),
-        drain_grace_us: s.whole("drain_grace_ms", 0..=60_000).unwrap_or(1000) * 1000,
+        drain_grace_us: s.integer("drain_grace_ms", 0..=60_000).unwrap_or(1000) * 1000,
         cold: (set.cold.multiple > 0.0).then(|| ColdRules {
             warm_us: set.cold.warm_after.0,
             from: set.cold.from,
--- a/crates/testing/scenario/src/script/troubles.rs
+++ b/crates/testing/scenario/src/script/troubles.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use beechloft_config::Service;
-use beechloft_config::reader::Section;
+use beechloft_config_reader::Section;
 use beechloft_fakes::fault::Fault;
 use beechloft_fakes::fleet::FleetSpec;
 
@@ -47,7 +47,7 @@
 }
 
 fn fault(s: &Section<'_>) -> Option<Fault> {
-    let share = || s.needed_number("share", 0.0..=1.0);
+    let share = || s.required_number("share", 0.0..=1.0);
     let kinds = [
         "never_answer",
         "late",
@@ -71,16 +71,16 @@
     ];
     Some(match s.choice("fault", &kinds.map(|k| (k, k)))? {
         "never_answer" => Fault::NeverAnswer,
-        "late" => Fault::Late { ms: s.needed_whole("ms", 1..=60_000) },
-        "deaf" => Fault::Deaf { ms: s.needed_whole("ms", 1..=60_000) },
+        "late" => Fault::Late { ms: s.required_integer("ms", 1..=60_000) },
+        "deaf" => Fault::Deaf { ms: s.required_integer("ms", 1..=60_000) },
         "deliver_nothing" => Fault::DeliverNothing,
         "fail" => Fault::Fail { share: share() },
         "reset" => Fault::Reset,
         "refuse" => Fault::Refuse,
         "stand_still" => Fault::StandStill,
         "grow_slow" => Fault::GrowSlow {
-            ms_per_s: s.needed_number("ms_per_s", 0.0..=60_000.0),
-            dies_after_s: s.needed_number("dies_after_s", 0.0..=86_400.0),
+            ms_per_s: s.required_number("ms_per_s", 0.0..=60_000.0),
+            dies_after_s: s.required_number("dies_after_s", 0.0..=86_400.0),
         },
         "lose_answers" => Fault::LoseAnswers { share: share() },
         "take_link" => Fault::TakeLink { share: share() },
@@ -115,22 +115,22 @@
         Trouble::ListFlaps(s.number("list_flaps_per_s", 0.01..=100.0)?)
     } else if s.has("uplink") {
         let last = u64::from(service.settings.racks.max(1)) - 1;
-        Trouble::Uplink(s.whole("uplink", 0..=last)? as u16, s.needed_number("left", 0.01..=1.0))
+        Trouble::Uplink(s.integer("uplink", 0..=last)? as u16, s.required_number("left", 0.01..=1.0))
     } else if s.has("kill_front") {
-        Trouble::KillFront(s.whole("kill_front", 0..=fronts as u64 - 1)? as u32)
+        Trouble::KillFront(s.integer("kill_front", 0..=fronts as u64 - 1)? as u32)
     } else if s.has("zone_lost") {
         s.index("zone_lost", &service.zones, "zone")?;
         Trouble::ZoneLost(s.text("zone_lost")?, s.flag("with_fronts", false))
     } else if s.has("restart_fronts") {
-        let told = s.wholes("restart_fronts", 0..=fronts as u64 - 1);
+        let told = s.integers("restart_fronts", 0..=fronts as u64 - 1);
         Trouble::RestartFronts(told.into_iter().map(|n| n as u32).collect())
     } else if let Some(between) = Between::of(s, keepers.map_or(0, |k| k.count), fronts) {
         if keepers.is_none() {
-            s.fault("", "there are no keepers: the section 'keepers' is missing");
+            s.report("", "there are no keepers: the section 'keepers' is missing");
         }
         Trouble::Between(between)
     } else {
-        s.fault(
+        s.report(
             "",
             "no trouble: one of fault, drain, list_lags_ms, list_down, list_flaps_per_s, uplink, kill_front, \
              restart_fronts, zone_lost, kill_keeper, stop_keeper, kill_keepers, cut_keeper, slow_keeper, \
@@ -142,9 +142,9 @@
 }
 
 fn numbers(s: &Section<'_>, key: &'static str, last: u64) -> Vec<u32> {
-    let list = s.wholes(key, 1..=last.max(1));
+    let list = s.integers(key, 1..=last.max(1));
     if list.is_empty() {
-        s.fault(key, "numbers of boxes, counted from 1, are needed");
+        s.report(key, "numbers of boxes, counted from 1, are needed");
     }
     list.into_iter().map(|n| n as u32).collect()
 }
