--- a/crates/platform/protocol/tests/wire.rs
+++ b/crates/platform/protocol/tests/wire.rs
@@ -2,7 +2,7 @@
 
 use beechloft_protocol::binary::{Decoder, Frame, FrameError};
 use beechloft_protocol::figures::{FigureError, Figures};
-use beechloft_protocol::server::{FromServer, Line, Note, ToServer};
+use beechloft_protocol::server::{FromServer, Line, LineError, Note, ToServer};
 use beechloft_protocol::viewer::{FromViewer, SetUp, SetUpError, ToViewer};
 use beechloft_protocol::{CallId, Cause};
 
@@ -75,17 +75,14 @@
 
 #[test]
 fn a_set_up_of_a_viewer_is_read_from_these_bytes() {
-    let bytes = b"\x00\x81\x01\x9b\x1f\x03\xaa\x5c\x7e\x2d\x41\
+    let bytes = b"\x00\x82\x01\x9b\x1f\x03\xaa\x5c\x7e\x2d\x41\
         \x01\x00\x04paid\
         \x03\x00\x041500\
         \x09\x00\x107f3a9c21e0b4d655\
-        \x0b\x00\x41home:4;copies:3;top:2;viewer:00000000b4d65521;again:1;new:9;at:s-1\
+        \x0b\x00\x42home:4;copies:3;top:2;viewer:00000000b4d65521;again:1;new:9;at:s-1\
         \x1f\x00\x0c9d41\r\nc=IN\r\n\
         \x63\x00\x01x";
-    let mut bytes = bytes.to_vec();
-    let length = u16::try_from(bytes.len() - 2).expect("a short message");
-    bytes[..2].copy_from_slice(&length.to_be_bytes());
-    let frame = decode(&bytes);
+    let frame = decode(bytes);
     assert_eq!(frame.encode().as_deref(), Some(&bytes[..]));
     assert_eq!(FromViewer::read(&frame), Ok(FromViewer::SetUp(ID, Ok(Box::new(set_up())))));
 }
@@ -230,7 +227,6 @@
 #[test]
 fn lines_of_media_servers_that_can_not_be_read_say_why() {
     let error = |text: &str| Line::read(text.as_bytes()).expect_err(text);
-    use beechloft_protocol::server::LineError;
     assert!(matches!(error("{"), LineError::Json(_)));
     assert!(matches!(error(r#"{"op":"end","call":"9b1f03aa5c7e2d41","why":256}"#), LineError::Json(_)));
     assert!(matches!(error(r#"{"op":"end","call":"+b1f03aa5c7e2d41","why":1}"#), LineError::Id));
--- a/crates/testing/fleet-simulation/tests/machine_hash/driver.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/driver.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use beechloft::interface::{Micros, Numbered};
+use beechloft::api::{Micros, Numbered};
 use beechloft_fleet_simulation::settings::Terms;
 use beechloft_front_node::{Bounds, Broken, Input, Node, Output, ViewerConn};
 use beechloft_protocol::bus::{Endpoint, Status, Topology};
