--- a/crates/testing/fleet-simulation/tests/machine_hash/canonical.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/canonical.rs
@@ -52,7 +52,7 @@
             Input::Bus(topology) => self.topology(topology),
             Input::Viewer(conn, message) => {
                 self.number(conn.0);
-                self.from_viewer(message);
+                self.viewer_message(message);
             }
             Input::ViewerClosed(conn) => self.number(conn.0),
             Input::Unsaid(id) => self.number(id.0),
@@ -146,7 +146,7 @@
         }
     }
 
-    fn from_viewer(&mut self, message: &FromViewer) {
+    fn viewer_message(&mut self, message: &FromViewer) {
         match message {
             FromViewer::SetUp(id, Ok(setup)) => {
                 self.tag(0);
--- a/crates/testing/fleet-simulation/tests/machine_hash/driver.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/driver.rs
@@ -137,13 +137,13 @@
     fn input(&mut self, input: Input) {
         let mut encoder = Encoder::default();
         encoder.number(self.now.0);
-        let tag = encoder.input(&input);
-        self.record.inputs[usize::from(tag)] += 1;
+        let input_tag = encoder.input(&input);
+        self.record.inputs[usize::from(input_tag)] += 1;
         let outputs = self.node.handle(self.now, input);
         encoder.number(outputs.len() as u64);
         for output in &outputs {
-            let tag = encoder.output(output);
-            self.record.outputs[usize::from(tag)] += 1;
+            let output_tag = encoder.output(output);
+            self.record.outputs[usize::from(output_tag)] += 1;
             self.follow(output);
         }
         encoder.number(self.node.next_due().map_or(0, |due| due.0));
@@ -237,7 +237,7 @@
     fn set_up_of(&mut self, id: CallId, left_ms: u64, at: Option<String>) -> Box<SetUp> {
         let title = self.rng.random_range(0..40u64);
         Box::new(SetUp {
-            class: ["stall-video", "banner"][usize::from(id.0 % 2 == 0)].into(),
+            class: ["stall-video", "banner"][usize::from(id.0.is_multiple_of(2))].into(),
             left_ms,
             title: format!("{title:016x}"),
             title_id: title,
