--- a/crates/cli/src/witness.rs
+++ b/crates/cli/src/witness.rs
@@ -10,7 +10,7 @@
 use beechloft_server::observe::{Observer, Showed, Tried};
 use beechloft_session::api::{Micros, ServerId, ServerState};
 use beechloft_session::catalog::Catalog;
-use beechloft_session::narrow::{Avoid, Narrowed, Shy};
+use beechloft_session::holder_filter::{Exclusion, Exclusions, HolderFilter};
 
 /// Between a front's core and the fleet's evidence.
 pub struct Witness {
@@ -27,7 +27,7 @@
 
 impl Observer for Witness {
     fn list(&mut self, catalog: &Catalog) {
-        let listed = catalog.boxes().filter(|b| b.state != ServerState::Gone);
+        let listed = catalog.servers().filter(|b| b.state != ServerState::Gone);
         let place = |zone, size: f64| Place { zone, size: if size > 0.0 { size } else { 1.0 } };
         self.verdicts.list(listed.map(|b| (b.id.0, place(b.zone.0, b.size))).collect());
         // Names change seldom, and there may be many.
@@ -53,18 +53,24 @@
         self.verdicts.tried(Noted { server: tried.server.0, title: title_key(&tried.title), outcome, ago });
     }
 
-    fn narrowed(&mut self) -> Option<Narrowed> {
+    fn narrowed(&mut self) -> Option<HolderFilter> {
         let (version, outlook) = self.verdicts.outlook(self.seen)?;
         self.seen = version;
-        let shy =
-            |key: &beechloft_outlier_detection::BoxKey, share| Shy { server: ServerId(key.server), share };
-        let mut titles: BTreeMap<Arc<str>, Vec<Shy>> = BTreeMap::new();
+        let exclusion = |key: &beechloft_outlier_detection::BoxKey, admitted_per_mille| Exclusion {
+            server: ServerId(key.server),
+            admitted_per_mille,
+        };
+        let mut titles: BTreeMap<Arc<str>, Vec<Exclusion>> = BTreeMap::new();
         for (key, title) in &outlook.titles {
             if let Some(name) = self.titles.get(title) {
-                titles.entry(name.clone()).or_default().push(shy(key, 0));
+                titles.entry(name.clone()).or_default().push(exclusion(key, 0));
             }
         }
-        let boxes = outlook.avoid.iter().map(|s| shy(&s.key, s.share)).collect();
-        Some(Narrowed::Avoid(Avoid { boxes, titles, at_most: self.verdicts.part() }))
+        let servers = outlook.avoid.iter().map(|s| exclusion(&s.key, s.share)).collect();
+        Some(HolderFilter::Exclude(Exclusions {
+            servers,
+            titles,
+            max_excluded_per_mille: self.verdicts.part(),
+        }))
     }
 }
--- a/crates/front/config/src/front.rs
+++ b/crates/front/config/src/front.rs
@@ -7,7 +7,7 @@
 use beechloft::api::{Settings, ZoneId};
 use beechloft_http::Limits;
 use beechloft_http::server::Sizes;
-use beechloft_session::catalog::{BoxLine, TitleLine};
+use beechloft_session::catalog::{MediaServerEntry, TitleEntry};
 
 use crate::list;
 use crate::reader::{self, Faults, Section};
@@ -26,7 +26,7 @@
         cache: Option<PathBuf>,
     },
     /// The settings themselves.
-    Written(Vec<BoxLine>, Vec<TitleLine>),
+    Written(Vec<MediaServerEntry>, Vec<TitleEntry>),
 }
 
 /// How logs are written.
--- a/crates/front/config/src/list.rs
+++ b/crates/front/config/src/list.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeSet;
 
 use beechloft::api::*;
-use beechloft_session::catalog::{BoxLine, TitleLine};
+use beechloft_session::catalog::{MediaServerEntry, TitleEntry};
 
 use crate::reader::Section;
 use crate::service::Service;
 
 /// Reads `boxes` and `titles` of a section.
-pub fn written(s: &Section<'_>, service: &Service) -> (Vec<BoxLine>, Vec<TitleLine>) {
-    let mut boxes: Vec<BoxLine> = Vec::new();
+pub fn written(s: &Section<'_>, service: &Service) -> (Vec<MediaServerEntry>, Vec<TitleEntry>) {
+    let mut boxes: Vec<MediaServerEntry> = Vec::new();
     for b in s.sections("boxes") {
         let line = box_line(&b, service);
         if boxes.iter().any(|known| known.id == line.id) {
@@ -18,7 +18,7 @@
         }
         boxes.push(line);
     }
-    let mut titles: Vec<TitleLine> = Vec::new();
+    let mut titles: Vec<TitleEntry> = Vec::new();
     for t in s.sections("titles") {
         let line = title_line(&t, service, &boxes);
         if titles.iter().any(|known| known.name == line.name) {
@@ -29,7 +29,7 @@
     (boxes, titles)
 }
 
-fn box_line(b: &Section<'_>, service: &Service) -> BoxLine {
+fn box_line(b: &Section<'_>, service: &Service) -> MediaServerEntry {
     let id = ServerId(b.needed_whole("id", 0..=u64::from(u32::MAX)) as u32);
     let address: Option<std::net::SocketAddr> = b.address("address");
     if !b.has("address") {
@@ -38,7 +38,7 @@
     let sip: Option<std::net::SocketAddr> = b.address("sip");
     let states = [("ready", ServerState::Ready), ("draining", ServerState::Draining)];
     let last = u64::from(service.settings.racks.saturating_sub(1));
-    BoxLine {
+    MediaServerEntry {
         id,
         name: b.text("name").unwrap_or_else(|| format!("box-{}", id.0)).into(),
         url: address.map_or_else(String::new, |a| a.to_string()).into(),
@@ -52,7 +52,7 @@
     }
 }
 
-fn title_line(t: &Section<'_>, service: &Service, boxes: &[BoxLine]) -> TitleLine {
+fn title_line(t: &Section<'_>, service: &Service, boxes: &[MediaServerEntry]) -> TitleEntry {
     let mut holders = BTreeSet::new();
     for text in t.texts("holders") {
         match boxes.iter().find(|b| *b.name == *text || b.id.0.to_string() == text) {
@@ -62,7 +62,7 @@
             None => t.fault("holders", format!("no box is called '{text}'")),
         }
     }
-    TitleLine {
+    TitleEntry {
         name: t.needed_text("name").into(),
         class: ClassId(t.index("class", &service.classes, "class").unwrap_or(0) as u16),
         tenant: TenantId(t.index("tenant", &service.tenants, "tenant").unwrap_or(0) as u16),
--- a/crates/front/discovery/src/lib.rs
+++ b/crates/front/discovery/src/lib.rs
@@ -19,7 +19,7 @@
 
 use beechloft_config::Service;
 use beechloft_session::api::*;
-use beechloft_session::catalog::{BoxLine, ListUpdate, TitleLine};
+use beechloft_session::catalog::{EndpointUpdate, MediaServerEntry, TitleEntry};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -100,7 +100,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Read {
     /// For the core.
-    pub update: ListUpdate,
+    pub update: EndpointUpdate,
     /// Lines left out, and why.
     pub faults: Vec<String>,
 }
@@ -120,16 +120,16 @@
 /// Reads the lines of a message, with the names of a deployment.
 pub fn read(form: Form, message: &Message, service: &Service) -> Read {
     let mut faults = Vec::new();
-    let boxes =
+    let servers =
         message.boxes.iter().filter_map(|v| kept(box_line(v, service), "box", v, &mut faults)).collect();
     let titles =
         message.titles.iter().filter_map(|v| kept(title_line(v, service), "title", v, &mut faults)).collect();
     let update = match form {
-        Form::Snapshot { cached } => ListUpdate::Snapshot { cached, boxes, titles },
-        Form::Change => ListUpdate::Change {
-            boxes,
+        Form::Snapshot { cached } => EndpointUpdate::Snapshot { cached, servers, titles },
+        Form::Change => EndpointUpdate::Change {
+            servers,
             titles,
-            gone: message.gone.iter().map(|g| g.as_str().into()).collect(),
+            removed: message.gone.iter().map(|g| g.as_str().into()).collect(),
         },
     };
     Read { update, faults }
@@ -149,7 +149,7 @@
     names.iter().position(|n| n == name).ok_or_else(|| format!("no {what} is called '{name}'"))
 }
 
-fn box_line(value: &Value, service: &Service) -> Result<BoxLine, String> {
+fn box_line(value: &Value, service: &Service) -> Result<MediaServerEntry, String> {
     let b = BoxText::deserialize(value).map_err(|e| e.to_string())?;
     let state = match b.state.as_str() {
         "ready" => ServerState::Ready,
@@ -166,7 +166,7 @@
     if !b.size.is_finite() || b.size < 0.0 {
         return Err(format!("size {}", b.size));
     }
-    Ok(BoxLine {
+    Ok(MediaServerEntry {
         id: ServerId(b.id),
         name: b.name.into(),
         url: b.address.into(),
@@ -180,13 +180,13 @@
     })
 }
 
-fn title_line(value: &Value, service: &Service) -> Result<TitleLine, String> {
+fn title_line(value: &Value, service: &Service) -> Result<TitleEntry, String> {
     let t = TitleText::deserialize(value).map_err(|e| e.to_string())?;
     if t.name.is_empty() {
         return Err("it needs a name".into());
     }
     let tenant = if t.tenant.is_empty() { 0 } else { position(&service.tenants, &t.tenant, "tenant")? };
-    Ok(TitleLine {
+    Ok(TitleEntry {
         name: t.name.into(),
         class: ClassId(position(&service.classes, &t.class, "class")? as u16),
         tenant: TenantId(tenant as u16),
@@ -231,8 +231,8 @@
             gone: vec!["v".into()],
         };
         let read = read(Form::Change, &message, &service());
-        let ListUpdate::Change { boxes, titles, gone } = read.update else { panic!("a change") };
-        assert_eq!((boxes.len(), titles.len(), gone.len(), read.faults.len()), (1, 1, 1, 7));
+        let EndpointUpdate::Change { servers, titles, removed } = read.update else { panic!("a change") };
+        assert_eq!((servers.len(), titles.len(), removed.len(), read.faults.len()), (1, 1, 1, 7));
         assert!(read.faults[1].contains("no zone is called 'b'"), "{:?}", read.faults);
     }
 }
--- a/crates/front/server/src/attempt.rs
+++ b/crates/front/server/src/attempt.rs
@@ -13,7 +13,7 @@
 use beechloft_http::server::Link;
 use beechloft_http::{Request, wait};
 use beechloft_session::api::{LoadReport, Outcome};
-use beechloft_session::io::{BoxNews, Input, Verdict};
+use beechloft_session::io::{AttemptResult, Input, MediaServerEvent};
 use beechloft_session::session::GRACE;
 use beechloft_whep::boxes;
 use tracing::debug;
@@ -24,7 +24,7 @@
 /// How an attempt went.
 pub struct Ended {
     /// For the core.
-    pub verdict: Verdict,
+    pub verdict: AttemptResult,
     /// What the box said of its load.
     pub load: LoadReport,
     /// The viewer hung up meanwhile, and the core has been told so.
@@ -32,7 +32,7 @@
 }
 
 fn without(outcome: Outcome) -> Ended {
-    Ended { verdict: Verdict::Ended(outcome), load: LoadReport::default(), hung_up: false }
+    Ended { verdict: AttemptResult::Ended(outcome), load: LoadReport::default(), hung_up: false }
 }
 
 /// Makes an attempt. `tell_hung_up` is called at most once, as soon as the viewer is seen to have left.
@@ -95,7 +95,7 @@
     debug!(target: "boxes", server = set_up.server.0, %error, "set-up failed");
     match error {
         CallError::Refused => {
-            shared.handle.input(Input::Box(set_up.server, BoxNews::Refused));
+            shared.handle.input(Input::MediaServer(set_up.server, MediaServerEvent::ConnectionRefused));
             Outcome::ConnectFailed
         }
         CallError::Connect(_) => Outcome::ConnectFailed,
@@ -111,12 +111,12 @@
     let until = Instant::now() + Duration::from_micros(GRACE.0);
     let verdict = match exchange.wait(until) {
         Ok(response) => match boxes::verdict(&response).0 {
-            Verdict::Accepted { resource, .. } | Verdict::Undone { resource, .. } => {
-                Verdict::Undone { resource, outcome: Outcome::Timeout }
+            AttemptResult::Accepted { resource, .. } | AttemptResult::Unusable { resource, .. } => {
+                AttemptResult::Unusable { resource, outcome: Outcome::Timeout }
             }
-            _ => Verdict::Ended(Outcome::Timeout),
+            _ => AttemptResult::Ended(Outcome::Timeout),
         },
-        Err(_) => Verdict::Ended(Outcome::Timeout),
+        Err(_) => AttemptResult::Ended(Outcome::Timeout),
     };
     Ended { verdict, load: LoadReport::default(), hung_up: false }
 }
--- a/crates/front/server/src/calls.rs
+++ b/crates/front/server/src/calls.rs
@@ -11,8 +11,8 @@
 use beechloft_http::client::{CallError, Pool};
 use beechloft_http::{Request, Response};
 use beechloft_session::api::{LoadReport, Outcome, Rung, ServerId};
-use beechloft_session::io::{BoxNews, Input};
-use beechloft_session::release::Ticket;
+use beechloft_session::io::{Input, MediaServerEvent};
+use beechloft_session::release::ReleaseId;
 use beechloft_whep::{boxes, load};
 use tracing::debug;
 
@@ -30,7 +30,7 @@
     /// End a session.
     Release {
         /// For the core.
-        ticket: Ticket,
+        ticket: ReleaseId,
         /// Its path.
         resource: String,
     },
@@ -159,7 +159,7 @@
     /// A call that was never made.
     fn fail(&self, job: Job) {
         if let Job::Release { ticket, .. } = job {
-            self.handle.input(Input::Released(ticket, false));
+            self.handle.input(Input::Released { id: ticket, gone: false });
         }
     }
 
@@ -167,7 +167,7 @@
         let call = |request: &Request| {
             let result = self.pool.call(address, request, Instant::now() + self.call_time);
             if matches!(result, Err(CallError::Refused)) {
-                self.handle.input(Input::Box(server, BoxNews::Refused));
+                self.handle.input(Input::MediaServer(server, MediaServerEvent::ConnectionRefused));
             }
             result
         };
@@ -175,7 +175,8 @@
             Job::Release { ticket, resource } => {
                 let result = call(&boxes::release(&resource));
                 debug!(target: "boxes", server = server.0, resource, ok = result.is_ok(), "release");
-                self.handle.input(Input::Released(ticket, result.is_ok_and(|r| boxes::is_gone(&r))));
+                self.handle
+                    .input(Input::Released { id: ticket, gone: result.is_ok_and(|r| boxes::is_gone(&r)) });
             }
             Job::SetRung { path, rung } => {
                 if let Err(error) = call(&boxes::set_rung(&path, rung)) {
--- a/crates/front/server/src/engine/mod.rs
+++ b/crates/front/server/src/engine/mod.rs
@@ -10,7 +10,7 @@
 
 use beechloft_config::FrontSettings;
 use beechloft_http::client::Pool;
-use beechloft_session::Core;
+use beechloft_session::SessionController;
 use crossbeam_channel::{Sender, unbounded};
 
 use self::run::Run;
@@ -31,7 +31,7 @@
 impl Engine {
     /// Starts it.
     pub fn start(
-        core: Core,
+        core: SessionController,
         clock: Clock,
         settings: Arc<FrontSettings>,
         pool: Arc<Pool>,
--- a/crates/front/server/src/engine/run.rs
+++ b/crates/front/server/src/engine/run.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use beechloft_session::Core;
+use beechloft_session::SessionController;
 use beechloft_session::api::{Numbered, SessionId};
-use beechloft_session::io::{Answer, Ask, Input, Output, RequestId};
+use beechloft_session::io::{Answer, Input, Output, RequestId, SessionRequest};
 use beechloft_sip::agent;
 use beechloft_whep::events::PlayerEvent;
 use crossbeam_channel::{Receiver, Sender};
@@ -23,7 +23,7 @@
 const FOLLOWERS: usize = 2;
 
 pub(super) struct Run {
-    pub(super) core: Core,
+    pub(super) core: SessionController,
     pub(super) clock: Clock,
     pub(super) calls: Calls,
     pub(super) watchers: Watchers,
@@ -43,7 +43,7 @@
 impl Run {
     pub(super) fn run(mut self, receiver: &Receiver<Message>) -> Recording {
         if self.recording.is_some() {
-            self.core.listen();
+            self.core.record_exchanges();
         }
         loop {
             let due = self.core.next_due().map(|at| self.clock.instant(at));
@@ -60,21 +60,21 @@
             limited.leave();
         }
         let mut recording = self.recording.unwrap_or_default();
-        recording.exchanged = self.core.take_heard();
+        recording.exchanged = self.core.take_exchanges();
         recording
     }
 
     fn take(&mut self, message: Message) {
         match message {
-            Message::Input(Input::Ask(ask)) => self.call(ask),
+            Message::Input(Input::Request(ask)) => self.call(ask),
             Message::Input(input) => self.input(input),
-            Message::Ask(ask, viewer, sender) => {
+            Message::SessionRequest(ask, viewer, sender) => {
                 let no = self.limited.as_mut().and_then(|l| l.ask(&self.core, &ask, viewer).err());
                 match no {
                     Some(no) => drop(sender.send(Told::Limited(no))),
                     None => {
                         self.waiting.insert(ask.request, sender);
-                        self.input(Input::Ask(*ask));
+                        self.input(Input::Request(*ask));
                     }
                 }
             }
@@ -85,8 +85,8 @@
             Message::Status(sender) => {
                 let catalog = self.core.catalog();
                 let _ = sender.send(Status {
-                    listed: catalog.heard(),
-                    boxes: catalog.boxes().count(),
+                    listed: catalog.is_known(),
+                    boxes: catalog.servers().count(),
                     titles: catalog.titles().count(),
                     playing: self.core.playing(),
                     releasing: self.core.releasing(),
@@ -94,7 +94,7 @@
                 });
             }
             Message::Follow(session, secret, sender) => {
-                if matches!(self.core.find(session, secret), Answer::At { .. }) {
+                if matches!(self.core.locate(session, secret), Answer::Located { .. }) {
                     let followers = self.followers.entry(session).or_default();
                     followers.truncate(FOLLOWERS - 1);
                     followers.push(sender);
@@ -112,7 +112,7 @@
             Output::SetUp { request, .. } | Output::Reply(request, _) => (request.0 & agent::OWN != 0, true),
             Output::SetRung { layers, .. } => (layers.starts_with(agent::RESOURCE), true),
             Output::Release { resource, .. } => (resource.starts_with(agent::RESOURCE), true),
-            Output::Cancel(_) | Output::Over(..) => (true, false),
+            Output::Cancel(_) | Output::SessionEnded(..) => (true, false),
             _ => (false, false),
         };
         if its {
@@ -141,15 +141,15 @@
     /// Has the core offer what is to be offered now.
     fn narrow(&mut self) {
         if let Some(narrowed) = self.observing.as_mut().and_then(Observing::narrowed) {
-            self.handle(Input::Narrowed(narrowed));
+            self.handle(Input::HolderFilter(narrowed));
         }
     }
 
     /// A call: its agent hears of a limit as of any other refusal.
-    fn call(&mut self, ask: Ask) {
+    fn call(&mut self, ask: SessionRequest) {
         match self.limited.as_mut().and_then(|l| l.ask(&self.core, &ask, None).err()) {
-            Some(no) => self.reply(ask.request, Answer::Refused(Some(limits::advice(&no)))),
-            None => self.input(Input::Ask(ask)),
+            Some(no) => self.reply(ask.request, Answer::Rejected(Some(limits::advice(&no)))),
+            None => self.input(Input::Request(ask)),
         }
     }
 
@@ -184,7 +184,7 @@
                 self.stopped.extend(inputs);
                 match self.waiting.remove(&request) {
                     Some(waiting) => drop(waiting.send(Told::Limited(no))),
-                    None => self.reply(request, Answer::Refused(Some(limits::advice(&no)))),
+                    None => self.reply(request, Answer::Rejected(Some(limits::advice(&no)))),
                 }
             }
         }
@@ -200,7 +200,7 @@
         if let Some(limited) = &mut self.limited {
             limited.before(&input);
         }
-        let listed = matches!(input, Input::List(_));
+        let listed = matches!(input, Input::Endpoints(_));
         if let Some(observing) = &mut self.observing {
             observing.input(now, &input);
         }
@@ -232,7 +232,7 @@
 
     fn carry_out(&mut self, output: Output, tag: Option<String>) {
         match output {
-            Output::SetUp { attempt, request, server, url, rate_kb, until, .. } => {
+            Output::SetUp { attempt, request, server, url, rate_kb, deadline: until, .. } => {
                 if let Some(waiting) = self.waiting.get(&request) {
                     let set_up = SetUp { attempt, server, address: url.parse().ok(), rate_kb, until, tag };
                     let _ = waiting.send(Told::SetUp(set_up));
@@ -249,7 +249,7 @@
                 self.calls.push(server, Job::SetRung { path: layers, rung });
                 self.tell(session, PlayerEvent::Layer(rung));
             }
-            Output::Release { ticket, server, resource } => {
+            Output::Release { id: ticket, server, resource } => {
                 self.calls.push(server, Job::Release { ticket, resource });
             }
             Output::Probe(server) => self.calls.push(server, Job::Probe),
@@ -265,7 +265,7 @@
                 self.watchers.unwatch(server);
             }
             Output::Subscribe => {} // the list is pushed
-            Output::Over(session, why) => {
+            Output::SessionEnded(session, why) => {
                 info!(target: "core", session = format_args!("{:016x}", session.0), ?why, "over");
                 self.tell(session, PlayerEvent::Inactive);
                 self.followers.remove(&session);
--- a/crates/front/server/src/handle.rs
+++ b/crates/front/server/src/handle.rs
@@ -9,7 +9,7 @@
 
 use beechloft_quotas::Key;
 use beechloft_session::api::{ServerId, SessionId};
-use beechloft_session::io::{Answer, Ask, Input, RequestId, Secret};
+use beechloft_session::io::{Answer, Input, RequestId, Secret, SessionRequest};
 use beechloft_sip::agent;
 use beechloft_whep::events::PlayerEvent;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
@@ -22,7 +22,7 @@
 /// What the engine is told.
 pub(crate) enum Message {
     Input(Input),
-    Ask(Box<Ask>, Option<Key>, Sender<Told>),
+    SessionRequest(Box<SessionRequest>, Option<Key>, Sender<Told>),
     Call(Input, RequestId, Sender<Told>),
     Status(Sender<Status>),
     Follow(SessionId, Secret, Sender<PlayerEvent>),
@@ -62,9 +62,9 @@
     }
 
     /// Asks for a session, for a viewer if it is known who; what is to be done for it comes out of the receiver.
-    pub fn ask(&self, ask: Ask, viewer: Option<Key>) -> Receiver<Told> {
+    pub fn ask(&self, ask: SessionRequest, viewer: Option<Key>) -> Receiver<Told> {
         let (sender, receiver) = unbounded();
-        let _ = self.sender.send(Message::Ask(Box::new(ask), viewer, sender));
+        let _ = self.sender.send(Message::SessionRequest(Box::new(ask), viewer, sender));
         receiver
     }
 
--- a/crates/front/server/src/lib.rs
+++ b/crates/front/server/src/lib.rs
@@ -31,7 +31,7 @@
 use beechloft_config::FrontSettings;
 use beechloft_http::client::Pool;
 use beechloft_http::server::Server;
-use beechloft_session::{Core, Input};
+use beechloft_session::{Input, SessionController};
 use tracing::info;
 
 use crate::clock::Clock;
@@ -110,7 +110,7 @@
         };
         let clock = Clock::start();
         let seed = settings.seed.unwrap_or_else(clock::entropy);
-        let core = Core::new(settings.settings.clone(), seed);
+        let core = SessionController::new(settings.settings.clone(), seed);
         let settings = Arc::new(settings);
         let pool = Arc::new(Pool::default());
         let (engine, handle) = Engine::start(core, clock, settings.clone(), pool.clone(), record, hooks)?;
@@ -152,7 +152,7 @@
     pub fn stop(self, wait: Duration) -> Recording {
         info!(target: "core", "front stops");
         let until = Instant::now() + wait;
-        self.shared.handle.input(Input::Stop);
+        self.shared.handle.input(Input::Shutdown);
         // Requests that come while the last ones are answered are turned away; then the door is closed.
         self.shared.handle.wait_idle(until);
         self.server.stop(until.saturating_duration_since(Instant::now()).max(Duration::from_millis(50)));
--- a/crates/front/server/src/limits.rs
+++ b/crates/front/server/src/limits.rs
@@ -8,9 +8,9 @@
 use beechloft_config::Service;
 use beechloft_http::client::CallError;
 use beechloft_quotas::{FrontId, Gate, Key, No, Permit, Stage, Subject, tag};
-use beechloft_session::Core;
+use beechloft_session::SessionController;
 use beechloft_session::api::{Micros, Outcome, ServerId, SessionId};
-use beechloft_session::io::{Answer, Ask, AttemptId, Input, Output, Verdict};
+use beechloft_session::io::{Answer, AttemptId, AttemptResult, Input, Output, SessionRequest};
 use beechloft_whep::boxes;
 use tracing::{debug, info};
 
@@ -54,7 +54,12 @@
     }
 
     /// Whether a session may be asked for.
-    pub(crate) fn ask(&mut self, core: &Core, ask: &Ask, viewer: Option<Key>) -> Result<(), No> {
+    pub(crate) fn ask(
+        &mut self,
+        core: &SessionController,
+        ask: &SessionRequest,
+        viewer: Option<Key>,
+    ) -> Result<(), No> {
         // What the core answers without a session is not counted; an offer sent again is counted once.
         let Some(title) = core.catalog().title(&ask.title).filter(|_| !core.is_repeat(ask)) else {
             return Ok(());
@@ -79,7 +84,7 @@
     /// Whether an attempt may go to its box; what the box keeps with the session.
     pub(crate) fn attempt(
         &mut self,
-        core: &Core,
+        core: &SessionController,
         now: Micros,
         attempt: AttemptId,
         server: ServerId,
@@ -100,18 +105,18 @@
             }
             Err(no) => {
                 said(attempt.session, &no);
-                let never = Input::Verdict {
+                let never = Input::AttemptEnded {
                     attempt,
                     server,
-                    verdict: Verdict::Ended(Outcome::Moot),
-                    sent: now,
+                    result: AttemptResult::Ended(Outcome::Moot),
+                    sent_at: now,
                     load: Default::default(),
                 };
                 let of_box = self.gate.front().definitions().any(|d| d.name == no.limit && d.of.needs_box());
                 if of_box {
                     Err(Stopped::Here(Box::new(never)))
                 } else {
-                    Err(Stopped::AtAll(Box::new((no, [Input::HungUp(attempt.session), never]))))
+                    Err(Stopped::AtAll(Box::new((no, [Input::ClientDisconnected(attempt.session), never]))))
                 }
             }
         }
@@ -119,13 +124,15 @@
 
     /// Notes what an input says of a session's attempts.
     pub(crate) fn before(&mut self, input: &Input) {
-        let Input::Verdict { attempt, server, verdict, .. } = input else { return };
+        let Input::AttemptEnded { attempt, server, result: verdict, .. } = input else { return };
         let Some(held) = self.held.get_mut(&attempt.session) else { return };
         match verdict {
-            Verdict::Accepted { resource, .. } | Verdict::Undone { resource, .. } => {
+            AttemptResult::Accepted { resource, .. } | AttemptResult::Unusable { resource, .. } => {
                 held.at.push((*server, resource.clone()));
             }
-            Verdict::Declined(_) | Verdict::Ended(_) => drop(held.attempts.remove(&attempt.number)),
+            AttemptResult::Declined(_) | AttemptResult::Ended(_) => {
+                drop(held.attempts.remove(&attempt.number))
+            }
         }
     }
 
@@ -133,7 +140,7 @@
     pub(crate) fn done(&mut self, output: &Output) {
         match output {
             Output::Reply(_, Answer::Playing { session, .. }) => drop(self.waiting.remove(session)),
-            Output::Over(session, _) if self.held.contains_key(session) => {
+            Output::SessionEnded(session, _) if self.held.contains_key(session) => {
                 self.ending.insert(*session);
             }
             _ => {}
@@ -141,7 +148,7 @@
     }
 
     /// Gives back what sessions held that are over, at their boxes too. What a box may still play counts.
-    pub(crate) fn after(&mut self, core: &Core) {
+    pub(crate) fn after(&mut self, core: &SessionController) {
         let gone: Vec<SessionId> = self.waiting.iter().filter(|id| !core.has(**id)).copied().collect();
         for id in gone {
             self.waiting.remove(&id);
--- a/crates/front/server/src/list.rs
+++ b/crates/front/server/src/list.rs
@@ -11,7 +11,7 @@
 use beechloft_http::client::{CallError, Conn, Stream};
 use beechloft_http::sse::{Event, Parser};
 use beechloft_http::{Method, Request, header};
-use beechloft_session::catalog::ListUpdate;
+use beechloft_session::catalog::EndpointUpdate;
 use beechloft_session::io::Input;
 use beechloft_whep::{EVENTS, boxes};
 use rand_chacha::ChaCha20Rng;
@@ -34,7 +34,11 @@
     match &shared.settings.list {
         ListSource::Written(boxes, titles) => {
             let (boxes, titles) = (boxes.clone(), titles.clone());
-            shared.handle.input(Input::List(ListUpdate::Snapshot { cached: false, boxes, titles }));
+            shared.handle.input(Input::Endpoints(EndpointUpdate::Snapshot {
+                cached: false,
+                servers: boxes,
+                titles,
+            }));
             Ok(())
         }
         ListSource::Pushed { cache, .. } => {
@@ -65,7 +69,7 @@
             );
             info!(target: "list", boxes = message.boxes.len(), titles = message.titles.len(), "copy of the list read");
             mirror.apply(true, &message);
-            shared.handle.input(Input::List(read.update));
+            shared.handle.input(Input::Endpoints(read.update));
         }
         Ok(None) => info!(target: "list", "no copy of the list yet"),
         Err(error) => {
@@ -100,7 +104,7 @@
             }
             if std::mem::take(&mut was_up) {
                 warn!(target: "list", %error, "list service lost; what is known holds");
-                self.shared.handle.input(Input::List(ListUpdate::Failed));
+                self.shared.handle.input(Input::Endpoints(EndpointUpdate::Failed));
             }
             let half = pause / 2;
             let part = self.rng.next_u64() as f64 / u64::MAX as f64;
@@ -164,7 +168,7 @@
         }
         self.mirror.apply(form != Form::Change, &message);
         self.unsaved.get_or_insert_with(Instant::now);
-        self.shared.handle.input(Input::List(read.update));
+        self.shared.handle.input(Input::Endpoints(read.update));
     }
 
     fn save(&mut self) {
--- a/crates/front/server/src/observe.rs
+++ b/crates/front/server/src/observe.rs
@@ -8,8 +8,8 @@
 
 use beechloft_session::api::{Micros, Outcome, ServerId, SessionId};
 use beechloft_session::catalog::Catalog;
-use beechloft_session::io::{Answer, AttemptId, BoxNews, Input, Output, RequestId, Verdict};
-use beechloft_session::narrow::Narrowed;
+use beechloft_session::holder_filter::HolderFilter;
+use beechloft_session::io::{Answer, AttemptId, AttemptResult, Input, MediaServerEvent, Output, RequestId};
 
 /// Sessions that are followed at once, at most; others are not told of.
 const MOST: usize = 1 << 16;
@@ -51,7 +51,7 @@
     /// An attempt is over.
     fn tried(&mut self, tried: Tried, now: Micros);
     /// What narrows from now on, if that changed.
-    fn narrowed(&mut self) -> Option<Narrowed>;
+    fn narrowed(&mut self) -> Option<HolderFilter>;
 }
 
 #[derive(Debug)]
@@ -75,22 +75,24 @@
         Observing { observer, open: BTreeMap::new(), asked: BTreeMap::new() }
     }
 
-    pub(crate) fn narrowed(&mut self) -> Option<Narrowed> {
+    pub(crate) fn narrowed(&mut self) -> Option<HolderFilter> {
         self.observer.narrowed()
     }
 
     pub(crate) fn input(&mut self, now: Micros, input: &Input) {
         match input {
-            Input::Ask(ask) if self.open.len() < MOST && !self.open.contains_key(&ask.session) => {
+            Input::Request(ask) if self.open.len() < MOST && !self.open.contains_key(&ask.session) => {
                 let (request, title) = (ask.request, ask.title.clone());
                 self.asked.insert(request, ask.session);
                 self.open.insert(ask.session, Open { request, title, until: Micros(0), errors: Vec::new() });
             }
-            Input::Box(server, BoxNews::Hello { boot }) => self.observer.life(*server, *boot),
-            Input::Verdict { attempt, server, verdict, sent, .. } => {
+            Input::MediaServer(server, MediaServerEvent::Connected { boot }) => {
+                self.observer.life(*server, *boot)
+            }
+            Input::AttemptEnded { attempt, server, result: verdict, sent_at: sent, .. } => {
                 self.verdict(now, *attempt, *server, verdict, *sent);
             }
-            Input::HungUp(session) => {
+            Input::ClientDisconnected(session) => {
                 if let Some(open) = self.open.remove(session) {
                     self.asked.remove(&open.request);
                 }
@@ -104,7 +106,7 @@
         now: Micros,
         attempt: AttemptId,
         server: ServerId,
-        verdict: &Verdict,
+        verdict: &AttemptResult,
         sent: Micros,
     ) {
         let Some(open) = self.open.get_mut(&attempt.session) else { return };
@@ -116,13 +118,13 @@
             Outcome::Ok | Outcome::Full | Outcome::Cancelled | Outcome::Moot => None,
         };
         let showed = match verdict {
-            Verdict::Accepted { .. } => Some(Showed::Taken(now - sent)),
-            Verdict::Declined(_) => Some(Showed::Declined),
-            Verdict::Undone { outcome, .. } | Verdict::Ended(outcome) => of(*outcome),
+            AttemptResult::Accepted { .. } => Some(Showed::Taken(now - sent)),
+            AttemptResult::Declined(_) => Some(Showed::Declined),
+            AttemptResult::Unusable { outcome, .. } | AttemptResult::Ended(outcome) => of(*outcome),
         };
         let Some(showed) = showed else { return };
         let tried = Tried { server, title: open.title.clone(), sent, showed };
-        if matches!(verdict, Verdict::Ended(Outcome::Error)) {
+        if matches!(verdict, AttemptResult::Ended(Outcome::Error)) {
             open.errors.push(tried);
         } else {
             self.observer.tried(tried, now);
@@ -131,7 +133,7 @@
 
     pub(crate) fn output(&mut self, now: Micros, output: &Output) {
         match output {
-            Output::SetUp { attempt, until, .. } => {
+            Output::SetUp { attempt, deadline: until, .. } => {
                 if let Some(open) = self.open.get_mut(&attempt.session) {
                     open.until = *until;
                 }
--- a/crates/front/server/src/player.rs
+++ b/crates/front/server/src/player.rs
@@ -10,7 +10,7 @@
 use beechloft_http::{Method, Request, Response, StatusCode, header, sse, wait};
 use beechloft_quotas::{Key, No};
 use beechloft_session::api::{Micros, SessionId};
-use beechloft_session::io::{Answer, Ask, Input, Protocol, Secret};
+use beechloft_session::io::{Answer, Input, Protocol, Secret, SessionRequest};
 use beechloft_whep::answer::{self, SessionCall};
 use beechloft_whep::events::{self, PlayerEvent};
 use beechloft_whep::route::{self, Place};
@@ -54,7 +54,7 @@
         "type": "about:blank", "title": "a limit is reached", "status": 503,
         "limit": no.limit.to_string(), "key": no.key.as_str(), "retry_after_ms": no.again.as_millis() as u64,
     });
-    answer::response(&Answer::Refused(Some(limits::advice(no))))
+    answer::response(&Answer::Rejected(Some(limits::advice(no))))
         .body("application/problem+json", format!("{problem}\n"))
 }
 
@@ -92,14 +92,14 @@
         let span = span!(target: "http", Level::INFO, "session", id = format_args!("{:016x}", session.0));
         let _entered = span.enter();
         let began = Instant::now();
-        let ask = Ask {
+        let ask = SessionRequest {
             request: self.shared.handle.request(),
             session,
             secret,
             title: title.clone(),
             protocol: if publishes { Protocol::Whip } else { Protocol::Whep },
             max_rate_kb: offer.max_rate_kb,
-            repeat: Some(offer.key(&title, token)),
+            idempotency_key: Some(offer.key(&title, token)),
         };
         let told = self.shared.handle.ask(ask, token.map(viewer));
         let answer = self.serve(session, &told, link, |set_up| {
@@ -122,7 +122,7 @@
         let tell = move |written: bool| {
             // The answer to an offer sent again belongs to the first request as well.
             if !written && plays == session {
-                handle.input(Input::AnswerLost(session));
+                handle.input(Input::AnswerUndelivered(session));
             }
         };
         Reply::Told(response, Box::new(tell))
@@ -146,14 +146,14 @@
                 Ok(Told::SetUp(set_up)) => {
                     let sent = self.shared.clock.now();
                     let handle = &self.shared.handle;
-                    let tell = || handle.input(Input::HungUp(session));
+                    let tell = || handle.input(Input::ClientDisconnected(session));
                     let ended = attempt::run(&self.shared, &set_up, &request(&set_up), link, tell);
                     let (attempt, server) = (set_up.attempt, set_up.server);
-                    handle.input(Input::Verdict {
+                    handle.input(Input::AttemptEnded {
                         attempt,
                         server,
-                        verdict: ended.verdict,
-                        sent,
+                        result: ended.verdict,
+                        sent_at: sent,
                         load: ended.load,
                     });
                     if ended.hung_up {
@@ -175,8 +175,8 @@
                 answer::response(&answer)
             }
             SessionCall::Patch => {
-                match self.shared.handle.call(|request| Input::Find { request, session, secret }) {
-                    Answer::At { server, resource } => {
+                match self.shared.handle.call(|request| Input::Locate { request, session, secret }) {
+                    Answer::Located { server, resource } => {
                         self.patch(&boxes::patch(&resource, request), server, &resource)
                     }
                     other => answer::response(&other),
@@ -201,18 +201,22 @@
 
     /// A player asks for its session's events, or reads them.
     fn events(&self, request: &Request, session: SessionId, secret: Secret, names: Option<&str>) -> Reply {
-        let find = || self.shared.handle.call(|request| Input::Find { request, session, secret });
+        let find = || self.shared.handle.call(|request| Input::Locate { request, session, secret });
         let here = |response| {
-            if matches!(find(), Answer::At { .. }) { response } else { answer::response(&Answer::NoSession) }
+            if matches!(find(), Answer::Located { .. }) {
+                response
+            } else {
+                answer::response(&Answer::UnknownSession)
+            }
         };
         match (names, &request.method) {
             (None, &Method::POST) => {
                 Reply::Whole(here(events::subscribe(request, &route::events_path(session, secret))))
             }
             (Some(names), &Method::GET) => {
-                let Some(wanted) = events::wanted(names).filter(|_| matches!(find(), Answer::At { .. }))
+                let Some(wanted) = events::wanted(names).filter(|_| matches!(find(), Answer::Located { .. }))
                 else {
-                    return Reply::Whole(answer::response(&Answer::NoSession));
+                    return Reply::Whole(answer::response(&Answer::UnknownSession));
                 };
                 let told = self.shared.handle.follow(session, secret);
                 let head =
@@ -270,7 +274,7 @@
 
     fn refuse(&self) -> Response {
         let advice = self.shared.settings.settings.limits.retry_after;
-        answer::for_browsers(answer::response(&Answer::Refused(Some(advice.unwrap_or(Micros(1_000_000))))))
+        answer::for_browsers(answer::response(&Answer::Rejected(Some(advice.unwrap_or(Micros(1_000_000))))))
     }
 
     fn bad(&self, error: &HeadError) -> Response {
--- a/crates/front/server/src/told.rs
+++ b/crates/front/server/src/told.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use beechloft_quotas::{Gate, No};
-use beechloft_session::Exchanged;
+use beechloft_session::Exchange;
 use beechloft_session::api::{Micros, Numbered, ServerId};
 use beechloft_session::io::{Answer, AttemptId, Input, Output};
 
@@ -62,7 +62,7 @@
     /// What it had done.
     pub outputs: Vec<Output>,
     /// What passed between it and the module.
-    pub exchanged: Vec<Exchanged>,
+    pub exchanged: Vec<Exchange>,
 }
 
 /// A front's number among others, now; none: as its settings say. It is asked before each input and must not wait.
--- a/crates/front/server/src/watch.rs
+++ b/crates/front/server/src/watch.rs
@@ -11,7 +11,7 @@
 use beechloft_http::sse::Parser;
 use beechloft_http::{Method, Request, header};
 use beechloft_session::api::ServerId;
-use beechloft_session::io::{BoxNews, Input};
+use beechloft_session::io::{Input, MediaServerEvent};
 use beechloft_whep::{EVENTS, news};
 use tracing::{debug, warn};
 
@@ -82,9 +82,9 @@
 }
 
 impl Watch {
-    fn tell(&self, news: BoxNews) {
+    fn tell(&self, news: MediaServerEvent) {
         if !self.stop.load(Ordering::SeqCst) {
-            self.handle.input(Input::Box(self.server, news));
+            self.handle.input(Input::MediaServer(self.server, news));
         }
     }
 
@@ -105,11 +105,11 @@
                 CallError::Refused if refused => {}
                 CallError::Refused => {
                     refused = true;
-                    self.tell(BoxNews::Refused);
+                    self.tell(MediaServerEvent::ConnectionRefused);
                 }
                 _ => {
                     refused = false;
-                    self.tell(BoxNews::Broken);
+                    self.tell(MediaServerEvent::Disconnected);
                 }
             }
             self.rest(pause);
--- a/crates/front/server/tests/replay.rs
+++ b/crates/front/server/tests/replay.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use beechloft_fakes::player;
-use beechloft_session::Core;
+use beechloft_session::Exchange;
+use beechloft_session::SessionController;
 use beechloft_session::api::Action;
 use support::*;
 
@@ -34,7 +35,7 @@
     let recording = front.stop(Duration::from_secs(2));
     assert!(recording.inputs.len() > 150 && recording.outputs.len() > 100);
 
-    let mut core = Core::new(settings.settings.clone(), 7);
+    let mut core = SessionController::new(settings.settings.clone(), 7);
     let mut outputs = Vec::new();
     for (now, input) in &recording.inputs {
         core.handle(*now, input.clone(), &mut outputs);
@@ -43,7 +44,7 @@
 
     let mut module = beechloft::policy::Policy::new(settings.settings, 7);
     let mut set_ups = 0;
-    for (now, event, actions) in recording.exchanged {
+    for Exchange { at: now, event, actions } in recording.exchanged {
         let mut same = Vec::new();
         module.handle(now, event, &mut same);
         assert_eq!(same, actions);
--- a/crates/front/session/src/io.rs
+++ b/crates/front/session/src/io.rs
@@ -1,107 +1,107 @@
-//! What goes into the core and what comes out of it.
+//! The inputs and outputs of the state machine.
 
 use std::sync::Arc;
 
 use beechloft::api::{LoadReport, Micros, Note, Numbered, Outcome, Rung, ServerId, SessionId};
 
-use crate::catalog::ListUpdate;
+use crate::catalog::EndpointUpdate;
 pub use crate::catalog::Protocol;
-use crate::narrow::Narrowed;
-use crate::release::Ticket;
+use crate::holder_filter::HolderFilter;
+use crate::release::ReleaseId;
 
-/// One call of a client that waits for a reply; named by the shell, never used twice.
+/// One call of a client that waits for a reply; assigned by the caller, never used twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// The part of a session's address that only its viewer knows.
+/// The part of a session's address that only its client knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Secret(pub u64);
 
-/// Names an offer, so that the same one sent again by a proxy is recognised.
+/// Identifies an offer, so that the same one sent again by a proxy is recognised.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RepeatKey(pub u64, pub u64);
+pub struct IdempotencyKey(pub u64, pub u64);
 
-/// An attempt to set a session up: the session, and how many it had before.
+/// An attempt to set a session up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// Whose attempt.
+    /// The session.
     pub session: SessionId,
-    /// 0 for the first.
+    /// How many attempts it had before: 0 for the first.
     pub number: u16,
 }
 
-/// A client's wish for a session.
+/// A client's request for a session.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ask {
-    /// Who waits for the answer.
+pub struct SessionRequest {
+    /// Identifies who waits for the answer.
     pub request: RequestId,
-    /// The new session's name, drawn by the shell.
+    /// The new session's id, drawn by the caller.
     pub session: SessionId,
-    /// What its address holds besides.
+    /// The secret part of its address.
     pub secret: Secret,
-    /// The title, as in the list.
+    /// The title, as named on the endpoint list.
     pub title: String,
-    /// What it speaks, and so which of a box's addresses it is set up at.
+    /// What the client speaks, and so which of a media server's addresses the session is set up at.
     pub protocol: Protocol,
     /// The highest rate that the client can use, kB a second; none: any.
     pub max_rate_kb: Option<f64>,
     /// Recognises the same offer sent again.
-    pub repeat: Option<RepeatKey>,
+    pub idempotency_key: Option<IdempotencyKey>,
 }
 
-/// What a box said when it took a session; kept only to answer the same offer again.
+/// What a media server answered when it took a session; retained only to answer the same offer again.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct BoxReply {
+pub struct MediaServerReply {
     /// The answer.
     pub sdp: Vec<u8>,
     /// Version of its ICE session (RFC 9725, section 4.3.1).
     pub etag: Option<String>,
     /// `Link` values that are for the client.
     pub links: Vec<String>,
-    /// Path at the box where its layers are chosen (WHEP's layer selection extension).
+    /// Path at the media server where its layers are chosen (WHEP's layer selection extension).
     pub layers: Option<String>,
 }
 
-/// How an attempt ended, as far as the shell can tell.
+/// How an attempt ended, as far as the caller can tell.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Verdict {
-    /// The box took the session and made this resource for it.
+pub enum AttemptResult {
+    /// The media server took the session and made this resource for it.
     Accepted {
-        /// Path of the session at the box.
+        /// Path of the session at the media server.
         resource: String,
         /// What it answered.
-        reply: Arc<BoxReply>,
+        reply: Arc<MediaServerReply>,
     },
-    /// The box took it, but nothing of it can be used: it came after the drop, or makes no sense.
-    Undone {
-        /// Path of the session at the box.
+    /// The media server took it, but nothing of it can be used: it came after the drop, or is malformed.
+    Unusable {
+        /// Path of the session at the media server.
         resource: String,
         /// What the attempt counts as.
         outcome: Outcome,
     },
-    /// The box found fault with the client's request itself, and said so with this HTTP status. It says nothing
-    /// about the box, so that no client can talk a front out of its boxes.
+    /// The media server found fault with the client's request itself, and answered with this HTTP status. It says
+    /// nothing about the media server, so that no client can get one ejected.
     Declined(u16),
     /// It ended without a session.
     Ended(Outcome),
 }
 
-/// What is heard of a box on its event stream.
+/// What is observed on a media server's event stream.
 #[derive(Debug, Clone, PartialEq)]
-pub enum BoxNews {
-    /// The stream is up; `boot` names this run of the box's process.
-    Hello {
-        /// Changes with each start.
+pub enum MediaServerEvent {
+    /// The stream is up.
+    Connected {
+        /// Identifies this run of the media server's process; changes with each start.
         boot: u64,
     },
     /// The stream broke or fell silent.
-    Broken,
+    Disconnected,
     /// Nobody listens at its address: the process is not there.
-    Refused,
+    ConnectionRefused,
     /// A figure about what plays there.
     Note(Note),
-    /// A session is over at the box.
-    Over {
+    /// A session has ended at the media server.
+    SessionEnded {
         /// Its path there.
         resource: String,
     },
@@ -110,66 +110,71 @@
 /// What happened.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
-    /// News of the list.
-    List(ListUpdate),
-    /// A client asks for a session; it is owed one answer.
-    Ask(Ask),
-    /// An attempt is over for certain: answered, or closed at both ends, or out of its grace.
-    Verdict {
+    /// A message of the endpoint list.
+    Endpoints(EndpointUpdate),
+    /// A client requests a session; one answer is due.
+    Request(SessionRequest),
+    /// An attempt is over for certain: answered, or closed at both ends, or past its grace.
+    AttemptEnded {
         /// Which.
         attempt: AttemptId,
-        /// The box it went to.
+        /// The media server it went to.
         server: ServerId,
-        /// How.
-        verdict: Verdict,
-        /// When it went out.
-        sent: Micros,
-        /// The load that the box reported with its answer.
+        /// How it ended.
+        result: AttemptResult,
+        /// When it was sent.
+        sent_at: Micros,
+        /// The load that the media server reported with its answer.
         load: LoadReport,
     },
-    /// The client hung up before its answer.
-    HungUp(SessionId),
-    /// The answer that it plays could not be written to the client.
-    AnswerLost(SessionId),
+    /// The client closed its connection before its answer.
+    ClientDisconnected(SessionId),
+    /// The answer that the session plays could not be written to the client.
+    AnswerUndelivered(SessionId),
     /// A client ends its session.
     Delete {
-        /// Who waits for the reply.
+        /// Identifies who waits for the reply.
         request: RequestId,
         /// Which session.
         session: SessionId,
         /// The secret in the address.
         secret: Secret,
     },
-    /// A client asks something of its session at the box.
-    Find {
-        /// Who waits for the reply.
+    /// A client wants to reach its session at the media server.
+    Locate {
+        /// Identifies who waits for the reply.
         request: RequestId,
         /// Which session.
         session: SessionId,
         /// The secret in the address.
         secret: Secret,
     },
-    /// News of a box.
-    Box(ServerId, BoxNews),
-    /// The result of a probe.
+    /// An event of a media server.
+    MediaServer(ServerId, MediaServerEvent),
+    /// The result of a health check.
     Probed {
-        /// Which box.
+        /// Which media server.
         server: ServerId,
         /// How it went.
         outcome: Outcome,
         /// Its load.
         load: LoadReport,
     },
-    /// How an [`Output::Release`] went: whether the session is known to be gone from the box.
-    Released(Ticket, bool),
-    /// Other boxes are to be offered to the module from now on.
-    Narrowed(Narrowed),
-    /// This front's number among the fronts changed.
+    /// The result of an [`Output::Release`].
+    Released {
+        /// Which release.
+        id: ReleaseId,
+        /// Whether the session is known to be gone from the media server.
+        gone: bool,
+    },
+    /// Other media servers are to be offered to the policy from now on.
+    HolderFilter(HolderFilter),
+    /// This front's slot among the fronts changed.
     Numbered(Numbered),
     /// Time passes.
     Tick,
     /// Nothing new is taken from now on.
-    Stop,
+    Shutdown,
 }
 
 /// The one reply to a client's call.
@@ -181,28 +186,28 @@
         session: SessionId,
         /// For its address.
         secret: Secret,
-        /// Where.
+        /// The media server.
         server: ServerId,
-        /// What the box answered.
-        reply: Arc<BoxReply>,
+        /// What the media server answered.
+        reply: Arc<MediaServerReply>,
     },
-    /// Turned away, perhaps with a time to come back after.
-    Refused(Option<Micros>),
+    /// Rejected, perhaps with a time to retry after.
+    Rejected(Option<Micros>),
     /// It failed.
     Failed,
-    /// Its request was at fault; the status that the box gave.
+    /// The client's request was at fault; the status that the media server answered with.
     Declined(u16),
     /// No such title.
-    NoTitle,
+    UnknownTitle,
     /// The same offer is being worked on.
-    Busy,
+    InProgress,
     /// No such session, or not the right secret.
-    NoSession,
+    UnknownSession,
     /// The session was ended.
     Deleted,
     /// Where the session is.
-    At {
-        /// The box.
+    Located {
+        /// The media server.
         server: ServerId,
         /// Its path there.
         resource: String,
@@ -211,29 +216,30 @@
 
 /// Why a session that played is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum EndReason {
     /// The client ended it.
     Deleted,
-    /// The box ended it.
-    Box,
-    /// The box was lost.
-    Lost,
+    /// The media server ended it.
+    EndedByServer,
+    /// The media server was lost.
+    ServerLost,
     /// The client never got its answer.
-    AnswerLost,
-    /// The module took it off its box.
-    Moved,
+    AnswerUndelivered,
+    /// The policy migrated it.
+    Migrated,
 }
 
 /// What is to be done.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Send the client's offer to a box. Drop it at `until` if unanswered, then end it within [`crate::session::GRACE`].
+    /// Send the client's offer to a media server. Drop it at `deadline` if unanswered, then end it within
+    /// [`crate::session::GRACE`].
     SetUp {
-        /// The attempt; its end is owed as one [`Input::Verdict`].
+        /// The attempt; its end is due as one [`Input::AttemptEnded`].
         attempt: AttemptId,
-        /// Who waits.
+        /// The request that waits for it.
         request: RequestId,
-        /// Where to.
+        /// The media server.
         server: ServerId,
         /// Its address.
         url: Arc<str>,
@@ -242,7 +248,7 @@
         /// The rung's rate, kB a second.
         rate_kb: f64,
         /// When to drop it.
-        until: Micros,
+        deadline: Micros,
     },
     /// Drop an attempt now.
     Cancel(AttemptId),
@@ -250,36 +256,36 @@
     Reply(RequestId, Answer),
     /// Set the rung of a session that plays.
     SetRung {
-        /// The box.
+        /// The media server.
         server: ServerId,
         /// The session.
         session: SessionId,
-        /// Path at the box where its layers are chosen.
+        /// Path at the media server where its layers are chosen.
         layers: String,
         /// The rung.
         rung: Rung,
         /// The rung's rate, kB a second.
         rate_kb: f64,
     },
-    /// End a session at a box, and say how it went.
+    /// End a session at a media server, and report the result.
     Release {
         /// For [`Input::Released`].
-        ticket: Ticket,
-        /// The box.
+        id: ReleaseId,
+        /// The media server.
         server: ServerId,
         /// The path there.
         resource: String,
     },
-    /// Ask a box for its load.
+    /// Check a media server's health and load.
     Probe(ServerId),
-    /// Keep an event stream to this box, at this address; replaces an earlier one.
+    /// Keep an event stream to this media server, at this address; replaces an earlier one.
     Watch(ServerId, Arc<str>),
-    /// The box is off the list and nothing plays there any more: drop its stream.
+    /// The media server is off the list and nothing plays there any more: drop its stream.
     Unwatch(ServerId),
-    /// Ask for changes of the list.
+    /// Subscribe to changes of the endpoint list.
     Subscribe,
     /// A session that played is over.
-    Over(SessionId, Why),
+    SessionEnded(SessionId, EndReason),
     /// A line for the operators.
     Log(String),
 }
--- a/crates/front/session/tests/support/mod.rs
+++ b/crates/front/session/tests/support/mod.rs
@@ -1,21 +1,21 @@
-//! A front of four boxes and three titles, driven by hand.
+//! A front with four media servers and three titles, driven by hand.
 #![allow(dead_code)]
 
 use std::sync::Arc;
 
-use beechloft_session::Core;
+use beechloft_session::SessionController;
 use beechloft_session::api::*;
-use beechloft_session::catalog::{BoxLine, ListUpdate, TitleLine};
+use beechloft_session::catalog::{EndpointUpdate, MediaServerEntry, TitleEntry};
 use beechloft_session::io::*;
 
-pub const MS: u64 = 1_000;
-pub const S: u64 = 1_000_000;
+pub const MILLISECOND: u64 = 1_000;
+pub const SECOND: u64 = 1_000_000;
 
 pub fn settings() -> Settings {
     Settings {
         classes: vec![Class {
-            aim: Micros(800 * MS),
-            deadline: Micros(4 * S),
+            aim: Micros(800 * MILLISECOND),
+            deadline: Micros(4 * SECOND),
             effect: Effect::Repeatable,
             worth: 1.0,
             scale: 1.0,
@@ -37,16 +37,26 @@
         guard: Some(1.2),
         fronts: 2,
         reporting: Reporting::InAnswers,
-        limits: Limits { max_attempts: 3, probes: false, cancel: true, retry_after: Some(Micros(500 * MS)) },
-        budget: Some(RetryBudget { free: 3.0, share: 0.1, window: Micros(10 * S) }),
-        cold: ColdRule { warm_after: Micros(12 * S), from: 0.4, multiple: 2.5, span: Micros(2 * S) },
+        limits: Limits {
+            max_attempts: 3,
+            probes: false,
+            cancel: true,
+            retry_after: Some(Micros(500 * MILLISECOND)),
+        },
+        budget: Some(RetryBudget { free: 3.0, share: 0.1, window: Micros(10 * SECOND) }),
+        cold: ColdRule {
+            warm_after: Micros(12 * SECOND),
+            from: 0.4,
+            multiple: 2.5,
+            span: Micros(2 * SECOND),
+        },
         over_share_worth: 1.0,
         ..Settings::default()
     }
 }
 
-pub fn line(n: u32, state: ServerState) -> BoxLine {
-    BoxLine {
+pub fn media_server(n: u32, state: ServerState) -> MediaServerEntry {
+    MediaServerEntry {
         id: ServerId(n),
         name: format!("box-{n}").into(),
         url: format!("127.0.0.1:{}", 9000 + n).into(),
@@ -60,8 +70,8 @@
     }
 }
 
-pub fn title(name: &str, holders: impl IntoIterator<Item = u32>) -> TitleLine {
-    TitleLine {
+pub fn title_entry(name: &str, holders: impl IntoIterator<Item = u32>) -> TitleEntry {
+    TitleEntry {
         name: name.into(),
         class: ClassId(0),
         tenant: TenantId(0),
@@ -70,95 +80,102 @@
     }
 }
 
-/// All four boxes; `title-2` lies nowhere.
-pub fn snapshot(cached: bool) -> ListUpdate {
-    let boxes = (0..4).map(|n| line(n, ServerState::Ready)).collect();
-    let titles = vec![title("title-0", 0..4), title("title-1", [1, 3]), title("title-2", [])];
-    ListUpdate::Snapshot { cached, boxes, titles }
+/// All four media servers; nobody holds `title-2`.
+pub fn snapshot(cached: bool) -> EndpointUpdate {
+    let servers = (0..4).map(|n| media_server(n, ServerState::Ready)).collect();
+    let titles =
+        vec![title_entry("title-0", 0..4), title_entry("title-1", [1, 3]), title_entry("title-2", [])];
+    EndpointUpdate::Snapshot { cached, servers, titles }
 }
 
-pub fn change(boxes: Vec<BoxLine>) -> ListUpdate {
-    ListUpdate::Change { boxes, titles: vec![], gone: vec![] }
+pub fn change(servers: Vec<MediaServerEntry>) -> EndpointUpdate {
+    EndpointUpdate::Change { servers, titles: vec![], removed: vec![] }
 }
 
-pub fn list_change(n: u8) -> ListUpdate {
+pub fn list_change(n: u8) -> EndpointUpdate {
     match n {
-        0 => change(vec![line(1, ServerState::Draining)]),
-        1 => change(vec![line(1, ServerState::Ready)]),
-        2 => change(vec![line(2, ServerState::Gone)]),
-        3 => change(vec![line(2, ServerState::Ready), line(2, ServerState::Draining)]),
-        4 => ListUpdate::Failed,
-        5 => ListUpdate::Snapshot { cached: false, boxes: vec![], titles: vec![] },
+        0 => change(vec![media_server(1, ServerState::Draining)]),
+        1 => change(vec![media_server(1, ServerState::Ready)]),
+        2 => change(vec![media_server(2, ServerState::Gone)]),
+        3 => change(vec![media_server(2, ServerState::Ready), media_server(2, ServerState::Draining)]),
+        4 => EndpointUpdate::Failed,
+        5 => EndpointUpdate::Snapshot { cached: false, servers: vec![], titles: vec![] },
         _ => snapshot(false),
     }
 }
 
-pub fn ask(n: u64, title: &str) -> Ask {
-    Ask {
+pub fn session_request(n: u64, title: &str) -> SessionRequest {
+    SessionRequest {
         request: RequestId(n),
         session: SessionId(n),
         secret: Secret(n * 7),
         title: title.into(),
         protocol: Protocol::Whep,
         max_rate_kb: None,
-        repeat: None,
+        idempotency_key: None,
     }
 }
 
 pub struct Front {
-    pub core: Core,
+    pub controller: SessionController,
     pub now: u64,
     /// All outputs so far, as text.
     pub log: Vec<String>,
 }
 
 impl Front {
-    /// In service: its list is known, and long enough for its boxes to be warm.
+    /// In service: its endpoint list is known, and long enough for its media servers to be warm.
     pub fn new(seed: u64) -> Self {
         Front::with(settings(), seed)
     }
 
     pub fn with(settings: Settings, seed: u64) -> Self {
-        let mut front = Front { core: Core::new(settings, seed), now: 100 * S, log: Vec::new() };
-        front.input(Input::List(snapshot(true)));
-        front.now += 20 * S;
-        front.input(Input::List(snapshot(false)));
+        let mut front =
+            Front { controller: SessionController::new(settings, seed), now: 100 * SECOND, log: Vec::new() };
+        front.input(Input::Endpoints(snapshot(true)));
+        front.now += 20 * SECOND;
+        front.input(Input::Endpoints(snapshot(false)));
         front
     }
 
     pub fn input(&mut self, input: Input) -> Vec<Output> {
         let mut out = Vec::new();
-        self.core.handle(Micros(self.now), input, &mut out);
+        self.controller.handle(Micros(self.now), input, &mut out);
         self.log.extend(out.iter().map(|o| format!("{} {o:?}", self.now)));
         out
     }
 
-    pub fn ask(&mut self, n: u64, title: &str) -> Vec<Output> {
-        self.input(Input::Ask(ask(n, title)))
+    pub fn request(&mut self, n: u64, title: &str) -> Vec<Output> {
+        self.input(Input::Request(session_request(n, title)))
     }
 
-    pub fn verdict(&mut self, attempt: AttemptId, server: ServerId, verdict: Verdict) -> Vec<Output> {
-        let sent = Micros(self.now);
-        self.input(Input::Verdict { attempt, server, verdict, sent, load: LoadReport::default() })
+    pub fn attempt_ended(
+        &mut self,
+        attempt: AttemptId,
+        server: ServerId,
+        result: AttemptResult,
+    ) -> Vec<Output> {
+        let sent_at = Micros(self.now);
+        self.input(Input::AttemptEnded { attempt, server, result, sent_at, load: LoadReport::default() })
     }
 
     pub fn accept(&mut self, attempt: AttemptId, server: ServerId) -> Vec<Output> {
         let resource = format!("/r/{}-{}", attempt.session.0, attempt.number);
-        self.verdict(attempt, server, Verdict::Accepted { resource, reply: Arc::default() })
+        self.attempt_ended(attempt, server, AttemptResult::Accepted { resource, reply: Arc::default() })
     }
 
-    /// Asks for a title and has its first box take it.
+    /// Requests a title and has the first media server take it.
     pub fn play(&mut self, n: u64, title: &str) -> ServerId {
-        let (attempt, server, _) = set_up(&self.ask(n, title)).expect("a set-up");
+        let (attempt, server, _) = set_up(&self.request(n, title)).expect("a set-up");
         self.accept(attempt, server);
         server
     }
 }
 
-/// The first set-up among outputs: attempt, box, when it is dropped.
+/// The first set-up among outputs: attempt, media server, when it is dropped.
 pub fn set_up(outputs: &[Output]) -> Option<(AttemptId, ServerId, u64)> {
     outputs.iter().find_map(|o| match o {
-        Output::SetUp { attempt, server, until, .. } => Some((*attempt, *server, until.0)),
+        Output::SetUp { attempt, server, deadline, .. } => Some((*attempt, *server, deadline.0)),
         _ => None,
     })
 }
--- a/crates/front/sip/src/agent/boxes.rs
+++ b/crates/front/sip/src/agent/boxes.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use beechloft_session::api::{LoadReport, Micros, Outcome, ServerId};
-use beechloft_session::io::{self as core_io, AttemptId, BoxNews, BoxReply, Verdict};
+use beechloft_session::io::{self as core_io, AttemptId, AttemptResult, MediaServerEvent, MediaServerReply};
 use beechloft_whep::sdp;
 
 use super::{Agent, OWN, Output, Owner, Placed, leg_of, resource_of, user_agent};
@@ -50,9 +50,15 @@
             }
         });
         let Some(((request, address), offer)) = built.zip(offer) else {
-            let verdict = Verdict::Ended(Outcome::Moot);
+            let verdict = AttemptResult::Ended(Outcome::Moot);
             let load = LoadReport::default();
-            return self.tell(core_io::Input::Verdict { attempt, server, verdict, sent: self.now, load });
+            return self.tell(core_io::Input::AttemptEnded {
+                attempt,
+                server,
+                result: verdict,
+                sent_at: self.now,
+                load,
+            });
         };
         self.next += 1;
         let id = self.next;
@@ -178,9 +184,9 @@
                 callee::Out::Over(status) => {
                     let outcome = match status {
                         Some(status) => refusal(status),
-                        None if refused => Verdict::Ended(Outcome::ConnectFailed),
-                        None if lost => Verdict::Ended(Outcome::Reset),
-                        None => Verdict::Ended(Outcome::Timeout),
+                        None if refused => AttemptResult::Ended(Outcome::ConnectFailed),
+                        None if lost => AttemptResult::Ended(Outcome::Reset),
+                        None => AttemptResult::Ended(Outcome::Timeout),
                     };
                     self.verdict(leg, attempt, server, outcome, sent);
                 }
@@ -190,7 +196,10 @@
                 }
                 callee::Out::HungUp => {
                     let resource = resource_of(leg);
-                    self.tell(core_io::Input::Box(server, BoxNews::Over { resource }));
+                    self.tell(core_io::Input::MediaServer(
+                        server,
+                        MediaServerEvent::SessionEnded { resource },
+                    ));
                 }
                 callee::Out::Gone => self.gone(leg),
             }
@@ -203,14 +212,20 @@
         leg: u64,
         attempt: AttemptId,
         server: ServerId,
-        verdict: Verdict,
+        verdict: AttemptResult,
         sent: Micros,
     ) {
         if let Some(placed) = self.placed.get_mut(&leg) {
             placed.until = None;
         }
         self.trying.remove(&attempt.session);
-        self.tell(core_io::Input::Verdict { attempt, server, verdict, sent, load: LoadReport::default() });
+        self.tell(core_io::Input::AttemptEnded {
+            attempt,
+            server,
+            result: verdict,
+            sent_at: sent,
+            load: LoadReport::default(),
+        });
     }
 
     /// Notes a transaction that a leg waits for.
@@ -233,27 +248,27 @@
         }
         self.out.push(Output::Close(placed.peer));
         if let Some(ticket) = placed.release {
-            self.tell(core_io::Input::Released(ticket, true));
+            self.tell(core_io::Input::Released { id: ticket, gone: true });
         }
     }
 }
 
 /// What a box's answer to an INVITE comes to.
-fn accepted(leg: u64, body: Vec<u8>) -> Verdict {
+fn accepted(leg: u64, body: Vec<u8>) -> AttemptResult {
     let resource = resource_of(leg);
     if sdp::check_answer(&body).is_err() {
-        return Verdict::Undone { resource, outcome: Outcome::Error };
+        return AttemptResult::Unusable { resource, outcome: Outcome::Error };
     }
-    let reply = BoxReply { sdp: body, layers: Some(resource.clone()), ..BoxReply::default() };
-    Verdict::Accepted { resource, reply: Arc::new(reply) }
+    let reply = MediaServerReply { sdp: body, layers: Some(resource.clone()), ..MediaServerReply::default() };
+    AttemptResult::Accepted { resource, reply: Arc::new(reply) }
 }
 
 /// What a box's final status means: full, the caller's own fault, or an error.
-fn refusal(status: u16) -> Verdict {
+fn refusal(status: u16) -> AttemptResult {
     match status {
-        486 | 503 | 600 => Verdict::Ended(Outcome::Full),
-        400 | 401 | 403 | 407 | 415 | 488 => Verdict::Declined(status),
-        408 => Verdict::Ended(Outcome::Timeout),
-        _ => Verdict::Ended(Outcome::Error),
+        486 | 503 | 600 => AttemptResult::Ended(Outcome::Full),
+        400 | 401 | 403 | 407 | 415 | 488 => AttemptResult::Declined(status),
+        408 => AttemptResult::Ended(Outcome::Timeout),
+        _ => AttemptResult::Ended(Outcome::Error),
     }
 }
--- a/crates/front/sip/src/agent/callers.rs
+++ b/crates/front/sip/src/agent/callers.rs
@@ -1,7 +1,7 @@
 //! The agent towards callers: a call comes, is admitted or turned away, and what its leg wants is carried out.
 
 use beechloft_session::api::SessionId;
-use beechloft_session::io::{self as core_io, Ask, Protocol, RequestId, Secret};
+use beechloft_session::io::{self as core_io, Protocol, RequestId, Secret, SessionRequest};
 use beechloft_whep::sdp::Offer;
 use rsip::Header;
 
@@ -80,16 +80,16 @@
         let call =
             Call { request: number, secret, leg, peer, key, name, title: title.clone(), offer, arrived };
         self.calls.insert(session, call);
-        let ask = Ask {
+        let ask = SessionRequest {
             request: number,
             session,
             secret,
             title,
             protocol: Protocol::Sip,
             max_rate_kb,
-            repeat: None,
+            idempotency_key: None,
         };
-        self.tell(core_io::Input::Ask(ask));
+        self.tell(core_io::Input::Request(ask));
     }
 
     pub(super) fn local(&self, transport: Transport) -> Local {
@@ -130,9 +130,9 @@
                     }
                 }
                 caller::Out::Send(request) => self.layer(transaction::Input::Send(peer, request)),
-                caller::Out::Cancelled => self.tell(core_io::Input::HungUp(session)),
+                caller::Out::Cancelled => self.tell(core_io::Input::ClientDisconnected(session)),
                 caller::Out::Confirmed => {}
-                caller::Out::Over(Why::NoAck) => self.tell(core_io::Input::AnswerLost(session)),
+                caller::Out::Over(Why::NoAck) => self.tell(core_io::Input::AnswerUndelivered(session)),
                 caller::Out::Over(Why::Bye | Why::Expired) => {
                     self.next += 1;
                     let request = RequestId(OWN | self.next);
--- a/crates/front/sip/src/agent/mod.rs
+++ b/crates/front/sip/src/agent/mod.rs
@@ -1,6 +1,6 @@
 //! The back-to-back user agent: callers' calls on one side, boxes' on the other, and the front's core in between.
 //!
-//! A caller's INVITE is an `Ask` of the core; each attempt that the core asks for is an INVITE to a box on a
+//! A caller's INVITE is an `SessionRequest` of the core; each attempt that the core asks for is an INVITE to a box on a
 //! connection of its own; a leg's end is a verdict, a release a BYE. Retransmissions stop at the transaction layer and
 //! never reach the core. No I/O, clock or randomness but seeded.
 
@@ -13,7 +13,7 @@
 
 use beechloft_session::api::{Micros, ServerId, SessionId};
 use beechloft_session::io::{self as core_io, Answer, AttemptId, RequestId, Secret};
-use beechloft_session::release::Ticket;
+use beechloft_session::release::ReleaseId;
 use beechloft_whep::sdp::Offer;
 use rsip::{Header, headers::UntypedHeader};
 
@@ -81,7 +81,7 @@
     /// When the attempt is given up; none: it is over, or the call stands.
     until: Option<Micros>,
     refused: bool,
-    release: Option<Ticket>,
+    release: Option<ReleaseId>,
     /// The caller's offer, for changes of the rung.
     offer: Offer,
     /// Its transactions, the INVITE's first.
@@ -250,7 +250,7 @@
             self.first_word(*request);
         }
         match output {
-            core_io::Output::SetUp { attempt, request, server, url, rate_kb, until, .. }
+            core_io::Output::SetUp { attempt, request, server, url, rate_kb, deadline: until, .. }
                 if self.by_request.contains_key(&request) =>
             {
                 self.set_up(attempt, server, &url, rate_kb, until);
@@ -264,16 +264,16 @@
             }
             core_io::Output::Reply(request, answer) => self.reply(request, &answer),
             core_io::Output::SetRung { layers, rate_kb, .. } => self.set_rung(&layers, rate_kb),
-            core_io::Output::Release { ticket, resource, .. } => match leg_of(&resource) {
+            core_io::Output::Release { id: ticket, resource, .. } => match leg_of(&resource) {
                 Some(leg) if self.placed.contains_key(&leg) => {
                     if let Some(placed) = self.placed.get_mut(&leg) {
                         placed.release = Some(ticket);
                     }
                     self.on_box(leg, callee::In::End);
                 }
-                _ => self.tell(core_io::Input::Released(ticket, true)),
+                _ => self.tell(core_io::Input::Released { id: ticket, gone: true }),
             },
-            core_io::Output::Over(session, _) => {
+            core_io::Output::SessionEnded(session, _) => {
                 self.on_caller(session, caller::In::End, None);
                 // Of a box that is lost the core asks nothing more, but its process may run on and the call with it:
                 // unlike a player's session it does not end by itself when its caller has gone.
@@ -292,12 +292,12 @@
                 Ok(sdp) => caller::In::Accept(sdp),
                 Err(_) => caller::In::Refuse(500, None),
             },
-            Answer::Refused(advice) => {
+            Answer::Rejected(advice) => {
                 caller::In::Refuse(503, advice.map(|a| a.0.div_ceil(1_000_000).max(1)))
             }
             Answer::Failed => caller::In::Refuse(504, None),
             Answer::Declined(status) => caller::In::Refuse(*status, None),
-            Answer::NoTitle => caller::In::Refuse(404, None),
+            Answer::UnknownTitle => caller::In::Refuse(404, None),
             _ => caller::In::Refuse(500, None),
         };
         self.on_caller(session, input, None);
--- a/crates/front/sip/tests/agent.rs
+++ b/crates/front/sip/tests/agent.rs
@@ -4,9 +4,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use beechloft_session::Core;
+use beechloft_session::SessionController;
 use beechloft_session::api::*;
-use beechloft_session::catalog::{BoxLine, ListUpdate, TitleLine};
+use beechloft_session::catalog::{EndpointUpdate, MediaServerEntry, TitleEntry};
 use beechloft_session::io as core_io;
 use beechloft_sip::agent::{Agent, Input, Output};
 use beechloft_sip::message::{Message, Method, Request, Response};
@@ -76,7 +76,7 @@
 
 /// The world around one front: a network that takes a millisecond, boxes of some manner, callers by hand.
 struct World {
-    core: Core,
+    core: SessionController,
     agent: Agent,
     now: u64,
     manners: Vec<Manner>,
@@ -109,7 +109,7 @@
     fn with(settings: Settings, manners: &[Manner]) -> World {
         let listen = "127.0.0.1:5060".parse().expect("an address");
         let mut world = World {
-            core: Core::new(settings, 1),
+            core: SessionController::new(settings, 1),
             agent: Agent::new(listen, 0, 2),
             now: 100 * S,
             manners: manners.to_vec(),
@@ -124,7 +124,7 @@
             invites: Vec::new(),
             rates: Vec::new(),
         };
-        let boxes = (0..manners.len() as u32).map(|n| BoxLine {
+        let boxes = (0..manners.len() as u32).map(|n| MediaServerEntry {
             id: ServerId(n),
             name: format!("box-{n}").into(),
             url: format!("127.0.0.1:{}", 8000 + n).into(),
@@ -136,15 +136,15 @@
             started: Micros(0),
             size: 1.0,
         });
-        let title = TitleLine {
+        let title = TitleEntry {
             name: "stall".into(),
             class: ClassId(0),
             tenant: TenantId(0),
             holders: (0..manners.len() as u32).map(ServerId).collect(),
             length: None,
         };
-        let list = ListUpdate::Snapshot { cached: false, boxes: boxes.collect(), titles: vec![title] };
-        world.core(core_io::Input::List(list));
+        let list = EndpointUpdate::Snapshot { cached: false, servers: boxes.collect(), titles: vec![title] };
+        world.core(core_io::Input::Endpoints(list));
         world
     }
 
@@ -532,7 +532,7 @@
     w.wait(100 * MS);
     let ok = w.ok_of("c1").expect("an answer");
     w.caller_sends(&caller("ACK", "c1", 1, &tag_of(&ok), "", ""));
-    w.core(core_io::Input::Box(ServerId(0), core_io::BoxNews::Refused));
+    w.core(core_io::Input::MediaServer(ServerId(0), core_io::MediaServerEvent::ConnectionRefused));
     w.wait(100 * MS);
     let bye = |m: &Message| matches!(m, Message::Request(r) if r.method() == Method::Bye);
     assert!(w.received.iter().any(bye), "the caller is hung up");
--- a/crates/front/sip/tests/gate.rs
+++ b/crates/front/sip/tests/gate.rs
@@ -58,7 +58,7 @@
             },
             _ => None,
         };
-        let asks = |o: &Output| matches!(o, Output::Core(i) if matches!(**i, core_io::Input::Ask(_)));
+        let asks = |o: &Output| matches!(o, Output::Core(i) if matches!(**i, core_io::Input::Request(_)));
         (out.iter().filter_map(text).collect(), out.iter().any(asks))
     }
 }
@@ -104,7 +104,7 @@
         gate.now += LOOK.0 / 20;
         let request = Gate::asked(&gate.takes(message("INVITE", call, ""), LATE.0 / 2));
         let Some(request) = request else { continue };
-        let reply = core_io::Output::Reply(request, core_io::Answer::NoTitle);
+        let reply = core_io::Output::Reply(request, core_io::Answer::UnknownTitle);
         gate.agent.handle(Micros(gate.now), Input::Core(Box::new(reply)), &mut Vec::new());
     }
     assert!(gate.agent.control().rate().is_some());
@@ -127,7 +127,7 @@
     fn asked(out: &[Output]) -> Option<core_io::RequestId> {
         out.iter().find_map(|o| match o {
             Output::Core(input) => match &**input {
-                core_io::Input::Ask(ask) => Some(ask.request),
+                core_io::Input::Request(ask) => Some(ask.request),
                 _ => None,
             },
             _ => None,
--- a/crates/front/whep/src/answer.rs
+++ b/crates/front/whep/src/answer.rs
@@ -118,19 +118,19 @@
             let own = format!("<{path}>; rel=\"{}\"; events=\"{names}\"", events::REL);
             reply.links.iter().fold(created, |r, link| r.with(header::LINK, link)).with(header::LINK, own)
         }
-        Answer::Refused(advice) => unavailable("no room for this session now", *advice),
+        Answer::Rejected(advice) => unavailable("no room for this session now", *advice),
         Answer::Failed => Response::text(StatusCode::GATEWAY_TIMEOUT, "the session could not be set up"),
         Answer::Declined(status) => {
             let status = StatusCode::from_u16(*status).unwrap_or(StatusCode::BAD_REQUEST);
             Response::text(status, "the streaming server declined the request")
         }
-        Answer::NoTitle => Response::text(StatusCode::NOT_FOUND, "no such title"),
-        Answer::Busy => {
+        Answer::UnknownTitle => Response::text(StatusCode::NOT_FOUND, "no such title"),
+        Answer::InProgress => {
             let text = "the same offer is being set up, or its session is not there yet";
             Response::text(StatusCode::CONFLICT, text).with(header::RETRY_AFTER, "1")
         }
-        Answer::NoSession => Response::text(StatusCode::NOT_FOUND, "no such session"),
-        Answer::Deleted | Answer::At { .. } => Response::new(StatusCode::OK),
+        Answer::UnknownSession => Response::text(StatusCode::NOT_FOUND, "no such session"),
+        Answer::Deleted | Answer::Located { .. } => Response::new(StatusCode::OK),
     }
 }
 
@@ -193,11 +193,11 @@
     #[test]
     fn a_time_to_come_back_is_never_sooner_than_advised() {
         let wait =
-            |us| response(&Answer::Refused(Some(Micros(us)))).field(header::RETRY_AFTER).map(str::to_owned);
+            |us| response(&Answer::Rejected(Some(Micros(us)))).field(header::RETRY_AFTER).map(str::to_owned);
         assert_eq!(
             (wait(0), wait(500_000), wait(1_000_001)),
             (Some("1".into()), Some("1".into()), Some("2".into()))
         );
-        assert!(response(&Answer::Refused(None)).field(header::RETRY_AFTER).is_none());
+        assert!(response(&Answer::Rejected(None)).field(header::RETRY_AFTER).is_none());
     }
 }
--- a/crates/front/whep/src/boxes.rs
+++ b/crates/front/whep/src/boxes.rs
@@ -4,7 +4,7 @@
 
 use beechloft_http::{Method, Request, Response, StatusCode, header};
 use beechloft_session::api::{LoadReport, Outcome, Rung};
-use beechloft_session::io::{BoxReply, Verdict};
+use beechloft_session::io::{AttemptResult, MediaServerReply};
 
 use crate::{FRAG, SDP, layers, load, route, sdp};
 
@@ -97,30 +97,30 @@
 ///
 /// A status that finds fault with the client's own request is passed on and says nothing about the box. 404 is the
 /// box's fault: the list says that it holds the title.
-pub fn verdict(response: &Response) -> (Verdict, LoadReport) {
+pub fn verdict(response: &Response) -> (AttemptResult, LoadReport) {
     let report = load::field(response.field(load::FIELD));
     let verdict = match response.status.as_u16() {
         201 => accepted(response),
-        503 | 429 => Verdict::Ended(Outcome::Full),
-        status @ (400 | 401 | 403 | 406 | 413 | 415 | 422) => Verdict::Declined(status),
-        _ => Verdict::Ended(Outcome::Error),
+        503 | 429 => AttemptResult::Ended(Outcome::Full),
+        status @ (400 | 401 | 403 | 406 | 413 | 415 | 422) => AttemptResult::Declined(status),
+        _ => AttemptResult::Ended(Outcome::Error),
     };
     (verdict, report)
 }
 
-fn accepted(response: &Response) -> Verdict {
+fn accepted(response: &Response) -> AttemptResult {
     let Some(resource) = response.field(header::LOCATION).and_then(path_of).map(str::to_owned) else {
-        return Verdict::Ended(Outcome::Error);
+        return AttemptResult::Ended(Outcome::Error);
     };
     if !crate::is_type(response.field(header::CONTENT_TYPE), SDP)
         || sdp::check_answer(&response.body).is_err()
     {
-        return Verdict::Undone { resource, outcome: Outcome::Error };
+        return AttemptResult::Unusable { resource, outcome: Outcome::Error };
     }
-    let mut reply = BoxReply {
+    let mut reply = MediaServerReply {
         sdp: response.body.clone(),
         etag: response.field(header::ETAG).map(str::to_owned),
-        ..BoxReply::default()
+        ..MediaServerReply::default()
     };
     let values = response.headers.get_all(header::LINK).iter().filter_map(|v| v.to_str().ok());
     for value in values.take(LINKS) {
@@ -131,7 +131,7 @@
             _ => {}
         }
     }
-    Verdict::Accepted { resource, reply: Arc::new(reply) }
+    AttemptResult::Accepted { resource, reply: Arc::new(reply) }
 }
 
 #[cfg(test)]
@@ -152,7 +152,7 @@
     fn a_session_is_taken_over_with_its_path_layers_and_load() {
         for location in ["/r/1", "http://127.0.0.1:9/r/1"] {
             let (verdict, report) = super::verdict(&created(location, ANSWER));
-            let Verdict::Accepted { resource, reply } = verdict else { panic!("{verdict:?}") };
+            let AttemptResult::Accepted { resource, reply } = verdict else { panic!("{verdict:?}") };
             assert_eq!(
                 (resource.as_str(), reply.layers.as_deref(), report.link),
                 ("/r/1", Some("/l/1"), Some(0.4))
@@ -164,19 +164,26 @@
     #[test]
     fn what_cannot_be_used_is_undone_where_it_can_be() {
         let of = |r: &Response| super::verdict(r).0;
-        assert!(matches!(of(&created("/r/1", "nonsense")), Verdict::Undone { .. }));
+        assert!(matches!(of(&created("/r/1", "nonsense")), AttemptResult::Unusable { .. }));
         assert!(matches!(
             of(&created("/r/1", &ANSWER.replace("video 9", "video 0"))),
-            Verdict::Undone { .. }
+            AttemptResult::Unusable { .. }
         ));
-        assert_eq!(of(&created("r/1", ANSWER)), Verdict::Ended(Outcome::Error));
-        assert_eq!(of(&created(&format!("/{}", "a".repeat(600)), ANSWER)), Verdict::Ended(Outcome::Error));
+        assert_eq!(of(&created("r/1", ANSWER)), AttemptResult::Ended(Outcome::Error));
+        assert_eq!(
+            of(&created(&format!("/{}", "a".repeat(600)), ANSWER)),
+            AttemptResult::Ended(Outcome::Error)
+        );
         let status = |code: u16| of(&Response::new(StatusCode::from_u16(code).expect("a status")));
-        assert_eq!(status(503), Verdict::Ended(Outcome::Full));
-        assert_eq!(status(401), Verdict::Declined(401));
+        assert_eq!(status(503), AttemptResult::Ended(Outcome::Full));
+        assert_eq!(status(401), AttemptResult::Declined(401));
         assert_eq!(
             (status(500), status(404), status(200)),
-            (Verdict::Ended(Outcome::Error), Verdict::Ended(Outcome::Error), Verdict::Ended(Outcome::Error),)
+            (
+                AttemptResult::Ended(Outcome::Error),
+                AttemptResult::Ended(Outcome::Error),
+                AttemptResult::Ended(Outcome::Error),
+            )
         );
     }
 }
--- a/crates/front/whep/src/news.rs
+++ b/crates/front/whep/src/news.rs
@@ -5,7 +5,7 @@
 
 use beechloft_http::sse::Event;
 use beechloft_session::api::{Micros, Note};
-use beechloft_session::io::BoxNews;
+use beechloft_session::io::MediaServerEvent;
 use serde::{Deserialize, Serialize};
 
 /// Path of the stream at a box.
@@ -30,28 +30,34 @@
 }
 
 /// Reads an event; none: it says nothing that a front knows.
-pub fn read(event: &Event) -> Option<BoxNews> {
+pub fn read(event: &Event) -> Option<MediaServerEvent> {
     let data: Data = serde_json::from_str(&event.data).ok()?;
     let share = data.share.filter(|s| s.is_finite() && *s >= 0.0);
     match event.name.as_str() {
-        "hello" => Some(BoxNews::Hello { boot: data.boot? }),
-        "delivered" => Some(BoxNews::Note(Note::Delivered(share?))),
-        "link" => Some(BoxNews::Note(Note::LinkUse(share?))),
-        "uplink" => Some(BoxNews::Note(Note::UplinkUse(share?))),
-        "over" => Some(BoxNews::Over { resource: data.resource? }),
+        "hello" => Some(MediaServerEvent::Connected { boot: data.boot? }),
+        "delivered" => Some(MediaServerEvent::Note(Note::Delivered(share?))),
+        "link" => Some(MediaServerEvent::Note(Note::LinkUse(share?))),
+        "uplink" => Some(MediaServerEvent::Note(Note::UplinkUse(share?))),
+        "over" => Some(MediaServerEvent::SessionEnded { resource: data.resource? }),
         _ => None,
     }
 }
 
 /// Writes an event; none: it is not one that a box sends.
-pub fn write(news: &BoxNews) -> Option<Event> {
+pub fn write(news: &MediaServerEvent) -> Option<Event> {
     let (name, data) = match news {
-        BoxNews::Hello { boot } => ("hello", Data { boot: Some(*boot), ..Data::default() }),
-        BoxNews::Note(Note::Delivered(x)) => ("delivered", Data { share: Some(*x), ..Data::default() }),
-        BoxNews::Note(Note::LinkUse(x)) => ("link", Data { share: Some(*x), ..Data::default() }),
-        BoxNews::Note(Note::UplinkUse(x)) => ("uplink", Data { share: Some(*x), ..Data::default() }),
-        BoxNews::Over { resource } => ("over", Data { resource: Some(resource.clone()), ..Data::default() }),
-        BoxNews::Note(Note::Rung(_)) | BoxNews::Broken | BoxNews::Refused => return None,
+        MediaServerEvent::Connected { boot } => ("hello", Data { boot: Some(*boot), ..Data::default() }),
+        MediaServerEvent::Note(Note::Delivered(x)) => {
+            ("delivered", Data { share: Some(*x), ..Data::default() })
+        }
+        MediaServerEvent::Note(Note::LinkUse(x)) => ("link", Data { share: Some(*x), ..Data::default() }),
+        MediaServerEvent::Note(Note::UplinkUse(x)) => ("uplink", Data { share: Some(*x), ..Data::default() }),
+        MediaServerEvent::SessionEnded { resource } => {
+            ("over", Data { resource: Some(resource.clone()), ..Data::default() })
+        }
+        MediaServerEvent::Note(Note::Rung(_))
+        | MediaServerEvent::Disconnected
+        | MediaServerEvent::ConnectionRefused => return None,
     };
     Some(Event { name: name.into(), data: serde_json::to_string(&data).ok()?, ..Event::default() })
 }
@@ -63,10 +69,10 @@
     #[test]
     fn news_is_read_as_written_and_the_rest_is_passed_over() {
         for news in [
-            BoxNews::Hello { boot: 7 },
-            BoxNews::Note(Note::Delivered(0.9)),
-            BoxNews::Note(Note::UplinkUse(1.2)),
-            BoxNews::Over { resource: "/r/1".into() },
+            MediaServerEvent::Connected { boot: 7 },
+            MediaServerEvent::Note(Note::Delivered(0.9)),
+            MediaServerEvent::Note(Note::UplinkUse(1.2)),
+            MediaServerEvent::SessionEnded { resource: "/r/1".into() },
         ] {
             assert_eq!(write(&news).as_ref().and_then(read), Some(news));
         }
--- a/crates/front/whep/src/sdp.rs
+++ b/crates/front/whep/src/sdp.rs
@@ -1,6 +1,6 @@
 //! Session descriptions: what an offer must have before a box sees it, and how a rung is written into it.
 
-use beechloft_session::io::RepeatKey;
+use beechloft_session::io::IdempotencyKey;
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 use webrtc_sdp::attribute_type::{SdpAttribute, SdpAttributeType};
@@ -153,7 +153,7 @@
 
     /// Names the offer, its title and its sender's token, so that the same one sent again is recognised. An offer
     /// carries its sender's own ICE password, so that two senders never make the same.
-    pub fn key(&self, title: &str, token: Option<&str>) -> RepeatKey {
+    pub fn key(&self, title: &str, token: Option<&str>) -> IdempotencyKey {
         let mut hash = Sha256::new();
         for part in [title, token.unwrap_or_default(), &self.text] {
             hash.update((part.len() as u64).to_be_bytes());
@@ -161,7 +161,7 @@
         }
         let digest = hash.finalize();
         let word = |at: usize| digest[at..at + 8].iter().fold(0u64, |n, b| n << 8 | u64::from(*b));
-        RepeatKey(word(0), word(8))
+        IdempotencyKey(word(0), word(8))
     }
 }
 
--- a/crates/testing/fakes/src/boxes/life.rs
+++ b/crates/testing/fakes/src/boxes/life.rs
@@ -10,7 +10,7 @@
 use beechloft_http::Limits;
 use beechloft_http::server::{Server, Sizes};
 use beechloft_session::api::{LoadReport, Note};
-use beechloft_session::io::BoxNews;
+use beechloft_session::io::MediaServerEvent;
 
 use super::Inner;
 use super::serve::Door;
@@ -87,11 +87,11 @@
             let Some(session) = state.sessions.remove(path) else { return false };
             self.recorder.note(What::Freed { server: self.spec.id, offer: session.offer, expired });
         }
-        self.tell(&BoxNews::Over { resource: path.to_owned() });
+        self.tell(&MediaServerEvent::SessionEnded { resource: path.to_owned() });
         true
     }
 
-    pub(super) fn tell(&self, news: &BoxNews) {
+    pub(super) fn tell(&self, news: &MediaServerEvent) {
         self.lock().streams.retain(|s| s.try_send(news.clone()).is_ok());
     }
 
@@ -113,12 +113,12 @@
             let short = share.delivered < 0.98;
             if now - short_told >= SHORT_EVERY && (short || was_short) {
                 (short_told, was_short) = (now, short);
-                self.tell(&BoxNews::Note(Note::Delivered(share.delivered)));
+                self.tell(&MediaServerEvent::Note(Note::Delivered(share.delivered)));
             }
             if now - full_told >= FULL_EVERY {
                 full_told = now;
-                self.tell(&BoxNews::Note(Note::LinkUse(share.link)));
-                self.tell(&BoxNews::Note(Note::UplinkUse(share.uplink)));
+                self.tell(&MediaServerEvent::Note(Note::LinkUse(share.link)));
+                self.tell(&MediaServerEvent::Note(Note::UplinkUse(share.uplink)));
             }
         }
     }
--- a/crates/testing/fakes/src/boxes/mod.rs
+++ b/crates/testing/fakes/src/boxes/mod.rs
@@ -17,7 +17,7 @@
 use beechloft_http::server::Server;
 use beechloft_http::wait;
 use beechloft_session::api::LoadReport;
-use beechloft_session::io::BoxNews;
+use beechloft_session::io::MediaServerEvent;
 use crossbeam_channel::Sender;
 
 use crate::dice::Dice;
@@ -59,7 +59,7 @@
     dice: Dice,
     boot: u64,
     reported: LoadReport,
-    streams: Vec<Sender<BoxNews>>,
+    streams: Vec<Sender<MediaServerEvent>>,
     /// Toppled, or told to stay down.
     down: bool,
 }
--- a/crates/testing/fakes/src/boxes/serve.rs
+++ b/crates/testing/fakes/src/boxes/serve.rs
@@ -10,7 +10,7 @@
 use beechloft_checker::What;
 use beechloft_http::server::{Handler, Link, Reply};
 use beechloft_http::{Method, Request, Response, StatusCode, header, sse, wait};
-use beechloft_session::io::BoxNews;
+use beechloft_session::io::MediaServerEvent;
 use beechloft_whep::route::{self, Place};
 use beechloft_whep::{EVENTS, FRAG, SDP, boxes, is_type, layers, load, news, sdp};
 use crossbeam_channel::{Receiver, Sender, bounded};
@@ -205,7 +205,7 @@
     }
 
     fn events(self: &Arc<Self>) -> Reply {
-        let (sender, receiver): (Sender<BoxNews>, Receiver<BoxNews>) = bounded(65_536);
+        let (sender, receiver): (Sender<MediaServerEvent>, Receiver<MediaServerEvent>) = bounded(65_536);
         let boot = {
             let mut state = self.lock();
             state.streams.push(sender);
@@ -216,7 +216,7 @@
         let this = self.clone();
         let write = move |stream: &TcpStream| {
             let mut stream = stream;
-            let hello = BoxNews::Hello { boot };
+            let hello = MediaServerEvent::Connected { boot };
             let mut news = Some(hello);
             loop {
                 let bytes = news.as_ref().and_then(news::write).map_or(sse::BEAT.to_vec(), |e| e.encode());
