--- /dev/null
+++ b/crates/fleet/gossip/tests/wire_format.rs
@@ -0,0 +1,79 @@
+//! The bytes of each kind of packet and of a row's delta: compared both ways with bytes that are committed.
+
+use std::collections::BTreeMap;
+
+use beechloft_gossip::{Delta, Entry, Kind, LifeKey, Packet, Said, Section};
+use beechloft_membership::MemberId;
+
+const FIXTURES: &str = include_str!("fixtures/packets.txt");
+
+/// The committed bytes of each sample: a line each, a name and its bytes in hexadecimal.
+fn fixtures() -> BTreeMap<&'static str, Vec<u8>> {
+    let line = |line: &'static str| {
+        let (name, hex) = line.split_once(' ').expect("a name and its bytes");
+        let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal");
+        (name, (0..hex.len()).step_by(2).map(byte).collect())
+    };
+    FIXTURES.lines().map(line).collect()
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn deltas() -> Vec<(&'static str, Delta)> {
+    let life = LifeKey::from(MemberId(0x1122_3344_5566_7788));
+    let sections = vec![
+        Section { kind: Kind::SOFT_LIMITS, version: 130, bytes: vec![1, 2, 3, 200] },
+        Section { kind: Kind::EVIDENCE, version: 400, bytes: Vec::new() },
+    ];
+    let full = Delta { life, number: Some(300), since: 129, version: 70_000, age_ms: 90_000, sections };
+    let empty = Delta { number: None, since: 0, version: 1, age_ms: 0, sections: Vec::new(), ..full.clone() };
+    vec![("delta", full), ("delta-empty", empty)]
+}
+
+fn packets() -> Vec<(&'static str, Packet)> {
+    let packet = |said: Said| Packet { from: MemberId(7), to: MemberId(u64::MAX), said };
+    let parts = (0..32u64).map(|part| (part * 0x0101_0101_0101_0101).to_le_bytes()).collect();
+    let entries = vec![
+        Entry { life: MemberId(5).into(), version: 0 },
+        Entry { life: MemberId(u64::MAX - 2).into(), version: 300 },
+    ];
+    let rows = deltas().into_iter().map(|(_, delta)| delta).collect();
+    vec![
+        ("compare", packet(Said::Compare { seq: u64::MAX, parts })),
+        (
+            "digest",
+            packet(Said::Digest { answers: 1_000, seq: 2_000, parts: 0x8000_0001, entries: entries.clone() }),
+        ),
+        ("want", packet(Said::Want { seq: 3_000, entries })),
+        ("rows", packet(Said::Rows { answers: 4_000, rows })),
+    ]
+}
+
+#[test]
+fn each_delta_of_a_row_has_its_committed_bytes() {
+    let fixtures = fixtures();
+    for (name, delta) in deltas() {
+        let bytes = postcard::to_allocvec(&delta).expect("it is encoded");
+        let committed = fixtures.get(name).unwrap_or_else(|| panic!("{name} {}", hex(&bytes)));
+        assert_eq!(hex(&bytes), hex(committed), "{name}");
+        assert_eq!(postcard::from_bytes::<Delta>(committed), Ok(delta), "{name}");
+    }
+}
+
+#[test]
+fn each_packet_has_its_committed_bytes() {
+    let fixtures = fixtures();
+    for (name, packet) in packets() {
+        let bytes = postcard::to_allocvec(&packet).expect("it is encoded");
+        let committed = fixtures.get(name).unwrap_or_else(|| panic!("{name} {}", hex(&bytes)));
+        assert_eq!(hex(&bytes), hex(committed), "{name}");
+        assert_eq!(postcard::from_bytes::<Packet>(committed), Ok(packet), "{name}");
+    }
+}
+
+#[test]
+fn no_committed_bytes_are_without_a_sample() {
+    assert_eq!(fixtures().len(), deltas().len() + packets().len());
+}
--- /dev/null
+++ b/crates/fleet/membership/tests/wire_format.rs
@@ -0,0 +1,92 @@
+//! The bytes of each kind of packet, of each update in it and of digests: compared both ways with bytes that are committed.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use beechloft_membership::{About, Digests, Incarnation, Kind, MemberId, Packet, Rumour, Said, Zone};
+
+const FIXTURES: &str = include_str!("fixtures/packets.txt");
+
+/// The committed bytes of each sample: a line each, a name and its bytes in hexadecimal.
+fn fixtures() -> BTreeMap<&'static str, Vec<u8>> {
+    let line = |line: &'static str| {
+        let (name, hex) = line.split_once(' ').expect("a name and its bytes");
+        let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal");
+        (name, (0..hex.len()).step_by(2).map(byte).collect())
+    };
+    FIXTURES.lines().map(line).collect()
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn about(kind: Kind) -> Arc<About> {
+    let address: SocketAddr = match kind {
+        Kind::Front => "10.1.2.3:7000".parse().expect("an address"),
+        Kind::Keeper => "[2001:db8::7]:7001".parse().expect("an address"),
+    };
+    let zone = Zone::try_from("zone-b".to_owned()).expect("a zone");
+    Arc::new(About { address, zone, kind })
+}
+
+fn updates() -> Vec<(&'static str, Rumour)> {
+    let id = MemberId(0x1234_5678_9abc_def0);
+    let by = MemberId(300);
+    let incarnation = Incarnation(129);
+    vec![
+        ("alive-front", Rumour::Alive { id, incarnation, about: about(Kind::Front) }),
+        ("alive-replica", Rumour::Alive { id, incarnation, about: about(Kind::Keeper) }),
+        ("suspect", Rumour::Suspected { id, incarnation, by }),
+        ("dead", Rumour::Gone { id, incarnation, by }),
+    ]
+}
+
+fn packets() -> Vec<(&'static str, Packet)> {
+    let from = MemberId(7);
+    let to = Some(MemberId(u64::MAX));
+    let target = MemberId(0x0102_0304_0506_0708);
+    let packet = |to: Option<MemberId>, said: Said| Packet { from, to, said, rumours: Vec::new() };
+    let digests = Digests((0..64).map(|part| part * 0x0101_0101_0101).collect());
+    let all = updates().into_iter().map(|(_, update)| update).collect();
+    vec![
+        ("ping", packet(to, Said::Ping { seq: 200, digest: u64::MAX - 1 })),
+        ("ping-any", packet(None, Said::Ping { seq: 1, digest: 0 })),
+        ("ping-req", packet(to, Said::PingFor { seq: 201, target, address: about(Kind::Front).address })),
+        ("ping-req-v6", packet(to, Said::PingFor { seq: 201, target, address: about(Kind::Keeper).address })),
+        ("ack", packet(to, Said::Ack { seq: 202, digest: 77 })),
+        ("nack", packet(to, Said::Nack { seq: 203 })),
+        ("replaced", packet(to, Said::Another { seq: 204 })),
+        ("compare", packet(None, Said::Compare { digests: digests.clone(), answers: false })),
+        ("compare-reply", packet(to, Said::Compare { digests, answers: true })),
+        ("entries", Packet { from, to, said: Said::Entries, rumours: all }),
+    ]
+}
+
+#[test]
+fn each_update_has_its_committed_bytes() {
+    let fixtures = fixtures();
+    for (name, update) in updates() {
+        let bytes = postcard::to_allocvec(&update).expect("it is encoded");
+        let committed = fixtures.get(name).unwrap_or_else(|| panic!("{name} {}", hex(&bytes)));
+        assert_eq!(hex(&bytes), hex(committed), "{name}");
+        assert_eq!(postcard::from_bytes::<Rumour>(committed), Ok(update), "{name}");
+    }
+}
+
+#[test]
+fn each_packet_has_its_committed_bytes() {
+    let fixtures = fixtures();
+    for (name, packet) in packets() {
+        let bytes = postcard::to_allocvec(&packet).expect("it is encoded");
+        let committed = fixtures.get(name).unwrap_or_else(|| panic!("{name} {}", hex(&bytes)));
+        assert_eq!(hex(&bytes), hex(committed), "{name}");
+        assert_eq!(postcard::from_bytes::<Packet>(committed), Ok(packet), "{name}");
+    }
+}
+
+#[test]
+fn no_committed_bytes_are_without_a_sample() {
+    assert_eq!(fixtures().len(), updates().len() + packets().len());
+}
