--- a/crates/fleet/membership/tests/wire_format.rs
+++ b/crates/fleet/membership/tests/wire_format.rs
@@ -10,12 +10,12 @@
 
 /// The committed bytes of each sample: a line each, a name and its bytes in hexadecimal.
 fn fixtures() -> BTreeMap<&'static str, Vec<u8>> {
-    let line = |line: &'static str| {
+    let parse = |line: &'static str| {
         let (name, hex) = line.split_once(' ').expect("a name and its bytes");
         let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal");
         (name, (0..hex.len()).step_by(2).map(byte).collect())
     };
-    FIXTURES.lines().map(line).collect()
+    FIXTURES.lines().map(parse).collect()
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -47,7 +47,8 @@
     let from = MemberId(7);
     let to = Some(MemberId(u64::MAX));
     let target = MemberId(0x0102_0304_0506_0708);
-    let packet = |to: Option<MemberId>, said: Said| Packet { from, to, said, rumours: Vec::new() };
+    let packet =
+        |receiver: Option<MemberId>, said: Said| Packet { from, to: receiver, said, rumours: Vec::new() };
     let digests = Digests((0..64).map(|part| part * 0x0101_0101_0101).collect());
     let all = updates().into_iter().map(|(_, update)| update).collect();
     vec![
--- a/crates/fleet/outlier-detection/tests/wire_format.rs
+++ b/crates/fleet/outlier-detection/tests/wire_format.rs
@@ -8,12 +8,12 @@
 
 /// The committed bytes of each sample: a line each, a name and its bytes in hexadecimal.
 fn fixtures() -> BTreeMap<&'static str, Vec<u8>> {
-    let line = |line: &'static str| {
+    let parse = |line: &'static str| {
         let (name, hex) = line.split_once(' ').expect("a name and its bytes");
         let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal");
         (name, (0..hex.len()).step_by(2).map(byte).collect())
     };
-    FIXTURES.lines().map(line).collect()
+    FIXTURES.lines().map(parse).collect()
 }
 
 fn hex(bytes: &[u8]) -> String {
