--- /dev/null
+++ b/crates/fleet/consensus/tests/encoding.rs
@@ -0,0 +1,131 @@
+//! The encodings of what members send to each other and store, byte for byte, in both directions. Replicas of different
+//! versions run side by side during an update, and a disk outlives the version that wrote it: a failure here means that the
+//! change would break both. `fixtures/*.txt` has one line for each value: its name and its bytes as hexadecimal digits.
+#![allow(missing_docs)]
+
+use std::fmt::Debug;
+use std::sync::Arc;
+
+use beechloft_consensus::{
+    Body, Change, Chunk, ChunkName, Entry, Index, LogPos, MemberId, Membership, Message, Payload, Rope, Term,
+    Verdict,
+};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+const MESSAGES: &str = include_str!("fixtures/messages.txt");
+const STORED: &str = include_str!("fixtures/stored.txt");
+const SNAPSHOTS: &str = include_str!("fixtures/snapshots.txt");
+
+fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn from_hex(digits: &str) -> Vec<u8> {
+    let pair = |at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits");
+    (0..digits.len()).step_by(2).map(pair).collect()
+}
+
+/// The bytes of a fixture's line.
+fn fixture(file: &str, name: &str) -> Vec<u8> {
+    let line = file.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    from_hex(line.unwrap_or_else(|| panic!("no fixture {name}")))
+}
+
+/// Checks that a value is written as its fixture has it, and that the fixture is read as the value.
+fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &str, name: &str, value: &T) {
+    let written = postcard::to_allocvec(value).expect("every value has an encoding");
+    assert_eq!(to_hex(&written), to_hex(&fixture(file, name)), "{name} is written otherwise");
+    let read: T = postcard::from_bytes(&fixture(file, name)).expect("the fixture is read");
+    assert_eq!(&read, value, "{name} is read otherwise");
+}
+
+fn position(term: u64, index: u64) -> LogPos {
+    LogPos { term: Term(term), index: Index(index) }
+}
+
+/// Two voters and a learner.
+fn membership() -> Membership {
+    let voters = [(MemberId(0x1122_3344_5566_7788), "10.0.0.1:7000".into()), (MemberId(2), "b:1".into())];
+    Membership::of(voters).changed(&Change::Learn(MemberId(3), "c:2".into())).expect("a valid change")
+}
+
+/// An entry with each kind of payload.
+fn entries() -> Vec<Entry> {
+    let command: Arc<[u8]> = Arc::from(&b"\x00\x01command\xff"[..]);
+    vec![
+        Entry { at: position(3, 299), payload: Payload::Nothing },
+        Entry { at: position(3, 300), payload: Payload::Command(command) },
+        Entry { at: position(3, 301), payload: Payload::Members(membership()) },
+    ]
+}
+
+fn rope() -> Rope {
+    let chunks: [&[u8]; 4] = [b"one", b"", b"twotwo", b"one"];
+    Rope::new(chunks.map(Chunk::new).to_vec())
+}
+
+#[test]
+fn every_message_has_the_encoding_of_its_fixture() {
+    let last = position(6, 300);
+    let install = |offset, part: &[u8], last| Body::Install {
+        at: position(5, 290),
+        members: membership(),
+        offset,
+        part: part.into(),
+        last,
+        round: 77,
+    };
+    let bodies = [
+        ("pre-vote", Body::PreVote { last }),
+        ("pre-vote-granted", Body::PreVoted(true)),
+        ("pre-vote-denied", Body::PreVoted(false)),
+        ("vote", Body::Vote { last, handed_over: false }),
+        ("vote-after-transfer", Body::Vote { last, handed_over: true }),
+        ("vote-granted", Body::Voted(true)),
+        ("vote-denied", Body::Voted(false)),
+        (
+            "append",
+            Body::Append { prev: position(3, 298), entries: entries(), commit: Index(280), round: 1 << 40 },
+        ),
+        ("append-empty", Body::Append { prev: last, entries: Vec::new(), commit: Index(300), round: 9 }),
+        ("append-matches", Body::Appended { verdict: Verdict::Matches(Index(301)), round: 9 }),
+        ("append-differs", Body::Appended { verdict: Verdict::Differs(Index(128)), round: 10 }),
+        ("install-first", install(0, b"snapshot", false)),
+        ("install-last", install(65_536, b"", true)),
+        ("installing", Body::Installing { at: position(5, 290), offset: 65_536, round: 78 }),
+        ("transfer", Body::TakeOver),
+    ];
+    for (name, body) in bodies {
+        let message = Message { from: MemberId(0x1122_3344_5566_7788), to: MemberId(2), term: Term(7), body };
+        check(MESSAGES, name, &message);
+    }
+}
+
+#[test]
+fn what_is_stored_has_the_encoding_of_its_fixture() {
+    for (name, entry) in ["entry-empty", "entry-command", "entry-members"].into_iter().zip(entries()) {
+        check(STORED, name, &entry);
+    }
+    check(STORED, "membership", &membership());
+    check(STORED, "membership-empty", &Membership::default());
+    check(STORED, "position", &position(1 << 33, 127));
+    check(STORED, "vote", &(Term(7), Some(MemberId(0x1122_3344_5566_7788))));
+    check(STORED, "vote-none", &(Term(300), None::<MemberId>));
+}
+
+#[test]
+fn a_snapshot_is_sent_with_the_bytes_of_its_fixture() {
+    for (name, rope) in
+        [("chunks", rope()), ("one-chunk", Rope::whole(*b"whole")), ("no-chunk", Rope::default())]
+    {
+        let sent = rope.sent_part(0, rope.sent_length());
+        assert_eq!(to_hex(&sent), to_hex(&fixture(SNAPSHOTS, name)), "{name} is sent otherwise");
+        assert_eq!(Rope::of_sent(&fixture(SNAPSHOTS, name)), Some(rope), "{name} is read otherwise");
+    }
+    for (name, bytes) in [("chunk-name", &b"one"[..]), ("chunk-name-empty", &b""[..])] {
+        let key = ChunkName::of(bytes).key();
+        assert_eq!(to_hex(&key), to_hex(&fixture(SNAPSHOTS, name)), "{name} is written otherwise");
+        assert_eq!(ChunkName::of_key(&fixture(SNAPSHOTS, name)), Some(ChunkName::of(bytes)));
+    }
+}
--- /dev/null
+++ b/crates/fleet/replica/tests/encoding/values.rs
@@ -0,0 +1,203 @@
+//! Commands of each part with every field set.
+
+use std::sync::Arc;
+
+use beechloft_leases::{HolderId, Name, Token, Will};
+use beechloft_placement::names::{
+    BoxId, Digest, DiskId, FrontId, Life, Order, RackId, Revision, ShardId, Version,
+};
+use beechloft_placement::plan::inventory::{BoxLine, RackLine};
+use beechloft_placement::words::request::{First, OnLoss, WhenFull};
+use beechloft_placement::{Operate, Quota, Renew, Room, Rules, Step, Titles, What};
+use beechloft_quotas::{AccountId, Claim, Counts, Definition, Kind, Of, OrphanId, Said};
+use beechloft_replica::Command;
+use beechloft_topic::{
+    Epoch, Expect, Key, Offset, PublisherId, Record, Session, Terms, TopicCommand, TopicOp, TopicRequest,
+    Value, Writers,
+};
+
+pub fn name<T: TryFrom<String, Error: std::fmt::Debug>>(text: &str) -> T {
+    T::try_from(text.to_owned()).expect("a name")
+}
+
+pub fn lease(seq: u64, op: beechloft_leases::Op) -> Command {
+    Command::Leases(beechloft_leases::Command::Request(beechloft_leases::Request {
+        holder: HolderId(1 << 63),
+        seq,
+        op,
+    }))
+}
+
+pub fn acquire() -> beechloft_leases::Op {
+    beechloft_leases::Op::Acquire { name: name("task"), places: 3, ttl_ms: 60_000 }
+}
+
+pub fn acquire_as() -> beechloft_leases::Op {
+    beechloft_leases::Op::AcquireAs {
+        name: name("task/seats"),
+        places: 300,
+        ttl_ms: 60_000,
+        seat: name("seat-1"),
+    }
+}
+
+fn leases() -> Vec<(&'static str, Command)> {
+    use beechloft_leases::Op;
+    let task = || -> Name { name("task") };
+    let will = Will { of: 7, rest_ms: 1_500, newest: Token(300), keep_ms: 9_000 };
+    vec![
+        ("leases-acquire", lease(1, acquire())),
+        ("leases-renew", lease(2, Op::Renew { name: task(), token: Token(300) })),
+        ("leases-release", lease(3, Op::Release { name: task(), token: Token(300) })),
+        ("leases-acquire-as", lease(4, acquire_as())),
+        ("leases-leave", lease(5, Op::Leave { name: task(), token: Token(300), will })),
+        (
+            "leases-expire",
+            Command::Leases(beechloft_leases::Command::Expire { token: Token(300), renewals: 2 }),
+        ),
+    ]
+}
+
+pub fn declare(topic: &str, life: u64) -> Command {
+    let terms = Terms { writers: Writers::Many, retention_ms: 3_600_000, keys: 1_000, bytes: 1 << 20 };
+    Command::Topics(TopicCommand::Declare { topic: name(topic), life, terms })
+}
+
+pub fn topic_request(op: TopicOp) -> TopicRequest {
+    TopicRequest { publisher: PublisherId(1 << 40), topic: name("topic"), op }
+}
+
+pub fn publish(seq: u64, value: Option<&[u8]>, expect: Expect) -> TopicOp {
+    let key = Key::new(b"key\x00").expect("a key");
+    let value = value.map(|bytes| Value::new(bytes).expect("a value"));
+    TopicOp::Publish { session: Session(1), seq, record: Record { key, value }, expect }
+}
+
+fn topics() -> Vec<(&'static str, Command)> {
+    let ask = |op| Command::Topics(TopicCommand::Ask(topic_request(op)));
+    vec![
+        ("topics-declare", declare("topic", 1 << 50)),
+        ("topics-begin", ask(TopicOp::Begin { epoch: Epoch(5) })),
+        ("topics-publish", ask(publish(1, Some(b"value\xff"), Expect::Anything))),
+        ("topics-publish-absent", ask(publish(2, Some(b""), Expect::Absent))),
+        ("topics-delete", ask(publish(3, None, Expect::At(Offset(300))))),
+        ("topics-horizon", Command::Topics(TopicCommand::Horizon { topic: name("topic"), to: Offset(300) })),
+    ]
+}
+
+pub fn definition() -> Definition {
+    Definition {
+        name: name("limit"),
+        version: 4,
+        counts: Counts::Sessions,
+        of: Of::Customer,
+        only: Some(beechloft_quotas::Key::of("ann")),
+        limit: 1_000,
+        kind: Kind::Soft { over_milli: 100 },
+        least: 2,
+        weights: [(beechloft_quotas::Key::of("ann"), 3)].into(),
+        keep_milli: 250,
+        longest_ms: 7_200_000,
+        burst_milli: 1_500,
+        fronts: 4,
+        settle_ms: 5_000,
+    }
+}
+
+pub fn quota_request(seq: u64, op: beechloft_quotas::Op) -> beechloft_quotas::Request {
+    beechloft_quotas::Request { front: beechloft_quotas::FrontId(1 << 62), seq, op }
+}
+
+fn limits() -> Vec<(&'static str, Command)> {
+    use beechloft_quotas::{Command as QuotaCommand, Op};
+    let (account, orphan) = (AccountId(300), OrphanId(301));
+    let claim =
+        || Claim { limit: name("limit"), key: beechloft_quotas::Key::of("k"), customer: Default::default() };
+    let request = |op| QuotaCommand::Request(quota_request(8, op));
+    let lines = vec![Said { claim: claim(), hold: 300, used: 2, want: 301 }];
+    let commands = [
+        ("limits-open", request(Op::Open { ttl_ms: 9_000, tagged: true })),
+        ("limits-settle", request(Op::Settle { account, lines })),
+        ("limits-close", request(Op::Close { account, left: vec![(claim(), 300)] })),
+        ("limits-adopt", request(Op::Adopt { account, orphan, taken: vec![(claim(), 300)] })),
+        ("limits-counted", request(Op::Counted { orphan, left: vec![(claim(), 300)] })),
+        ("limits-orphans", request(Op::Orphans)),
+        ("limits-limits", request(Op::Limits { account })),
+        ("limits-declare", request(Op::Declare { account, definition: definition() })),
+        ("limits-expire", QuotaCommand::Expire { account, renewals: 300 }),
+        ("limits-age", QuotaCommand::Age { orphan, from_ms: 300, by_ms: 7 }),
+        ("limits-define", QuotaCommand::Define(definition())),
+        ("limits-undefine", QuotaCommand::Undefine(name("limit"), 300)),
+    ];
+    commands.into_iter().map(|(text, command)| (text, Command::Limits(command))).collect()
+}
+
+pub fn shard() -> ShardId {
+    ShardId { customer: name("ann"), name: name("a") }
+}
+
+/// What operators set up before a shard can be pinned.
+pub fn operate() -> Vec<(&'static str, Operate)> {
+    let room = Room { bytes: 1_000, streams: 100, kb_s: 500 };
+    let line = BoxLine { zone: name("z"), rack: RackId(1), has: room, held: Room::default() };
+    let quota =
+        Quota { bytes: 300, regions: [name("north"), name("south")].into(), changes_an_hour: 9, shards: 9 };
+    vec![
+        ("region", Operate::Region(name("south"), [name("z")].into())),
+        ("region-north", Operate::Region(name("north"), [name("y")].into())),
+        ("rack", Operate::Rack(RackId(1), RackLine { uplink_kb_s: 500, held_kb_s: 1 })),
+        ("box", Operate::Box(BoxId(1), line)),
+        ("quota", Operate::Quota(name("ann"), quota)),
+    ]
+}
+
+pub fn put() -> beechloft_placement::Change {
+    let request = beechloft_placement::Request {
+        titles: Titles::Range { from: 0, to: u64::MAX },
+        bytes: 10,
+        digest: Digest([1; 32]),
+        streams: 1,
+        kb_s: 1,
+        regions: [(name("south"), 1)].into(),
+        first: First::Nearest,
+        on_loss: OnLoss::Lend { to: vec![name("north")], for_ms: 60_000 },
+        when_full: WhenFull::Wait,
+    };
+    beechloft_placement::Change {
+        shard: shard(),
+        key: name("k"),
+        if_match: None,
+        what: What::Put(Arc::new(request)),
+    }
+}
+
+fn placement() -> Vec<(&'static str, Command)> {
+    use beechloft_placement::Command as PlacementCommand;
+    let step = |step| PlacementCommand::Step(Token(300), step);
+    let (id, order) = (BoxId(1), Order(300));
+    let met = Step::Met { id, life: Life(1 << 40), disk: DiskId(2), told: order };
+    let remove = beechloft_placement::Change { if_match: Some(Version(3)), what: What::Remove, ..put() };
+    let renew = Renew { front: FrontId(5), seq: 300, has: Some(Revision(6)), ttl_ms: 1_000 };
+    let others = [
+        ("scrap", PlacementCommand::Operate(Operate::Scrap(id))),
+        ("rules", PlacementCommand::Operate(Operate::Rules(Rules::default()))),
+        ("put", PlacementCommand::Change(put())),
+        ("remove", PlacementCommand::Change(remove)),
+        ("step-clock", step(Step::Clock(300))),
+        ("step-met", step(met)),
+        ("step-lost", step(Step::Lost { id, life: Life(1 << 40) })),
+        ("step-read", step(Step::Read { shard: shard(), at: id, order, digest: Digest([2; 32]) })),
+        ("step-over", step(Step::Over(shard()))),
+        ("renew", PlacementCommand::Renew(renew)),
+        ("expire", PlacementCommand::Expire { front: FrontId(5), renewals: 300 }),
+    ];
+    let operate = operate().into_iter().map(|(text, operate)| (text, PlacementCommand::Operate(operate)));
+    operate.chain(others).map(|(text, command)| (text, Command::Placement(command))).collect()
+}
+
+/// Commands by the name of their fixture.
+pub fn commands() -> Vec<(String, Command)> {
+    let placement = placement().into_iter().map(|(text, command)| (format!("placement-{text}"), command));
+    let others = leases().into_iter().chain(topics()).chain(limits());
+    others.map(|(text, command)| (text.to_owned(), command)).chain(placement).collect()
+}
