--- a/crates/fleet/consensus/tests/encoding.rs
+++ b/crates/fleet/consensus/tests/encoding.rs
@@ -68,12 +68,12 @@
 #[test]
 fn every_message_has_the_encoding_of_its_fixture() {
     let last = position(6, 300);
-    let install = |offset, part: &[u8], last| Body::Install {
+    let install = |offset, part: &[u8], is_last| Body::Install {
         at: position(5, 290),
         members: membership(),
         offset,
         part: part.into(),
-        last,
+        last: is_last,
         round: 77,
     };
     let bodies = [
--- a/crates/fleet/replica/tests/encoding/snapshot.rs
+++ b/crates/fleet/replica/tests/encoding/snapshot.rs
@@ -146,7 +146,7 @@
 
 fn assert_written_as_the_fixture(state: &Rope) {
     let hex =
-        |state: &Rope| -> Vec<String> { state.chunks().iter().map(|chunk| to_hex(chunk.bytes())).collect() };
+        |rope: &Rope| -> Vec<String> { rope.chunks().iter().map(|chunk| to_hex(chunk.bytes())).collect() };
     assert_eq!(hex(state), hex(&of_fixture()), "the state is written otherwise");
 }
 
