--- a/crates/base/clock/src/lib.rs
+++ b/crates/base/clock/src/lib.rs
@@ -1,38 +1,42 @@
-//! The time that fronts of either kind go by: microseconds since 1970, which never go back.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation)]
+//! The time that front servers use: microseconds since 1970 that never go back.
 #![forbid(unsafe_code)]
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use beechloft::api::Micros;
 
-/// A clock set once, at its start, by the system's; box starts in the list are told in that one's time.
+/// A monotonic clock in microseconds since 1970.
+///
+/// It takes the system's time once, at its start, and counts on from there: changes of the system's time do not affect it.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    start: Instant,
-    at: Micros,
+    started: Instant,
+    started_at: Micros,
 }
 
 impl Clock {
-    /// Starts one.
+    /// Starts a clock with the system's time.
     pub fn start() -> Self {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), at: Micros(since.as_micros() as u64) }
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { started: Instant::now(), started_at: micros(since_epoch) }
     }
 
-    /// When it was started.
+    /// The time at its start.
     pub fn started(&self) -> Micros {
-        self.at
+        self.started_at
     }
 
-    /// Now.
+    /// The time now.
     pub fn now(&self) -> Micros {
-        self.at + Micros(self.start.elapsed().as_micros() as u64)
+        self.started_at + micros(self.started.elapsed())
     }
 
-    /// The moment of a time of the core.
+    /// The instant of a time of this clock. Times before its start are taken for its start.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.start + Duration::from_micros((at - self.at).0)
+        self.started + Duration::from_micros((at - self.started_at).0)
     }
 }
+
+fn micros(duration: Duration) -> Micros {
+    Micros(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX))
+}
--- a/crates/cli/src/among.rs
+++ b/crates/cli/src/among.rs
@@ -140,14 +140,14 @@
     }
 
     /// The same, as a front node asks for it.
-    pub fn for_shell(&self) -> beechloft_event_loop::Fleet {
+    pub fn for_event_loop(&self) -> beechloft_event_loop::FleetHooks {
         let (wants, may) = (Arc::clone(&self.agent), Arc::clone(&self.agent));
         let waits = self.agent.restart().map(|r| r.wait);
-        beechloft_event_loop::Fleet {
+        beechloft_event_loop::FleetHooks {
             numbered: self.numbers(),
-            may_end: Box::new(move || may.may_end()),
-            wants_end: Box::new(move || wants.want_turn()),
-            waits,
+            may_stop: Box::new(move || may.may_end()),
+            request_stop: Box::new(move || wants.want_turn()),
+            max_stop_wait: waits,
         }
     }
 }
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -1,48 +1,58 @@
-//! `node`: the real front node on the platform's protocol.
+//! `node`: the front node on the platform's protocol.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use beechloft_config::front::LogSettings;
-use beechloft_event_loop::Shell;
+use beechloft_event_loop::EventLoop;
 use beechloft_protocol::config::Stated;
 
 use crate::among::Among;
 use crate::{fail, fleet, log};
 
-/// The variable that names the configuration's file.
-const CONFIG: &str = "ROUTER_CONFIG";
+/// The environment variable with the path of the configuration file.
+const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
 
-/// Runs the front node that the environment tells of, until SIGTERM; as one of a fleet, if a file says which.
-pub fn node(of_fleet: Option<&Path>) -> ExitCode {
-    let Some(path) = std::env::var_os(CONFIG).map(PathBuf::from) else {
-        return fail(2, format_args!("{CONFIG} is not set"));
+/// Exit code of a front node that stopped for an error.
+const RUN_FAILED: u8 = 1;
+
+/// Exit code of a front node that can't start.
+const START_FAILED: u8 = 2;
+
+/// Runs the front node that the environment describes until SIGTERM; as one of a fleet, if a file with its settings is given.
+pub fn node(fleet_file: Option<&Path>) -> ExitCode {
+    let Some(config_path) = std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from) else {
+        return fail(START_FAILED, format_args!("{CONFIG_VARIABLE} is not set"));
     };
-    let set = match of_fleet.map(fleet::settings).transpose() {
-        Ok(set) => set,
+    let fleet_settings = match fleet_file.map(fleet::settings).transpose() {
+        Ok(settings) => settings,
         Err(code) => return code,
     };
     log::start(&LogSettings { filter: "info".into(), json: false });
-    // What is no text agrees with nothing.
-    let stated = |name| std::env::var_os(name).map(|v| v.to_string_lossy().into_owned());
-    let stated = Stated { name: stated("ROUTER_NAME"), listen: stated("ROUTER_LISTEN") };
-    let mut shell = match Shell::start(&path, &stated) {
-        Ok(shell) => shell,
-        Err(e) => return fail(2, e),
+    let mut event_loop = match EventLoop::start(&config_path, &environment()) {
+        Ok(event_loop) => event_loop,
+        Err(e) => return fail(START_FAILED, e),
     };
-    let mut among = match set.map(|set| Among::start(&set, shell.pace_span())).transpose() {
-        Ok(among) => among,
-        Err(e) => return fail(2, e),
+    let pace_span = event_loop.pace_span();
+    let mut membership = match fleet_settings.map(|settings| Among::start(&settings, pace_span)).transpose() {
+        Ok(membership) => membership,
+        Err(e) => return fail(START_FAILED, e),
     };
-    if let Some(among) = &among {
-        shell.join(among.for_shell());
+    if let Some(membership) = &membership {
+        event_loop.join_fleet(membership.for_event_loop());
     }
-    let ended = shell.run();
-    if let Some(among) = &mut among {
-        among.leave();
+    let result = event_loop.run();
+    if let Some(membership) = &mut membership {
+        membership.leave();
     }
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => fail(1, e),
+        Err(e) => fail(RUN_FAILED, e),
     }
 }
+
+/// What the environment says about this front node. A value that is no UTF-8 agrees with no configuration.
+fn environment() -> Stated {
+    let variable = |name| std::env::var_os(name).map(|value| value.to_string_lossy().into_owned());
+    Stated { name: variable("ROUTER_NAME"), listen: variable("ROUTER_LISTEN") }
+}
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -1,6 +1,4 @@
 //! The front node as a process: what it says of a start that can't be, and real signals.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::shadow_unrelated)]
 
 mod support;
 
@@ -240,6 +238,6 @@
         .spawn()
         .expect("it starts");
     let mut node = Running(child);
-    let line = first_log_line_with(&mut node.0, "holds");
+    let line = first_log_line_with(&mut node.0, "state of the front node");
     assert!(line.contains("DEBUG beechloft_event_loop"), "{line}");
 }
--- a/crates/platform/event-loop/src/fleet.rs
+++ b/crates/platform/event-loop/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What a front node has to do with others of its fleet, if it has.
+//! A front node's place among the front nodes of its fleet: its number, and its turn to restart.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,69 +7,68 @@
 use beechloft_front_node::{Input, Node};
 use tracing::{info, warn};
 
-use crate::run::Shell;
-
-/// What a front node has to do with others of its fleet, if it has. Both are asked at any moment and must not wait.
-pub struct Fleet {
-    /// Its number among them, now; none: as the configuration says.
+/// What a front node asks its fleet. The loop calls these at any time; none of them may block.
+pub struct FleetHooks {
+    /// The front node's number in the fleet now; `None`: as the configuration says.
     pub numbered: Box<dyn Fn() -> Option<Numbered> + Send>,
-    /// Whether it may stop taking requests, now, once it was told to.
-    pub may_end: Box<dyn Fn() -> bool + Send>,
-    /// It is told to end, and waits for its turn.
-    pub wants_end: Box<dyn Fn() + Send>,
-    /// How long it waits for its turn at most; none: fronts do not take turns.
-    pub waits: Option<Duration>,
+    /// Whether the front node may stop now, after it requested to.
+    pub may_stop: Box<dyn Fn() -> bool + Send>,
+    /// Requests the front node's turn to stop.
+    pub request_stop: Box<dyn Fn() + Send>,
+    /// How long the front node waits for its turn at most; `None`: restarts are not coordinated.
+    pub max_stop_wait: Option<Duration>,
 }
 
-/// Its place among others.
+/// The front node's state as one of a fleet; without hooks it is on its own.
 #[derive(Default)]
-pub(crate) struct Among {
-    fleet: Option<Fleet>,
+pub(crate) struct FleetMembership {
+    hooks: Option<FleetHooks>,
     numbered: Option<Numbered>,
-    /// It was told to end, and waits for its turn until then at most.
-    ends_by: Option<Micros>,
+    /// The front node waits for its turn to stop, at most until then.
+    stop_wait_until: Option<Micros>,
 }
 
-impl Among {
-    /// Told once it waits for its turn, told twice it goes at once: an operator who does not want to wait.
-    pub fn told_to_end(&mut self, now: Micros, signals: usize, inputs: &mut VecDeque<Input>) {
-        let turns = self.fleet.as_ref().and_then(|f| Some((f, f.waits?)));
-        match turns {
-            Some((fleet, waits)) if self.ends_by.is_none() && signals < 2 => {
-                (fleet.wants_end)();
-                self.ends_by = Some(now + Micros(waits.as_micros() as u64));
+impl FleetMembership {
+    /// Uses these hooks from now on.
+    pub fn join(&mut self, hooks: FleetHooks) {
+        self.hooks = Some(hooks);
+    }
+
+    /// Handles `signals` arrivals of SIGTERM. After the first, the front node waits for its turn; a second one means an
+    /// operator who does not want to wait, and it stops at once.
+    pub fn handle_sigterm(&mut self, now: Micros, signals: usize, inputs: &mut VecDeque<Input>) {
+        let coordinated = self.hooks.as_ref().and_then(|hooks| Some((hooks, hooks.max_stop_wait?)));
+        match coordinated {
+            Some((hooks, max_wait)) if self.stop_wait_until.is_none() && signals < 2 => {
+                (hooks.request_stop)();
+                let max_wait = u64::try_from(max_wait.as_micros()).unwrap_or(u64::MAX);
+                self.stop_wait_until = Some(now + Micros(max_wait));
             }
             _ => inputs.push_back(Input::Terminate),
         }
     }
 
-    /// Looks whether it is its turn to end, if it was told to.
-    pub fn look(&self, now: Micros, node: &Node, inputs: &mut VecDeque<Input>) {
-        let Some(fleet) = &self.fleet else { return };
-        let Some(by) = self.ends_by.filter(|_| node.terminated().is_none()) else { return };
-        let turn = (fleet.may_end)();
-        if turn || now >= by {
-            if !turn {
-                warn!("no turn to end within the time that is waited for one; it ends without");
-            }
-            inputs.push_back(Input::Terminate);
+    /// Stops the front node if it waits for its turn and that has come, or the wait is over.
+    pub fn check_stop_permission(&self, now: Micros, node: &Node, inputs: &mut VecDeque<Input>) {
+        let Some(hooks) = &self.hooks else { return };
+        let waits = self.stop_wait_until.filter(|_| node.terminated().is_none());
+        let Some(wait_until) = waits else { return };
+        let permitted = (hooks.may_stop)();
+        if !permitted && now < wait_until {
+            return;
         }
+        if !permitted {
+            warn!("no turn to end within the time that is waited for one; it ends without");
+        }
+        inputs.push_back(Input::Terminate);
     }
 
-    /// Its number, if that has changed.
-    pub fn renumbered(&mut self) -> Option<Numbered> {
-        let now = self.fleet.as_ref().and_then(|f| (f.numbered)());
-        let changed = now.filter(|_| now != self.numbered)?;
-        self.numbered = now;
+    /// The front node's number, if it has changed since the last call.
+    pub fn take_number_change(&mut self) -> Option<Numbered> {
+        let current = self.hooks.as_ref().and_then(|hooks| (hooks.numbered)());
+        let changed = current.filter(|_| current != self.numbered)?;
+        self.numbered = current;
         info!(number = changed.number, of = changed.of, fronts = changed.fronts, "numbered");
         Some(changed)
     }
 }
-
-impl Shell {
-    /// From now on it is one of a fleet.
-    pub fn join(&mut self, fleet: Fleet) {
-        self.among.fleet = Some(fleet);
-        self.renumber();
-    }
-}
--- a/crates/platform/event-loop/src/lib.rs
+++ b/crates/platform/event-loop/src/lib.rs
@@ -1,24 +1,28 @@
-//! The front node on sockets: one thread, one poll loop around the state machine, bounds on everything.
+//! The front node on sockets: one thread, one poll loop around the state machine of `beechloft-front-node`.
 //!
-//! What has arrived is read before time-outs are looked at, so that a stall of this loop does not make media servers
-//! look slow. Every choice of server, rung, retry, refusal and pace is the module's; what is decided here is which
-//! socket carries what, and how long and how much of it.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::shadow_unrelated)]
+//! [`EventLoop`] owns all sockets. It passes what arrives to the state machine as inputs and carries out the machine's
+//! outputs. The loop decides which socket carries a message, and for how long and up to which size; every choice of
+//! server, bitrate, retry and refusal is the policy's.
+//!
+//! What has arrived is read before timeouts are checked, so that a stall of this process does not make media servers
+//! look slow. All buffers, counts and times are bounded by [`limits::SocketLimits`].
 #![forbid(unsafe_code)]
 
-pub mod bounds;
+mod buffered_stream;
 #[doc(hidden)]
-pub mod bus;
-mod ending;
+pub mod event_bus;
+mod event_loop;
 mod fleet;
-mod run;
+pub mod limits;
 mod servers;
-mod start;
-mod stream;
-mod time;
+mod signals;
+mod startup;
+mod time_source;
+#[doc(hidden)]
+pub mod tokens;
 mod viewers;
 
-pub use fleet::Fleet;
-pub use run::{Goes, Moment, Shell};
-pub use start::{Control, StartError};
+pub use event_loop::{EventLoop, LoopStatus, TurnPhase};
+pub use fleet::FleetHooks;
+pub use signals::SignalHandle;
+pub use startup::StartError;
--- a/crates/platform/event-loop/src/servers/mod.rs
+++ b/crates/platform/event-loop/src/servers/mod.rs
@@ -1,235 +1,168 @@
-//! Connections to media servers, by lane.
+//! Connections to media servers, by incarnation: one start of one media server.
+
+mod connect;
+mod connection;
+mod incarnation;
+mod receive;
+mod send;
+mod sweep;
 
 use std::collections::{BTreeMap, VecDeque};
-use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
 use beechloft::api::Micros;
 use beechloft_front_node::{Broken, Input, Lane};
 use beechloft_protocol::CallId;
-use mio::net::TcpStream;
-use mio::{Interest, Registry, Token};
+use mio::{Registry, Token};
 
-use crate::bounds::Bounds;
-use crate::stream::Stream;
-use crate::viewers::{Desk, Viewers};
+use crate::limits::SocketLimits;
+use crate::tokens::TokenAllocator;
+use crate::viewers::{ViewerConnections, ViewerContext};
+use connection::{Queued, ServerConnection};
+use incarnation::IncarnationState;
 
-mod conn;
-mod lane;
-mod reading;
-mod sending;
-mod sweeping;
+pub(crate) use connection::SetUp;
 
-pub(crate) use conn::SetUp;
-use conn::{Conn, Waiting};
-use lane::LaneState;
+/// The size of the buffer that connections are read into.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// All connections to media servers.
-pub(crate) struct Servers {
-    conns: BTreeMap<usize, Conn>,
-    lanes: BTreeMap<Lane, LaneState>,
-    /// The connection of a session's set-up.
-    homes: BTreeMap<CallId, usize>,
-    bounds: Bounds,
-    scratch: Vec<u8>,
-    /// A media server that the list has refused a connection.
-    refused: bool,
+pub(crate) struct ServerConnections {
+    connections: BTreeMap<Token, ServerConnection>,
+    incarnations: BTreeMap<Lane, IncarnationState>,
+    /// The connection on which each session's set-up was sent.
+    session_connections: BTreeMap<CallId, Token>,
+    limits: SocketLimits,
+    read_buffer: Vec<u8>,
+    /// A media server on the list has refused a connection.
+    connection_refused: bool,
 }
 
-/// What the loop lends.
-pub(crate) struct Turn<'a> {
+/// What connections to media servers need from the loop.
+pub(crate) struct ServerContext<'a> {
     pub now: Micros,
     pub registry: &'a Registry,
-    pub next: &'a mut usize,
+    pub tokens: &'a mut TokenAllocator,
     pub inputs: &'a mut VecDeque<Input>,
-    pub viewers: &'a mut Viewers,
+    pub viewers: &'a mut ViewerConnections,
 }
 
-impl Turn<'_> {
-    /// Whether the set-up may leave as of now: its viewer is there, and it has not waited too long.
-    fn may_leave(&mut self, set_up: &SetUp) -> bool {
-        let mut desk = Desk { now: self.now, registry: self.registry, inputs: self.inputs };
-        self.now <= set_up.leave_by && self.viewers.waits_for(set_up.viewer, set_up.id, &mut desk)
+impl ServerContext<'_> {
+    /// Whether the set-up may be sent as of now: its viewer waits for it, and it is not too late.
+    fn may_send(&mut self, set_up: &SetUp) -> bool {
+        let mut viewer_context =
+            ViewerContext { now: self.now, registry: self.registry, inputs: self.inputs };
+        self.now <= set_up.send_by && self.viewers.waits_for(set_up.viewer, set_up.id, &mut viewer_context)
     }
 }
 
-/// Whether an error of `connect` is this machine's own, as of one that is short of descriptors or ports: it says nothing about
-/// the other side.
-fn of_our_own(e: &io::Error) -> bool {
-    use ErrorKind as K;
-    let theirs = [
-        K::ConnectionRefused,
-        K::ConnectionReset,
-        K::ConnectionAborted,
-        K::HostUnreachable,
-        K::NetworkUnreachable,
-        K::TimedOut,
-    ];
-    !theirs.contains(&e.kind())
-}
-
-impl Servers {
-    pub fn new(bounds: Bounds) -> Self {
-        Servers {
-            conns: BTreeMap::new(),
-            lanes: BTreeMap::new(),
-            homes: BTreeMap::new(),
-            bounds,
-            scratch: vec![0; 16 * 1024],
-            refused: false,
+impl ServerConnections {
+    pub fn new(limits: SocketLimits) -> Self {
+        ServerConnections {
+            connections: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
+            session_connections: BTreeMap::new(),
+            limits,
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+            connection_refused: false,
         }
     }
 
     pub fn len(&self) -> usize {
-        self.conns.len()
+        self.connections.len()
     }
 
-    /// Whether a media server that the list has refused a connection since this was last asked.
-    pub fn take_refused(&mut self) -> bool {
-        std::mem::take(&mut self.refused)
+    /// Whether a media server on the list has refused a connection since the last call.
+    pub fn take_connection_refused(&mut self) -> bool {
+        std::mem::take(&mut self.connection_refused)
     }
 
-    /// Whether all that was to be said has left.
-    pub fn quiet(&self) -> bool {
-        self.conns.values().all(Conn::quiet) && !self.lanes.values().any(LaneState::has_unsent)
+    /// Whether everything that was to be sent has left.
+    pub fn all_sent(&self) -> bool {
+        self.connections.values().all(ServerConnection::all_sent)
+            && !self.incarnations.values().any(IncarnationState::has_unsent)
     }
 
-    pub fn lane(&mut self, lane: Lane, addr: SocketAddr, now: Micros) {
-        self.lanes.insert(lane, LaneState::new(addr, now));
+    /// Adds an incarnation and its address.
+    pub fn add_incarnation(&mut self, lane: Lane, addr: SocketAddr, now: Micros) {
+        self.incarnations.insert(lane, IncarnationState::new(addr, now));
     }
 
-    /// Nothing belongs to a lane any more. What is still to be said there, as the end of a session that nobody watches, leaves
-    /// first, within a bound.
-    pub fn forget(&mut self, lane: Lane, t: &mut Turn<'_>) {
-        if let Some(l) = self.lanes.get_mut(&lane) {
-            l.hold = false;
-            l.forgotten = Some(t.now + self.bounds.connect_within + self.bounds.linger);
+    /// Nothing belongs to an incarnation any more. What is still to be sent there, as the end of a session that nobody
+    /// watches, leaves first, within a bound.
+    pub fn forget(&mut self, lane: Lane, context: &mut ServerContext<'_>) {
+        if let Some(incarnation) = self.incarnations.get_mut(&lane) {
+            incarnation.held = false;
+            let close_by = context.now + self.limits.connect_timeout + self.limits.drain_timeout;
+            incarnation.close_by = Some(close_by);
         }
-        self.let_go(lane, t);
+        self.close_if_forgotten(lane, context);
     }
 
-    /// Closes what is left of a forgotten lane, but for connections on which something is still to be said.
-    fn let_go(&mut self, lane: Lane, t: &mut Turn<'_>) {
-        let Some(by) = self.lanes.get(&lane).and_then(|l| l.forgotten) else { return };
-        let over = t.now >= by;
-        let of_lane = |(_, c): &(&usize, &Conn)| c.lane == lane && (over || c.quiet());
-        for token in self.conns.iter().filter(of_lane).map(|(t, _)| *t).collect::<Vec<_>>() {
-            self.hear_and_close(token, t);
+    /// Closes what is left of a forgotten incarnation, except connections with something still to be sent.
+    fn close_if_forgotten(&mut self, lane: Lane, context: &mut ServerContext<'_>) {
+        let Some(close_by) = self.incarnations.get(&lane).and_then(|i| i.close_by) else { return };
+        let overdue = context.now >= close_by;
+        for token in self.tokens_where(|c| c.lane == lane && (overdue || c.all_sent())) {
+            self.read_and_close(token, context);
         }
-        let waits = self.lanes.get_mut(&lane).is_some_and(|l| l.waits(t.now));
-        if over || !(waits || self.conns.values().any(|c| c.lane == lane)) {
-            self.lanes.remove(&lane);
+        let has_unsent = self.incarnations.get_mut(&lane).is_some_and(|i| i.has_current_unsent(context.now));
+        if overdue || !(has_unsent || self.has_connection(lane)) {
+            self.incarnations.remove(&lane);
         }
     }
 
-    pub fn hold(&mut self, lane: Lane, hold: bool, t: &mut Turn<'_>) {
-        if let Some(l) = self.lanes.get_mut(&lane) {
-            l.hold = hold;
-            if hold && !self.conns.values().any(|c| c.lane == lane) {
-                let _ = self.open(lane, t);
-            }
+    /// Sessions are established at an incarnation, or no longer: while they are, a connection to it is kept.
+    pub fn set_held(&mut self, lane: Lane, held: bool, context: &mut ServerContext<'_>) {
+        let Some(incarnation) = self.incarnations.get_mut(&lane) else { return };
+        incarnation.held = held;
+        if held && !self.has_connection(lane) {
+            let _ = self.connect(lane, context);
         }
     }
 
-    /// The list has it no more.
-    pub fn check(&mut self, lane: Lane, t: &mut Turn<'_>) {
-        if let Some(l) = self.lanes.get_mut(&lane) {
-            l.doubtful = true;
-            if l.hold {
-                let _ = self.open(lane, t);
-            }
+    /// The list does not contain an incarnation any more: one failure to reach it is enough to call it lost.
+    pub fn suspect(&mut self, lane: Lane, context: &mut ServerContext<'_>) {
+        let Some(incarnation) = self.incarnations.get_mut(&lane) else { return };
+        incarnation.suspected = true;
+        if incarnation.held {
+            let _ = self.connect(lane, context);
         }
     }
 
-    /// Begins a connection; or why none was begun.
-    fn open(&mut self, lane: Lane, t: &mut Turn<'_>) -> Result<usize, Broken> {
-        if self.conns.len() >= self.bounds.servers && !self.make_room(t) {
-            return Err(Broken::Unsent);
-        }
-        let Some(l) = self.lanes.get_mut(&lane) else { return Err(Broken::Unsent) };
-        let mut socket = match TcpStream::connect(l.addr) {
-            Ok(socket) => socket,
-            Err(e) if of_our_own(&e) => {
-                l.look_at = t.now + self.bounds.look_again;
-                return Err(Broken::Unsent);
-            }
-            Err(e) => {
-                self.failed(lane, e.kind() == ErrorKind::ConnectionRefused, t);
-                return Err(Broken::NoConnection);
-            }
-        };
-        let _ = socket.set_nodelay(true);
-        let token = *t.next;
-        *t.next += 1;
-        if t.registry.register(&mut socket, Token(token), Interest::READABLE | Interest::WRITABLE).is_err() {
-            return Err(Broken::Unsent);
-        }
-        let stream = Stream::new(socket, self.bounds.server_out);
-        self.conns.insert(token, Conn::new(lane, stream, t.now, t.now + self.bounds.connect_within));
-        Ok(token)
+    fn has_connection(&self, lane: Lane) -> bool {
+        self.connections.values().any(|connection| connection.lane == lane)
     }
 
-    /// Closes the longest idle connection that nothing needs; whether there was one.
-    fn make_room(&mut self, t: &mut Turn<'_>) -> bool {
-        let count = |lane: Lane| self.conns.values().filter(|c| c.lane == lane).count();
-        let spare = |c: &Conn| {
-            let held = self.lanes.get(&c.lane).is_some_and(|l| l.hold);
-            c.free() && c.stream.waiting() == 0 && (!held || count(c.lane) > 1)
-        };
-        let idle = self.conns.iter().filter(|(_, c)| spare(c)).min_by_key(|(_, c)| c.used).map(|(t, _)| *t);
-        idle.into_iter().for_each(|token| self.hear_and_close(token, t));
-        idle.is_some()
+    fn tokens_where(&self, matches: impl Fn(&ServerConnection) -> bool) -> Vec<Token> {
+        let matching = self.connections.iter().filter(|(_, connection)| matches(connection));
+        matching.map(|(token, _)| *token).collect()
     }
 
-    /// Reads what has come on a connection that nothing needs, and closes it. Guards against a close with unread bytes,
-    /// which the kernel answers with RST and by dropping what was written last.
-    fn hear_and_close(&mut self, token: usize, t: &mut Turn<'_>) {
-        if self.conns.get(&token).is_some_and(|c| c.up_by.is_none()) {
-            self.read(token, t);
+    /// Reads what has come on a connection that nothing needs, and closes it. The kernel would answer a close with unread
+    /// bytes by RST, and discard what was written last.
+    fn read_and_close(&mut self, token: Token, context: &mut ServerContext<'_>) {
+        if self.connections.get(&token).is_some_and(ServerConnection::is_connected) {
+            self.read(token, context);
         }
-        self.close(token, Broken::Reset, t);
+        self.close(token, Broken::Reset, context);
     }
 
-    /// Closes a connection; set-ups open on it have broken, those that still waited never left.
-    fn close(&mut self, token: usize, how: Broken, t: &mut Turn<'_>) {
-        let Some(mut conn) = self.conns.remove(&token) else { return };
-        let _ = t.registry.deregister(&mut conn.stream.socket);
-        for id in conn.open {
-            t.inputs.push_back(Input::Broken(conn.lane, id, how));
+    /// Closes a connection. Set-ups that are open on it have broken as `reason` says; those in its queue were never sent.
+    fn close(&mut self, token: Token, reason: Broken, context: &mut ServerContext<'_>) {
+        let Some(mut connection) = self.connections.remove(&token) else { return };
+        let _ = context.registry.deregister(&mut connection.stream.socket);
+        for id in connection.open {
+            context.inputs.push_back(Input::Broken(connection.lane, id, reason));
         }
-        for waiting in conn.queue {
-            match waiting {
-                Waiting::SetUp(s) => {
-                    let how = if how == Broken::Reset { Broken::Unsent } else { how };
-                    t.inputs.push_back(Input::Broken(conn.lane, s.id, how));
+        let queue_reason = if reason == Broken::Reset { Broken::Unsent } else { reason };
+        for queued in connection.queue {
+            match queued {
+                Queued::SetUp(set_up) => {
+                    context.inputs.push_back(Input::Broken(connection.lane, set_up.id, queue_reason));
                 }
-                Waiting::Line(since, id, line) => self.keep(conn.lane, since, id, line, t),
+                Queued::Line(line) => self.send_or_retain(connection.lane, line, context),
             }
         }
     }
-
-    /// Says a line on a connection that is up, or keeps it for the next that comes up.
-    fn keep(&mut self, lane: Lane, since: Micros, id: CallId, line: Vec<u8>, t: &mut Turn<'_>) {
-        if self.conns.values().any(|c| c.lane == lane && c.up_by.is_none()) {
-            self.send(lane, id, line, t);
-        } else if let Some(l) = self.lanes.get_mut(&lane) {
-            l.keep(since, id, line);
-        }
-    }
-
-    /// A connection did not come up.
-    fn failed(&mut self, lane: Lane, refused: bool, t: &mut Turn<'_>) {
-        let Some(l) = self.lanes.get_mut(&lane) else { return };
-        l.look_at = t.now + self.bounds.look_again;
-        if refused {
-            l.died();
-            self.refused |= !l.doubtful && l.forgotten.is_none();
-        }
-        // A refusal proves that the process is gone; time-outs do only over a while, unless the list says so too.
-        // Guards against machines that vanish, which say nothing; it hurts when a cut lasts that long and heals.
-        let since = *l.unreachable.get_or_insert(t.now);
-        if refused || l.doubtful || t.now - since >= self.bounds.lost_after {
-            t.inputs.push_back(Input::Lost(lane));
-        }
-    }
 }
--- /dev/null
+++ b/crates/platform/event-loop/src/servers/receive.rs
@@ -0,0 +1,137 @@
+//! What comes from media servers.
+
+use std::io::ErrorKind;
+
+use beechloft_front_node::{Broken, Input};
+use beechloft_protocol::CallId;
+use beechloft_protocol::server::{FromServer, Line};
+use mio::Token;
+
+use super::connection::{Queued, ServerConnection};
+use super::{ServerConnections, ServerContext};
+use crate::buffered_stream::ReadOutcome;
+
+/// A line that can't be read.
+struct MalformedLine;
+
+impl ServerConnections {
+    /// Handles a ready socket; whether it may have more to read.
+    pub fn handle_ready(&mut self, token: Token, context: &mut ServerContext<'_>) -> bool {
+        if !self.finish_connect(token, context) {
+            return false;
+        }
+        let Some(connection) = self.connections.get_mut(&token) else { return false };
+        let lane = connection.lane;
+        if connection.stream.flush().is_err() {
+            self.close(token, Broken::Reset, context);
+            return false;
+        }
+        let may_have_more = self.read(token, context);
+        self.close_if_forgotten(lane, context);
+        may_have_more
+    }
+
+    /// Takes note of the result of a connect in progress; whether the connection is established.
+    fn finish_connect(&mut self, token: Token, context: &mut ServerContext<'_>) -> bool {
+        let Some(connection) = self.connections.get(&token) else { return false };
+        if connection.is_connected() {
+            return true;
+        }
+        let lane = connection.lane;
+        match connection.stream.connect_result() {
+            None => false,
+            Some(Err(e)) => {
+                self.close(token, Broken::NoConnection, context);
+                self.connect_failed(lane, e.kind() == ErrorKind::ConnectionRefused, context);
+                false
+            }
+            Some(Ok(())) => {
+                self.send_queue(token, context);
+                true
+            }
+        }
+    }
+
+    /// A connection is established: what waited for it is sent, except set-ups for which nobody waits any more.
+    fn send_queue(&mut self, token: Token, context: &mut ServerContext<'_>) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        connection.connect_by = None;
+        connection.last_used_at = context.now;
+        let lane = connection.lane;
+        let mut queue = std::mem::take(&mut connection.queue);
+        if let Some(incarnation) = self.incarnations.get_mut(&lane) {
+            incarnation.unreachable_since = None;
+            incarnation.last_contact_at = context.now;
+            queue.extend(incarnation.take_unsent().into_iter().map(Queued::Line));
+        }
+        for queued in queue {
+            // The connection may break under any of them.
+            match (queued, self.connections.get_mut(&token)) {
+                (Queued::SetUp(set_up), None) => {
+                    context.inputs.push_back(Input::Broken(lane, set_up.id, Broken::Unsent));
+                }
+                (Queued::SetUp(set_up), Some(_)) => self.write_set_up(token, &set_up, context),
+                (Queued::Line(line), None) => self.enqueue_line(lane, line, context),
+                (Queued::Line(line), Some(established)) => {
+                    if established.stream.send(&line.line).is_err() {
+                        self.close(token, Broken::Reset, context);
+                    }
+                }
+            }
+        }
+    }
+
+    /// Reads a connection, up to its share of the turn; whether there may be more.
+    pub(super) fn read(&mut self, token: Token, context: &mut ServerContext<'_>) -> bool {
+        let Some(connection) = self.connections.get_mut(&token) else { return false };
+        let mut read_bytes = 0;
+        while read_bytes < self.limits.upstream_bytes_per_turn {
+            match connection.stream.read(&mut self.read_buffer) {
+                ReadOutcome::Data(count) => {
+                    read_bytes += count;
+                    connection.unresponsive = false;
+                    connection.last_used_at = context.now;
+                    if let Some(incarnation) = self.incarnations.get_mut(&connection.lane) {
+                        incarnation.last_contact_at = context.now;
+                    }
+                    if connection.receive(&self.read_buffer[..count], context).is_err() {
+                        // This costs the connection and each set-up on it, nothing more.
+                        self.close(token, Broken::Reset, context);
+                        return false;
+                    }
+                }
+                ReadOutcome::WouldBlock => return false,
+                ReadOutcome::Closed => {
+                    self.close(token, Broken::Reset, context);
+                    return false;
+                }
+            }
+        }
+        true
+    }
+
+    /// Reads all established connections, as this process ends.
+    pub fn read_all(&mut self, context: &mut ServerContext<'_>) {
+        for token in self.tokens_where(ServerConnection::is_connected) {
+            self.read(token, context);
+        }
+    }
+}
+
+impl ServerConnection {
+    /// Takes bytes, and passes on the lines that they complete.
+    fn receive(&mut self, bytes: &[u8], context: &mut ServerContext<'_>) -> Result<(), MalformedLine> {
+        self.decoder.push(bytes);
+        while let Some(text) = self.decoder.next_line().map_err(|_| MalformedLine)? {
+            let line = Line::read(&text).map_err(|_| MalformedLine)?;
+            self.open.retain(|id| !answers(&line, *id));
+            context.inputs.push_back(Input::Server(self.lane, line));
+        }
+        Ok(())
+    }
+}
+
+/// Whether a line ends the wait for a set-up's answer.
+fn answers(line: &Line, id: CallId) -> bool {
+    matches!(&line.message, FromServer::Accept(answered, _) | FromServer::End(answered, _) if *answered == id)
+}
--- /dev/null
+++ b/crates/platform/event-loop/src/servers/send.rs
@@ -0,0 +1,200 @@
+//! What goes to media servers: set-ups, their giving-up, and lines about established sessions.
+
+use beechloft::api::Micros;
+use beechloft_front_node::{Broken, Input, Lane};
+use beechloft_protocol::CallId;
+use mio::Token;
+
+use super::connection::{PendingLine, Queued, ServerConnection, SetUp};
+use super::{ServerConnections, ServerContext};
+
+/// Sessions whose connection is remembered at most; those of the oldest connection are dropped first.
+const MAX_SESSION_CONNECTIONS: usize = 8192;
+
+impl ServerConnections {
+    /// Sends a set-up on a connection that carries no other, if descriptors allow: what spoils one answer costs every set-up
+    /// that is open on its connection.
+    pub fn send_set_up(&mut self, lane: Lane, set_up: SetUp, context: &mut ServerContext<'_>) {
+        if let Some(token) = self.idle_connection(lane, context) {
+            return self.write_set_up(token, &set_up, context);
+        }
+        match self.connecting(lane, context) {
+            Ok(token) => {
+                if let Some(connection) = self.connections.get_mut(&token) {
+                    connection.queue.push_back(Queued::SetUp(set_up));
+                }
+            }
+            Err(reason) => self.share_connection(lane, set_up, reason, context),
+        }
+    }
+
+    /// A connection that is being established and that nothing waits for yet, or a new one.
+    fn connecting(&mut self, lane: Lane, context: &mut ServerContext<'_>) -> Result<Token, Broken> {
+        let is_free = |c: &ServerConnection| c.lane == lane && !c.is_connected() && c.is_idle();
+        let free = self.connections.iter().find(|(_, connection)| is_free(connection));
+        if let Some((token, _)) = free {
+            return Ok(*token);
+        }
+        if self.connection_count(lane) < self.limits.max_connections_per_server {
+            return self.connect(lane, context);
+        }
+        Err(Broken::Unsent)
+    }
+
+    /// There is no connection for this set-up alone: it shares the one with the fewest. `reason`: why there is none.
+    fn share_connection(
+        &mut self,
+        lane: Lane,
+        set_up: SetUp,
+        reason: Broken,
+        context: &mut ServerContext<'_>,
+    ) {
+        let responsive = self.connections.iter_mut().filter(|(_, c)| c.lane == lane && !c.unresponsive);
+        match responsive.min_by_key(|(_, c)| c.open.len() + c.queue.len()) {
+            Some((_, connection)) if !connection.is_connected() => {
+                connection.queue.push_back(Queued::SetUp(set_up));
+            }
+            Some((&token, _)) => self.write_set_up(token, &set_up, context),
+            // A failed connect is reported for the incarnation already, but not for this set-up.
+            None => context.inputs.push_back(Input::Broken(lane, set_up.id, reason)),
+        }
+    }
+
+    /// An established connection that carries no set-up as of now: it is read first. A set-up on a connection whose end has
+    /// already arrived would count as one that may have run.
+    fn idle_connection(&mut self, lane: Lane, context: &mut ServerContext<'_>) -> Option<Token> {
+        let max_idle = self.limits.server_idle_timeout - Micros(self.limits.server_idle_timeout.0 / 10);
+        let now = context.now;
+        let is_idle = |c: &ServerConnection| {
+            c.is_connected_to(lane) && !c.unresponsive && c.is_idle() && c.stream.pending_bytes() == 0
+        };
+        loop {
+            let idle = self.connections.iter().filter(|(_, c)| is_idle(c) && now - c.last_used_at < max_idle);
+            let token = idle.max_by_key(|(_, c)| c.last_used_at).map(|(token, _)| *token)?;
+            self.read(token, context);
+            // If it has ended it is closed by now, and the next is tried.
+            if self.connections.get(&token).is_some_and(is_idle) {
+                return Some(token);
+            }
+        }
+    }
+
+    /// Writes a set-up on an established connection, if it may still be sent.
+    pub(super) fn write_set_up(&mut self, token: Token, set_up: &SetUp, context: &mut ServerContext<'_>) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let id = set_up.id;
+        if !context.may_send(set_up) {
+            context.inputs.push_back(Input::Broken(connection.lane, id, Broken::Unsent));
+            return;
+        }
+        connection.open.push(id);
+        connection.last_used_at = context.now;
+        let sent = connection.stream.send(&set_up.line);
+        self.remember_session(id, token);
+        if sent.is_err() {
+            self.close(token, Broken::Reset, context);
+        }
+    }
+
+    fn remember_session(&mut self, id: CallId, token: Token) {
+        if self.session_connections.len() >= MAX_SESSION_CONNECTIONS {
+            // Tokens rise, so that the lowest is that of the oldest connection.
+            let oldest = self.session_connections.iter().min_by_key(|(_, connection)| **connection);
+            if let Some(oldest_id) = oldest.map(|(session, _)| *session) {
+                self.session_connections.remove(&oldest_id);
+            }
+        }
+        self.session_connections.insert(id, token);
+    }
+
+    /// Nobody waits for a set-up any more: if it was not sent yet, it never is.
+    pub fn withdraw_unsent(&mut self, lane: Lane, id: CallId, context: &mut ServerContext<'_>) {
+        if self.remove_queued_set_up(lane, id) {
+            context.inputs.push_back(Input::Broken(lane, id, Broken::Unsent));
+        }
+    }
+
+    /// Removes a set-up from the queue that it waits in; whether it was in one.
+    fn remove_queued_set_up(&mut self, lane: Lane, id: CallId) -> bool {
+        self.connections.values_mut().filter(|connection| connection.lane == lane).any(|connection| {
+            let position = connection.queue.iter().position(|queued| queued.is_set_up(id));
+            position.and_then(|position| connection.queue.remove(position)).is_some()
+        })
+    }
+
+    /// Stops waiting for a set-up's answer: `line` gives it up before anything else is sent, or the connection is closed.
+    /// `unresponsive`: the media server did not answer in time.
+    pub fn give_up(
+        &mut self,
+        lane: Lane,
+        id: CallId,
+        line: &[u8],
+        unresponsive: bool,
+        context: &mut ServerContext<'_>,
+    ) {
+        self.session_connections.remove(&id);
+        if self.remove_queued_set_up(lane, id) {
+            return;
+        }
+        let mut carrying =
+            self.connections.iter_mut().filter(|(_, c)| c.lane == lane && c.open.contains(&id));
+        let Some((&token, connection)) = carrying.next() else { return };
+        connection.open.retain(|open| *open != id);
+        connection.unresponsive |= unresponsive;
+        connection.last_used_at = context.now;
+        if connection.stream.send(line).is_err() || connection.stream.pending_bytes() > 0 {
+            self.close(token, Broken::Reset, context);
+        }
+    }
+
+    /// Sends a line about a session on the connection of its set-up, or on any other, or on a new one.
+    pub fn send_line(&mut self, lane: Lane, id: CallId, line: Vec<u8>, context: &mut ServerContext<'_>) {
+        let pending = PendingLine { since: context.now, id, line };
+        while let Some(token) = self.connection_for(lane, id) {
+            // A connection whose end has already arrived would lose the line.
+            self.read(token, context);
+            let Some(connection) = self.connections.get_mut(&token) else { continue };
+            connection.last_used_at = context.now;
+            if connection.stream.send(&pending.line).is_err() {
+                self.close(token, Broken::Reset, context);
+            }
+            return;
+        }
+        self.enqueue_line(lane, pending, context);
+    }
+
+    /// The established connection on which a session's set-up was sent, or else the one that was used last.
+    fn connection_for(&self, lane: Lane, id: CallId) -> Option<Token> {
+        let is_connected =
+            |token: &Token| self.connections.get(token).is_some_and(|c| c.is_connected_to(lane));
+        let own = self.session_connections.get(&id).copied().filter(is_connected);
+        own.or_else(|| {
+            let connected = self.connections.iter().filter(|(_, c)| c.is_connected_to(lane));
+            let newest = connected.max_by_key(|(_, c)| (!c.unresponsive, c.last_used_at));
+            newest.map(|(token, _)| *token)
+        })
+    }
+
+    /// Has a line wait for a connection that is being established, or for the next.
+    pub(super) fn enqueue_line(&mut self, lane: Lane, line: PendingLine, context: &mut ServerContext<'_>) {
+        let connecting = self.connections.iter().find(|(_, c)| c.lane == lane && !c.is_connected());
+        let token = match connecting {
+            Some((token, _)) => Some(*token),
+            None => self.connect(lane, context).ok(),
+        };
+        if let Some(connection) = token.and_then(|token| self.connections.get_mut(&token)) {
+            connection.queue.push_back(Queued::Line(line));
+        } else if let Some(incarnation) = self.incarnations.get_mut(&lane) {
+            incarnation.retain(line);
+        }
+    }
+
+    /// Sends a line on an established connection, or retains it for the next.
+    pub(super) fn send_or_retain(&mut self, lane: Lane, line: PendingLine, context: &mut ServerContext<'_>) {
+        if self.connections.values().any(|connection| connection.is_connected_to(lane)) {
+            self.send_line(lane, line.id, line.line, context);
+        } else if let Some(incarnation) = self.incarnations.get_mut(&lane) {
+            incarnation.retain(line);
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform/event-loop/src/servers/sweep.rs
@@ -0,0 +1,71 @@
+//! The sweep of connections to media servers: closes those whose time is over, and reconnects.
+
+use beechloft::api::Micros;
+use beechloft_front_node::{Broken, Lane};
+
+use super::incarnation::IncarnationState;
+use super::{ServerConnections, ServerContext};
+
+impl ServerConnections {
+    /// Closes connections whose time is over, reconnects, and forgets what is done.
+    pub fn sweep(&mut self, context: &mut ServerContext<'_>) {
+        self.close_failed_connects(context);
+        self.close_idle(context);
+        self.reconnect(context);
+        self.close_forgotten(context);
+        let connections = &self.connections;
+        self.session_connections.retain(|_, token| connections.contains_key(token));
+    }
+
+    /// Closes connections that were not established in time.
+    fn close_failed_connects(&mut self, context: &mut ServerContext<'_>) {
+        for token in self.tokens_where(|c| c.connect_by.is_some_and(|connect_by| context.now >= connect_by)) {
+            let Some(lane) = self.connections.get(&token).map(|connection| connection.lane) else { continue };
+            self.close(token, Broken::NoConnection, context);
+            self.connect_failed(lane, false, context);
+        }
+    }
+
+    fn close_idle(&mut self, context: &mut ServerContext<'_>) {
+        let max_idle = self.limits.server_idle_timeout - Micros(self.limits.server_idle_timeout.0 / 20);
+        for token in self.tokens_where(|c| c.is_idle() && context.now - c.last_used_at > max_idle) {
+            self.read_and_close(token, context);
+        }
+    }
+
+    /// Connects to media servers with sessions from which nothing has come for long, and for lines that found no connection.
+    fn reconnect(&mut self, context: &mut ServerContext<'_>) {
+        for lane in self.incarnations_to_reconnect(context.now) {
+            if let Some(incarnation) = self.incarnations.get_mut(&lane) {
+                incarnation.reconnect_at = context.now + self.limits.reconnect_interval;
+            }
+            let _ = self.connect(lane, context);
+        }
+    }
+
+    fn incarnations_to_reconnect(&mut self, now: Micros) -> Vec<Lane> {
+        let connections = &self.connections;
+        let max_silence = self.limits.server_silence_timeout;
+        let needs_connection = |lane: Lane, incarnation: &mut IncarnationState| {
+            let mut own = connections.values().filter(|connection| connection.lane == lane);
+            let unconnected = own.clone().next().is_none();
+            let connecting = own.any(|connection| !connection.is_connected());
+            let silent = now - incarnation.last_contact_at > max_silence && !connecting;
+            let needs_check = incarnation.held && (unconnected || silent);
+            now >= incarnation.reconnect_at
+                && (needs_check || (unconnected && incarnation.has_current_unsent(now)))
+        };
+        let wanting = self
+            .incarnations
+            .iter_mut()
+            .filter_map(|(lane, incarnation)| needs_connection(*lane, incarnation).then_some(*lane));
+        wanting.collect()
+    }
+
+    fn close_forgotten(&mut self, context: &mut ServerContext<'_>) {
+        let forgotten = self.incarnations.iter().filter(|(_, incarnation)| incarnation.close_by.is_some());
+        for lane in forgotten.map(|(lane, _)| *lane).collect::<Vec<_>>() {
+            self.close_if_forgotten(lane, context);
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform/event-loop/src/viewers/messages.rs
@@ -0,0 +1,101 @@
+//! Messages from and to viewers.
+
+use beechloft_front_node::{Input, ViewerConn};
+use beechloft_protocol::CallId;
+use beechloft_protocol::viewer::{FromViewer, ToViewer};
+use mio::Token;
+
+use super::connection::{ReadAhead, ViewerConnection};
+use super::{ViewerConnections, ViewerContext};
+use crate::tokens::{viewer_conn, viewer_token};
+
+impl ViewerConnections {
+    /// Handles a ready socket. `read_closed`: its client has shut or reset it, which the poll reports before everything that
+    /// the client sent is read.
+    pub fn handle_ready(&mut self, token: Token, read_closed: bool, context: &mut ViewerContext<'_>) {
+        if self.draining.has(token) {
+            return self.advance_draining(token, context.registry);
+        }
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        if connection.flush().is_err() {
+            return self.close_at_once(token, context);
+        }
+        if read_closed {
+            self.mark_client_gone(token, context);
+        }
+        self.read_ahead(token, context);
+    }
+
+    /// A client has gone: nobody waits for the answers of its set-ups. No attempt is begun for it, though its end may lie
+    /// unread behind everything that it sent.
+    fn mark_client_gone(&mut self, token: Token, context: &mut ViewerContext<'_>) {
+        if let Some(connection) = self.connections.get_mut(&token).filter(|c| !c.client_gone) {
+            connection.mark_client_gone();
+            context.inputs.push_back(Input::ViewerClosed(viewer_conn(token)));
+        }
+    }
+
+    /// Reads ahead on a connection, up to its share of the memory.
+    pub(super) fn read_ahead(&mut self, token: Token, context: &mut ViewerContext<'_>) {
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        let mut releases = Vec::new();
+        let max_bytes = self.limits.viewer_read_ahead_bytes;
+        let outcome = connection.read_ahead(context.now, max_bytes, &mut self.read_buffer, &mut releases);
+        let conn = viewer_conn(token);
+        context.inputs.extend(releases.into_iter().map(|message| Input::Viewer(conn, message)));
+        if outcome == ReadAhead::Closed {
+            self.mark_client_gone(token, context);
+            self.close_at_once(token, context);
+        } else if connection.has_pending_work() {
+            self.pending.insert(token);
+        }
+    }
+
+    /// Connections on which messages wait for their turn, or that may have more to read.
+    pub fn pending(&self) -> Vec<Token> {
+        self.pending.iter().copied().collect()
+    }
+
+    /// Passes on the messages whose turn it is.
+    pub fn deliver_messages(&mut self, token: Token, context: &mut ViewerContext<'_>) {
+        self.pending.remove(&token);
+        let conn = viewer_conn(token);
+        let inputs_before = context.inputs.len();
+        for _ in 0..self.limits.viewer_messages_per_turn {
+            let next = self.connections.get_mut(&token).and_then(ViewerConnection::next_message);
+            let Some(message) = next else { break };
+            context.inputs.push_back(Input::Viewer(conn, message));
+        }
+        let all_delivered = inputs_before == context.inputs.len();
+        // What was passed on has made room for more.
+        self.read_ahead(token, context);
+        // A malformed message closes the connection once everything before it is handled and answered.
+        if all_delivered && self.connections.get(&token).is_some_and(|connection| connection.malformed) {
+            self.close(token, context);
+        }
+    }
+
+    /// Whether the client of a set-up still waits as of now: it has neither gone nor withdrawn the set-up. Checked before
+    /// anything is sent for it.
+    pub fn waits_for(&mut self, conn: ViewerConn, id: CallId, context: &mut ViewerContext<'_>) -> bool {
+        let token = viewer_token(conn);
+        self.read_ahead(token, context);
+        let is_release = |input: &Input| matches!(input, Input::Viewer(_, FromViewer::Release(released)) if *released == id);
+        let connected = self.connections.get(&token).is_some_and(|connection| !connection.client_gone);
+        connected && !context.inputs.iter().any(is_release)
+    }
+
+    /// Sends a message. An answer for which nobody waits any more is reported to the state machine as unsent.
+    pub fn send(&mut self, token: Token, message: &ToViewer, context: &mut ViewerContext<'_>) {
+        if let ToViewer::Answer(id, _) = message
+            && !self.waits_for(viewer_conn(token), *id, context)
+        {
+            context.inputs.push_back(Input::Unsaid(*id));
+            return;
+        }
+        let Some(connection) = self.connections.get_mut(&token).filter(|c| !c.client_gone) else { return };
+        if connection.send(message).is_err() {
+            self.close_at_once(token, context);
+        }
+    }
+}
--- a/crates/platform/event-loop/src/viewers/mod.rs
+++ b/crates/platform/event-loop/src/viewers/mod.rs
@@ -1,321 +1,125 @@
-//! Viewers' connections: accepted within a budget, read in fair turns, closed when they are of no use.
+//! Viewers' connections: accepted within a budget, read in fair turns, closed when they are unused.
+
+mod accept;
+mod connection;
+mod draining;
+mod messages;
+mod sweep;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::io::ErrorKind;
 
 use beechloft::api::Micros;
 use beechloft_front_node::{Input, Use, ViewerConn};
-use beechloft_protocol::CallId;
-use beechloft_protocol::viewer::{FromViewer, ToViewer};
-use mio::net::{TcpListener, TcpStream};
-use mio::{Interest, Registry, Token};
-
-use crate::bounds::Bounds;
-use crate::stream::Stream;
+use mio::net::TcpStream;
+use mio::{Registry, Token};
 
-mod conn;
-mod lingering;
+use crate::limits::SocketLimits;
+use crate::tokens::viewer_conn;
+use connection::ViewerConnection;
+use draining::DrainingConnections;
 
-use conn::{Conn, Pulled};
-use lingering::Lingering;
+/// The size of the buffer that connections are read into.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Says of a connection what it is of use for.
-pub(crate) type UseOf<'a> = &'a dyn Fn(ViewerConn) -> Use;
+/// Tells what the state machine uses a connection for.
+pub(crate) type UsageLookup<'a> = &'a dyn Fn(ViewerConn) -> Use;
 
-/// What the loop lends.
-pub(crate) struct Desk<'a> {
+/// What viewers' connections need from the loop.
+pub(crate) struct ViewerContext<'a> {
     pub now: Micros,
     pub registry: &'a Registry,
     pub inputs: &'a mut VecDeque<Input>,
 }
 
 /// All viewers' connections.
-pub(crate) struct Viewers {
-    conns: BTreeMap<usize, Conn>,
-    lingering: Lingering,
-    /// One that was accepted while there was no room; it gets the next.
+pub(crate) struct ViewerConnections {
+    connections: BTreeMap<Token, ViewerConnection>,
+    draining: DrainingConnections,
+    /// A connection that was accepted when there was no capacity; it gets the next.
     parked: Option<TcpStream>,
-    bounds: Bounds,
-    scratch: Vec<u8>,
-    /// Connections about which there is something to be done without their sockets telling of it.
-    pending: BTreeSet<usize>,
-    /// Accepting is to go on.
+    limits: SocketLimits,
+    read_buffer: Vec<u8>,
+    /// Connections with work to be done that their sockets do not report.
+    pending: BTreeSet<Token>,
+    /// The listener may hold connections to accept.
     pub accepting: bool,
-    /// Somebody may wait to be accepted who finds no descriptor or no room: the next sweep looks again, as a listener tells
-    /// of those who come, not of those who wait.
-    held_up: bool,
+    /// The listener may hold connections for which there is no descriptor or no capacity. The next sweep tries again, as
+    /// the listener reports new connections, not waiting ones.
+    accept_blocked: bool,
 }
 
-impl Viewers {
-    pub fn new(bounds: Bounds) -> Self {
-        Viewers {
-            conns: BTreeMap::new(),
-            lingering: Lingering::default(),
+impl ViewerConnections {
+    pub fn new(limits: SocketLimits) -> Self {
+        ViewerConnections {
+            connections: BTreeMap::new(),
+            draining: DrainingConnections::default(),
             parked: None,
-            bounds,
-            scratch: vec![0; 16 * 1024],
+            limits,
+            read_buffer: vec![0; READ_BUFFER_BYTES],
             pending: BTreeSet::new(),
             accepting: false,
-            held_up: false,
+            accept_blocked: false,
         }
     }
 
     pub fn len(&self) -> usize {
-        self.conns.len()
-    }
-
-    pub fn has(&self, token: usize) -> bool {
-        self.conns.contains_key(&token) || self.lingering.has(token)
-    }
-
-    /// Accepts some of what waits; past the budget the one that is least of use makes room. Guards against clients
-    /// that open hundreds of connections and say nothing, and against an `accept` that spins without descriptors.
-    /// Without a listener, only whoever has been accepted and waits for room.
-    pub fn accept(
-        &mut self,
-        listener: Option<&TcpListener>,
-        next: &mut usize,
-        use_of: UseOf<'_>,
-        desk: &mut Desk<'_>,
-    ) {
-        const A_TURN: usize = 64;
-        for _ in 0..A_TURN {
-            let accepted = match (self.parked.take(), listener) {
-                (Some(socket), _) => Ok(socket),
-                (None, Some(listener)) => listener.accept().map(|(socket, _)| socket),
-                (None, None) => Err(ErrorKind::WouldBlock.into()),
-            };
-            let mut socket = match accepted {
-                Ok(socket) => socket,
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {
-                    continue;
-                }
-                Err(e) => {
-                    // Out of descriptors, most likely: one is freed, and the next turn goes on.
-                    let short = e.kind() != ErrorKind::WouldBlock;
-                    self.accepting = short && self.make_room(use_of, desk);
-                    self.held_up = short && !self.accepting;
-                    return;
-                }
-            };
-            // Only now, as there may be no further one: the newest has proved nothing and would be the one to go.
-            let full = self.conns.len() + self.lingering.len() >= self.bounds.viewers;
-            if full && !self.make_room(use_of, desk) {
-                // All others wait for an answer, which they are owed. This one may have asked already: it waits until one of
-                // them has got his, at the next sweep.
-                self.parked = Some(socket);
-                (self.accepting, self.held_up) = (false, true);
-                return;
-            }
-            let _ = socket.set_nodelay(true);
-            let token = *next;
-            *next += 1;
-            if desk
-                .registry
-                .register(&mut socket, Token(token), Interest::READABLE | Interest::WRITABLE)
-                .is_err()
-            {
-                continue;
-            }
-            let stream = Stream::new(socket, self.bounds.viewer_out);
-            self.conns.insert(token, Conn::new(stream, desk.now));
-        }
+        self.connections.len()
     }
 
-    /// Closes the connection that is least of use, the longest idle one first. Guards against bad clients that crowd
-    /// out those on which releases are owed. None on which a set-up is open or has just come: that would lose it. Whether
-    /// there was one.
-    fn make_room(&mut self, use_of: UseOf<'_>, desk: &mut Desk<'_>) -> bool {
-        if self.lingering.make_room(desk.registry) {
-            return true;
-        }
-        let of_use = |(t, c): (&usize, &Conn)| (use_of(ViewerConn(*t as u64)), c.proved, c.since, *t);
-        let mut free: Vec<_> = self.conns.iter().map(of_use).filter(|c| c.0 != Use::Open).collect();
-        free.sort();
-        for (_, _, _, token) in free {
-            self.pull(token, desk);
-            match self.conns.get(&token) {
-                // It has just gone by itself.
-                None => return true,
-                Some(conn) if conn.waits() => {}
-                Some(_) => {
-                    self.drop_conn(token, desk);
-                    return true;
-                }
-            }
-        }
-        false
+    pub fn has(&self, token: Token) -> bool {
+        self.connections.contains_key(&token) || self.draining.has(token)
     }
 
-    /// Ends a connection: its last bytes go out, and what still comes is dropped for a while. Answers that wait in it still
-    /// count as said: they go out first, or can't.
-    pub fn close(&mut self, token: usize, desk: &mut Desk<'_>) {
-        let Some(conn) = self.forget(token, desk) else { return };
-        // There is no descriptor to spare for hundreds of these: past a part of them the oldest goes.
-        if self.lingering.len() >= (self.bounds.viewers / 4).max(1) {
-            self.lingering.make_room(desk.registry);
+    /// Closes a connection: its last bytes are written, and what still arrives is discarded for a while. Answers in its
+    /// write buffer still count as sent: they leave first, or can't leave at all.
+    pub fn close(&mut self, token: Token, context: &mut ViewerContext<'_>) {
+        let Some(connection) = self.remove(token, context) else { return };
+        // There are no descriptors for hundreds of these: past a part of them the oldest goes.
+        if self.draining.len() >= (self.limits.max_viewer_connections / 4).max(1) {
+            self.draining.close_oldest(context.registry);
         }
-        self.lingering.take(token, conn.stream, desk.now + self.bounds.linger);
-        self.lingering.advance(token, self.bounds.linger_bytes, &mut self.scratch, desk.registry);
+        self.draining.add(token, connection.stream, context.now + self.limits.drain_timeout);
+        self.advance_draining(token, context.registry);
     }
 
-    /// Closes a connection at once: it is broken, or its client has gone, or nothing of it is unread and nothing unsaid.
-    fn drop_conn(&mut self, token: usize, desk: &mut Desk<'_>) {
-        if let Some(mut conn) = self.forget(token, desk) {
-            let _ = desk.registry.deregister(&mut conn.stream.socket);
+    /// Closes a connection at once: it is broken, or its client has gone, or nothing of it is unread and nothing unsent.
+    fn close_at_once(&mut self, token: Token, context: &mut ViewerContext<'_>) {
+        if let Some(mut connection) = self.remove(token, context) {
+            let _ = context.registry.deregister(&mut connection.stream.socket);
         }
     }
 
-    fn forget(&mut self, token: usize, desk: &mut Desk<'_>) -> Option<Conn> {
-        let conn = self.conns.remove(&token)?;
+    fn remove(&mut self, token: Token, context: &mut ViewerContext<'_>) -> Option<ViewerConnection> {
+        let connection = self.connections.remove(&token)?;
         self.pending.remove(&token);
-        if !conn.left {
-            desk.inputs.push_back(Input::ViewerClosed(ViewerConn(token as u64)));
+        if !connection.client_gone {
+            context.inputs.push_back(Input::ViewerClosed(viewer_conn(token)));
         }
-        desk.inputs.extend(conn.unsaid().map(Input::Unsaid));
-        Some(conn)
+        context.inputs.extend(connection.unsent_answers().map(Input::Unsaid));
+        Some(connection)
     }
 
-    /// Its socket is ready. `left`: its client has shut it or reset it, which is known before all that it said is read.
-    pub fn ready(&mut self, token: usize, left: bool, desk: &mut Desk<'_>) {
-        if self.lingering.has(token) {
-            return self.lingering.advance(token, self.bounds.linger_bytes, &mut self.scratch, desk.registry);
-        }
-        let Some(conn) = self.conns.get_mut(&token) else { return };
-        if !conn.flush() {
-            return self.drop_conn(token, desk);
-        }
-        if left {
-            self.leave(token, desk);
-        }
-        self.pull(token, desk);
+    fn advance_draining(&mut self, token: Token, registry: &Registry) {
+        self.draining.advance(token, self.limits.max_drain_bytes, &mut self.read_buffer, registry);
     }
 
-    /// A client has gone: nobody waits for the answers of its set-ups. Guards against attempts for clients whose end lies
-    /// unread behind all that they said.
-    fn leave(&mut self, token: usize, desk: &mut Desk<'_>) {
-        if let Some(conn) = self.conns.get_mut(&token).filter(|c| !c.left) {
-            conn.leave();
-            desk.inputs.push_back(Input::ViewerClosed(ViewerConn(token as u64)));
-        }
+    /// Whether connections wait to be accepted for want of a descriptor or of capacity.
+    pub fn accept_blocked(&self) -> bool {
+        self.accept_blocked
     }
 
-    /// Reads ahead on a connection, as far as its share of memory goes.
-    fn pull(&mut self, token: usize, desk: &mut Desk<'_>) {
-        let Some(conn) = self.conns.get_mut(&token) else { return };
-        let mut at_once = Vec::new();
-        let pulled = conn.pull(desk.now, self.bounds.viewer_ahead, &mut self.scratch, &mut at_once);
-        let from = ViewerConn(token as u64);
-        desk.inputs.extend(at_once.into_iter().map(|m| Input::Viewer(from, m)));
-        if pulled == Pulled::Gone {
-            self.leave(token, desk);
-            self.drop_conn(token, desk);
-        } else if conn.pending() {
-            self.pending.insert(token);
-        }
-    }
-
-    /// Connections on which messages wait for their turn, or that may have more to read.
-    pub fn pending(&self) -> Vec<usize> {
-        self.pending.iter().copied().collect()
-    }
-
-    /// Hands over messages whose turn it is.
-    pub fn take(&mut self, token: usize, desk: &mut Desk<'_>) {
-        self.pending.remove(&token);
-        let from = ViewerConn(token as u64);
-        let before = desk.inputs.len();
-        for _ in 0..self.bounds.messages_a_turn {
-            let Some(message) = self.conns.get_mut(&token).and_then(Conn::next) else { break };
-            desk.inputs.push_back(Input::Viewer(from, message));
-        }
-        let heard = before == desk.inputs.len();
-        // What was handed over made room for more.
-        self.pull(token, desk);
-        // What can't be read costs the connection, once what came before it has been heard and answered.
-        if heard && self.conns.get(&token).is_some_and(|c| c.spoilt) {
-            self.close(token, desk);
-        }
-    }
-
-    /// Whether the client of a set-up is there as of now: neither gone nor has it taken the set-up back. Looked at before
-    /// anything is done for it that it might not want any more.
-    pub fn waits_for(&mut self, conn: ViewerConn, id: CallId, desk: &mut Desk<'_>) -> bool {
-        let token = conn.0 as usize;
-        self.pull(token, desk);
-        let released = |i: &Input| matches!(i, Input::Viewer(_, FromViewer::Release(r)) if *r == id);
-        self.conns.get(&token).is_some_and(|c| !c.left) && !desk.inputs.iter().any(released)
-    }
-
-    pub fn say(&mut self, token: usize, message: &ToViewer, desk: &mut Desk<'_>) {
-        if let ToViewer::Answer(id, _) = message
-            && !self.waits_for(ViewerConn(token as u64), *id, desk)
-        {
-            desk.inputs.push_back(Input::Unsaid(*id));
-            return;
-        }
-        let Some(conn) = self.conns.get_mut(&token).filter(|c| !c.left) else { return };
-        if !conn.say(message) {
-            self.drop_conn(token, desk);
-        }
-    }
-
-    /// Closes what has had its time, unless something has just come on it.
-    pub fn sweep(&mut self, use_of: UseOf<'_>, desk: &mut Desk<'_>) {
-        let (b, now) = (self.bounds, desk.now);
-        self.lingering.sweep(now, desk.registry);
-        self.accepting |= std::mem::take(&mut self.held_up);
-        let over = |(token, c): (&usize, &Conn)| {
-            let of_use = use_of(ViewerConn(*token as u64));
-            // An honest client may be slow: one that goes on sending is let finish, if that does not take too long.
-            let unproved = if c.slow(now, b.stalled) { b.slow } else { b.unproved };
-            let part = c.part.is_some_and(|(since, _)| now - since > unproved);
-            let most = match of_use {
-                Use::None if !c.proved => unproved,
-                Use::None => b.viewer_useless,
-                _ => b.viewer_idle,
-            };
-            ((part || now - c.since > most) && of_use != Use::Open && !c.waits()).then_some(*token)
-        };
-        let all: Vec<(usize, Micros)> =
-            self.conns.iter().filter_map(|c| Some((over(c)?, c.1.since))).collect();
-        for (token, since) in all {
-            self.pull(token, desk);
-            if self.conns.get(&token).is_some_and(|c| c.since == since && !c.waits()) {
-                self.close(token, desk);
-            }
-        }
-    }
-
-    /// Whether somebody waits to be accepted for want of a descriptor or of room.
-    pub fn held_up(&self) -> bool {
-        self.held_up
-    }
-
-    /// Whether there is something to be done without any socket telling of it.
-    pub fn busy(&self) -> bool {
+    /// Whether there is work that no socket reports.
+    pub fn has_pending_work(&self) -> bool {
         self.accepting || !self.pending.is_empty()
     }
 
-    /// Whether anything that came waits to be handed over, or to be looked at.
-    pub fn unheard(&self) -> bool {
+    /// Whether anything that arrived waits to be handled or read.
+    pub fn has_unhandled(&self) -> bool {
         self.parked.is_some() || !self.pending.is_empty()
     }
 
     /// Bytes that wait to be written.
-    pub fn waiting(&self) -> usize {
-        self.conns.values().map(|c| c.stream.waiting()).sum()
-    }
-
-    /// Ends all connections on which nothing is open and nothing has just come; whether all have come to their end.
-    pub fn end(&mut self, use_of: UseOf<'_>, desk: &mut Desk<'_>) -> bool {
-        for token in self.conns.keys().copied().collect::<Vec<_>>() {
-            self.pull(token, desk);
-            let done = |c: &Conn| !c.waits() && use_of(ViewerConn(token as u64)) != Use::Open;
-            if self.conns.get(&token).is_some_and(done) {
-                self.close(token, desk);
-            }
-        }
-        self.conns.is_empty() && self.lingering.len() == 0
+    pub fn pending_bytes(&self) -> usize {
+        self.connections.values().map(|connection| connection.stream.pending_bytes()).sum()
     }
 }
--- /dev/null
+++ b/crates/platform/event-loop/src/viewers/sweep.rs
@@ -0,0 +1,73 @@
+//! Closes viewers' connections whose time is over, and all unused ones at the shutdown.
+
+use beechloft::api::Micros;
+use beechloft_front_node::Use;
+use mio::Token;
+
+use super::connection::ViewerConnection;
+use super::{UsageLookup, ViewerConnections, ViewerContext};
+use crate::limits::SocketLimits;
+use crate::tokens::viewer_conn;
+
+/// A connection that is to be closed unless a message has come since.
+struct Expired {
+    token: Token,
+    last_message_at: Micros,
+}
+
+impl ViewerConnections {
+    /// Closes connections whose time is over, unless something has just come on them.
+    pub fn sweep(&mut self, usage: UsageLookup<'_>, context: &mut ViewerContext<'_>) {
+        self.draining.sweep(context.now, context.registry);
+        self.accepting |= std::mem::take(&mut self.accept_blocked);
+        for Expired { token, last_message_at } in self.expired(usage, context.now) {
+            self.read_ahead(token, context);
+            let unchanged = |c: &ViewerConnection| c.last_message_at == last_message_at && !c.has_messages();
+            if self.connections.get(&token).is_some_and(unchanged) {
+                self.close(token, context);
+            }
+        }
+    }
+
+    fn expired(&self, usage: UsageLookup<'_>, now: Micros) -> Vec<Expired> {
+        let is_expired = |(token, connection): &(&Token, &ViewerConnection)| {
+            connection.is_expired(usage(viewer_conn(**token)), now, &self.limits)
+        };
+        self.connections
+            .iter()
+            .filter(is_expired)
+            .map(|(token, connection)| Expired { token: *token, last_message_at: connection.last_message_at })
+            .collect()
+    }
+
+    /// Closes all connections on which nothing is open and nothing has just come; whether all are closed.
+    pub fn close_unused(&mut self, usage: UsageLookup<'_>, context: &mut ViewerContext<'_>) -> bool {
+        for token in self.connections.keys().copied().collect::<Vec<_>>() {
+            self.read_ahead(token, context);
+            let is_unused =
+                |c: &ViewerConnection| !c.has_messages() && usage(viewer_conn(token)) != Use::Open;
+            if self.connections.get(&token).is_some_and(is_unused) {
+                self.close(token, context);
+            }
+        }
+        self.connections.is_empty() && self.draining.len() == 0
+    }
+}
+
+impl ViewerConnection {
+    fn is_expired(&self, usage: Use, now: Micros, limits: &SocketLimits) -> bool {
+        if usage == Use::Open || self.has_messages() {
+            return false;
+        }
+        // A client that goes on sending may be slow and honest: it gets more time to finish, within a bound.
+        let still_sends = self.is_receiving(now, limits.stall_timeout);
+        let unproven_timeout = if still_sends { limits.slow_sender_timeout } else { limits.unproven_timeout };
+        let partial_expired = self.partial.is_some_and(|partial| now - partial.since > unproven_timeout);
+        let idle_timeout = match usage {
+            Use::None if !self.proven => unproven_timeout,
+            Use::None => limits.unused_viewer_timeout,
+            _ => limits.viewer_idle_timeout,
+        };
+        partial_expired || now - self.last_message_at > idle_timeout
+    }
+}
--- a/crates/platform/event-loop/tests/bus/broken.rs
+++ b/crates/platform/event-loop/tests/bus/broken.rs
@@ -21,7 +21,7 @@
 fn grows(waits: &[Micros], what: &str) {
     // The first comes soon, as a break is an everyday thing; the last have reached the top.
     assert!(waits[0] <= Micros(75_000), "{what}: {waits:?}");
-    let most = bounds().bus_again_most;
+    let most = limits().bus_retry_max;
     assert!(waits.iter().rev().take(3).all(|w| *w >= most), "{what}: {waits:?}");
     assert!(waits.iter().all(|w| *w < SECOND + SECOND), "{what}: {waits:?}");
 }
@@ -105,7 +105,7 @@
         last = rig.until_it_connects(SECOND);
         rig.falls();
     }
-    let most = bounds().bus_again_most;
+    let most = limits().bus_retry_max;
     // So does one that accepts and ends without a word: it may be a proxy of one that is down.
     let closed = waits(12, |rig| rig.end());
     assert!(closed.iter().all(|w| *w <= most + Micros(50_000)), "{closed:?}");
@@ -218,6 +218,6 @@
         rig.until_read();
     }
     let waited = rig.until_it_connects(Micros(4_000_000));
-    assert!(waited > bounds().bus_silence);
+    assert!(waited > limits().bus_silence_timeout);
     assert_eq!(rig.asked_on(), "41");
 }
--- a/crates/platform/event-loop/tests/bus/doubts.rs
+++ b/crates/platform/event-loop/tests/bus/doubts.rs
@@ -19,7 +19,7 @@
     let mut rig = Rig::open();
     rig.say_and_hear("", 42);
     let mut old = rig.peer.as_ref().expect("a connection").try_clone().expect("a socket");
-    rig.bus.doubt(rig.now);
+    rig.bus.suspect(rig.now);
     let after = rig.comments(MINUTE).expect("it asks anew");
     assert!((4..=8).contains(&(after.0 / SECOND.0)), "{after:?}");
     assert_eq!(rig.asked_on(), "42");
@@ -43,7 +43,7 @@
         let from = rig.now;
         // The dead server is met again and again, right after the last call too.
         while {
-            rig.bus.doubt(rig.now);
+            rig.bus.suspect(rig.now);
             rig.comments(Micros(500_000)).is_none()
         } {}
         assert_eq!(rig.asked_on(), "41");
@@ -57,7 +57,7 @@
     // Something new: the next doubt is taken as the first was.
     rig.say(&event(42, "new"));
     rig.hear("new");
-    rig.bus.doubt(rig.now);
+    rig.bus.suspect(rig.now);
     let after = rig.comments(MINUTE).expect("it asks anew");
     assert!((4..=8).contains(&(after.0 / SECOND.0)), "{after:?}");
 }
@@ -65,12 +65,12 @@
 #[test]
 fn something_new_settles_a_doubt_and_something_old_does_not() {
     let mut rig = Rig::open();
-    rig.bus.doubt(rig.now);
+    rig.bus.suspect(rig.now);
     rig.step(SECOND);
     rig.say(&event(42, "new"));
     rig.hear("new");
     assert_eq!(rig.comments(MINUTE), None);
-    rig.bus.doubt(rig.now);
+    rig.bus.suspect(rig.now);
     rig.step(SECOND);
     rig.say(&event(42, "new"));
     rig.until_read();
@@ -83,7 +83,7 @@
         let mut rig = Rig::new(seed);
         rig.asked();
         rig.say(HEAD);
-        rig.bus.doubt(rig.now);
+        rig.bus.suspect(rig.now);
         rig.comments(MINUTE).expect("it asks anew")
     };
     let mut all = (0..16).map(after).collect::<Vec<_>>();
@@ -96,7 +96,7 @@
 fn a_call_for_another_reason_settles_a_doubt() {
     let mut rig = Rig::open();
     rig.end();
-    rig.bus.doubt(rig.now);
+    rig.bus.suspect(rig.now);
     assert_eq!(rig.asked(), "41");
     rig.say(HEAD);
     assert_eq!(rig.comments(MINUTE), None);
@@ -105,9 +105,9 @@
 #[test]
 fn a_bus_that_does_not_answer_the_call_after_a_doubt_is_tried_until_it_does() {
     let mut rig = Rig::open();
-    rig.bus.doubt(rig.now);
+    rig.bus.suspect(rig.now);
     assert!(rig.comments(MINUTE).is_some());
-    let most = bounds().bus_again_most;
+    let most = limits().bus_retry_max;
     for _ in 0..6 {
         assert_eq!(rig.asked_on(), "41");
         rig.end();
--- a/crates/platform/event-loop/tests/bus/moves.rs
+++ b/crates/platform/event-loop/tests/bus/moves.rs
@@ -119,7 +119,7 @@
 #[test]
 fn a_move_settles_a_doubt() {
     let mut rig = Rig::open();
-    rig.bus.doubt(rig.now);
+    rig.bus.suspect(rig.now);
     assert_eq!(moved(&mut rig), "41");
     rig.say(HEAD);
     assert_eq!(rig.comments(Micros(60_000_000)), None);
--- a/crates/platform/event-loop/tests/bus/rig.rs
+++ b/crates/platform/event-loop/tests/bus/rig.rs
@@ -7,10 +7,11 @@
 use std::time::{Duration, Instant};
 
 use beechloft::api::Micros;
-use beechloft_event_loop::bounds::{Bounds, Given};
-use beechloft_event_loop::bus::Bus;
+use beechloft_event_loop::event_bus::EventBusClient;
+use beechloft_event_loop::limits::{LimitInputs, SocketLimits};
+use beechloft_event_loop::tokens::TokenAllocator;
 use beechloft_front_node::Input;
-use mio::{Events, Poll};
+use mio::{Events, Poll, Token};
 use socket2::{Domain, Socket, Type};
 
 /// Long enough for anything that is to happen.
@@ -22,14 +23,14 @@
 pub const SECOND: Micros = Micros(1_000_000);
 
 pub struct Rig {
-    pub bus: Bus,
+    pub bus: EventBusClient,
     pub now: Micros,
     pub listener: TcpListener,
     /// The event bus's end of the newest connection.
     pub peer: Option<TcpStream>,
     poll: Poll,
-    next: usize,
-    token: usize,
+    tokens: TokenAllocator,
+    token: Token,
     inputs: VecDeque<Input>,
     /// Servers heard of, in order.
     pub told: Vec<String>,
@@ -37,13 +38,13 @@
     pub whole: bool,
 }
 
-pub fn bounds() -> Bounds {
-    Bounds::fit(&Given {
+pub fn limits() -> SocketLimits {
+    SocketLimits::derive(&LimitInputs {
         descriptors: 256,
         memory_mb: 64.0,
-        deadline: Micros(3_000_000),
-        connect_within: Micros(500_000),
-        server_idle: Micros(10_000_000),
+        max_class_deadline: Micros(3_000_000),
+        connect_timeout: Micros(500_000),
+        server_idle_timeout: Micros(10_000_000),
     })
 }
 
@@ -87,19 +88,19 @@
 impl Rig {
     /// A watch that knows event 41 and has not asked yet.
     pub fn new(seed: u64) -> Rig {
-        Rig::within(bounds(), seed)
+        Rig::within(limits(), seed)
     }
 
-    pub fn within(bounds: Bounds, seed: u64) -> Rig {
+    pub fn within(limits: SocketLimits, seed: u64) -> Rig {
         let (listener, addr) = listen();
         Rig {
-            bus: Bus::new(addr, 41, bounds, seed),
+            bus: EventBusClient::new(addr, 41, limits, seed),
             now: SECOND,
             listener,
             peer: None,
             poll: Poll::new().expect("a poll"),
-            next: 16,
-            token: 0,
+            tokens: TokenAllocator::default(),
+            token: Token(0),
             inputs: VecDeque::new(),
             told: Vec::new(),
             whole: false,
@@ -116,11 +117,11 @@
 
     /// Looks at what is due: whether it began a connection.
     pub fn sweep(&mut self) -> bool {
-        let before = self.next;
-        self.bus.sweep(self.now, self.poll.registry(), &mut self.next);
-        let began = self.next > before;
+        let mut before = self.tokens.clone();
+        self.bus.sweep(self.now, self.poll.registry(), &mut self.tokens);
+        let began = self.tokens != before;
         if began {
-            self.token = before;
+            self.token = before.allocate();
         }
         began
     }
@@ -154,7 +155,7 @@
         while !holds(self) {
             assert!(Instant::now() < end, "never: {what}");
             self.poll.poll(&mut events, Some(Duration::from_millis(100))).expect("a poll");
-            let ready = events.iter().any(|e| self.bus.has(e.token().0));
+            let ready = events.iter().any(|e| self.bus.has(e.token()));
             if ready {
                 self.read();
             }
@@ -163,7 +164,7 @@
 
     fn read(&mut self) {
         let mut scratch = vec![0; 16 * 1024];
-        while self.bus.ready(self.now, &mut scratch, self.poll.registry(), &mut self.inputs) {}
+        while self.bus.handle_ready(self.now, &mut scratch, self.poll.registry(), &mut self.inputs) {}
         for input in self.inputs.drain(..) {
             let Input::Bus(topology) = input else { panic!("{input:?}") };
             self.whole = topology.snapshot;
@@ -244,7 +245,7 @@
     pub fn until_read(&mut self) {
         let mut events = Events::with_capacity(8);
         self.poll.poll(&mut events, Some(PATIENCE)).expect("a poll");
-        assert!(events.iter().any(|e| self.bus.has(e.token().0)), "nothing to read");
+        assert!(events.iter().any(|e| self.bus.has(e.token())), "nothing to read");
         self.read();
     }
 
@@ -279,7 +280,7 @@
     pub fn until_there(&mut self) {
         let mut events = Events::with_capacity(8);
         let end = Instant::now() + PATIENCE;
-        while !events.iter().any(|e| e.is_readable() && self.bus.has(e.token().0)) {
+        while !events.iter().any(|e| e.is_readable() && self.bus.has(e.token())) {
             assert!(Instant::now() < end, "nothing comes");
             self.poll.poll(&mut events, Some(PATIENCE)).expect("a poll");
         }
--- a/crates/platform/event-loop/tests/bus/unreadable.rs
+++ b/crates/platform/event-loop/tests/bus/unreadable.rs
@@ -1,6 +1,6 @@
 //! Events and answers that can't be read: they cost themselves alone.
 
-use beechloft_event_loop::bounds::Bounds;
+use beechloft_event_loop::limits::SocketLimits;
 
 use crate::rig::*;
 
@@ -110,9 +110,9 @@
 #[test]
 fn an_endless_event_is_bounded_and_does_not_hide_later_ones() {
     // Longer than an event may be, but it ends.
-    let long = format!("data: {}\n\n", "x".repeat(bounds().event_bytes + 10));
+    let long = format!("data: {}\n\n", "x".repeat(limits().max_event_bytes + 10));
     passed_over(&long, &event(42, "later"), "42");
-    let lines = format!("{}\n", "data: some noise\r\n".repeat(bounds().event_bytes / 12));
+    let lines = format!("{}\n", "data: some noise\r\n".repeat(limits().max_event_bytes / 12));
     passed_over(&lines, &event(42, "later"), "42");
 }
 
@@ -127,7 +127,7 @@
         assert_eq!(rig.asked_on(), "41");
         rig.say(HEAD);
     }
-    assert!(last >= bounds().bus_again_most, "still each {last:?} after a dozen");
+    assert!(last >= limits().bus_retry_max, "still each {last:?} after a dozen");
 }
 
 #[test]
@@ -146,7 +146,7 @@
 #[test]
 fn what_is_whole_before_an_endless_event_counts() {
     // Both in one read.
-    let mut rig = Rig::within(Bounds { event_bytes: 1_000, ..bounds() }, 7);
+    let mut rig = Rig::within(SocketLimits { max_event_bytes: 1_000, ..limits() }, 7);
     assert_eq!(rig.asked(), "41");
     rig.say(&format!("{HEAD}{}data: {}", event(42, "before"), "x".repeat(2_000)));
     rig.falls();
--- a/crates/platform/event-loop/tests/crossings/clients.rs
+++ b/crates/platform/event-loop/tests/crossings/clients.rs
@@ -2,7 +2,7 @@
 
 use std::sync::mpsc;
 
-use beechloft_event_loop::Moment;
+use beechloft_event_loop::TurnPhase;
 
 use crate::stage::{Client, Stage, Terms, bytes, cancel, set_up, test};
 
@@ -67,8 +67,8 @@
     let (client, _, mut line) = stage.asked(1);
     line.end(1, 47);
     let mut client = Some(client);
-    stage.shell.at_moments(move |moment| {
-        if moment == Moment::Polled
+    stage.shell.on_phase_end(move |moment| {
+        if moment == TurnPhase::SocketsPolled
             && let Some(client) = client.take()
         {
             client.close();
@@ -156,8 +156,8 @@
     // Its client is reset after it was looked at, so that the answer has nowhere to go.
     let (tell, told) = mpsc::channel();
     tell.send(client).expect("held");
-    stage.shell.at_moments(move |moment| {
-        if moment == Moment::Polled
+    stage.shell.on_phase_end(move |moment| {
+        if moment == TurnPhase::SocketsPolled
             && let Ok(client) = told.try_recv()
         {
             client.reset();
@@ -188,8 +188,8 @@
     stage.pass(1_775);
     stage.now = stage.now + beechloft::api::Micros(200_000);
     let (give, given) = mpsc::channel();
-    stage.shell.at_moments(move |moment| {
-        if moment == Moment::Taken
+    stage.shell.on_phase_end(move |moment| {
+        if moment == TurnPhase::ViewersHandled
             && let Some(mut client) = client.take()
         {
             client.say(&set_up(1, 3_000));
@@ -206,7 +206,7 @@
 #[test]
 fn a_set_up_that_meets_the_need_for_room_is_served() {
     let mut stage = Stage::on(1, &Terms { sockets: 64, ..Terms::default() });
-    let room = stage.shell.bounds().viewers;
+    let room = stage.shell.limits().max_viewer_connections;
     let mut oldest = stage.client();
     let mut others: Vec<Client> = (1..room).map(|_| stage.client()).collect();
     // It asks; before the front node has read that, one more comes than there is room for.
@@ -225,7 +225,7 @@
 #[test]
 fn one_more_than_there_is_room_for_waits_and_is_answered() {
     let mut stage = Stage::on(1, &Terms { sockets: 64, ..Terms::default() });
-    let room = stage.shell.bounds().viewers;
+    let room = stage.shell.limits().max_viewer_connections;
     let mut lines = Vec::new();
     let mut held = Vec::new();
     for id in 1..=room as u64 {
@@ -290,9 +290,14 @@
     let mut idle: Vec<Client> = (0..100).map(|_| Client::connect(stage.addr)).collect();
     stage.settle();
     let open = idle.iter_mut().map(|c| c.hear().is_ok_and(|h| !h.1)).filter(|open| *open).count();
-    let bounds = stage.shell.bounds();
-    assert!(open <= bounds.viewers, "{open} of {}", bounds.viewers);
-    assert!(bounds.viewers + bounds.servers + beechloft_event_loop::bounds::OWN_DESCRIPTORS <= 64);
+    let limits = stage.shell.limits();
+    assert!(open <= limits.max_viewer_connections, "{open} of {}", limits.max_viewer_connections);
+    assert!(
+        limits.max_viewer_connections
+            + limits.max_server_connections
+            + beechloft_event_loop::limits::RESERVED_DESCRIPTORS
+            <= 64
+    );
     let (mut honest, _, mut line) = stage.asked(1);
     line.accept(1);
     stage.settle();
--- a/crates/platform/event-loop/tests/crossings/ends.rs
+++ b/crates/platform/event-loop/tests/crossings/ends.rs
@@ -3,7 +3,7 @@
 use std::sync::mpsc;
 
 use beechloft::api::Micros;
-use beechloft_event_loop::Moment;
+use beechloft_event_loop::TurnPhase;
 
 use crate::stage::{Client, Stage, Terms, bytes, set_up, test};
 
@@ -17,7 +17,7 @@
 fn about_to_end(stage: &mut Stage) {
     stage.control.terminate();
     stage.turn();
-    let on = stage.shell.bounds().serve_on;
+    let on = stage.shell.limits().serve_after_sigterm;
     stage.now = stage.now + Micros(on.0 - 1);
     stage.turn();
     assert!(!stage.ended);
@@ -55,14 +55,19 @@
 
 #[test]
 fn a_set_up_that_comes_at_each_moment_of_the_last_turns_is_answered_or_its_connection_ended_before() {
-    for moment in [Moment::Polled, Moment::Heard, Moment::Taken, Moment::Due] {
+    for moment in [
+        TurnPhase::SocketsPolled,
+        TurnPhase::ServersHandled,
+        TurnPhase::ViewersHandled,
+        TurnPhase::TimeoutsHandled,
+    ] {
         for after in 0..4 {
             let mut stage = Stage::new(2);
             let mut client = Some(stage.client());
             about_to_end(&mut stage);
             let (give, given) = mpsc::channel();
             let mut turns = 0;
-            stage.shell.at_moments(move |at| {
+            stage.shell.on_phase_end(move |at| {
                 if at != moment {
                     return;
                 }
--- a/crates/platform/event-loop/tests/crossings/servers.rs
+++ b/crates/platform/event-loop/tests/crossings/servers.rs
@@ -2,7 +2,7 @@
 
 use std::sync::mpsc;
 
-use beechloft_event_loop::Moment;
+use beechloft_event_loop::TurnPhase;
 use serde_json::json;
 
 use crate::stage::{Stage, Terms, cancel, set_up};
@@ -28,9 +28,9 @@
     let (give, given) = mpsc::channel();
     let mut once = Some(());
     let mut ending = line.clone();
-    stage.shell.at_moments(move |moment| {
+    stage.shell.on_phase_end(move |moment| {
         // Media servers have been read in this turn.
-        if moment == Moment::Heard && once.take().is_some() {
+        if moment == TurnPhase::ServersHandled && once.take().is_some() {
             ending.shut();
             give.send(()).expect("held");
         }
--- a/crates/platform/event-loop/tests/crossings/stage.rs
+++ b/crates/platform/event-loop/tests/crossings/stage.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use beechloft::api::Micros;
-use beechloft_event_loop::{Control, Goes, Shell};
+use beechloft_event_loop::{EventLoop, LoopStatus, SignalHandle};
 use beechloft_protocol::CallId;
 use beechloft_protocol::binary::{Decoder, Frame};
 use beechloft_protocol::config::Stated;
@@ -104,9 +104,9 @@
 }
 
 pub struct Stage {
-    pub shell: Shell,
+    pub shell: EventLoop,
     pub addr: SocketAddr,
-    pub control: Control,
+    pub control: SignalHandle,
     pub now: Micros,
     pub media: Vec<Media>,
     pub ended: bool,
@@ -144,8 +144,9 @@
             "settings": terms.settings()
         });
         std::fs::write(&path, config.to_string()).expect("written");
-        let shell = Shell::start(&path, &Stated::default()).expect("it starts");
-        let (addr, control) = (shell.address().expect("an address"), shell.control().expect("a control"));
+        let shell = EventLoop::start(&path, &Stated::default()).expect("it starts");
+        let (addr, control) =
+            (shell.local_addr().expect("an address"), shell.signal_handle().expect("a control"));
         let mut stage = Stage {
             shell,
             addr,
@@ -187,7 +188,7 @@
     pub fn turn(&mut self) {
         if !self.ended {
             self.shell.set_time(self.now);
-            self.ended = self.shell.turn(Some(Duration::ZERO)).expect("no error") == Goes::Ended;
+            self.ended = self.shell.run_turn(Some(Duration::ZERO)).expect("no error") == LoopStatus::Stopped;
         }
     }
 
--- a/crates/platform/event-loop/tests/descriptors.rs
+++ b/crates/platform/event-loop/tests/descriptors.rs
@@ -62,7 +62,7 @@
     let all = take_all();
     stage.turn();
     stage.turn();
-    assert!(!stage.shell.wait().is_zero(), "the loop spins on a listener that it can't accept from");
+    assert!(!stage.shell.idle_duration().is_zero(), "the loop spins on a listener that it can't accept from");
     drop(all);
     stage.pass(50);
     waits.say(&stage::test(1));
--- a/crates/platform/event-loop/tests/support/mod.rs
+++ b/crates/platform/event-loop/tests/support/mod.rs
@@ -9,7 +9,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use beechloft_event_loop::{Control, Shell};
+use beechloft_event_loop::{EventLoop, SignalHandle};
 use beechloft_protocol::CallId;
 use beechloft_protocol::binary::{Decoder, Frame};
 use beechloft_protocol::config::Stated;
@@ -258,7 +258,7 @@
     pub addr: SocketAddr,
     pub bus: FakeBus,
     pub media: Vec<Media>,
-    pub control: Control,
+    pub control: SignalHandle,
     pub config: std::path::PathBuf,
     thread: Option<JoinHandle<std::io::Result<()>>>,
     _dir: tempfile::TempDir,
@@ -302,8 +302,9 @@
         let config = dir.path().join("config.json");
         let known: Vec<Value> = media.iter().enumerate().map(|(n, m)| m.endpoint(n % 4, "Ready")).collect();
         write_config(&config, bus.addr, sockets, &known);
-        let mut shell = Shell::start(&config, &Stated::default()).expect("it starts");
-        let (addr, control) = (shell.address().expect("an address"), shell.control().expect("a control"));
+        let mut shell = EventLoop::start(&config, &Stated::default()).expect("it starts");
+        let (addr, control) =
+            (shell.local_addr().expect("an address"), shell.signal_handle().expect("a control"));
         let thread = Some(std::thread::spawn(move || shell.run()));
         wait("the bus is asked", || !bus.asked().is_empty());
         Front { addr, bus, media, control, config, thread, _dir: dir }
