--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -1,4 +1,4 @@
-//! The front node as a process: what it says of a start that can't be, and real signals.
+//! The front node as a process: errors at the start, real signals, and a front node in a fleet.
 
 mod support;
 
@@ -22,21 +22,21 @@
     })
 }
 
-fn command(path: &Path, stated: &[(&str, &str)]) -> Command {
+fn node_command(path: &Path, environment: &[(&str, &str)]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_beechloft"));
     command.arg("node").env("ROUTER_CONFIG", path).env_remove("ROUTER_NAME").env_remove("ROUTER_LISTEN");
-    command.envs(stated.iter().copied()).stdin(Stdio::null());
+    command.envs(environment.iter().copied()).stdin(Stdio::null());
     command
 }
 
-fn folder() -> (tempfile::TempDir, PathBuf) {
-    let dir = tempfile::tempdir().expect("a folder");
+fn config_folder() -> (tempfile::TempDir, PathBuf) {
+    let dir = tempfile::tempdir().expect("a temporary folder");
     let path = dir.path().join("config.json");
     (dir, path)
 }
 
-/// One line on standard error, and a code that is not 0.
-fn one_line(out: &Output) -> String {
+/// The only line on standard error of a process that failed.
+fn error_line(out: &Output) -> String {
     let text = String::from_utf8_lossy(&out.stderr).into_owned();
     assert_eq!(text.lines().count(), 1, "{text}");
     assert!(out.status.code().is_some_and(|c| c != 0), "{out:?}");
@@ -44,18 +44,18 @@
 }
 
 #[test]
-fn a_start_that_can_not_be_says_why_in_one_line() {
-    let (_dir, path) = folder();
+fn a_failed_start_prints_the_reason_as_a_single_line() {
+    let (_dir, path) = config_folder();
     let nowhere: SocketAddr = "127.0.0.1:9".parse().expect("an address");
     let good = config("127.0.0.1:0", nowhere).to_string();
-    assert!(one_line(&command(&path, &[]).output().expect("it runs")).contains("config.json"));
+    assert!(error_line(&node_command(&path, &[]).output().expect("it runs")).contains("config.json"));
     let class = config("127.0.0.1:0", nowhere)["settings"]["classes"][0].to_string();
     let no_classes = good.replace("\"classes\"", "\"klasses\"");
     for bad in ["", "{", "[]", "\u{0}\u{1}", "{\"name\":3}", &good[..good.len() / 2], &no_classes] {
         std::fs::write(&path, bad).expect("written");
-        one_line(&command(&path, &[]).output().expect("it runs"));
+        error_line(&node_command(&path, &[]).output().expect("it runs"));
     }
-    // What can't be met is named by its key.
+    // A value that a front node can't work with is named by its key.
     let unfit = [
         ("limits.sockets", good.replace("\"sockets\":256", "\"sockets\":39")),
         ("settings.classes", good.replace(&class, "")),
@@ -66,45 +66,47 @@
     for (key, text) in unfit {
         assert_ne!(text, good, "{key}");
         std::fs::write(&path, text).expect("written");
-        let out = command(&path, &[]).output().expect("it runs");
-        assert!(one_line(&out).contains(key), "{key}: {out:?}");
+        let out = node_command(&path, &[]).output().expect("it runs");
+        assert!(error_line(&out).contains(key), "{key}: {out:?}");
         assert_eq!(out.status.code(), Some(2), "{key}");
     }
     std::fs::write(&path, &good).expect("written");
-    let wrong = |stated: &[(&str, &str)]| one_line(&command(&path, stated).output().expect("it runs"));
-    let text = wrong(&[("ROUTER_NAME", "n4")]);
-    assert!(text.contains("ROUTER_NAME says \"n4\", the configuration says \"n3\""), "{text}");
-    let text = wrong(&[("ROUTER_NAME", "n3"), ("ROUTER_LISTEN", "127.0.0.1:2905")]);
-    assert!(text.contains("ROUTER_LISTEN says \"127.0.0.1:2905\""), "{text}");
+    let error_with = |environment: &[(&str, &str)]| {
+        error_line(&node_command(&path, environment).output().expect("it runs"))
+    };
+    let wrong_name = error_with(&[("ROUTER_NAME", "n4")]);
+    assert!(wrong_name.contains("ROUTER_NAME says \"n4\", the configuration says \"n3\""), "{wrong_name}");
+    let wrong_address = error_with(&[("ROUTER_NAME", "n3"), ("ROUTER_LISTEN", "127.0.0.1:2905")]);
+    assert!(wrong_address.contains("ROUTER_LISTEN says \"127.0.0.1:2905\""), "{wrong_address}");
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = taken.local_addr().expect("an address").to_string();
     std::fs::write(&path, config(&addr, nowhere).to_string()).expect("written");
-    assert!(wrong(&[]).contains("can't be listened on"));
+    assert!(error_with(&[]).contains("can't be listened on"));
 }
 
-/// A node that runs; it is ended whatever becomes of the test.
-struct Running(Child);
+/// A running front node, killed at the end of the test.
+struct RunningNode(Child);
 
-impl Drop for Running {
+impl Drop for RunningNode {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// An event bus that answers each call; the connections that came.
-fn bus() -> TcpListener {
+/// The listener of an event bus.
+fn event_bus() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a port")
 }
 
-/// The next call for events: what it names as the last it heard.
-fn called(bus: &TcpListener) -> (TcpStream, String) {
+/// Accepts and answers the next request for events; its connection and its `Last-Event-ID`.
+fn accept_request(bus: &TcpListener) -> (TcpStream, String) {
     bus.set_nonblocking(true).expect("set");
     let until = Instant::now() + PATIENCE;
     let mut stream = loop {
         match bus.accept() {
             Ok((stream, _)) => break stream,
-            Err(_) => assert!(Instant::now() < until, "nobody calls"),
+            Err(_) => assert!(Instant::now() < until, "no request"),
         }
         std::thread::sleep(Duration::from_millis(5));
     };
@@ -130,19 +132,19 @@
 }
 
 #[test]
-fn real_signals_move_it_to_another_bus_and_end_it_well() {
-    let (_dir, path) = folder();
-    let (first, second) = (bus(), bus());
+fn signals_reload_the_configuration_and_stop_the_process() {
+    let (_dir, path) = config_folder();
+    let (first, second) = (event_bus(), event_bus());
     let addr = |b: &TcpListener| b.local_addr().expect("an address");
     std::fs::write(&path, config("127.0.0.1:0", addr(&first)).to_string()).expect("written");
-    let child = command(&path, &[("ROUTER_NAME", "n3"), ("ROUTER_LISTEN", "127.0.0.1:0")])
+    let child = node_command(&path, &[("ROUTER_NAME", "n3"), ("ROUTER_LISTEN", "127.0.0.1:0")])
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn()
         .expect("it starts");
-    let mut node = Running(child);
-    let (_heard, last) = called(&first);
-    assert_eq!(last, "0");
+    let mut node = RunningNode(child);
+    let (_first_stream, first_id) = accept_request(&first);
+    assert_eq!(first_id, "0");
     // Half a file first: the old configuration stays, and the file is read again until it is whole.
     let text = config("127.0.0.1:0", addr(&second)).to_string();
     std::fs::write(&path, &text[..text.len() / 2]).expect("written");
@@ -150,54 +152,57 @@
     std::thread::sleep(Duration::from_millis(200));
     assert!(node.0.try_wait().expect("known").is_none(), "it ended on SIGHUP");
     std::fs::write(&path, &text).expect("written");
-    let (_moved, last) = called(&second);
-    assert_eq!(last, "0", "the numbering goes on");
+    let (_second_stream, second_id) = accept_request(&second);
+    assert_eq!(second_id, "0", "the numbering does not go on");
     signal(&node.0, rustix::process::Signal::TERM);
     let until = Instant::now() + PATIENCE;
     let status = loop {
         if let Some(status) = node.0.try_wait().expect("known") {
             break status;
         }
-        assert!(Instant::now() < until, "it goes on after SIGTERM");
+        assert!(Instant::now() < until, "still running after SIGTERM");
         std::thread::sleep(Duration::from_millis(10));
     };
     assert_eq!(status.code(), Some(0));
 }
 
 #[test]
-fn as_one_of_a_fleet_it_has_a_number_by_lease_and_restarts_in_its_turn() {
-    let (dir, path) = folder();
-    let bus = bus();
+fn in_a_fleet_it_gets_a_number_by_lease_and_restarts_in_its_turn() {
+    let (dir, path) = config_folder();
+    let bus = event_bus();
     let addr = bus.local_addr().expect("an address");
-    let keeper = support::kept_addresses(1)[0];
-    let file = |name: &str, more: &str| {
-        let text = format!("fleet:\n  name: test\n  keepers: ['{keeper}']\n{more}");
-        let path = dir.path().join(name);
-        std::fs::write(&path, text).expect("written");
-        path
+    let coordinator = support::kept_addresses(1)[0];
+    let file = |name: &str, options: &str| {
+        let text = format!("fleet:\n  name: test\n  keepers: ['{coordinator}']\n{options}");
+        let file_path = dir.path().join(name);
+        std::fs::write(&file_path, text).expect("written");
+        file_path
     };
     let store = dir.path().join("store");
-    let keeps = file("keeper.yaml", &format!("  listen: {keeper}\n  store: {}\n", store.display()));
-    let turns = "  number: lease\n  number_ttl_ms: 1000\n  restart: {at_most: 1, back_ms: 4000}\n";
-    let joins = file("fleet.yaml", turns);
+    let coordinator_file =
+        file("keeper.yaml", &format!("  listen: {coordinator}\n  store: {}\n", store.display()));
+    let fleet_options = "  number: lease\n  number_ttl_ms: 1000\n  restart: {at_most: 1, back_ms: 4000}\n";
+    let fleet_file = file("fleet.yaml", fleet_options);
     std::fs::write(&path, config("127.0.0.1:0", addr).to_string()).expect("written");
-    let mut keeper = support::beechloft();
-    let _keeper = support::Process::start(keeper.arg("keeper").arg(&keeps).stderr(Stdio::null()));
+    let mut coordinator_command = support::beechloft();
+    let _coordinator = support::Process::start(
+        coordinator_command.arg("keeper").arg(&coordinator_file).stderr(Stdio::null()),
+    );
     let mut nodes = Vec::new();
     for n in 0..2 {
         let log = dir.path().join(format!("n{n}.log"));
-        let mut node = command(&path, &[]);
-        node.arg("--fleet").arg(&joins).stderr(std::fs::File::create(&log).expect("a file"));
+        let mut node = node_command(&path, &[]);
+        node.arg("--fleet").arg(&fleet_file).stderr(std::fs::File::create(&log).expect("a file"));
         nodes.push((support::Process::start(&mut node), log));
     }
-    let says = |n: usize, what: &str| std::fs::read_to_string(&nodes[n].1).is_ok_and(|t| t.contains(what));
+    let logs = |n: usize, what: &str| std::fs::read_to_string(&nodes[n].1).is_ok_and(|t| t.contains(what));
     support::until(|| {
-        let of = |n: usize, number: usize| says(n, &format!("number={number} of=2 fronts=2"));
+        let of = |n: usize, number: usize| logs(n, &format!("number={number} of=2 fronts=2"));
         let differ = (of(0, 0) && of(1, 1)) || (of(0, 1) && of(1, 0));
-        if differ { Ok(()) } else { Err("they have no numbers of their own".into()) }
+        if differ { Ok(()) } else { Err("they do not have distinct numbers".into()) }
     });
-    assert!((0..2).all(|n| says(n, "number=0 of=0 fronts=1")), "a part before the first lease");
-    // Both are told at once: one goes, the other when that one's time to be back is over.
+    assert!((0..2).all(|n| logs(n, "number=0 of=0 fronts=1")), "numbered before the first lease");
+    // Both get SIGTERM at once: one stops, the other when the first one's time to be back is over.
     nodes.iter().for_each(|n| n.0.signal(rustix::process::Signal::TERM));
     let mut ended = [None, None];
     support::until(|| {
@@ -208,9 +213,9 @@
         }
         if ended.iter().all(Option::is_some) { Ok(()) } else { Err(format!("{ended:?}")) }
     });
-    let [Some(a), Some(b)] = ended else { panic!("one goes on") };
+    let [Some(a), Some(b)] = ended else { panic!("one is still running") };
     let apart = a.max(b) - a.min(b);
-    assert!(apart > Duration::from_millis(1_500), "both were out within {apart:?}");
+    assert!(apart > Duration::from_millis(1_500), "both had stopped within {apart:?}");
 }
 
 /// The first line of the node's log that contains the text.
@@ -226,18 +231,18 @@
 }
 
 #[test]
-fn log_filters_with_the_event_loops_former_name_still_work() {
-    let (_dir, path) = folder();
-    let bus = bus();
+fn log_filters_with_the_former_name_of_the_event_loop_still_work() {
+    let (_dir, path) = config_folder();
+    let bus = event_bus();
     let addr = bus.local_addr().expect("an address");
     std::fs::write(&path, config("127.0.0.1:0", addr).to_string()).expect("written");
-    let child = command(&path, &[])
+    let child = node_command(&path, &[])
         .env("RUST_LOG", "warn,beechloft_shell=debug")
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
         .expect("it starts");
-    let mut node = Running(child);
+    let mut node = RunningNode(child);
     let line = first_log_line_with(&mut node.0, "state of the front node");
     assert!(line.contains("DEBUG beechloft_event_loop"), "{line}");
 }
