--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -5,7 +5,7 @@
 
 use beechloft_config::front::LogSettings;
 use beechloft_event_loop::EventLoop;
-use beechloft_protocol::config::Stated;
+use beechloft_protocol::config::Environment;
 
 use crate::among::Among;
 use crate::{fail, fleet, log};
@@ -52,7 +52,7 @@
 }
 
 /// What the environment says about this front node. A value that is no UTF-8 agrees with no configuration.
-fn environment() -> Stated {
+fn environment() -> Environment {
     let variable = |name| std::env::var_os(name).map(|value| value.to_string_lossy().into_owned());
-    Stated { name: variable("ROUTER_NAME"), listen: variable("ROUTER_LISTEN") }
+    Environment { name: variable("ROUTER_NAME"), listen: variable("ROUTER_LISTEN") }
 }
--- a/crates/platform/event-loop/src/event_bus/mod.rs
+++ b/crates/platform/event-loop/src/event_bus/mod.rs
@@ -255,9 +255,9 @@
             match self.sequence.receive(&event) {
                 EventOutcome::New(topology) => {
                     self.retry.reset();
-                    inputs.extend(topology.map(Input::Bus));
+                    inputs.extend(topology.map(Input::Topology));
                 }
-                EventOutcome::Unnumbered(topology) => inputs.extend(topology.map(Input::Bus)),
+                EventOutcome::Unnumbered(topology) => inputs.extend(topology.map(Input::Topology)),
                 EventOutcome::RequestAgain => return Err(ConnectionError::UnreadableEvent),
                 EventOutcome::Ignored => {}
             }
--- a/crates/platform/event-loop/src/event_bus/retry.rs
+++ b/crates/platform/event-loop/src/event_bus/retry.rs
@@ -1,7 +1,7 @@
 //! When the event bus is requested next.
 
 use beechloft::api::Micros;
-use beechloft_front_node::Backoff;
+use beechloft_front_node::ExponentialBackoff;
 
 use crate::limits::SocketLimits;
 
@@ -22,11 +22,11 @@
 pub(super) struct RetryPolicy {
     connect_at: Micros,
     /// Waits after connections on which nothing came.
-    refused: Backoff,
+    refused: ExponentialBackoff,
     /// Waits after responses without new events.
-    fruitless: Backoff,
+    fruitless: ExponentialBackoff,
     /// Waits from a suspicion to the request.
-    suspicion: Backoff,
+    suspicion: ExponentialBackoff,
     /// There is a suspicion: when events are requested again if no new one comes.
     suspicion_due: Option<Micros>,
 }
@@ -34,7 +34,7 @@
 impl RetryPolicy {
     /// A policy whose first request is due at once. The seed decides the random parts of the waits.
     pub fn new(limits: &SocketLimits, seed: u64) -> RetryPolicy {
-        let backoff = |min, max, offset: u64| Backoff::new(min, max, seed.wrapping_add(offset));
+        let backoff = |min, max, offset: u64| ExponentialBackoff::new(min, max, seed.wrapping_add(offset));
         let fruitless_max = FRUITLESS_RETRY_MAX.max(limits.bus_retry_max);
         RetryPolicy {
             connect_at: Micros(0),
@@ -61,7 +61,7 @@
     /// Schedules the request after a failure. `has_received`: anything came on the connection.
     pub fn schedule(&mut self, now: Micros, has_received: bool) {
         let backoff = if has_received { &mut self.fruitless } else { &mut self.refused };
-        self.connect_at = now + backoff.failed();
+        self.connect_at = now + backoff.next_delay();
     }
 
     /// Schedules the request for this time.
@@ -77,7 +77,7 @@
     /// There is a reason to suspect the open stream.
     pub fn suspect(&mut self, now: Micros) {
         if self.suspicion_due.is_none() {
-            self.suspicion_due = Some(now + self.suspicion.failed());
+            self.suspicion_due = Some(now + self.suspicion.next_delay());
         }
     }
 
--- a/crates/platform/event-loop/src/event_bus/sequence.rs
+++ b/crates/platform/event-loop/src/event_bus/sequence.rs
@@ -97,8 +97,8 @@
             // Events may be written twice; each is handled once.
             return EventOutcome::Ignored;
         }
-        if event.unread.lines > 0 {
-            let (lines, why) = (event.unread.lines, &event.unread.first);
+        if event.skipped.count > 0 {
+            let (lines, why) = (event.skipped.count, &event.skipped.first_error);
             warn!(id = raw.id, lines, why, "endpoints that can't be read are left out");
         }
         match number {
--- a/crates/platform/event-loop/src/event_loop/effects.rs
+++ b/crates/platform/event-loop/src/event_loop/effects.rs
@@ -25,17 +25,17 @@
     /// example while this process was stopped.
     pub(super) fn update_number(&mut self) {
         if let Some(numbered) = self.fleet.take_number_change() {
-            self.inputs.push_front(Input::Numbered(numbered));
+            self.inputs.push_front(Input::SlotAssigned(numbered));
         }
     }
 
     fn carry_out(&mut self, output: Output, now: Micros) {
         match output {
-            Output::ToViewer(conn, message) => {
+            Output::SendToViewer(conn, message) => {
                 let (viewers, mut context) = self.viewers_with_context(now);
                 viewers.send(viewer_token(conn), &message, &mut context);
             }
-            Output::CloseViewer(conn) => {
+            Output::CloseViewerConnection(conn) => {
                 let (viewers, mut context) = self.viewers_with_context(now);
                 viewers.close(viewer_token(conn), &mut context);
             }
@@ -47,19 +47,25 @@
     fn carry_out_at_server(&mut self, output: Output, now: Micros) {
         let (servers, mut context) = self.servers_with_context(now);
         match output {
-            Output::Lane(lane, addr) => servers.add_incarnation(lane, addr, now),
-            Output::Forget(lane) => servers.forget(lane, &mut context),
-            Output::Hold(lane, hold) => servers.set_held(lane, hold, &mut context),
-            Output::Check(lane) => servers.suspect(lane, &mut context),
-            Output::SetUp { lane, id, conn, line, leave_by } => {
-                servers.send_set_up(lane, SetUp { id, viewer: conn, line, send_by: leave_by }, &mut context);
+            Output::AddIncarnation(incarnation, addr) => servers.add_incarnation(incarnation, addr, now),
+            Output::RemoveIncarnation(incarnation) => servers.forget(incarnation, &mut context),
+            Output::KeepConnected(incarnation, hold) => servers.set_held(incarnation, hold, &mut context),
+            Output::CheckReachability(incarnation) => servers.suspect(incarnation, &mut context),
+            Output::SendSetUp { incarnation, id, connection, line, send_by } => {
+                servers.send_set_up(
+                    incarnation,
+                    SetUp { id, viewer: connection, line, send_by },
+                    &mut context,
+                );
             }
-            Output::Unwanted(lane, id) => servers.withdraw_unsent(lane, id, &mut context),
-            Output::GiveUp { lane, id, line, silent } => {
-                servers.give_up(lane, id, &line, silent, &mut context)
+            Output::DiscardUnsent(incarnation, id) => servers.withdraw_unsent(incarnation, id, &mut context),
+            Output::AbandonAttempt { incarnation, id, line, timed_out } => {
+                servers.give_up(incarnation, id, &line, timed_out, &mut context)
             }
-            Output::Send(lane, id, line) => servers.send_line(lane, id, line, &mut context),
-            Output::ToViewer(..) | Output::CloseViewer(_) | Output::Log(_) => {}
+            Output::SendToServer(incarnation, id, line) => {
+                servers.send_line(incarnation, id, line, &mut context)
+            }
+            Output::SendToViewer(..) | Output::CloseViewerConnection(_) | Output::Log(_) => {}
         }
     }
 }
--- a/crates/platform/event-loop/src/event_loop/mod.rs
+++ b/crates/platform/event-loop/src/event_loop/mod.rs
@@ -19,7 +19,7 @@
 use beechloft::api::Micros;
 use beechloft_clock::Clock;
 use beechloft_front_node::{Counts, Input, Node};
-use beechloft_protocol::config::Stated;
+use beechloft_protocol::config::Environment;
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Token};
 use tracing::{info, warn};
@@ -88,11 +88,11 @@
     /// # Errors
     /// The configuration can't be read, does not agree with the environment or does not suit a front node, or the system
     /// refuses a socket, the poll or the signal handlers.
-    pub fn start(config_path: &Path, stated: &Stated) -> Result<EventLoop, StartError> {
+    pub fn start(config_path: &Path, stated: &Environment) -> Result<EventLoop, StartError> {
         // First of all, as a signal may come at any time.
         let mut signals = Signals::install().map_err(StartError::io("no signals"))?;
         let config = read_config(config_path)?;
-        config.agrees(stated)?;
+        config.check_environment(stated)?;
         let time = TimeSource::Clock(Clock::start());
         let (node, limits) = build_node(&config)?;
         let mut listener =
@@ -104,11 +104,11 @@
             .map_err(StartError::io("no poll"))?;
         info!(name = config.name, listen = %config.listen, sockets = config.limits.sockets, "front node starts");
         let seed = config.seed();
-        let unread: usize = config.known.batch.iter().map(|event| event.unread.lines).sum();
+        let unread: usize = config.initial_events.batch.iter().map(|event| event.skipped.count).sum();
         if unread > 0 {
             warn!(unread, "lines of the list at the start can't be read");
         }
-        let known = config.known.batch.into_iter().filter_map(|event| event.topology).collect();
+        let known = config.initial_events.batch.into_iter().filter_map(|event| event.topology).collect();
         Ok(EventLoop {
             config_path: config_path.to_owned(),
             time,
@@ -119,10 +119,10 @@
             signals,
             viewers: ViewerConnections::new(limits),
             servers: ServerConnections::new(limits),
-            event_bus: EventBusClient::new(config.bus, config.known.offset, limits, seed),
+            event_bus: EventBusClient::new(config.bus, config.initial_events.offset, limits, seed),
             limits,
             tokens: TokenAllocator::default(),
-            inputs: VecDeque::from([Input::Known(known)]),
+            inputs: VecDeque::from([Input::InitialTopologies(known)]),
             unread: BTreeSet::new(),
             next_sweep_at: Micros(0),
             next_state_log_at: Micros(0),
@@ -151,7 +151,7 @@
 
     /// The span over which set-ups for servers that have just started are paced.
     pub fn pace_span(&self) -> Duration {
-        Duration::from_micros(self.node.pace_span().0)
+        Duration::from_micros(self.node.slow_start_window().0)
     }
 
     /// The address that it listens on.
--- a/crates/platform/event-loop/src/event_loop/shutdown.rs
+++ b/crates/platform/event-loop/src/event_loop/shutdown.rs
@@ -77,17 +77,17 @@
 
     fn all_answered(&self) -> bool {
         let all_handled = self.unread.is_empty() && self.inputs.is_empty() && !self.viewers.has_unhandled();
-        all_handled && self.node.counts().owed == 0 && self.viewers.pending_bytes() == 0
+        all_handled && self.node.counts().pending == 0 && self.viewers.pending_bytes() == 0
     }
 
     fn all_closed(&mut self, now: Micros) -> bool {
-        let usage = |conn| self.node.use_of(conn);
+        let usage = |conn| self.node.connection_use(conn);
         let mut viewer_context =
             ViewerContext { now, registry: self.poll.registry(), inputs: &mut self.inputs };
         let viewers_closed = self.viewers.close_unused(&usage, &mut viewer_context);
         let (servers, mut server_context) = self.servers_with_context(now);
         servers.read_all(&mut server_context);
         // What media servers sent last is handled in this turn still, and may lead to more that is to be sent.
-        viewers_closed && self.inputs.is_empty() && self.node.counts().owed == 0 && self.servers.all_sent()
+        viewers_closed && self.inputs.is_empty() && self.node.counts().pending == 0 && self.servers.all_sent()
     }
 }
--- a/crates/platform/event-loop/src/event_loop/sweep.rs
+++ b/crates/platform/event-loop/src/event_loop/sweep.rs
@@ -23,7 +23,7 @@
     }
 
     fn sweep(&mut self, now: Micros) {
-        let usage = |conn| self.node.use_of(conn);
+        let usage = |conn| self.node.connection_use(conn);
         let mut viewer_context =
             ViewerContext { now, registry: self.poll.registry(), inputs: &mut self.inputs };
         self.viewers.sweep(&usage, &mut viewer_context);
@@ -49,7 +49,7 @@
             servers = self.servers.len(),
             "state of the front node"
         );
-        for line in self.node.beliefs() {
+        for line in self.node.diagnostics() {
             debug!("{line}");
         }
     }
--- a/crates/platform/event-loop/src/event_loop/turn.rs
+++ b/crates/platform/event-loop/src/event_loop/turn.rs
@@ -160,7 +160,7 @@
         if !self.viewers.accepting {
             return;
         }
-        let usage = |conn| self.node.use_of(conn);
+        let usage = |conn| self.node.connection_use(conn);
         let mut context = ViewerContext { now, registry: self.poll.registry(), inputs: &mut self.inputs };
         self.viewers.accept(self.listener.as_ref(), &mut self.tokens, &usage, &mut context);
         self.process_inputs(now);
--- a/crates/platform/event-loop/src/servers/connect.rs
+++ b/crates/platform/event-loop/src/servers/connect.rs
@@ -2,7 +2,7 @@
 
 use std::io::{self, ErrorKind};
 
-use beechloft_front_node::{Broken, Input, Lane};
+use beechloft_front_node::{AttemptFailure, Input, ServerIncarnation};
 use mio::net::TcpStream;
 use mio::{Interest, Token};
 
@@ -29,20 +29,24 @@
     ///
     /// # Errors
     /// Why none was begun; if the media server is the cause, that is handled already.
-    pub(super) fn connect(&mut self, lane: Lane, context: &mut ServerContext<'_>) -> Result<Token, Broken> {
+    pub(super) fn connect(
+        &mut self,
+        incarnation: ServerIncarnation,
+        context: &mut ServerContext<'_>,
+    ) -> Result<Token, AttemptFailure> {
         if self.connections.len() >= self.limits.max_server_connections && !self.make_capacity(context) {
-            return Err(Broken::Unsent);
+            return Err(AttemptFailure::NotSent);
         }
-        let incarnation = self.incarnations.get_mut(&lane).ok_or(Broken::Unsent)?;
-        match TcpStream::connect(incarnation.addr) {
-            Ok(socket) => self.add(socket, lane, context),
+        let state = self.incarnations.get_mut(&incarnation).ok_or(AttemptFailure::NotSent)?;
+        match TcpStream::connect(state.addr) {
+            Ok(socket) => self.add(socket, incarnation, context),
             Err(e) if is_local(&e) => {
-                incarnation.reconnect_at = context.now + self.limits.reconnect_interval;
-                Err(Broken::Unsent)
+                state.reconnect_at = context.now + self.limits.reconnect_interval;
+                Err(AttemptFailure::NotSent)
             }
             Err(e) => {
-                self.connect_failed(lane, e.kind() == ErrorKind::ConnectionRefused, context);
-                Err(Broken::NoConnection)
+                self.connect_failed(incarnation, e.kind() == ErrorKind::ConnectionRefused, context);
+                Err(AttemptFailure::NoConnection)
             }
         }
     }
@@ -50,16 +54,16 @@
     fn add(
         &mut self,
         mut socket: TcpStream,
-        lane: Lane,
+        incarnation: ServerIncarnation,
         context: &mut ServerContext<'_>,
-    ) -> Result<Token, Broken> {
+    ) -> Result<Token, AttemptFailure> {
         let _ = socket.set_nodelay(true);
         let token = context.tokens.allocate();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        context.registry.register(&mut socket, token, interest).map_err(|_| Broken::Unsent)?;
+        context.registry.register(&mut socket, token, interest).map_err(|_| AttemptFailure::NotSent)?;
         let stream = BufferedStream::new(socket, self.limits.server_write_buffer_bytes);
         let connect_by = context.now + self.limits.connect_timeout;
-        self.connections.insert(token, ServerConnection::new(lane, stream, context.now, connect_by));
+        self.connections.insert(token, ServerConnection::new(incarnation, stream, context.now, connect_by));
         Ok(token)
     }
 
@@ -73,31 +77,36 @@
     }
 
     fn is_spare(&self, connection: &ServerConnection) -> bool {
-        let lane = connection.lane;
-        let held = self.incarnations.get(&lane).is_some_and(|incarnation| incarnation.held);
+        let incarnation = connection.incarnation;
+        let held = self.incarnations.get(&incarnation).is_some_and(|state| state.held);
         connection.is_idle()
             && connection.stream.pending_bytes() == 0
-            && (!held || self.connection_count(lane) > 1)
+            && (!held || self.connection_count(incarnation) > 1)
     }
 
-    pub(super) fn connection_count(&self, lane: Lane) -> usize {
-        self.connections.values().filter(|connection| connection.lane == lane).count()
+    pub(super) fn connection_count(&self, incarnation: ServerIncarnation) -> usize {
+        self.connections.values().filter(|connection| connection.incarnation == incarnation).count()
     }
 
     /// A connect has failed. A refusal proves that the process is gone. A timeout proves it only over a while, unless the
     /// list does not contain the media server any more: a machine that vanishes sends nothing. A network partition that
     /// lasts that long and heals is taken for a loss as well.
-    pub(super) fn connect_failed(&mut self, lane: Lane, refused: bool, context: &mut ServerContext<'_>) {
-        let Some(incarnation) = self.incarnations.get_mut(&lane) else { return };
-        incarnation.reconnect_at = context.now + self.limits.reconnect_interval;
+    pub(super) fn connect_failed(
+        &mut self,
+        incarnation: ServerIncarnation,
+        refused: bool,
+        context: &mut ServerContext<'_>,
+    ) {
+        let Some(state) = self.incarnations.get_mut(&incarnation) else { return };
+        state.reconnect_at = context.now + self.limits.reconnect_interval;
         if refused {
-            incarnation.discard_unsent();
-            self.connection_refused |= !incarnation.suspected && incarnation.close_by.is_none();
+            state.discard_unsent();
+            self.connection_refused |= !state.suspected && state.close_by.is_none();
         }
-        let unreachable_since = *incarnation.unreachable_since.get_or_insert(context.now);
+        let unreachable_since = *state.unreachable_since.get_or_insert(context.now);
         let unreachable_for = context.now - unreachable_since;
-        if refused || incarnation.suspected || unreachable_for >= self.limits.unreachable_timeout {
-            context.inputs.push_back(Input::Lost(lane));
+        if refused || state.suspected || unreachable_for >= self.limits.unreachable_timeout {
+            context.inputs.push_back(Input::ServerDown(incarnation));
         }
     }
 }
--- a/crates/platform/event-loop/src/servers/connection.rs
+++ b/crates/platform/event-loop/src/servers/connection.rs
@@ -3,9 +3,9 @@
 use std::collections::VecDeque;
 
 use beechloft::api::Micros;
-use beechloft_front_node::{Lane, ViewerConn};
+use beechloft_front_node::{ServerIncarnation, ViewerConnection};
 use beechloft_protocol::CallId;
-use beechloft_protocol::lines::Decoder;
+use beechloft_protocol::lines::LineDecoder;
 
 use crate::buffered_stream::BufferedStream;
 
@@ -13,7 +13,7 @@
 pub(crate) struct SetUp {
     pub id: CallId,
     /// The connection of the viewer who waits for it.
-    pub viewer: ViewerConn,
+    pub viewer: ViewerConnection,
     pub line: Vec<u8>,
     /// It is not sent later than this.
     pub send_by: Micros,
@@ -44,9 +44,9 @@
 
 /// One connection to a media server.
 pub(super) struct ServerConnection {
-    pub lane: Lane,
+    pub incarnation: ServerIncarnation,
     pub stream: BufferedStream,
-    pub decoder: Decoder,
+    pub decoder: LineDecoder,
     /// When it is to be established; `None`: it is.
     pub connect_by: Option<Micros>,
     /// What waits for it to be established.
@@ -60,11 +60,16 @@
 }
 
 impl ServerConnection {
-    pub fn new(lane: Lane, stream: BufferedStream, now: Micros, connect_by: Micros) -> ServerConnection {
+    pub fn new(
+        incarnation: ServerIncarnation,
+        stream: BufferedStream,
+        now: Micros,
+        connect_by: Micros,
+    ) -> ServerConnection {
         ServerConnection {
-            lane,
+            incarnation,
             stream,
-            decoder: Decoder::default(),
+            decoder: LineDecoder::default(),
             connect_by: Some(connect_by),
             queue: VecDeque::new(),
             open: Vec::new(),
@@ -79,8 +84,8 @@
     }
 
     /// Whether it is established to this incarnation.
-    pub fn is_connected_to(&self, lane: Lane) -> bool {
-        self.lane == lane && self.is_connected()
+    pub fn is_connected_to(&self, incarnation: ServerIncarnation) -> bool {
+        self.incarnation == incarnation && self.is_connected()
     }
 
     /// Whether no set-up is open on it and nothing waits for it.
--- a/crates/platform/event-loop/src/servers/mod.rs
+++ b/crates/platform/event-loop/src/servers/mod.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 use beechloft::api::Micros;
-use beechloft_front_node::{Broken, Input, Lane};
+use beechloft_front_node::{AttemptFailure, Input, ServerIncarnation};
 use beechloft_protocol::CallId;
 use mio::{Registry, Token};
 
@@ -29,7 +29,7 @@
 /// All connections to media servers.
 pub(crate) struct ServerConnections {
     connections: BTreeMap<Token, ServerConnection>,
-    incarnations: BTreeMap<Lane, IncarnationState>,
+    incarnations: BTreeMap<ServerIncarnation, IncarnationState>,
     /// The connection on which each session's set-up was sent.
     session_connections: BTreeMap<CallId, Token>,
     limits: SocketLimits,
@@ -84,54 +84,55 @@
     }
 
     /// Adds an incarnation and its address.
-    pub fn add_incarnation(&mut self, lane: Lane, addr: SocketAddr, now: Micros) {
-        self.incarnations.insert(lane, IncarnationState::new(addr, now));
+    pub fn add_incarnation(&mut self, incarnation: ServerIncarnation, addr: SocketAddr, now: Micros) {
+        self.incarnations.insert(incarnation, IncarnationState::new(addr, now));
     }
 
     /// Nothing belongs to an incarnation any more. What is still to be sent there, as the end of a session that nobody
     /// watches, leaves first, within a bound.
-    pub fn forget(&mut self, lane: Lane, context: &mut ServerContext<'_>) {
-        if let Some(incarnation) = self.incarnations.get_mut(&lane) {
-            incarnation.held = false;
+    pub fn forget(&mut self, incarnation: ServerIncarnation, context: &mut ServerContext<'_>) {
+        if let Some(state) = self.incarnations.get_mut(&incarnation) {
+            state.held = false;
             let close_by = context.now + self.limits.connect_timeout + self.limits.drain_timeout;
-            incarnation.close_by = Some(close_by);
+            state.close_by = Some(close_by);
         }
-        self.close_if_forgotten(lane, context);
+        self.close_if_forgotten(incarnation, context);
     }
 
     /// Closes what is left of a forgotten incarnation, except connections with something still to be sent.
-    fn close_if_forgotten(&mut self, lane: Lane, context: &mut ServerContext<'_>) {
-        let Some(close_by) = self.incarnations.get(&lane).and_then(|i| i.close_by) else { return };
+    fn close_if_forgotten(&mut self, incarnation: ServerIncarnation, context: &mut ServerContext<'_>) {
+        let Some(close_by) = self.incarnations.get(&incarnation).and_then(|i| i.close_by) else { return };
         let overdue = context.now >= close_by;
-        for token in self.tokens_where(|c| c.lane == lane && (overdue || c.all_sent())) {
+        for token in self.tokens_where(|c| c.incarnation == incarnation && (overdue || c.all_sent())) {
             self.read_and_close(token, context);
         }
-        let has_unsent = self.incarnations.get_mut(&lane).is_some_and(|i| i.has_current_unsent(context.now));
-        if overdue || !(has_unsent || self.has_connection(lane)) {
-            self.incarnations.remove(&lane);
+        let has_unsent =
+            self.incarnations.get_mut(&incarnation).is_some_and(|i| i.has_current_unsent(context.now));
+        if overdue || !(has_unsent || self.has_connection(incarnation)) {
+            self.incarnations.remove(&incarnation);
         }
     }
 
     /// Sessions are established at an incarnation, or no longer: while they are, a connection to it is kept.
-    pub fn set_held(&mut self, lane: Lane, held: bool, context: &mut ServerContext<'_>) {
-        let Some(incarnation) = self.incarnations.get_mut(&lane) else { return };
-        incarnation.held = held;
-        if held && !self.has_connection(lane) {
-            let _ = self.connect(lane, context);
+    pub fn set_held(&mut self, incarnation: ServerIncarnation, held: bool, context: &mut ServerContext<'_>) {
+        let Some(state) = self.incarnations.get_mut(&incarnation) else { return };
+        state.held = held;
+        if held && !self.has_connection(incarnation) {
+            let _ = self.connect(incarnation, context);
         }
     }
 
     /// The list does not contain an incarnation any more: one failure to reach it is enough to call it lost.
-    pub fn suspect(&mut self, lane: Lane, context: &mut ServerContext<'_>) {
-        let Some(incarnation) = self.incarnations.get_mut(&lane) else { return };
-        incarnation.suspected = true;
-        if incarnation.held {
-            let _ = self.connect(lane, context);
+    pub fn suspect(&mut self, incarnation: ServerIncarnation, context: &mut ServerContext<'_>) {
+        let Some(state) = self.incarnations.get_mut(&incarnation) else { return };
+        state.suspected = true;
+        if state.held {
+            let _ = self.connect(incarnation, context);
         }
     }
 
-    fn has_connection(&self, lane: Lane) -> bool {
-        self.connections.values().any(|connection| connection.lane == lane)
+    fn has_connection(&self, incarnation: ServerIncarnation) -> bool {
+        self.connections.values().any(|connection| connection.incarnation == incarnation)
     }
 
     fn tokens_where(&self, matches: impl Fn(&ServerConnection) -> bool) -> Vec<Token> {
@@ -145,23 +146,28 @@
         if self.connections.get(&token).is_some_and(ServerConnection::is_connected) {
             self.read(token, context);
         }
-        self.close(token, Broken::Reset, context);
+        self.close(token, AttemptFailure::ConnectionReset, context);
     }
 
     /// Closes a connection. Set-ups that are open on it have broken as `reason` says; those in its queue were never sent.
-    fn close(&mut self, token: Token, reason: Broken, context: &mut ServerContext<'_>) {
+    fn close(&mut self, token: Token, reason: AttemptFailure, context: &mut ServerContext<'_>) {
         let Some(mut connection) = self.connections.remove(&token) else { return };
         let _ = context.registry.deregister(&mut connection.stream.socket);
         for id in connection.open {
-            context.inputs.push_back(Input::Broken(connection.lane, id, reason));
+            context.inputs.push_back(Input::AttemptFailed(connection.incarnation, id, reason));
         }
-        let queue_reason = if reason == Broken::Reset { Broken::Unsent } else { reason };
+        let queue_reason =
+            if reason == AttemptFailure::ConnectionReset { AttemptFailure::NotSent } else { reason };
         for queued in connection.queue {
             match queued {
                 Queued::SetUp(set_up) => {
-                    context.inputs.push_back(Input::Broken(connection.lane, set_up.id, queue_reason));
+                    context.inputs.push_back(Input::AttemptFailed(
+                        connection.incarnation,
+                        set_up.id,
+                        queue_reason,
+                    ));
                 }
-                Queued::Line(line) => self.send_or_retain(connection.lane, line, context),
+                Queued::Line(line) => self.send_or_retain(connection.incarnation, line, context),
             }
         }
     }
--- a/crates/platform/event-loop/src/servers/receive.rs
+++ b/crates/platform/event-loop/src/servers/receive.rs
@@ -2,9 +2,9 @@
 
 use std::io::ErrorKind;
 
-use beechloft_front_node::{Broken, Input};
+use beechloft_front_node::{AttemptFailure, Input};
 use beechloft_protocol::CallId;
-use beechloft_protocol::server::{FromServer, Line};
+use beechloft_protocol::server::{FromServer, ServerMessage};
 use mio::Token;
 
 use super::connection::{Queued, ServerConnection};
@@ -21,13 +21,13 @@
             return false;
         }
         let Some(connection) = self.connections.get_mut(&token) else { return false };
-        let lane = connection.lane;
+        let incarnation = connection.incarnation;
         if connection.stream.flush().is_err() {
-            self.close(token, Broken::Reset, context);
+            self.close(token, AttemptFailure::ConnectionReset, context);
             return false;
         }
         let may_have_more = self.read(token, context);
-        self.close_if_forgotten(lane, context);
+        self.close_if_forgotten(incarnation, context);
         may_have_more
     }
 
@@ -37,12 +37,12 @@
         if connection.is_connected() {
             return true;
         }
-        let lane = connection.lane;
+        let incarnation = connection.incarnation;
         match connection.stream.connect_result() {
             None => false,
             Some(Err(e)) => {
-                self.close(token, Broken::NoConnection, context);
-                self.connect_failed(lane, e.kind() == ErrorKind::ConnectionRefused, context);
+                self.close(token, AttemptFailure::NoConnection, context);
+                self.connect_failed(incarnation, e.kind() == ErrorKind::ConnectionRefused, context);
                 false
             }
             Some(Ok(())) => {
@@ -57,24 +57,28 @@
         let Some(connection) = self.connections.get_mut(&token) else { return };
         connection.connect_by = None;
         connection.last_used_at = context.now;
-        let lane = connection.lane;
+        let incarnation = connection.incarnation;
         let mut queue = std::mem::take(&mut connection.queue);
-        if let Some(incarnation) = self.incarnations.get_mut(&lane) {
-            incarnation.unreachable_since = None;
-            incarnation.last_contact_at = context.now;
-            queue.extend(incarnation.take_unsent().into_iter().map(Queued::Line));
+        if let Some(state) = self.incarnations.get_mut(&incarnation) {
+            state.unreachable_since = None;
+            state.last_contact_at = context.now;
+            queue.extend(state.take_unsent().into_iter().map(Queued::Line));
         }
         for queued in queue {
             // The connection may break under any of them.
             match (queued, self.connections.get_mut(&token)) {
                 (Queued::SetUp(set_up), None) => {
-                    context.inputs.push_back(Input::Broken(lane, set_up.id, Broken::Unsent));
+                    context.inputs.push_back(Input::AttemptFailed(
+                        incarnation,
+                        set_up.id,
+                        AttemptFailure::NotSent,
+                    ));
                 }
                 (Queued::SetUp(set_up), Some(_)) => self.write_set_up(token, &set_up, context),
-                (Queued::Line(line), None) => self.enqueue_line(lane, line, context),
+                (Queued::Line(line), None) => self.enqueue_line(incarnation, line, context),
                 (Queued::Line(line), Some(established)) => {
                     if established.stream.send(&line.line).is_err() {
-                        self.close(token, Broken::Reset, context);
+                        self.close(token, AttemptFailure::ConnectionReset, context);
                     }
                 }
             }
@@ -91,18 +95,18 @@
                     read_bytes += count;
                     connection.unresponsive = false;
                     connection.last_used_at = context.now;
-                    if let Some(incarnation) = self.incarnations.get_mut(&connection.lane) {
-                        incarnation.last_contact_at = context.now;
+                    if let Some(state) = self.incarnations.get_mut(&connection.incarnation) {
+                        state.last_contact_at = context.now;
                     }
                     if connection.receive(&self.read_buffer[..count], context).is_err() {
                         // This costs the connection and each set-up on it, nothing more.
-                        self.close(token, Broken::Reset, context);
+                        self.close(token, AttemptFailure::ConnectionReset, context);
                         return false;
                     }
                 }
                 ReadOutcome::WouldBlock => return false,
                 ReadOutcome::Closed => {
-                    self.close(token, Broken::Reset, context);
+                    self.close(token, AttemptFailure::ConnectionReset, context);
                     return false;
                 }
             }
@@ -123,15 +127,15 @@
     fn receive(&mut self, bytes: &[u8], context: &mut ServerContext<'_>) -> Result<(), MalformedLine> {
         self.decoder.push(bytes);
         while let Some(text) = self.decoder.next_line().map_err(|_| MalformedLine)? {
-            let line = Line::read(&text).map_err(|_| MalformedLine)?;
+            let line = ServerMessage::parse(&text).map_err(|_| MalformedLine)?;
             self.open.retain(|id| !answers(&line, *id));
-            context.inputs.push_back(Input::Server(self.lane, line));
+            context.inputs.push_back(Input::ServerMessage(self.incarnation, line));
         }
         Ok(())
     }
 }
 
 /// Whether a line ends the wait for a set-up's answer.
-fn answers(line: &Line, id: CallId) -> bool {
+fn answers(line: &ServerMessage, id: CallId) -> bool {
     matches!(&line.message, FromServer::Accept(answered, _) | FromServer::End(answered, _) if *answered == id)
 }
--- a/crates/platform/event-loop/src/servers/sweep.rs
+++ b/crates/platform/event-loop/src/servers/sweep.rs
@@ -1,7 +1,7 @@
 //! The sweep of connections to media servers: closes those whose time is over, and reconnects.
 
 use beechloft::api::Micros;
-use beechloft_front_node::{Broken, Lane};
+use beechloft_front_node::{AttemptFailure, ServerIncarnation};
 
 use super::incarnation::IncarnationState;
 use super::{ServerConnections, ServerContext};
@@ -20,9 +20,12 @@
     /// Closes connections that were not established in time.
     fn close_failed_connects(&mut self, context: &mut ServerContext<'_>) {
         for token in self.tokens_where(|c| c.connect_by.is_some_and(|connect_by| context.now >= connect_by)) {
-            let Some(lane) = self.connections.get(&token).map(|connection| connection.lane) else { continue };
-            self.close(token, Broken::NoConnection, context);
-            self.connect_failed(lane, false, context);
+            let Some(incarnation) = self.connections.get(&token).map(|connection| connection.incarnation)
+            else {
+                continue;
+            };
+            self.close(token, AttemptFailure::NoConnection, context);
+            self.connect_failed(incarnation, false, context);
         }
     }
 
@@ -35,37 +38,36 @@
 
     /// Connects to media servers with sessions from which nothing has come for long, and for lines that found no connection.
     fn reconnect(&mut self, context: &mut ServerContext<'_>) {
-        for lane in self.incarnations_to_reconnect(context.now) {
-            if let Some(incarnation) = self.incarnations.get_mut(&lane) {
-                incarnation.reconnect_at = context.now + self.limits.reconnect_interval;
+        for incarnation in self.incarnations_to_reconnect(context.now) {
+            if let Some(state) = self.incarnations.get_mut(&incarnation) {
+                state.reconnect_at = context.now + self.limits.reconnect_interval;
             }
-            let _ = self.connect(lane, context);
+            let _ = self.connect(incarnation, context);
         }
     }
 
-    fn incarnations_to_reconnect(&mut self, now: Micros) -> Vec<Lane> {
+    fn incarnations_to_reconnect(&mut self, now: Micros) -> Vec<ServerIncarnation> {
         let connections = &self.connections;
         let max_silence = self.limits.server_silence_timeout;
-        let needs_connection = |lane: Lane, incarnation: &mut IncarnationState| {
-            let mut own = connections.values().filter(|connection| connection.lane == lane);
+        let needs_connection = |incarnation: ServerIncarnation, state: &mut IncarnationState| {
+            let mut own = connections.values().filter(|connection| connection.incarnation == incarnation);
             let unconnected = own.clone().next().is_none();
             let connecting = own.any(|connection| !connection.is_connected());
-            let silent = now - incarnation.last_contact_at > max_silence && !connecting;
-            let needs_check = incarnation.held && (unconnected || silent);
-            now >= incarnation.reconnect_at
-                && (needs_check || (unconnected && incarnation.has_current_unsent(now)))
+            let silent = now - state.last_contact_at > max_silence && !connecting;
+            let needs_check = state.held && (unconnected || silent);
+            now >= state.reconnect_at && (needs_check || (unconnected && state.has_current_unsent(now)))
         };
         let wanting = self
             .incarnations
             .iter_mut()
-            .filter_map(|(lane, incarnation)| needs_connection(*lane, incarnation).then_some(*lane));
+            .filter_map(|(incarnation, state)| needs_connection(*incarnation, state).then_some(*incarnation));
         wanting.collect()
     }
 
     fn close_forgotten(&mut self, context: &mut ServerContext<'_>) {
-        let forgotten = self.incarnations.iter().filter(|(_, incarnation)| incarnation.close_by.is_some());
-        for lane in forgotten.map(|(lane, _)| *lane).collect::<Vec<_>>() {
-            self.close_if_forgotten(lane, context);
+        let forgotten = self.incarnations.iter().filter(|(_, state)| state.close_by.is_some());
+        for incarnation in forgotten.map(|(incarnation, _)| *incarnation).collect::<Vec<_>>() {
+            self.close_if_forgotten(incarnation, context);
         }
     }
 }
--- a/crates/platform/event-loop/src/startup.rs
+++ b/crates/platform/event-loop/src/startup.rs
@@ -6,7 +6,7 @@
 
 use beechloft::api::Micros;
 use beechloft_front_node::Node;
-use beechloft_protocol::config::{Config, Disagreement};
+use beechloft_protocol::config::{Config, EnvironmentMismatch};
 use beechloft_settings::Parsed;
 use thiserror::Error;
 
@@ -15,8 +15,8 @@
 /// A configuration file is read up to this size.
 const MAX_CONFIG_BYTES: u64 = 8 << 20;
 
-/// How long a message may take between a media server and this front node.
-const TRANSIT_TIME: Micros = Micros(20_000);
+/// An answer is sent so long before its viewer gives up: the time that it takes to arrive.
+const ANSWER_MARGIN: Micros = Micros(20_000);
 
 /// Sessions that the state machine remembers at most.
 const MAX_SESSIONS: usize = 8192;
@@ -42,7 +42,7 @@
     },
     /// The environment names another front node than the configuration.
     #[error(transparent)]
-    Disagreement(#[from] Disagreement),
+    EnvironmentMismatch(#[from] EnvironmentMismatch),
     /// The settings are not the specified JSON.
     #[error("the settings can't be read: {source}")]
     Settings {
@@ -80,7 +80,7 @@
 /// The file can't be read, or is not the specified JSON.
 pub(crate) fn read_config(path: &Path) -> Result<Config, StartError> {
     let text = read_file(path).map_err(|source| StartError::File { path: path.to_owned(), source })?;
-    Config::read(&text).map_err(|source| StartError::Config { path: path.to_owned(), source })
+    Config::parse(&text).map_err(|source| StartError::Config { path: path.to_owned(), source })
 }
 
 fn read_file(path: &Path) -> io::Result<Vec<u8>> {
@@ -137,11 +137,11 @@
         connect_timeout: parsed.connections.connect_within,
         server_idle_timeout: parsed.connections.idle,
     });
-    let node_bounds = beechloft_front_node::Bounds {
-        transit: TRANSIT_TIME,
-        probe_within: limits.connect_timeout,
-        sessions: MAX_SESSIONS,
-        last_call: limits.answer_deadline,
+    let node_limits = beechloft_front_node::NodeLimits {
+        answer_margin: ANSWER_MARGIN,
+        probe_timeout: limits.connect_timeout,
+        max_sessions: MAX_SESSIONS,
+        shutdown_deadline: limits.answer_deadline,
     };
-    Ok((Node::new(parsed, config.seed(), node_bounds), limits))
+    Ok((Node::new(parsed, config.seed(), node_limits), limits))
 }
--- a/crates/platform/event-loop/src/tokens.rs
+++ b/crates/platform/event-loop/src/tokens.rs
@@ -1,6 +1,6 @@
 //! Poll tokens: which socket an event of the poll belongs to.
 
-use beechloft_front_node::ViewerConn;
+use beechloft_front_node::ViewerConnection;
 use mio::Token;
 
 /// The listener for viewers' connections.
@@ -35,12 +35,12 @@
 }
 
 /// The name that the state machine knows a viewers' connection by.
-pub(crate) fn viewer_conn(token: Token) -> ViewerConn {
-    ViewerConn(token.0 as u64)
+pub(crate) fn viewer_conn(token: Token) -> ViewerConnection {
+    ViewerConnection(token.0 as u64)
 }
 
 /// The token of a viewers' connection that the state machine names.
-#[expect(clippy::cast_possible_truncation, reason = "every ViewerConn was made from a token")]
-pub(crate) fn viewer_token(conn: ViewerConn) -> Token {
+#[expect(clippy::cast_possible_truncation, reason = "every ViewerConnection was made from a token")]
+pub(crate) fn viewer_token(conn: ViewerConnection) -> Token {
     Token(conn.0 as usize)
 }
--- a/crates/platform/event-loop/src/viewers/accept.rs
+++ b/crates/platform/event-loop/src/viewers/accept.rs
@@ -2,11 +2,11 @@
 
 use std::io::{self, ErrorKind};
 
-use beechloft_front_node::Use;
+use beechloft_front_node::ConnectionUse;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Token};
 
-use super::connection::ViewerConnection;
+use super::socket::ViewerSocket;
 use super::{UsageLookup, ViewerConnections, ViewerContext};
 use crate::buffered_stream::BufferedStream;
 use crate::tokens::{TokenAllocator, viewer_conn};
@@ -79,7 +79,7 @@
             return;
         }
         let stream = BufferedStream::new(socket, self.limits.viewer_write_buffer_bytes);
-        self.connections.insert(token, ViewerConnection::new(stream, context.now));
+        self.connections.insert(token, ViewerSocket::new(stream, context.now));
     }
 
     /// Closes the least useful connection, the longest idle one first, so that clients without requests do not displace
@@ -109,7 +109,7 @@
             .connections
             .iter()
             .map(|(&token, c)| (usage(viewer_conn(token)), c.proven, c.last_message_at, token))
-            .filter(|(usage, ..)| *usage != Use::Open)
+            .filter(|(usage, ..)| *usage != ConnectionUse::Pending)
             .collect();
         ranked.sort();
         ranked.into_iter().map(|(_, _, _, token)| token).collect()
--- a/crates/platform/event-loop/src/viewers/messages.rs
+++ b/crates/platform/event-loop/src/viewers/messages.rs
@@ -1,11 +1,11 @@
 //! Messages from and to viewers.
 
-use beechloft_front_node::{Input, ViewerConn};
+use beechloft_front_node::{Input, ViewerConnection};
 use beechloft_protocol::CallId;
 use beechloft_protocol::viewer::{FromViewer, ToViewer};
 use mio::Token;
 
-use super::connection::{ReadAhead, ViewerConnection};
+use super::socket::{ReadAhead, ViewerSocket};
 use super::{ViewerConnections, ViewerContext};
 use crate::tokens::{viewer_conn, viewer_token};
 
@@ -31,7 +31,7 @@
     fn mark_client_gone(&mut self, token: Token, context: &mut ViewerContext<'_>) {
         if let Some(connection) = self.connections.get_mut(&token).filter(|c| !c.client_gone) {
             connection.mark_client_gone();
-            context.inputs.push_back(Input::ViewerClosed(viewer_conn(token)));
+            context.inputs.push_back(Input::ViewerConnectionClosed(viewer_conn(token)));
         }
     }
 
@@ -42,7 +42,7 @@
         let max_bytes = self.limits.viewer_read_ahead_bytes;
         let outcome = connection.read_ahead(context.now, max_bytes, &mut self.read_buffer, &mut releases);
         let conn = viewer_conn(token);
-        context.inputs.extend(releases.into_iter().map(|message| Input::Viewer(conn, message)));
+        context.inputs.extend(releases.into_iter().map(|message| Input::ViewerMessage(conn, message)));
         if outcome == ReadAhead::Closed {
             self.mark_client_gone(token, context);
             self.close_at_once(token, context);
@@ -62,9 +62,9 @@
         let conn = viewer_conn(token);
         let inputs_before = context.inputs.len();
         for _ in 0..self.limits.viewer_messages_per_turn {
-            let next = self.connections.get_mut(&token).and_then(ViewerConnection::next_message);
+            let next = self.connections.get_mut(&token).and_then(ViewerSocket::next_message);
             let Some(message) = next else { break };
-            context.inputs.push_back(Input::Viewer(conn, message));
+            context.inputs.push_back(Input::ViewerMessage(conn, message));
         }
         let all_delivered = inputs_before == context.inputs.len();
         // What was passed on has made room for more.
@@ -77,10 +77,10 @@
 
     /// Whether the client of a set-up still waits as of now: it has neither gone nor withdrawn the set-up. Checked before
     /// anything is sent for it.
-    pub fn waits_for(&mut self, conn: ViewerConn, id: CallId, context: &mut ViewerContext<'_>) -> bool {
+    pub fn waits_for(&mut self, conn: ViewerConnection, id: CallId, context: &mut ViewerContext<'_>) -> bool {
         let token = viewer_token(conn);
         self.read_ahead(token, context);
-        let is_release = |input: &Input| matches!(input, Input::Viewer(_, FromViewer::Release(released)) if *released == id);
+        let is_release = |input: &Input| matches!(input, Input::ViewerMessage(_, FromViewer::Release(released)) if *released == id);
         let connected = self.connections.get(&token).is_some_and(|connection| !connection.client_gone);
         connected && !context.inputs.iter().any(is_release)
     }
@@ -90,7 +90,7 @@
         if let ToViewer::Answer(id, _) = message
             && !self.waits_for(viewer_conn(token), *id, context)
         {
-            context.inputs.push_back(Input::Unsaid(*id));
+            context.inputs.push_back(Input::AnswerUndelivered(*id));
             return;
         }
         let Some(connection) = self.connections.get_mut(&token).filter(|c| !c.client_gone) else { return };
--- a/crates/platform/event-loop/src/viewers/mod.rs
+++ b/crates/platform/event-loop/src/viewers/mod.rs
@@ -1,28 +1,28 @@
 //! Viewers' connections: accepted within a budget, read in fair turns, closed when they are unused.
 
 mod accept;
-mod connection;
 mod draining;
 mod messages;
+mod socket;
 mod sweep;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use beechloft::api::Micros;
-use beechloft_front_node::{Input, Use, ViewerConn};
+use beechloft_front_node::{ConnectionUse, Input, ViewerConnection};
 use mio::net::TcpStream;
 use mio::{Registry, Token};
 
 use crate::limits::SocketLimits;
 use crate::tokens::viewer_conn;
-use connection::ViewerConnection;
 use draining::DrainingConnections;
+use socket::ViewerSocket;
 
 /// The size of the buffer that connections are read into.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Tells what the state machine uses a connection for.
-pub(crate) type UsageLookup<'a> = &'a dyn Fn(ViewerConn) -> Use;
+pub(crate) type UsageLookup<'a> = &'a dyn Fn(ViewerConnection) -> ConnectionUse;
 
 /// What viewers' connections need from the loop.
 pub(crate) struct ViewerContext<'a> {
@@ -33,7 +33,7 @@
 
 /// All viewers' connections.
 pub(crate) struct ViewerConnections {
-    connections: BTreeMap<Token, ViewerConnection>,
+    connections: BTreeMap<Token, ViewerSocket>,
     draining: DrainingConnections,
     /// A connection that was accepted when there was no capacity; it gets the next.
     parked: Option<TcpStream>,
@@ -89,13 +89,13 @@
         }
     }
 
-    fn remove(&mut self, token: Token, context: &mut ViewerContext<'_>) -> Option<ViewerConnection> {
+    fn remove(&mut self, token: Token, context: &mut ViewerContext<'_>) -> Option<ViewerSocket> {
         let connection = self.connections.remove(&token)?;
         self.pending.remove(&token);
         if !connection.client_gone {
-            context.inputs.push_back(Input::ViewerClosed(viewer_conn(token)));
+            context.inputs.push_back(Input::ViewerConnectionClosed(viewer_conn(token)));
         }
-        context.inputs.extend(connection.unsent_answers().map(Input::Unsaid));
+        context.inputs.extend(connection.unsent_answers().map(Input::AnswerUndelivered));
         Some(connection)
     }
 
--- a/crates/platform/event-loop/src/viewers/connection.rs
+++ b/crates/platform/event-loop/src/viewers/socket.rs
@@ -4,7 +4,7 @@
 
 use beechloft::api::Micros;
 use beechloft_protocol::CallId;
-use beechloft_protocol::binary::Decoder;
+use beechloft_protocol::binary::FrameDecoder;
 use beechloft_protocol::viewer::{FromViewer, ToViewer};
 
 use crate::buffered_stream::{BufferedStream, ConnectionBroken, ReadOutcome};
@@ -44,9 +44,9 @@
 }
 
 /// One viewers' connection.
-pub(super) struct ViewerConnection {
+pub(super) struct ViewerSocket {
     pub stream: BufferedStream,
-    decoder: Decoder,
+    decoder: FrameDecoder,
     queue: VecDeque<QueuedMessage>,
     /// Bytes of the messages in the queue.
     queued_bytes: usize,
@@ -67,11 +67,11 @@
     unsent: VecDeque<UnsentAnswer>,
 }
 
-impl ViewerConnection {
-    pub fn new(stream: BufferedStream, now: Micros) -> ViewerConnection {
-        ViewerConnection {
+impl ViewerSocket {
+    pub fn new(stream: BufferedStream, now: Micros) -> ViewerSocket {
+        ViewerSocket {
             stream,
-            decoder: Decoder::default(),
+            decoder: FrameDecoder::default(),
             queue: VecDeque::new(),
             queued_bytes: 0,
             may_have_more: false,
@@ -123,7 +123,7 @@
             let bytes_before = self.decoder.pending();
             let message = match self.decoder.next_frame() {
                 Ok(None) => break,
-                Ok(Some(frame)) => FromViewer::read(&frame),
+                Ok(Some(frame)) => FromViewer::parse(&frame),
                 Err(e) => Err(e),
             };
             let Ok(message) = message else {
--- a/crates/platform/event-loop/src/viewers/sweep.rs
+++ b/crates/platform/event-loop/src/viewers/sweep.rs
@@ -1,10 +1,10 @@
 //! Closes viewers' connections whose time is over, and all unused ones at the shutdown.
 
 use beechloft::api::Micros;
-use beechloft_front_node::Use;
+use beechloft_front_node::ConnectionUse;
 use mio::Token;
 
-use super::connection::ViewerConnection;
+use super::socket::ViewerSocket;
 use super::{UsageLookup, ViewerConnections, ViewerContext};
 use crate::limits::SocketLimits;
 use crate::tokens::viewer_conn;
@@ -22,7 +22,7 @@
         self.accepting |= std::mem::take(&mut self.accept_blocked);
         for Expired { token, last_message_at } in self.expired(usage, context.now) {
             self.read_ahead(token, context);
-            let unchanged = |c: &ViewerConnection| c.last_message_at == last_message_at && !c.has_messages();
+            let unchanged = |c: &ViewerSocket| c.last_message_at == last_message_at && !c.has_messages();
             if self.connections.get(&token).is_some_and(unchanged) {
                 self.close(token, context);
             }
@@ -30,7 +30,7 @@
     }
 
     fn expired(&self, usage: UsageLookup<'_>, now: Micros) -> Vec<Expired> {
-        let is_expired = |(token, connection): &(&Token, &ViewerConnection)| {
+        let is_expired = |(token, connection): &(&Token, &ViewerSocket)| {
             connection.is_expired(usage(viewer_conn(**token)), now, &self.limits)
         };
         self.connections
@@ -45,7 +45,7 @@
         for token in self.connections.keys().copied().collect::<Vec<_>>() {
             self.read_ahead(token, context);
             let is_unused =
-                |c: &ViewerConnection| !c.has_messages() && usage(viewer_conn(token)) != Use::Open;
+                |c: &ViewerSocket| !c.has_messages() && usage(viewer_conn(token)) != ConnectionUse::Pending;
             if self.connections.get(&token).is_some_and(is_unused) {
                 self.close(token, context);
             }
@@ -54,9 +54,9 @@
     }
 }
 
-impl ViewerConnection {
-    fn is_expired(&self, usage: Use, now: Micros, limits: &SocketLimits) -> bool {
-        if usage == Use::Open || self.has_messages() {
+impl ViewerSocket {
+    fn is_expired(&self, usage: ConnectionUse, now: Micros, limits: &SocketLimits) -> bool {
+        if usage == ConnectionUse::Pending || self.has_messages() {
             return false;
         }
         // A client that goes on sending may be slow and honest: it gets more time to finish, within a bound.
@@ -64,8 +64,8 @@
         let unproven_timeout = if still_sends { limits.slow_sender_timeout } else { limits.unproven_timeout };
         let partial_expired = self.partial.is_some_and(|partial| now - partial.since > unproven_timeout);
         let idle_timeout = match usage {
-            Use::None if !self.proven => unproven_timeout,
-            Use::None => limits.unused_viewer_timeout,
+            ConnectionUse::None if !self.proven => unproven_timeout,
+            ConnectionUse::None => limits.unused_viewer_timeout,
             _ => limits.viewer_idle_timeout,
         };
         partial_expired || now - self.last_message_at > idle_timeout
