--- a/crates/cli/src/among.rs
+++ b/crates/cli/src/among.rs
@@ -10,8 +10,8 @@
 use beechloft_leases::Part;
 use beechloft_membership::Kind;
 use beechloft_quotas::Gate;
-use beechloft_server::observe::Observer;
-use beechloft_server::{Boxes, Hooks};
+use beechloft_server::evidence::Observer;
+use beechloft_server::{FleetHooks, MediaServers};
 use beechloft_session::api::Numbered;
 
 use crate::witness::Witness;
@@ -93,10 +93,10 @@
     }
 
     /// What a front is told by its fleet, and tells it.
-    pub fn hooks(&self) -> Hooks {
+    pub fn hooks(&self) -> FleetHooks {
         let observer =
             self.verdicts.as_ref().map(|v| -> Box<dyn Observer> { Box::new(Witness::new(Arc::clone(v))) });
-        Hooks { numbers: Some(self.numbers()), observer, gate: self.gate() }
+        FleetHooks { slots: Some(self.numbers()), observer, gate: self.gate() }
     }
 
     /// It is told to end: it asks for its turn, if fronts restart in turn; how long it is to wait at most.
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     /// There is no thread.
-    pub fn survey(&self, boxes: Boxes) -> io::Result<()> {
+    pub fn survey(&self, boxes: MediaServers) -> io::Result<()> {
         self.limiter.as_ref().map_or(Ok(()), |l| l.survey(Box::new(move || boxes.tags())))
     }
 
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -74,10 +74,10 @@
 /// Waits until a front knows its boxes.
 pub fn wait_for(front: &Front, boxes: usize) -> bool {
     let until = Instant::now() + Duration::from_secs(10);
-    while front.status().boxes < boxes && Instant::now() < until {
+    while front.status().media_servers < boxes && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(5));
     }
-    front.status().boxes >= boxes
+    front.status().media_servers >= boxes
 }
 
 /// Runs the demo until it is told to stop.
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -61,14 +61,14 @@
         Err(e) => return fail(1, e),
     };
     let started = match &among {
-        Some(among) => Front::start_among(settings, among.hooks()),
+        Some(among) => Front::start_in_fleet(settings, among.hooks()),
         None => Front::start(settings, None),
     };
     let front = match started {
         Ok(front) => front,
         Err(e) => return fail(1, format_args!("{listen}: {e}")),
     };
-    if let Some(Err(e)) = among.as_ref().map(|a| a.survey(front.boxes())) {
+    if let Some(Err(e)) = among.as_ref().map(|a| a.survey(front.media_servers())) {
         return fail(1, e);
     }
     signals.forever().next();
--- a/crates/cli/src/witness.rs
+++ b/crates/cli/src/witness.rs
@@ -7,7 +7,7 @@
 
 use beechloft_coordinator::{Noted, Verdicting};
 use beechloft_outlier_detection::{Outcome, Place, title_key};
-use beechloft_server::observe::{Observer, Showed, Tried};
+use beechloft_server::evidence::{Evidence, Observer, Verdict};
 use beechloft_session::api::{Micros, ServerId, ServerState};
 use beechloft_session::catalog::Catalog;
 use beechloft_session::holder_filter::{Exclusion, Exclusions, HolderFilter};
@@ -26,7 +26,7 @@
 }
 
 impl Observer for Witness {
-    fn list(&mut self, catalog: &Catalog) {
+    fn endpoints_changed(&mut self, catalog: &Catalog) {
         let listed = catalog.servers().filter(|b| b.state != ServerState::Gone);
         let place = |zone, size: f64| Place { zone, size: if size > 0.0 { size } else { 1.0 } };
         self.verdicts.list(listed.map(|b| (b.id.0, place(b.zone.0, b.size))).collect());
@@ -37,23 +37,28 @@
         self.titles = catalog.titles().map(|name| (title_key(name), name.clone())).collect();
     }
 
-    fn life(&mut self, server: ServerId, boot: u64) {
+    fn connected(&mut self, server: ServerId, boot: u64) {
         self.verdicts.life(server.0, boot);
     }
 
-    fn tried(&mut self, tried: Tried, now: Micros) {
-        let outcome = match tried.showed {
-            Showed::Taken(took) if Duration::from_micros(took.0) > self.verdicts.slow() => Outcome::Slow,
-            Showed::Taken(_) => Outcome::Well,
-            Showed::Error => Outcome::Error,
-            Showed::Hang => Outcome::Hang,
-            Showed::Declined => Outcome::Declined,
+    fn attempt_ended(&mut self, evidence: Evidence, now: Micros) {
+        let outcome = match evidence.verdict {
+            Verdict::Accepted(took) if Duration::from_micros(took.0) > self.verdicts.slow() => Outcome::Slow,
+            Verdict::Accepted(_) => Outcome::Well,
+            Verdict::Error => Outcome::Error,
+            Verdict::Timeout => Outcome::Hang,
+            Verdict::Declined => Outcome::Declined,
         };
-        let ago = Duration::from_micros((now - tried.sent).0);
-        self.verdicts.tried(Noted { server: tried.server.0, title: title_key(&tried.title), outcome, ago });
+        let ago = Duration::from_micros((now - evidence.sent_at).0);
+        self.verdicts.tried(Noted {
+            server: evidence.server.0,
+            title: title_key(&evidence.title),
+            outcome,
+            ago,
+        });
     }
 
-    fn narrowed(&mut self) -> Option<HolderFilter> {
+    fn holder_filter(&mut self) -> Option<HolderFilter> {
         let (version, outlook) = self.verdicts.outlook(self.seen)?;
         self.seen = version;
         let exclusion = |key: &beechloft_outlier_detection::BoxKey, admitted_per_mille| Exclusion {
--- a/crates/front/server/src/attempt.rs
+++ b/crates/front/server/src/attempt.rs
@@ -1,10 +1,10 @@
-//! One attempt, on the thread of its viewer: the offer goes to the box, and both are watched until one has spoken.
+//! One attempt, on the thread of its client: the offer goes to the media server, and both are watched until one acts.
 //!
-//! An attempt ends in one of four ways. The box answers: the verdict is its answer. The time is up, or the viewer
-//! hangs up: the sending side of the connection is closed, which tells the box to give the set-up up, and for
-//! [`GRACE`] its answer or its own close is waited for; an answer that still comes is undone. The connection breaks.
-//! No connection comes about. In each case the verdict is told only when nothing more can come of the attempt here,
-//! so that the core never has two of a session out.
+//! An attempt ends in one of four ways. The media server answers: its answer is the result. The time is up, or the
+//! client disconnects: the sending side of the connection is closed, which tells the media server to give the set-up
+//! up, and for [`GRACE`] its answer or its own close is waited for; an answer that still comes is undone. The
+//! connection breaks. No connection comes about. In each case the result is reported only when nothing more can come
+//! of the attempt here, so that a session never has two attempts in flight.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -19,79 +19,79 @@
 use tracing::debug;
 
 use crate::Shared;
-use crate::told::SetUp;
+use crate::messages::SetUp;
 
 /// How an attempt went.
-pub struct Ended {
-    /// For the core.
-    pub verdict: AttemptResult,
-    /// What the box said of its load.
+pub struct AttemptEnd {
+    /// For the session controller.
+    pub result: AttemptResult,
+    /// What the media server reported of its load.
     pub load: LoadReport,
-    /// The viewer hung up meanwhile, and the core has been told so.
-    pub hung_up: bool,
+    /// The client disconnected meanwhile, and the session controller has been told.
+    pub client_disconnected: bool,
 }
 
-fn without(outcome: Outcome) -> Ended {
-    Ended { verdict: AttemptResult::Ended(outcome), load: LoadReport::default(), hung_up: false }
+fn ended(outcome: Outcome) -> AttemptEnd {
+    let result = AttemptResult::Ended(outcome);
+    AttemptEnd { result, load: LoadReport::default(), client_disconnected: false }
 }
 
-/// Makes an attempt. `tell_hung_up` is called at most once, as soon as the viewer is seen to have left.
+/// Makes an attempt. `on_disconnect` is called at most once, as soon as the client is seen to have left.
 pub fn run(
     shared: &Shared,
     set_up: &SetUp,
     request: &Request,
     link: &Link<'_>,
-    tell_hung_up: impl FnOnce(),
-) -> Ended {
-    let until = shared.clock.instant(set_up.until);
-    let Some(address) = set_up.address else { return without(Outcome::Moot) };
-    let mut exchange = match send(shared, address, request, until) {
+    on_disconnect: impl FnOnce(),
+) -> AttemptEnd {
+    let deadline = shared.clock.instant(set_up.deadline);
+    let Some(address) = set_up.address else { return ended(Outcome::Moot) };
+    let mut exchange = match send(shared, address, request, deadline) {
         Ok(exchange) => exchange,
-        Err(e) => return without(failed(shared, set_up, &e)),
+        Err(error) => return ended(outcome_of(shared, set_up, &error)),
     };
-    let mut watched = Some(link.socket);
-    let mut tell = Some(tell_hung_up);
-    while Instant::now() < until {
-        let Ok([answered, viewer]) = wait::readable([Some(exchange.socket()), watched], until) else { break };
+    let mut client_socket = Some(link.socket);
+    let mut on_disconnect = Some(on_disconnect);
+    while Instant::now() < deadline {
+        let sockets = [Some(exchange.socket()), client_socket];
+        let Ok([answered, client_readable]) = wait::readable(sockets, deadline) else { break };
         if answered {
             match exchange.advance() {
                 Ok(Some(response)) => {
-                    let (verdict, load) = boxes::verdict(&response);
+                    let (result, load) = boxes::verdict(&response);
                     shared.pool.put(exchange, &response);
-                    return Ended { verdict, load, hung_up: false };
+                    return AttemptEnd { result, load, client_disconnected: false };
                 }
                 Ok(None) => {}
-                Err(e) => return without(failed(shared, set_up, &e)),
+                Err(error) => return ended(outcome_of(shared, set_up, &error)),
             }
         }
-        if viewer {
+        if client_readable {
             if wait::hung_up(link.socket) {
-                if let Some(tell) = tell.take() {
-                    tell();
+                if let Some(on_disconnect) = on_disconnect.take() {
+                    on_disconnect();
                 }
                 break;
             }
-            // The viewer has sent something else meanwhile; it is read after this answer.
-            watched = None;
+            // The client has sent something else meanwhile; it is read after this answer.
+            client_socket = None;
         }
     }
-    let mut ended = drop_it(exchange);
-    ended.hung_up = tell.is_none();
-    ended
+    AttemptEnd { client_disconnected: on_disconnect.is_none(), ..abandon(exchange) }
 }
 
 fn send(
     shared: &Shared,
     address: SocketAddr,
     request: &Request,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<Exchange, CallError> {
-    let connect_until = until.min(Instant::now() + shared.settings.connect_time);
-    shared.pool.get(address, connect_until)?.send(request, until)
+    let connect_until = deadline.min(Instant::now() + shared.settings.connect_time);
+    shared.pool.get(address, connect_until)?.send(request, deadline)
 }
 
 /// What a call that failed counts as; a process that is not there ends what played there.
-fn failed(shared: &Shared, set_up: &SetUp, error: &CallError) -> Outcome {
+fn outcome_of(shared: &Shared, set_up: &SetUp, error: &CallError) -> Outcome {
     debug!(target: "boxes", server = set_up.server.0, %error, "set-up failed");
     match error {
         CallError::Refused => {
@@ -105,18 +105,15 @@
     }
 }
 
-/// Ends an attempt that is given up, and undoes what it may still have brought.
-fn drop_it(mut exchange: Exchange) -> Ended {
+/// Ends an attempt that is given up, and undoes what it may still have set up.
+fn abandon(mut exchange: Exchange) -> AttemptEnd {
     exchange.give_up();
     let until = Instant::now() + Duration::from_micros(GRACE.0);
-    let verdict = match exchange.wait(until) {
-        Ok(response) => match boxes::verdict(&response).0 {
-            AttemptResult::Accepted { resource, .. } | AttemptResult::Unusable { resource, .. } => {
-                AttemptResult::Unusable { resource, outcome: Outcome::Timeout }
-            }
-            _ => AttemptResult::Ended(Outcome::Timeout),
-        },
-        Err(_) => AttemptResult::Ended(Outcome::Timeout),
+    let result = match exchange.wait(until).map(|response| boxes::verdict(&response).0) {
+        Ok(AttemptResult::Accepted { resource, .. } | AttemptResult::Unusable { resource, .. }) => {
+            AttemptResult::Unusable { resource, outcome: Outcome::Timeout }
+        }
+        Ok(_) | Err(_) => AttemptResult::Ended(Outcome::Timeout),
     };
-    Ended { verdict, load: LoadReport::default(), hung_up: false }
+    AttemptEnd { result, load: LoadReport::default(), client_disconnected: false }
 }
--- a/crates/front/server/src/list.rs
+++ b/crates/front/server/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Where the list comes from: the settings, or a service that pushes it, with a copy on disk for the start.
+//! Where the endpoint list comes from: the settings, or a service that pushes it, with a copy on disk for the start.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -20,81 +20,88 @@
 
 use crate::Shared;
 
-/// First pause between two tries; doubled by each failure...
-const PAUSE: Duration = Duration::from_millis(100);
-/// ...up to here. Each is drawn between half and all of it, so that fronts do not come back together.
-const LONGEST: Duration = Duration::from_secs(5);
-/// A stream silent for so long is broken; the service sends a comment each second.
-const SILENCE: Duration = Duration::from_secs(4);
+/// The first pause between two attempts; doubled by each failure. Each pause is drawn between half and all of it, so that
+/// fronts do not return together.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// The longest pause.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// How long a connection and its response may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// How often a read that waits polls whether the front has ended.
+const READ_POLL: Duration = Duration::from_millis(500);
+/// A stream silent for this long is broken; the service sends a comment each second.
+const MAX_SILENCE: Duration = Duration::from_secs(4);
 /// The copy is written at most this often.
-const SAVE_EVERY: Duration = Duration::from_secs(1);
+const SAVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Makes the subscriber's random numbers differ from others of the same seed.
+const SEED_SALT: u64 = 0x6c69_7374;
 
-/// Hands the core its first list and, where one is pushed, starts to follow it.
+/// Hands the session controller its first list and, where one is pushed, starts to follow it.
+///
+/// # Errors
+/// No thread.
 pub fn start(shared: &Shared, seed: u64) -> io::Result<()> {
     match &shared.settings.list {
-        ListSource::Written(boxes, titles) => {
-            let (boxes, titles) = (boxes.clone(), titles.clone());
-            shared.handle.input(Input::Endpoints(EndpointUpdate::Snapshot {
-                cached: false,
-                servers: boxes,
-                titles,
-            }));
+        ListSource::Written(servers, titles) => {
+            let (servers, titles) = (servers.clone(), titles.clone());
+            let snapshot = EndpointUpdate::Snapshot { cached: false, servers, titles };
+            shared.handle.input(Input::Endpoints(snapshot));
             Ok(())
         }
         ListSource::Pushed { cache, .. } => {
             let mut mirror = Mirror::default();
             if let Some(path) = cache {
-                load(shared, path, &mut mirror);
+                load_copy(shared, path, &mut mirror);
             }
-            let follow = Follow {
+            let subscriber = Subscriber {
                 shared: shared.clone(),
-                rng: ChaCha20Rng::seed_from_u64(seed ^ 0x6c69_7374),
+                rng: ChaCha20Rng::seed_from_u64(seed ^ SEED_SALT),
                 mirror,
-                cache: cache.clone(),
-                unsaved: None,
+                copy: cache.clone(),
+                unsaved_since: None,
             };
-            thread::Builder::new().name("list".into()).spawn(move || follow.run())?;
+            thread::Builder::new().name("list".into()).spawn(move || subscriber.run())?;
             Ok(())
         }
     }
 }
 
-fn load(shared: &Shared, path: &Path, mirror: &mut Mirror) {
+fn load_copy(shared: &Shared, path: &Path, mirror: &mut Mirror) {
     match cache::load(path) {
         Ok(Some(message)) => {
-            let read = beechloft_discovery::read(
-                Form::Snapshot { cached: true },
-                &message,
-                &shared.settings.service,
-            );
-            info!(target: "list", boxes = message.boxes.len(), titles = message.titles.len(), "copy of the list read");
+            let form = Form::Snapshot { cached: true };
+            let read = beechloft_discovery::read(form, &message, &shared.settings.service);
+            let (servers, titles) = (message.boxes.len(), message.titles.len());
+            info!(target: "list", servers, titles, "copy of the endpoint list read");
             mirror.apply(true, &message);
             shared.handle.input(Input::Endpoints(read.update));
         }
-        Ok(None) => info!(target: "list", "no copy of the list yet"),
+        Ok(None) => info!(target: "list", "no copy of the endpoint list yet"),
         Err(error) => {
-            warn!(target: "list", path = %path.display(), %error, "the copy of the list can't be read")
+            warn!(target: "list", path = %path.display(), %error, "the copy of the endpoint list can't be read");
         }
     }
 }
 
-struct Follow {
+/// Follows the list's service.
+struct Subscriber {
     shared: Shared,
     rng: ChaCha20Rng,
     mirror: Mirror,
-    cache: Option<PathBuf>,
-    unsaved: Option<Instant>,
+    copy: Option<PathBuf>,
+    unsaved_since: Option<Instant>,
 }
 
-impl Follow {
+impl Subscriber {
     fn run(mut self) {
-        let mut pause = PAUSE;
+        let mut backoff = INITIAL_BACKOFF;
         let mut was_up = true;
         while !self.shared.handle.ended() {
             let error = match self.connect() {
                 Ok(mut stream) => {
-                    info!(target: "list", "list service reached");
-                    (pause, was_up) = (PAUSE, true);
+                    info!(target: "list", "endpoint list's service reached");
+                    backoff = INITIAL_BACKOFF;
+                    was_up = true;
                     self.read(&mut stream)
                 }
                 Err(error) => error,
@@ -103,23 +110,28 @@
                 return;
             }
             if std::mem::take(&mut was_up) {
-                warn!(target: "list", %error, "list service lost; what is known holds");
+                warn!(target: "list", %error, "endpoint list's service lost; the known list stays");
                 self.shared.handle.input(Input::Endpoints(EndpointUpdate::Failed));
             }
-            let half = pause / 2;
-            let part = self.rng.next_u64() as f64 / u64::MAX as f64;
-            thread::sleep(half + half.mul_f64(part));
-            pause = (pause * 2).min(LONGEST);
+            thread::sleep(self.with_jitter(backoff));
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
+    /// A pause between half and all of this one.
+    fn with_jitter(&mut self, pause: Duration) -> Duration {
+        let half = pause / 2;
+        let part = self.rng.next_u64() as f64 / u64::MAX as f64;
+        half + half.mul_f64(part)
+    }
+
     fn connect(&self) -> Result<Stream, CallError> {
         let ListSource::Pushed { address, path, .. } = &self.shared.settings.list else {
             return Err(CallError::Refused);
         };
         let request = Request::new(Method::GET, path.clone()).with(header::ACCEPT, EVENTS);
         let request = request.with(header::VIA, boxes::via(self.shared.settings.settings.number));
-        let until = Instant::now() + Duration::from_secs(2);
+        let until = Instant::now() + CONNECT_TIMEOUT;
         let (response, stream) = Conn::open(*address, until)?.send(&request, until)?.into_stream(until)?;
         if response.status.is_success() {
             return Ok(stream);
@@ -127,20 +139,22 @@
         Err(CallError::Broken(io::Error::other(format!("status {}", response.status))))
     }
 
+    /// Reads until the stream breaks or falls silent.
     fn read(&mut self, stream: &mut Stream) -> CallError {
         let mut parser = Parser::new(BYTES);
-        let (mut events, mut heard) = (Vec::new(), Instant::now());
+        let mut events = Vec::new();
+        let mut received_at = Instant::now();
         loop {
-            if heard.elapsed() >= SILENCE || self.shared.handle.ended() {
+            if received_at.elapsed() >= MAX_SILENCE || self.shared.handle.ended() {
                 return CallError::TimedOut;
             }
-            match stream.read(Instant::now() + Duration::from_millis(500)) {
+            match stream.read(Instant::now() + READ_POLL) {
                 Ok(part) => {
                     if !part.is_empty() {
-                        heard = Instant::now();
+                        received_at = Instant::now();
                     }
-                    if let Err(e) = parser.push(&part, &mut events) {
-                        return CallError::Broken(io::Error::other(e));
+                    if let Err(error) = parser.push(&part, &mut events) {
+                        return CallError::Broken(io::Error::other(error));
                     }
                 }
                 Err(error) => return error,
@@ -160,23 +174,25 @@
         };
         let message: Message = match serde_json::from_str(&event.data) {
             Ok(message) => message,
-            Err(error) => return warn!(target: "list", %error, "a message that can't be read is left out"),
+            Err(error) => {
+                return warn!(target: "list", %error, "a message of the endpoint list that can't be read is ignored");
+            }
         };
         let read = beechloft_discovery::read(form, &message, &self.shared.settings.service);
         for fault in read.faults {
             warn!(target: "list", "{fault}");
         }
         self.mirror.apply(form != Form::Change, &message);
-        self.unsaved.get_or_insert_with(Instant::now);
+        self.unsaved_since.get_or_insert_with(Instant::now);
         self.shared.handle.input(Input::Endpoints(read.update));
     }
 
     fn save(&mut self) {
-        let Some(path) = &self.cache else { return };
-        if self.unsaved.is_some_and(|since| since.elapsed() >= SAVE_EVERY) {
-            self.unsaved = None;
+        let Some(path) = &self.copy else { return };
+        if self.unsaved_since.is_some_and(|since| since.elapsed() >= SAVE_INTERVAL) {
+            self.unsaved_since = None;
             if let Err(error) = cache::save(path, &self.mirror.message()) {
-                warn!(target: "list", path = %path.display(), %error, "the copy of the list can't be written");
+                warn!(target: "list", path = %path.display(), %error, "the copy of the endpoint list can't be written");
             }
         }
     }
--- a/crates/front/server/src/engine/mod.rs
+++ b/crates/front/server/src/engine/mod.rs
@@ -1,6 +1,6 @@
-//! The thread that owns the core: inputs in, outputs carried to those who wait.
+//! The thread that owns the session controller: inputs in, outputs carried to those who wait.
 
-mod run;
+mod event_loop;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -13,60 +13,56 @@
 use beechloft_session::SessionController;
 use crossbeam_channel::{Sender, unbounded};
 
-use self::run::Run;
-use crate::calls::Calls;
+use self::event_loop::EventLoop;
+use crate::admission::Admission;
 use crate::clock::Clock;
-use crate::handle::{Handle, Message};
-use crate::limits::Limited;
-use crate::observe::Observing;
-use crate::told::{Hooks, Recording};
-use crate::watch::Watchers;
+use crate::event_streams::EventStreams;
+use crate::evidence::EvidenceCollector;
+use crate::handle::EngineHandle;
+use crate::messages::{EngineMessage, FleetHooks, Recording};
+use crate::server_calls::ServerCalls;
 
 /// The engine's thread and its helpers.
 pub struct Engine {
-    sender: Sender<Message>,
+    sender: Sender<EngineMessage>,
     thread: JoinHandle<Recording>,
 }
 
 impl Engine {
     /// Starts it.
+    ///
+    /// # Errors
+    /// No thread.
     pub fn start(
-        core: SessionController,
+        controller: SessionController,
         clock: Clock,
-        settings: Arc<FrontSettings>,
+        settings: &Arc<FrontSettings>,
         pool: Arc<Pool>,
         record: bool,
-        hooks: Hooks,
-    ) -> io::Result<(Engine, Handle)> {
+        hooks: FleetHooks,
+    ) -> io::Result<(Engine, EngineHandle)> {
         let (sender, receiver) = unbounded();
-        let handle = Handle::new(sender.clone());
-        let calls = Calls::start(handle.clone(), pool.clone(), settings.call_time)?;
-        let watchers = Watchers::new(handle.clone(), settings.connect_time);
-        let recording = record.then(Recording::default);
-        let (waiting, followers) = (BTreeMap::new(), BTreeMap::new());
+        let handle = EngineHandle::new(sender.clone());
         let ended = handle.ended.clone();
-        let (out, sip, numbered) = (Vec::new(), None, None);
-        let Hooks { numbers, observer, gate } = hooks;
-        let limited = gate.map(|gate| Limited::new(gate, settings.service.clone()));
-        let observing = observer.map(Observing::new);
-        let run = Run {
-            core,
+        let FleetHooks { slots, observer, gate } = hooks;
+        let event_loop = EventLoop {
+            controller,
             clock,
-            calls,
-            watchers,
-            waiting,
-            followers,
-            out,
-            recording,
-            sip,
-            numbers,
-            numbered,
-            observing,
-            limited,
-            stopped: VecDeque::new(),
+            calls: ServerCalls::start(handle.clone(), pool, settings.call_time)?,
+            event_streams: EventStreams::new(handle.clone(), settings.connect_time),
+            waiting: BTreeMap::new(),
+            followers: BTreeMap::new(),
+            outputs: Vec::new(),
+            recording: record.then(Recording::default),
+            sip: None,
+            slots,
+            slot: None,
+            evidence: observer.map(EvidenceCollector::new),
+            admission: gate.map(|gate| Admission::new(gate, settings.service.clone())),
+            denied: VecDeque::new(),
         };
         let thread = thread::Builder::new().name("core".into()).spawn(move || {
-            let recording = run.run(&receiver);
+            let recording = event_loop.run(&receiver);
             ended.store(true, Ordering::SeqCst);
             recording
         })?;
@@ -75,7 +71,7 @@
 
     /// Ends the thread; what it recorded, if it did.
     pub fn stop(self) -> Recording {
-        let _ = self.sender.send(Message::End);
+        let _ = self.sender.send(EngineMessage::Stop);
         self.thread.join().unwrap_or_default()
     }
 }
--- a/crates/front/server/src/player.rs
+++ b/crates/front/server/src/http.rs
@@ -1,4 +1,4 @@
-//! Players and publishers: WHEP and WHIP requests in, one answer each out.
+//! Clients over HTTP: WHEP and WHIP requests in, one answer each out.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -9,7 +9,7 @@
 use beechloft_http::server::{Handler, Link, Reply};
 use beechloft_http::{Method, Request, Response, StatusCode, header, sse, wait};
 use beechloft_quotas::{Key, No};
-use beechloft_session::api::{Micros, SessionId};
+use beechloft_session::api::{Micros, ServerId, SessionId};
 use beechloft_session::io::{Answer, Input, Protocol, Secret, SessionRequest};
 use beechloft_whep::answer::{self, SessionCall};
 use beechloft_whep::events::{self, PlayerEvent};
@@ -22,58 +22,64 @@
 use tracing::{Level, info, span};
 
 use crate::Shared;
+use crate::admission;
 use crate::attempt;
-use crate::limits;
-use crate::told::{SetUp, Told};
+use crate::messages::{EngineReply, SetUp};
 
-/// How far past the viewer's patience a thread waits for the core. The core answers long before.
-const PAST: Duration = Duration::from_secs(5);
+/// How far past the longest deadline a thread waits for the engine, which answers long before.
+const ANSWER_MARGIN: Duration = Duration::from_secs(5);
 
 /// A player's stream is sent a comment this often.
-const BEAT: Duration = Duration::from_secs(5);
+const HEARTBEAT: Duration = Duration::from_secs(5);
 
-/// What became of a viewer's request.
+/// When a rejected client is to retry if the settings say nothing.
+const DEFAULT_RETRY_AFTER: Micros = Micros(1_000_000);
+/// Makes the ids of sessions differ from other random numbers of the same seed.
+const SEED_SALT: u64 = 0x6e61_6d65;
+
+/// What became of a client's request.
 enum Served {
-    /// The core's answer.
+    /// The session controller's answer.
     Answer(Answer),
-    /// A limit of the fleet has no room.
-    Limited(No),
-    /// The viewer has left.
-    Left,
+    /// A quota of the fleet is exhausted.
+    QuotaExceeded(No),
+    /// The client has left.
+    ClientLeft,
 }
 
-/// Who a viewer is, by the token that it shows: the same at each front, and not to be read back out of logs.
-fn viewer(token: &str) -> Key {
-    let hash = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
+/// A client's key, by the token that it shows (FNV-1a): the same at each front, and not to be read back out of logs.
+fn client_key(token: &str) -> Key {
+    let hash = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     Key::of(&format!("{:016x}", token.bytes().fold(0xcbf2_9ce4_8422_2325, hash)))
 }
 
-/// A refusal that names the limit (RFC 9457).
-fn limited(no: &No) -> Response {
+/// A rejection that names the quota (RFC 9457).
+fn quota_exceeded(no: &No) -> Response {
+    let retry_after_ms = u64::try_from(no.again.as_millis()).unwrap_or(u64::MAX);
     let problem = serde_json::json!({
         "type": "about:blank", "title": "a limit is reached", "status": 503,
-        "limit": no.limit.to_string(), "key": no.key.as_str(), "retry_after_ms": no.again.as_millis() as u64,
+        "limit": no.limit.to_string(), "key": no.key.as_str(), "retry_after_ms": retry_after_ms,
     });
-    answer::response(&Answer::Rejected(Some(limits::advice(no))))
+    answer::response(&Answer::Rejected(Some(admission::retry_after(no))))
         .body("application/problem+json", format!("{problem}\n"))
 }
 
 /// Answers the front's clients.
-pub struct Player {
+pub struct HttpHandler {
     shared: Shared,
-    names: Mutex<ChaCha20Rng>,
+    ids: Mutex<ChaCha20Rng>,
 }
 
-impl Player {
-    /// Session names follow from the seed and the time of the start.
+impl HttpHandler {
+    /// Session ids follow from the seed and the time of the start.
     pub fn new(shared: Shared, seed: u64) -> Self {
-        let seed = shared.of_this_start(seed) ^ 0x6e61_6d65;
-        Player { shared, names: Mutex::new(ChaCha20Rng::seed_from_u64(seed)) }
+        let seed = shared.seed_of_this_start(seed) ^ SEED_SALT;
+        HttpHandler { shared, ids: Mutex::new(ChaCha20Rng::seed_from_u64(seed)) }
     }
 
-    fn name(&self) -> (SessionId, Secret) {
-        let mut names = self.names.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        (SessionId(names.next_u64()), Secret(names.next_u64()))
+    fn new_session(&self) -> (SessionId, Secret) {
+        let mut ids = self.ids.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        (SessionId(ids.next_u64()), Secret(ids.next_u64()))
     }
 
     fn endpoint(&self, request: &Request, title: String, publishes: bool, link: &Link<'_>) -> Reply {
@@ -82,18 +88,18 @@
         }
         let offer = match Offer::parse(&request.body, publishes) {
             Ok(offer) => offer,
-            Err(e) => {
-                let status = StatusCode::from_u16(e.status()).unwrap_or(StatusCode::BAD_REQUEST);
-                return Reply::Whole(Response::text(status, e));
+            Err(error) => {
+                let status = StatusCode::from_u16(error.status()).unwrap_or(StatusCode::BAD_REQUEST);
+                return Reply::Whole(Response::text(status, error));
             }
         };
         let token = request.field(header::AUTHORIZATION);
-        let (session, secret) = self.name();
+        let (session, secret) = self.new_session();
         let span = span!(target: "http", Level::INFO, "session", id = format_args!("{:016x}", session.0));
         let _entered = span.enter();
-        let began = Instant::now();
-        let ask = SessionRequest {
-            request: self.shared.handle.request(),
+        let received_at = Instant::now();
+        let session_request = SessionRequest {
+            request: self.shared.handle.next_request(),
             session,
             secret,
             title: title.clone(),
@@ -101,63 +107,62 @@
             max_rate_kb: offer.max_rate_kb,
             idempotency_key: Some(offer.key(&title, token)),
         };
-        let told = self.shared.handle.ask(ask, token.map(viewer));
-        let answer = self.serve(session, &told, link, |set_up| {
+        let replies = self.shared.handle.request_session(session_request, token.map(client_key));
+        let served = self.serve(session, &replies, link, |set_up| {
             let number = self.shared.settings.settings.number;
             let offer = offer.limited(set_up.rate_kb);
             boxes::tagged(boxes::set_up(&title, publishes, offer, token, number), set_up.tag.as_deref())
         });
-        let answer = match answer {
+        let answer = match served {
             Served::Answer(answer) => answer,
-            Served::Limited(no) => return Reply::Whole(limited(&no)),
-            Served::Left => return Reply::HangUp,
+            Served::QuotaExceeded(no) => return Reply::Whole(quota_exceeded(&no)),
+            Served::ClientLeft => return Reply::HangUp,
         };
         let response = answer::response(&answer);
+        let took_us = u64::try_from(received_at.elapsed().as_micros()).unwrap_or(u64::MAX);
         info!(
-            target: "http", peer = %link.peer, title, status = response.status.as_u16(),
-            took_us = began.elapsed().as_micros() as u64, "answered"
+            target: "http", peer = %link.peer, title, status = response.status.as_u16(), took_us, "answered"
         );
         let Answer::Playing { session: plays, .. } = answer else { return Reply::Whole(response) };
         let handle = self.shared.handle.clone();
-        let tell = move |written: bool| {
+        let on_written = move |written: bool| {
             // The answer to an offer sent again belongs to the first request as well.
             if !written && plays == session {
                 handle.input(Input::AnswerUndelivered(session));
             }
         };
-        Reply::Told(response, Box::new(tell))
+        Reply::Told(response, Box::new(on_written))
     }
 
-    /// Makes the attempts that the core asks for until it has an answer.
+    /// Makes the attempts that the session controller wants until it has an answer.
     fn serve(
         &self,
         session: SessionId,
-        told: &Receiver<Told>,
+        replies: &Receiver<EngineReply>,
         link: &Link<'_>,
         request: impl Fn(&SetUp) -> Request,
     ) -> Served {
-        let patience =
-            self.shared.settings.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(Micros(0));
-        let until = Instant::now() + Duration::from_micros(patience.0) + PAST;
+        let classes = &self.shared.settings.settings.classes;
+        let longest_deadline = classes.iter().map(|class| class.deadline).max().unwrap_or(Micros(0));
+        let until = Instant::now() + Duration::from_micros(longest_deadline.0) + ANSWER_MARGIN;
         loop {
-            match told.recv_deadline(until) {
-                Ok(Told::Answer(answer)) => return Served::Answer(answer),
-                Ok(Told::Limited(no)) => return Served::Limited(no),
-                Ok(Told::SetUp(set_up)) => {
-                    let sent = self.shared.clock.now();
+            match replies.recv_deadline(until) {
+                Ok(EngineReply::Answer(answer)) => return Served::Answer(answer),
+                Ok(EngineReply::QuotaExceeded(no)) => return Served::QuotaExceeded(no),
+                Ok(EngineReply::SetUp(set_up)) => {
+                    let sent_at = self.shared.clock.now();
                     let handle = &self.shared.handle;
-                    let tell = || handle.input(Input::ClientDisconnected(session));
-                    let ended = attempt::run(&self.shared, &set_up, &request(&set_up), link, tell);
-                    let (attempt, server) = (set_up.attempt, set_up.server);
+                    let on_disconnect = || handle.input(Input::ClientDisconnected(session));
+                    let end = attempt::run(&self.shared, &set_up, &request(&set_up), link, on_disconnect);
                     handle.input(Input::AttemptEnded {
-                        attempt,
-                        server,
-                        result: ended.verdict,
-                        sent_at: sent,
-                        load: ended.load,
+                        attempt: set_up.attempt,
+                        server: set_up.server,
+                        result: end.result,
+                        sent_at,
+                        load: end.load,
                     });
-                    if ended.hung_up {
-                        return Served::Left;
+                    if end.client_disconnected {
+                        return Served::ClientLeft;
                     }
                 }
                 Err(_) => return Served::Answer(Answer::Failed),
@@ -171,11 +176,11 @@
         match answer::session_call(request) {
             SessionCall::Answer(response) => response,
             SessionCall::Delete => {
-                let answer = self.shared.handle.call(|request| Input::Delete { request, session, secret });
+                let answer = self.shared.handle.call(|id| Input::Delete { request: id, session, secret });
                 answer::response(&answer)
             }
             SessionCall::Patch => {
-                match self.shared.handle.call(|request| Input::Locate { request, session, secret }) {
+                match self.shared.handle.call(|id| Input::Locate { request: id, session, secret }) {
                     Answer::Located { server, resource } => {
                         self.patch(&boxes::patch(&resource, request), server, &resource)
                     }
@@ -185,7 +190,7 @@
         }
     }
 
-    fn patch(&self, request: &Request, server: beechloft_session::api::ServerId, resource: &str) -> Response {
+    fn patch(&self, request: &Request, server: ServerId, resource: &str) -> Response {
         let Some(address) = self.shared.handle.address(server) else {
             return Response::text(StatusCode::NOT_FOUND, "no such session");
         };
@@ -193,17 +198,17 @@
         match self.shared.pool.call(address, request, until) {
             Ok(response) => answer::passed_on(&response),
             Err(error) => {
-                info!(target: "http", server = server.0, resource, %error, "change not passed on");
+                info!(target: "http", server = server.0, resource, %error, "change not forwarded");
                 Response::text(StatusCode::BAD_GATEWAY, "the streaming server did not take the change")
             }
         }
     }
 
-    /// A player asks for its session's events, or reads them.
+    /// A player subscribes to its session's events, or reads them.
     fn events(&self, request: &Request, session: SessionId, secret: Secret, names: Option<&str>) -> Reply {
-        let find = || self.shared.handle.call(|request| Input::Locate { request, session, secret });
-        let here = |response| {
-            if matches!(find(), Answer::Located { .. }) {
+        let locate = || self.shared.handle.call(|id| Input::Locate { request: id, session, secret });
+        let if_playing = |response| {
+            if matches!(locate(), Answer::Located { .. }) {
                 response
             } else {
                 answer::response(&Answer::UnknownSession)
@@ -211,17 +216,18 @@
         };
         match (names, &request.method) {
             (None, &Method::POST) => {
-                Reply::Whole(here(events::subscribe(request, &route::events_path(session, secret))))
+                Reply::Whole(if_playing(events::subscribe(request, &route::events_path(session, secret))))
             }
             (Some(names), &Method::GET) => {
-                let Some(wanted) = events::wanted(names).filter(|_| matches!(find(), Answer::Located { .. }))
+                let Some(wanted) =
+                    events::wanted(names).filter(|_| matches!(locate(), Answer::Located { .. }))
                 else {
                     return Reply::Whole(answer::response(&Answer::UnknownSession));
                 };
-                let told = self.shared.handle.follow(session, secret);
+                let session_events = self.shared.handle.follow(session, secret);
                 let head =
                     answer::for_browsers(Response::new(StatusCode::OK).with(header::CONTENT_TYPE, EVENTS));
-                Reply::Open(head, Box::new(move |socket| follow(socket, &told, &wanted)))
+                Reply::Open(head, Box::new(move |socket| follow(socket, &session_events, &wanted)))
             }
             (Some(_), &Method::DELETE) => Reply::Whole(Response::new(StatusCode::OK)),
             _ => Reply::Whole(
@@ -232,19 +238,20 @@
     }
 
     fn ready(&self) -> Response {
-        let s = self.shared.handle.status();
+        let status = self.shared.handle.status();
         let body = serde_json::json!({
-            "listed": s.listed, "boxes": s.boxes, "titles": s.titles, "playing": s.playing, "releasing": s.releasing,
+            "listed": status.listed, "boxes": status.media_servers, "titles": status.titles,
+            "playing": status.playing, "releasing": status.releasing,
         });
-        let status = if s.listed { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        Response::new(status).body("application/json", format!("{body}\n"))
+        let code = if status.listed { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        Response::new(code).body("application/json", format!("{body}\n"))
     }
 }
 
-/// Writes a session's events until it is over or the player has gone.
-fn follow(mut socket: &TcpStream, told: &Receiver<PlayerEvent>, wanted: &[&str]) {
+/// Writes a session's events until it is over or the player has left.
+fn follow(mut socket: &TcpStream, session_events: &Receiver<PlayerEvent>, wanted: &[&str]) {
     loop {
-        let bytes = match told.recv_timeout(BEAT) {
+        let bytes = match session_events.recv_timeout(HEARTBEAT) {
             Ok(event) if wanted.contains(&event.name()) => event.encode(),
             Ok(_) => continue,
             Err(RecvTimeoutError::Timeout) => sse::BEAT.to_vec(),
@@ -256,7 +263,7 @@
     }
 }
 
-impl Handler for Player {
+impl Handler for HttpHandler {
     fn handle(&self, request: Request, link: &Link<'_>) -> Reply {
         let reply = match route::place(request.path()) {
             Place::Endpoint { title, publishes } => self.endpoint(&request, title, publishes, link),
@@ -267,14 +274,14 @@
         };
         match reply {
             Reply::Whole(response) => Reply::Whole(answer::for_browsers(response)),
-            Reply::Told(response, tell) => Reply::Told(answer::for_browsers(response), tell),
+            Reply::Told(response, on_written) => Reply::Told(answer::for_browsers(response), on_written),
             other => other,
         }
     }
 
     fn refuse(&self) -> Response {
-        let advice = self.shared.settings.settings.limits.retry_after;
-        answer::for_browsers(answer::response(&Answer::Rejected(Some(advice.unwrap_or(Micros(1_000_000))))))
+        let retry_after = self.shared.settings.settings.limits.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
+        answer::for_browsers(answer::response(&Answer::Rejected(Some(retry_after))))
     }
 
     fn bad(&self, error: &HeadError) -> Response {
--- a/crates/front/server/src/sip.rs
+++ b/crates/front/server/src/sip/mod.rs
@@ -1,6 +1,9 @@
 //! SIP on sockets: datagrams and streams in, the agent's messages out.
 //!
-//! One thread owns the agent, as one owns the core; one owns all streams; some read datagrams.
+//! One thread owns the agent, as one owns the session controller; one owns all streams; some read datagrams.
+
+mod queues;
+mod streams;
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -16,75 +19,89 @@
 use beechloft_sip::transaction::layer::Peer;
 use tracing::{debug, info};
 
+use self::queues::{AgentQueues, AgentSender, queues};
+use self::streams::Streams;
 use crate::Shared;
-use crate::lanes::{Lanes, ToAgent, lanes};
-use crate::streams::Streams;
 
 /// Streams that callers may hold open.
-const STREAMS: usize = 1024;
+const MAX_CALLER_STREAMS: usize = 1024;
 /// Ports that are tried where the system may choose one.
-const PORTS: u32 = 32;
-/// How often a thread looks whether the front has ended.
-const LOOK: Duration = Duration::from_millis(200);
+const MAX_PORT_ATTEMPTS: u32 = 32;
+/// How often a thread polls whether the front has ended.
+const END_POLL: Duration = Duration::from_millis(200);
 /// Threads that read datagrams: reading a message costs as much as half of all else that is done for a call.
-const READERS: usize = 2;
+const UDP_READERS: usize = 2;
+
+/// The pause after a failed accept.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
+/// The stack of a thread, bytes.
+const THREAD_STACK: usize = 256 * 1024;
+/// Makes the agent's random numbers differ from others of the same seed.
+const SEED_SALT: u64 = 0x0073_6970;
+/// Keep-alives of so many bytes are no messages (RFC 5626, section 3.5.1).
+const KEEP_ALIVE_BYTES: usize = 4;
 
 /// Starts to take calls at an address, over UDP and TCP alike; the address, as its port may have been free to choose.
+///
+/// # Errors
+/// No socket or no thread.
 pub fn start(shared: &Shared, listen: SocketAddr, seed: u64) -> io::Result<SocketAddr> {
     let (tcp, udp) = bind(listen)?;
     let (address, udp) = (tcp.local_addr()?, Arc::new(udp));
-    udp.set_read_timeout(Some(LOOK))?;
+    udp.set_read_timeout(Some(END_POLL))?;
     tcp.set_nonblocking(true)?;
-    let (sender, lanes) = lanes();
-    shared.handle.sip(sender.of_core());
-    let (seed, number) = (shared.of_this_start(seed) ^ 0x0073_6970, shared.settings.settings.number);
-    let agent = Agent::with(address, number, seed, Control::new(seed, shared.settings.sip_control));
+    let (sender, queues) = queues();
+    shared.handle.attach_sip(sender.for_engine());
+    let agent_seed = shared.seed_of_this_start(seed) ^ SEED_SALT;
+    let number = shared.settings.settings.number;
+    let control = Control::new(agent_seed, shared.settings.sip_control);
+    let agent = Agent::with(address, number, agent_seed, control);
     let streams = Streams::start(shared, sender.clone())?;
-    let run = Run { shared: shared.clone(), agent, udp: udp.clone(), streams: streams.clone() };
-    let spawn = |name: &str, f: Box<dyn FnOnce() + Send>| {
-        thread::Builder::new().name(name.into()).stack_size(256 * 1024).spawn(f).map(drop)
+    let agent_loop = AgentLoop { shared: shared.clone(), agent, udp: udp.clone(), streams: streams.clone() };
+    let spawn = |name: &str, run: Box<dyn FnOnce() + Send>| {
+        thread::Builder::new().name(name.into()).stack_size(THREAD_STACK).spawn(run).map(drop)
     };
-    for _ in 0..READERS {
-        let (shared, udp, sender) = (shared.clone(), udp.clone(), sender.clone());
-        spawn("sip-udp", Box::new(move || datagrams(&shared, &udp, &sender)))?;
+    for _ in 0..UDP_READERS {
+        let (of_reader, udp, sender) = (shared.clone(), udp.clone(), sender.clone());
+        spawn("sip-udp", Box::new(move || read_datagrams(&of_reader, &udp, &sender)))?;
     }
-    let of_tcp = shared.clone();
-    spawn("sip-tcp", Box::new(move || accept(&of_tcp, &tcp, &streams)))?;
-    spawn("sip", Box::new(move || run.run(&lanes)))?;
+    let of_acceptor = shared.clone();
+    spawn("sip-tcp", Box::new(move || accept(&of_acceptor, &tcp, &streams)))?;
+    spawn("sip", Box::new(move || agent_loop.run(&queues)))?;
     info!(target: "core", %address, "SIP is up");
     Ok(address)
 }
 
 /// Both sockets on one port. A port that the system chose for one may be taken for the other.
 fn bind(listen: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
-    let mut tries = if listen.port() == 0 { PORTS } else { 1 };
+    let mut attempts_left = if listen.port() == 0 { MAX_PORT_ATTEMPTS } else { 1 };
     loop {
         let tcp = TcpListener::bind(listen)?;
-        tries -= 1;
+        attempts_left -= 1;
         match UdpSocket::bind(tcp.local_addr()?) {
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse && tries > 0 => {}
+            Err(error) if error.kind() == io::ErrorKind::AddrInUse && attempts_left > 0 => {}
             udp => return Ok((tcp, udp?)),
         }
     }
 }
 
-struct Run {
+struct AgentLoop {
     shared: Shared,
     agent: Agent,
     udp: Arc<UdpSocket>,
     streams: Streams,
 }
 
-impl Run {
-    fn run(mut self, lanes: &Lanes) {
-        let mut out = Vec::new();
+impl AgentLoop {
+    fn run(mut self, queues: &AgentQueues) {
+        let mut outputs = Vec::new();
         while !self.shared.handle.ended() {
             let due = self.agent.next_due().map(|at| self.shared.clock.instant(at));
-            let wait = due.map_or(LOOK, |at| at.saturating_duration_since(Instant::now()).min(LOOK));
-            let input = lanes.next(wait).unwrap_or(Input::Tick);
+            let wait = due.map_or(END_POLL, |at| at.saturating_duration_since(Instant::now()).min(END_POLL));
+            let input = queues.next(wait).unwrap_or(Input::Tick);
             debug!(target: "core", ?input, "sip");
-            self.agent.handle(self.shared.clock.now(), input, &mut out);
-            for output in out.drain(..) {
+            self.agent.handle(self.shared.clock.now(), input, &mut outputs);
+            for output in outputs.drain(..) {
                 self.carry_out(output);
             }
         }
@@ -108,33 +125,34 @@
     }
 }
 
-fn datagrams(shared: &Shared, udp: &UdpSocket, agent: &ToAgent) {
-    let mut buf = vec![0; BYTES];
+fn read_datagrams(shared: &Shared, udp: &UdpSocket, agent: &AgentSender) {
+    let mut buffer = vec![0; BYTES];
     while !shared.handle.ended() {
-        let Ok((n, address)) = udp.recv_from(&mut buf) else { continue };
+        let Ok((length, address)) = udp.recv_from(&mut buffer) else { continue };
         let peer = Peer { address, transport: Transport::Udp, conn: 0 };
-        match Message::parse(&buf[..n]) {
+        match Message::parse(&buffer[..length]) {
             Ok(message) => agent.datagram(peer, message, shared.clock.now()),
-            // Keep-alives of four bytes are no messages (RFC 5626, section 3.5.1).
-            Err(error) if n > 4 => debug!(target: "http", peer = %address, %error, "datagram dropped"),
+            Err(error) if length > KEEP_ALIVE_BYTES => {
+                debug!(target: "http", peer = %address, %error, "datagram dropped")
+            }
             Err(_) => {}
         }
     }
 }
 
 fn accept(shared: &Shared, listener: &TcpListener, streams: &Streams) {
-    let mut next = 0;
+    let mut last_conn = 0;
     while !shared.handle.ended() {
         match listener.accept() {
             // One too many is closed as it is: no request was taken.
-            Ok((stream, _)) if streams.callers() >= STREAMS => drop(stream),
+            Ok((stream, _)) if streams.callers() >= MAX_CALLER_STREAMS => drop(stream),
             Ok((stream, address)) => {
-                next += 1;
-                streams.adopt(Peer { address, transport: Transport::Tcp, conn: next }, stream);
+                last_conn += 1;
+                streams.adopt(Peer { address, transport: Transport::Tcp, conn: last_conn }, stream);
             }
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => wait::acceptable(listener, LOOK),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => wait::acceptable(listener, END_POLL),
             // Out of descriptors, or a connection that broke at once.
-            Err(_) => thread::sleep(Duration::from_millis(5)),
+            Err(_) => thread::sleep(ACCEPT_PAUSE),
         }
     }
 }
--- a/crates/front/server/src/streams/run.rs
+++ b/crates/front/server/src/sip/streams/event_loop.rs
@@ -1,4 +1,4 @@
-//! The thread: one wait for all streams.
+//! The thread of all streams: one wait for all of them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{self, Read};
@@ -18,28 +18,30 @@
 use socket2::{Domain, Socket, Type};
 use tracing::debug;
 
-use super::bell::Bell;
-use super::stream::{Over, Stream};
+use super::super::queues::AgentSender;
+use super::stream::{Closed, Stream};
+use super::waker::Waker;
 use super::{Command, WAKE};
 use crate::Shared;
-use crate::lanes::ToAgent;
 
-/// A caller's stream without a word for so long is closed.
-const IDLE: Duration = Duration::from_secs(120);
-/// How often the thread looks whether the front has ended.
-const LOOK: Duration = Duration::from_millis(200);
-/// How soon a stream whose messages the agent had no room for tries again.
-const AGAIN: Duration = Duration::from_millis(5);
+/// A caller's stream that is silent for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
+/// How often the thread polls whether the front has ended.
+const END_POLL: Duration = Duration::from_millis(200);
+/// How soon a stream whose messages did not fit into the agent's queue retries.
+const RETRY_PAUSE: Duration = Duration::from_millis(5);
 /// Bytes read of one stream before the others have their turn.
-const TURN: usize = 64 * 1024;
+const MAX_READ_PER_TURN: usize = 64 * 1024;
+/// Bytes of one read.
+const READ_BUFFER: usize = 8192;
 /// Events taken at once.
-const EVENTS: usize = 256;
+const MAX_EVENTS: usize = 256;
 
-pub(super) struct Run {
+pub(super) struct EventLoop {
     pub(super) shared: Shared,
-    pub(super) agent: ToAgent,
+    pub(super) agent: AgentSender,
     pub(super) epoll: OwnedFd,
-    pub(super) bell: Arc<Bell>,
+    pub(super) waker: Arc<Waker>,
     pub(super) commands: Receiver<Command>,
     /// By the number of their connection.
     pub(super) open: BTreeMap<u64, Stream>,
@@ -49,17 +51,18 @@
     pub(super) callers: Arc<AtomicUsize>,
 }
 
-impl Run {
+impl EventLoop {
     pub(super) fn run(mut self) {
-        let mut events: Vec<epoll::Event> = Vec::with_capacity(EVENTS);
+        let mut events: Vec<epoll::Event> = Vec::with_capacity(MAX_EVENTS);
         while !self.shared.handle.ended() {
             let wait = self.wait();
-            let timeout = Timespec { tv_sec: wait.as_secs() as i64, tv_nsec: wait.subsec_nanos().into() };
+            let tv_sec = i64::try_from(wait.as_secs()).unwrap_or(i64::MAX);
+            let timeout = Timespec { tv_sec, tv_nsec: wait.subsec_nanos().into() };
             // An interrupted wait is one without events.
             let _ = epoll::wait(&self.epoll, spare_capacity(&mut events), Some(&timeout));
             for event in events.drain(..) {
                 match event.data.u64() {
-                    WAKE => self.bell.hear(),
+                    WAKE => self.waker.clear(),
                     conn => self.ready(conn, event.flags),
                 }
             }
@@ -67,15 +70,16 @@
                 self.command(command);
             }
             for conn in std::mem::take(&mut self.stalled) {
-                self.hand_over(conn);
+                self.deliver(conn);
             }
-            self.due();
+            self.close_overdue();
         }
     }
 
     fn wait(&self) -> Duration {
-        let due = self.deadlines.first().map_or(LOOK, |d| d.0.saturating_duration_since(Instant::now()));
-        due.min(if self.stalled.is_empty() { LOOK } else { AGAIN })
+        let due =
+            self.deadlines.first().map_or(END_POLL, |(at, _)| at.saturating_duration_since(Instant::now()));
+        due.min(if self.stalled.is_empty() { END_POLL } else { RETRY_PAUSE })
     }
 
     pub(super) fn command(&mut self, command: Command) {
@@ -88,7 +92,7 @@
             }
             Command::Adopt(peer, socket) => {
                 if socket.set_nonblocking(true).is_ok() {
-                    self.add(peer, socket, false, Instant::now() + IDLE);
+                    self.add(peer, socket, false, Instant::now() + IDLE_TIMEOUT);
                 } else {
                     self.callers.fetch_sub(1, Ordering::SeqCst);
                 }
@@ -101,7 +105,7 @@
             let _ = stream.flush();
         }
         let _ = stream.socket.shutdown(Shutdown::Both);
-        self.deadlines.remove(&(stream.until, stream.peer.conn));
+        self.deadlines.remove(&(stream.deadline, stream.peer.conn));
         if stream.peer.conn < OWN {
             self.callers.fetch_sub(1, Ordering::SeqCst);
         }
@@ -115,15 +119,15 @@
             if let Err(error) = self.connect(peer) {
                 debug!(target: "boxes", peer = %peer.address, %error, "no stream");
                 let refused = error.kind() == io::ErrorKind::ConnectionRefused;
-                return self.agent.certain(Input::Lost(peer, refused));
+                return self.agent.reliable(Input::Lost(peer, refused));
             }
         }
         let Some(stream) = self.open.get_mut(&peer.conn) else { return };
-        stream.out.extend(bytes);
+        stream.unsent.extend(bytes);
         if !stream.connecting && stream.flush().is_err() {
-            return self.lose(peer.conn, Over::Lost);
+            return self.lose(peer.conn, Closed::Lost);
         }
-        self.look_for(peer.conn);
+        self.update_interest(peer.conn);
     }
 
     fn connect(&mut self, peer: Peer) -> io::Result<()> {
@@ -131,51 +135,60 @@
         socket.set_nonblocking(true)?;
         let connecting = match socket.connect(&peer.address.into()) {
             Ok(()) => false,
-            Err(e) if e.raw_os_error() == Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => true,
-            Err(e) => return Err(e),
+            Err(error) if error.raw_os_error() == Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => true,
+            Err(error) => return Err(error),
         };
         self.add(peer, socket.into(), connecting, Instant::now() + self.shared.settings.connect_time);
         Ok(())
     }
 
-    pub(super) fn add(&mut self, peer: Peer, socket: TcpStream, connecting: bool, until: Instant) {
+    pub(super) fn add(&mut self, peer: Peer, socket: TcpStream, connecting: bool, deadline: Instant) {
         let _ = socket.set_nodelay(true);
-        let (out, framer, waiting) = (VecDeque::new(), Framer::default(), VecDeque::new());
-        let mut stream =
-            Stream { peer, socket, connecting, out, framer, waiting, until, interest: EventFlags::empty() };
-        stream.interest = stream.wants();
+        let mut stream = Stream {
+            peer,
+            socket,
+            connecting,
+            unsent: VecDeque::new(),
+            framer: Framer::default(),
+            undelivered: VecDeque::new(),
+            deadline,
+            interest: EventFlags::empty(),
+        };
+        stream.interest = stream.wanted_events();
         let data = EventData::new_u64(peer.conn);
         if let Err(error) = epoll::add(&self.epoll, &stream.socket, data, stream.interest) {
             debug!(target: "boxes", peer = %peer.address, %error, "no stream");
             self.close(stream);
-            return self.agent.certain(Input::Lost(peer, false));
+            return self.agent.reliable(Input::Lost(peer, false));
         }
-        self.deadlines.insert((until, peer.conn));
+        self.deadlines.insert((deadline, peer.conn));
         self.open.insert(peer.conn, stream);
     }
 
-    /// Waits for what the stream wants now.
-    fn look_for(&mut self, conn: u64) {
+    /// Registers the events that the stream waits for now.
+    fn update_interest(&mut self, conn: u64) {
         let Some(stream) = self.open.get_mut(&conn) else { return };
-        let wants = stream.wants();
-        if wants != stream.interest {
-            stream.interest = wants;
+        let wanted = stream.wanted_events();
+        if wanted != stream.interest {
+            stream.interest = wanted;
             let data = EventData::new_u64(conn);
-            if epoll::modify(&self.epoll, &stream.socket, data, wants).is_err() {
-                self.lose(conn, Over::Lost);
+            if epoll::modify(&self.epoll, &stream.socket, data, wanted).is_err() {
+                self.lose(conn, Closed::Lost);
             }
         }
     }
 
-    fn lose(&mut self, conn: u64, why: Over) {
+    fn lose(&mut self, conn: u64, reason: Closed) {
         let Some(mut stream) = self.open.remove(&conn) else { return };
-        stream.out.clear();
-        let (peer, waiting) = (stream.peer, std::mem::take(&mut stream.waiting));
+        stream.unsent.clear();
+        let (peer, undelivered) = (stream.peer, std::mem::take(&mut stream.undelivered));
         self.close(stream);
         self.stalled.remove(&conn);
-        // What it said before it ended was said.
-        waiting.into_iter().for_each(|input| self.agent.certain(input));
-        self.agent.certain(Input::Lost(peer, matches!(why, Over::Refused)));
+        // What it sent before it ended was sent.
+        for input in undelivered {
+            self.agent.reliable(input);
+        }
+        self.agent.reliable(Input::Lost(peer, matches!(reason, Closed::Refused)));
     }
 
     fn ready(&mut self, conn: u64, flags: EventFlags) {
@@ -184,18 +197,18 @@
             return self.connected(conn);
         }
         if flags.contains(EventFlags::OUT) && stream.flush().is_err() {
-            return self.lose(conn, Over::Lost);
+            return self.lose(conn, Closed::Lost);
         }
         if flags.intersects(EventFlags::IN | EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR) {
             match self.read(conn) {
-                Ok(()) => self.hand_over(conn),
+                Ok(()) => self.deliver(conn),
                 Err(error) => {
                     debug!(target: "http", conn, %error, "stream ended");
-                    return self.lose(conn, Over::Lost);
+                    return self.lose(conn, Closed::Lost);
                 }
             }
         }
-        self.look_for(conn);
+        self.update_interest(conn);
     }
 
     fn connected(&mut self, conn: u64) {
@@ -204,78 +217,82 @@
             Ok(None) => {
                 stream.connecting = false;
                 // From now on it stays open for as long as the call wants it.
-                self.deadlines.remove(&(stream.until, conn));
+                self.deadlines.remove(&(stream.deadline, conn));
                 if stream.flush().is_err() {
-                    return self.lose(conn, Over::Lost);
+                    return self.lose(conn, Closed::Lost);
                 }
-                self.look_for(conn);
+                self.update_interest(conn);
+            }
+            Ok(Some(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
+                self.lose(conn, Closed::Refused)
             }
-            Ok(Some(e)) if e.kind() == io::ErrorKind::ConnectionRefused => self.lose(conn, Over::Refused),
-            _ => self.lose(conn, Over::Lost),
+            _ => self.lose(conn, Closed::Lost),
         }
     }
 
-    /// Reads what is there, up to a turn. Its end is an error: there is nothing to answer on it any more.
+    /// Reads what is there, up to the bound of a turn. The stream's end is an error: nothing can be answered on it any
+    /// more.
     pub(super) fn read(&mut self, conn: u64) -> io::Result<()> {
         let Some(stream) = self.open.get_mut(&conn) else { return Ok(()) };
-        let (mut buf, mut framed, mut left) = ([0; 8192], Vec::new(), TURN);
+        let (mut buffer, mut framed, mut left) = ([0; READ_BUFFER], Vec::new(), MAX_READ_PER_TURN);
         let mut end = Ok(());
         while left > 0 {
-            match stream.socket.read(&mut buf) {
+            match stream.socket.read(&mut buffer) {
                 Ok(0) => end = Err(io::ErrorKind::UnexpectedEof.into()),
-                Ok(n) => {
-                    left = left.saturating_sub(n);
-                    if let Err(error) = stream.framer.push(&buf[..n], &mut framed) {
+                Ok(length) => {
+                    left = left.saturating_sub(length);
+                    if let Err(error) = stream.framer.push(&buffer[..length], &mut framed) {
                         end = Err(io::Error::other(error));
                     } else {
                         continue;
                     }
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
-                Err(e) => end = Err(e),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
+                Err(error) => end = Err(error),
             }
             break;
         }
-        if conn < OWN && left < TURN {
-            self.deadlines.remove(&(stream.until, conn));
-            stream.until = Instant::now() + IDLE;
-            self.deadlines.insert((stream.until, conn));
+        if conn < OWN && left < MAX_READ_PER_TURN {
+            self.deadlines.remove(&(stream.deadline, conn));
+            stream.deadline = Instant::now() + IDLE_TIMEOUT;
+            self.deadlines.insert((stream.deadline, conn));
         }
         let now = self.shared.clock.now();
         for part in framed {
             match part {
                 Framed::Message(message) => {
-                    stream.waiting.push_back(Input::Received(stream.peer, message, now));
+                    stream.undelivered.push_back(Input::Received(stream.peer, message, now));
                 }
-                Framed::Ping => stream.out.extend(b"\r\n"),
+                Framed::Ping => stream.unsent.extend(b"\r\n"),
             }
         }
         stream.flush()?;
         end
     }
 
-    /// Hands over what a stream said. A caller's new call may find no room; then the stream is not read meanwhile.
-    fn hand_over(&mut self, conn: u64) {
+    /// Delivers a stream's messages to the agent. A caller's new call may find the queue full; then the stream is not
+    /// read meanwhile.
+    fn deliver(&mut self, conn: u64) {
         let Some(stream) = self.open.get_mut(&conn) else { return };
-        while let Some(input) = stream.waiting.pop_front() {
+        while let Some(input) = stream.undelivered.pop_front() {
             if conn >= OWN {
-                self.agent.certain(input);
+                self.agent.reliable(input);
             } else if let Err(input) = self.agent.streamed(input) {
-                stream.waiting.push_front(input);
+                stream.undelivered.push_front(input);
                 self.stalled.insert(conn);
                 break;
             }
         }
-        self.look_for(conn);
+        self.update_interest(conn);
     }
 
-    /// Streams that did not connect in time, and callers that have been silent for too long.
-    fn due(&mut self) {
+    /// Closes streams that did not connect in time, and those of callers that have been silent for too long.
+    fn close_overdue(&mut self) {
         let now = Instant::now();
-        while let Some((_, conn)) = self.deadlines.first().copied().filter(|d| d.0 <= now) {
+        while let Some((_, conn)) = self.deadlines.first().copied().filter(|(at, _)| *at <= now) {
             self.deadlines.pop_first();
-            self.lose(conn, Over::Lost);
+            self.lose(conn, Closed::Lost);
         }
     }
 }
--- a/crates/front/server/tests/faults.rs
+++ b/crates/front/server/tests/faults.rs
@@ -273,7 +273,7 @@
             .find_map(|s| if let What::Offered { server, .. } = s.what { Some(server) } else { None });
         last == Some(1)
     });
-    assert_eq!(rig.front().status().boxes, 2);
+    assert_eq!(rig.front().status().media_servers, 2);
     for _ in 0..5 {
         rig.play("pair");
     }
--- a/crates/front/server/tests/replay.rs
+++ b/crates/front/server/tests/replay.rs
@@ -16,7 +16,7 @@
     let settings = settings(&format!("url: {}", rig.fleet.list.url()), "");
     let front = beechloft_server::Front::start_recorded(settings.clone()).expect("a front");
     rig.address = front.address();
-    until("the list is known", || front.status().boxes == 3);
+    until("the list is known", || front.status().media_servers == 3);
     let mut playing = Vec::new();
     for n in 0..60 {
         if n == 20 {
@@ -44,7 +44,7 @@
 
     let mut module = beechloft::policy::Policy::new(settings.settings, 7);
     let mut set_ups = 0;
-    for Exchange { at: now, event, actions } in recording.exchanged {
+    for Exchange { at: now, event, actions } in recording.exchanges {
         let mut same = Vec::new();
         module.handle(now, event, &mut same);
         assert_eq!(same, actions);
--- a/crates/front/server/tests/rules.rs
+++ b/crates/front/server/tests/rules.rs
@@ -68,7 +68,7 @@
         let recorder = Recorder::default();
         let fleet = Fleet::start(&spec, &recorder).expect("a fleet");
         let front = Front::start(strict(&fleet.list.url(), terms), None).expect("a front");
-        until("the list is known", || front.status().boxes == boxes as usize);
+        until("the list is known", || front.status().media_servers == boxes as usize);
         Strict { recorder, fleet, front, dice: Dice::new(3) }
     }
 
--- a/crates/front/server/tests/sip.rs
+++ b/crates/front/server/tests/sip.rs
@@ -29,7 +29,7 @@
         let mut settings = settings(&format!("url: {}", fleet.list.url()), "");
         settings.sip = Some("127.0.0.1:0".parse().expect("an address"));
         let front = Front::start(settings, None).expect("a front");
-        until("the list is known", || front.status().boxes == boxes as usize);
+        until("the list is known", || front.status().media_servers == boxes as usize);
         Sip { recorder, fleet, front, seed: 10 }
     }
 
@@ -169,7 +169,7 @@
         settings.sip = Some("127.0.0.1:0".parse().expect("an address"));
         settings.seed = Some(1);
         let front = Front::start(settings, None).expect("a front");
-        until("the list is known", || front.status().boxes == 1);
+        until("the list is known", || front.status().media_servers == 1);
         front
     };
     let fronts = [start(), start()];
@@ -267,7 +267,7 @@
     settings.sip = Some("127.0.0.1:0".parse().expect("an address"));
     settings.settings.classes[0].seats = Some(2);
     let front = Front::start(settings, None).expect("a front");
-    until("the list is known", || front.status().boxes == 1);
+    until("the list is known", || front.status().media_servers == 1);
     let mut s = Sip { recorder, fleet, front, seed: 10 };
     let mut caller = s.caller();
     let mut call = caller.call("one", None, &s.recorder).standing.expect("a call");
--- a/crates/front/server/tests/streams.rs
+++ b/crates/front/server/tests/streams.rs
@@ -26,7 +26,7 @@
     let mut settings = settings(&format!("url: {}", fleet.list.url()), "");
     settings.sip = Some("127.0.0.1:0".parse().expect("an address"));
     let front = Front::start(settings, None).expect("a front");
-    until("the list is known", || front.status().boxes == 2);
+    until("the list is known", || front.status().media_servers == 2);
     Rig { fleet, front }
 }
 
--- a/crates/front/server/tests/support/mod.rs
+++ b/crates/front/server/tests/support/mod.rs
@@ -84,7 +84,7 @@
         let rig =
             Rig { recorder, fleet, front: Some(front), address, dice: Dice::new(3), pool: Pool::default() };
         let boxes = rig.fleet.boxes().count();
-        until("the list is known", || rig.front().status().boxes == boxes);
+        until("the list is known", || rig.front().status().media_servers == boxes);
         rig
     }
 
--- a/crates/front/server/tests/trunk.rs
+++ b/crates/front/server/tests/trunk.rs
@@ -17,7 +17,7 @@
     let mut settings = settings(&format!("url: {}", fleet.list.url()), "");
     settings.sip = Some("127.0.0.1:0".parse().expect("an address"));
     let front = Front::start(settings, None).expect("a front");
-    until("the list is known", || front.status().boxes == 4);
+    until("the list is known", || front.status().media_servers == 4);
     let plan = Plan {
         front: front.sip_address().expect("SIP is up"),
         number: 0,
--- a/crates/front/server/tests/whep.rs
+++ b/crates/front/server/tests/whep.rs
@@ -236,7 +236,7 @@
     settings.settings.reporting = beechloft_session::api::Reporting::InProbes;
     settings.settings.limits.probes = true;
     let front = beechloft_server::Front::start_recorded(settings).expect("a front");
-    until("the list is known", || front.status().boxes == 2);
+    until("the list is known", || front.status().media_servers == 2);
     let mut dice = beechloft_fakes::dice::Dice::new(4);
     let wish = Wish::new(front.address(), 0, "all");
     let probes = || fleet.boxes().map(|(_, b)| b.probes()).sum::<u64>();
