--- a/crates/fleet/coordinator/src/wire.rs
+++ b/crates/fleet/coordinator/src/wire.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Read};
 
 use beechloft_consensus::{MemberId, Message};
-use beechloft_leases::{Heard, Name, Request};
+use beechloft_leases::{Name, Request, Response};
 use beechloft_membership::Packet;
 use beechloft_topic::{Position, Said, Told, TopicHeard, TopicRequest};
 use serde::de::DeserializeOwned;
@@ -127,7 +127,7 @@
     /// A holder's request.
     Ask(Request),
     /// What became of it.
-    Heard(Heard),
+    Heard(Response),
     /// This keeper does not lead; where the one is that does, if it knows.
     NotLeader(Option<String>),
     /// All grants, please.
@@ -378,9 +378,9 @@
 
     #[test]
     fn a_packet_is_read_as_it_was_written_and_nothing_else_is() {
-        use beechloft_membership::{Digests, MemberId, Said};
-        let said = Said::Compare { digests: Digests(vec![u64::MAX; 64]), answers: false };
-        let packet = Packet { from: MemberId(7), to: None, said, rumours: Vec::new() };
+        use beechloft_membership::{Digests, MemberId, Message};
+        let message = Message::CompareDigests { digests: Digests(vec![u64::MAX; 64]), is_reply: false };
+        let packet = Packet { from: MemberId(7), to: None, message, updates: Vec::new() };
         let bytes = datagram(9, &packet).expect("short");
         assert_eq!(read_datagram(9, &bytes).expect("sound"), packet);
         assert!(matches!(read_datagram(8, &bytes), Err(WireError::Fleet)));
--- a/crates/fleet/replica/tests/encoding/snapshot.rs
+++ b/crates/fleet/replica/tests/encoding/snapshot.rs
@@ -8,7 +8,7 @@
 use beechloft_consensus::{
     Chunk, Disk, Input, MemberId, Membership, Outputs, Rope, Save, Settings, Snapshot, Stored, Ticket,
 };
-use beechloft_leases::Drift;
+use beechloft_leases::DriftBound;
 use beechloft_placement::names::{AskId, BoxId, DiskId, Life, Order, Revision, Version};
 use beechloft_placement::{Answer, Command as PlacementCommand, Outcome, Renew, Step};
 use beechloft_quotas::{Claim, Definition, Key, Kind, Of, Op as QuotaOp, Said};
@@ -45,7 +45,7 @@
 
 impl Single {
     fn start(stored: Stored) -> Single {
-        let drift = Drift::ppm(100).expect("within bounds");
+        let drift = DriftBound::ppm(100).expect("within bounds");
         let replica = Keeper::new(MemberId(1), Settings::default(), stored.clone(), drift, 1, Duration::ZERO);
         let mut single =
             Single { replica: replica.expect("a state that can be read"), disk: MemoryDisk(stored) };
--- a/crates/fleet/replica/tests/encoding/values.rs
+++ b/crates/fleet/replica/tests/encoding/values.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use beechloft_leases::{HolderId, Name, Token, Will};
+use beechloft_leases::{Handoff, HolderId, Name, Token};
 use beechloft_placement::names::{
     BoxId, Digest, DiskId, FrontId, Life, Order, RackId, Revision, ShardId, Version,
 };
@@ -29,28 +29,28 @@
 }
 
 pub fn acquire() -> beechloft_leases::Op {
-    beechloft_leases::Op::Acquire { name: name("task"), places: 3, ttl_ms: 60_000 }
+    beechloft_leases::Op::Acquire { name: name("task"), slots: 3, ttl_ms: 60_000 }
 }
 
 pub fn acquire_as() -> beechloft_leases::Op {
     beechloft_leases::Op::AcquireAs {
         name: name("task/seats"),
-        places: 300,
+        slots: 300,
         ttl_ms: 60_000,
-        seat: name("seat-1"),
+        instance: name("seat-1"),
     }
 }
 
 fn leases() -> Vec<(&'static str, Command)> {
     use beechloft_leases::Op;
     let task = || -> Name { name("task") };
-    let will = Will { of: 7, rest_ms: 1_500, newest: Token(300), keep_ms: 9_000 };
+    let handoff = Handoff { slot_count: 7, remaining_ms: 1_500, newest_token: Token(300), reserve_ms: 9_000 };
     vec![
         ("leases-acquire", lease(1, acquire())),
         ("leases-renew", lease(2, Op::Renew { name: task(), token: Token(300) })),
         ("leases-release", lease(3, Op::Release { name: task(), token: Token(300) })),
         ("leases-acquire-as", lease(4, acquire_as())),
-        ("leases-leave", lease(5, Op::Leave { name: task(), token: Token(300), will })),
+        ("leases-leave", lease(5, Op::HandOff { name: task(), token: Token(300), handoff })),
         (
             "leases-expire",
             Command::Leases(beechloft_leases::Command::Expire { token: Token(300), renewals: 2 }),
