--- a/crates/base/store/src/typed.rs
+++ b/crates/base/store/src/typed.rs
@@ -1,8 +1,9 @@
-//! Typed tables: what a table holds, in which version, and how an older one is read.
+//! Typed tables: records with versions.
 //!
-//! A value is a byte that names its version and a postcard encoding. A record's type knows its present version and reads
-//! each older one; a later one is an error, never a guess. Keys are written so that their bytes sort as they do.
+//! A value is a byte with its version, followed by a postcard encoding. A record's type has a current version and upgrades older
+//! ones; a later version is an error. Keys are encoded so that their bytes sort as the keys do.
 
+use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
 use serde::Serialize;
@@ -12,38 +13,41 @@
 use crate::frame::Table;
 use crate::store::{Batch, View};
 
-/// Why an entry can't be read as what its table holds.
+/// Maximum number of a key's bytes in an error.
+const MAX_SHOWN_BYTES: usize = 32;
+
+/// Why an entry can't be decoded as a record of its table.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum TypedError {
     /// A later program wrote it.
     #[error("table {table:?}, key {key}: version {found}, and this program reads up to {known}")]
     Newer {
-        /// Where.
+        /// The table.
         table: Table,
-        /// Which, in hexadecimal.
+        /// The key, in hexadecimal.
         key: String,
         /// Its version.
         found: u8,
-        /// The latest that is known.
+        /// The latest known version.
         known: u8,
     },
-    /// It makes no sense.
+    /// The key or the value can't be decoded.
     #[error("table {table:?}, key {key}: {what}")]
     Malformed {
         /// Where.
         table: Table,
         /// Which, in hexadecimal.
         key: String,
-        /// What does not.
+        /// What can't be decoded.
         what: &'static str,
     },
 }
 
-/// A key whose bytes sort as it does.
+/// A key with an encoding that preserves its order.
 pub trait Key: Sized + Ord {
-    /// Its bytes.
+    /// Encodes the key.
     fn write(&self) -> Vec<u8>;
-    /// The key of bytes, if they are one's.
+    /// Decodes a key.
     fn read(bytes: &[u8]) -> Option<Self>;
 }
 
@@ -67,40 +71,41 @@
     }
 }
 
-/// What a table holds.
+/// The type of a table's values.
 pub trait Record: Serialize + DeserializeOwned {
-    /// Its keys.
+    /// The type of the keys.
     type Key: Key;
-    /// The table; no other record has it.
+    /// The table, which no other record type has.
     const TABLE: Table;
-    /// The version that is written.
+    /// The current version.
     const VERSION: u8;
 
-    /// Reads an older version; none: there was no such one, or the bytes are none of it.
+    /// Decodes an older version; `None`, if there is no such version or the bytes are invalid.
     fn upgrade(version: u8, bytes: &[u8]) -> Option<Self> {
         let _ = (version, bytes);
         None
     }
 }
 
-/// Reads a value of an older version's own type.
-pub fn older<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
+/// Decodes a value without its version byte, for use in [`Record::upgrade`].
+pub fn decode_value<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     postcard::from_bytes(bytes).ok()
 }
 
+/// Hexadecimal digits of at most [`MAX_SHOWN_BYTES`] bytes.
 fn hexadecimal(bytes: &[u8]) -> String {
-    bytes.iter().take(32).map(|b| format!("{b:02x}")).collect()
+    bytes.iter().take(MAX_SHOWN_BYTES).map(|b| format!("{b:02x}")).collect()
 }
 
 fn decode<R: Record>(key: &[u8], value: &[u8]) -> Result<R, TypedError> {
     let malformed = |what| TypedError::Malformed { table: R::TABLE, key: hexadecimal(key), what };
     let (version, bytes) = value.split_first().ok_or_else(|| malformed("no version"))?;
     match version.cmp(&R::VERSION) {
-        std::cmp::Ordering::Equal => older(bytes).ok_or_else(|| malformed("its value makes no sense")),
-        std::cmp::Ordering::Less => {
+        Ordering::Equal => decode_value(bytes).ok_or_else(|| malformed("its value makes no sense")),
+        Ordering::Less => {
             R::upgrade(*version, bytes).ok_or_else(|| malformed("its older value makes no sense"))
         }
-        std::cmp::Ordering::Greater => Err(TypedError::Newer {
+        Ordering::Greater => Err(TypedError::Newer {
             table: R::TABLE,
             key: hexadecimal(key),
             found: *version,
@@ -110,7 +115,7 @@
 }
 
 impl Batch {
-    /// Puts a record; false: it can't be encoded, and the batch is as it was.
+    /// Puts a record. Returns `false`, with the batch unchanged, if the record can't be encoded.
     pub fn put_record<R: Record>(&mut self, key: &R::Key, record: &R) -> bool {
         let Ok(encoded) = postcard::to_allocvec(record) else { return false };
         let mut value = vec![R::VERSION];
@@ -127,26 +132,31 @@
 
 impl View {
     /// A record.
+    ///
+    /// # Errors
+    /// The value can't be decoded.
     pub fn record<R: Record>(&self, key: &R::Key) -> Result<Option<R>, TypedError> {
         let key = key.write();
         self.get(R::TABLE, &key).map(|value| decode(&key, &value)).transpose()
     }
 
-    /// All records of a table that can be read, in order, and what is wrong with the others: one that is beyond reading
-    /// must not keep the rest from being used.
+    /// All records of a table that can be decoded, and the errors of the others, so that an invalid entry does not prevent the
+    /// use of the rest.
     pub fn records<R: Record>(&self) -> (BTreeMap<R::Key, R>, Vec<TypedError>) {
-        let (mut sound, mut faults) = (BTreeMap::new(), Vec::new());
+        let (mut records, mut errors) = (BTreeMap::new(), Vec::new());
         for (key, value) in self.table(R::TABLE) {
-            let no_key = || TypedError::Malformed {
+            let invalid_key = || TypedError::Malformed {
                 table: R::TABLE,
                 key: hexadecimal(key),
                 what: "its key makes no sense",
             };
-            match R::Key::read(key).ok_or_else(no_key).and_then(|k| Ok((k, decode(key, value)?))) {
-                Ok((key, record)) => drop(sound.insert(key, record)),
-                Err(fault) => faults.push(fault),
+            let entry =
+                R::Key::read(key).ok_or_else(invalid_key).and_then(|typed| Ok((typed, decode(key, value)?)));
+            match entry {
+                Ok((typed, record)) => drop(records.insert(typed, record)),
+                Err(error) => errors.push(error),
             }
         }
-        (sound, faults)
+        (records, errors)
     }
 }
--- a/crates/base/store/tests/format.rs
+++ b/crates/base/store/tests/format.rs
@@ -7,8 +7,8 @@
 use std::fs;
 use std::path::Path;
 
-use beechloft_store::frame::{self, Frame, Kind};
-use beechloft_store::fs::Disk;
+use beechloft_store::directory::DiskDirectory;
+use beechloft_store::frame::{self, DecodedFrame, Frame, FrameKind};
 use beechloft_store::{Batch, Op, Options, Record, Store, Table};
 use serde::{Deserialize, Serialize};
 
@@ -55,10 +55,10 @@
 
 fn frames() -> Vec<(&'static str, Frame)> {
     vec![
-        ("batch", Frame { kind: Kind::Batch, seq: 258, synced: 255, ops: ops() }),
-        ("batch-empty", Frame { kind: Kind::Batch, seq: 1, synced: 0, ops: Vec::new() }),
-        ("state", Frame { kind: Kind::Whole, seq: u64::MAX, synced: u64::MAX, ops: ops() }),
-        ("state-empty", Frame { kind: Kind::Whole, seq: 0, synced: 0, ops: Vec::new() }),
+        ("batch", Frame { kind: FrameKind::Batch, seq: 258, synced: 255, ops: ops() }),
+        ("batch-empty", Frame { kind: FrameKind::Batch, seq: 1, synced: 0, ops: Vec::new() }),
+        ("state", Frame { kind: FrameKind::Snapshot, seq: u64::MAX, synced: u64::MAX, ops: ops() }),
+        ("state-empty", Frame { kind: FrameKind::Snapshot, seq: 0, synced: 0, ops: Vec::new() }),
     ]
 }
 
@@ -66,7 +66,7 @@
 
 #[test]
 fn heads_and_frames_keep_their_bytes() {
-    let mut written = Files::from([("head".to_owned(), frame::head(GENERATION))]);
+    let mut written = Files::from([("head".to_owned(), frame::header(GENERATION))]);
     for (name, frame) in frames() {
         let mut bytes = Vec::new();
         frame::write(GENERATION, frame.kind, frame.seq, frame.synced, &frame.ops, &mut bytes)
@@ -79,15 +79,15 @@
 #[test]
 fn heads_and_frames_of_the_fixture_are_read() {
     let fixture = parse(FRAMES);
-    assert_eq!(frame::read_head(&fixture["head"]), Ok(GENERATION));
+    assert_eq!(frame::read_header(&fixture["head"]), Ok(GENERATION));
     for (name, frame) in frames() {
         let bytes = &fixture[name];
-        assert_eq!(frame::read(GENERATION, bytes), Ok((frame, bytes.len())), "{name}");
+        assert_eq!(frame::read(GENERATION, bytes), Ok(DecodedFrame { frame, length: bytes.len() }), "{name}");
     }
 }
 
-fn open(directory: &Path) -> Store<Disk> {
-    let disk = Disk::open(directory).expect("a directory");
+fn open(directory: &Path) -> Store<DiskDirectory> {
+    let disk = DiskDirectory::open(directory).expect("a directory");
     let (store, notes) = Store::open(disk, Options::default()).expect("a store");
     assert_eq!(notes, []);
     store
@@ -135,7 +135,7 @@
     assert_same(&read_files(directory.path()), DIRECTORY);
 }
 
-fn content(store: &Store<Disk>) -> Vec<(u8, Vec<u8>, Vec<u8>)> {
+fn content(store: &Store<DiskDirectory>) -> Vec<(u8, Vec<u8>, Vec<u8>)> {
     let view = store.view();
     let table = |number| {
         let of = move |(key, value): (&[u8], &[u8])| (number, key.to_vec(), value.to_vec());
@@ -169,7 +169,7 @@
     let mut files = parse(DIRECTORY);
     files.get_mut("0000000000000002.log").expect("the newest generation").truncate(30);
     write_files(directory.path(), &files);
-    let disk = Disk::open(directory.path()).expect("the directory");
+    let disk = DiskDirectory::open(directory.path()).expect("the directory");
     let (store, notes) = Store::open(disk, Options::default()).expect("a store");
     assert_eq!((store.generation(), store.view().seq(), notes.len()), (1, 2, 1));
     assert_eq!(content(&store), [(1, b"a".to_vec(), b"one".to_vec()), (1, b"c".to_vec(), b"three".to_vec())]);
@@ -198,7 +198,7 @@
     const VERSION: u8 = 2;
 
     fn upgrade(version: u8, bytes: &[u8]) -> Option<SecondVersion> {
-        let older: FirstVersion = beechloft_store::typed::older(bytes).filter(|_| version == 1)?;
+        let older: FirstVersion = beechloft_store::typed::decode_value(bytes).filter(|_| version == 1)?;
         Some(SecondVersion { name: older.name, size: None })
     }
 }
--- a/crates/base/store/tests/model/main.rs
+++ b/crates/base/store/tests/model/main.rs
@@ -1,12 +1,10 @@
 //! The store against a model: an ordered map and the list of its committed states.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod sim;
 
 use std::collections::BTreeMap;
 
-use beechloft_store::frame::{self, HEAD};
+use beechloft_store::frame::{self, HEADER_LEN};
 use beechloft_store::{Batch, Options, Store, StoreError, Table, View};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -32,7 +30,7 @@
     Begin,
     Finish,
     Crash(u64),
-    /// An operation of the file system fails, so many from now.
+    /// The n-th operation of the file system from now fails.
     Fail(u64),
     Room(usize),
 }
@@ -76,9 +74,9 @@
                     for (table, key, value) in ops {
                         match value {
                             Some(v) => {
-                                let value = vec![v; usize::from(v) % 40];
-                                next.insert((table, vec![key]), value.clone());
-                                batch.put(Table(table), vec![key], value);
+                                let bytes = vec![v; usize::from(v) % 40];
+                                next.insert((table, vec![key]), bytes.clone());
+                                batch.put(Table(table), vec![key], bytes);
                             }
                             None => {
                                 next.remove(&(table, vec![key]));
@@ -151,7 +149,7 @@
 }
 
 #[test]
-fn cut_at_every_byte_of_every_file_it_comes_back_to_a_committed_state() {
+fn truncated_at_any_byte_of_any_file_it_recovers_a_committed_state() {
     let (states, folders) = script();
     let mut cuts = 0;
     for files in &folders {
@@ -171,12 +169,12 @@
                 assert!(whole_batches || !notes.is_empty());
                 // It goes on from there.
                 drop(store);
-                let mut store = open(&sim);
-                store
+                let mut reopened = open(&sim);
+                reopened
                     .write(Batch::default().put(Table(2), b"on".to_vec(), b"x".to_vec()).clone())
                     .expect("written");
-                store.sync().expect("synced");
-                drop(store);
+                reopened.sync().expect("synced");
+                drop(reopened);
                 sim.crash(chance(cut as u64));
                 assert_eq!(open(&sim).view().seq(), seq + 1);
                 cuts += 1;
@@ -187,16 +185,16 @@
 }
 
 #[test]
-fn a_flipped_bit_anywhere_is_an_error_or_a_committed_state_that_is_spoken_of() {
+fn a_flipped_bit_anywhere_is_an_error_or_a_committed_state_with_a_note() {
     let (states, folders) = script();
     let files = folders.last().expect("some");
     let last = *states.keys().max().expect("some");
     let newest = files.keys().filter(|n| n.ends_with(".log")).max().expect("one").clone();
     // Where the batches of the newest generation begin, and the last of them.
-    let bytes = &files[&newest];
-    let (mut ends, generation) = (vec![HEAD], frame::read_head(bytes).expect("a head"));
-    while let Ok((_, length)) = frame::read(generation, &bytes[*ends.last().expect("one")..]) {
-        ends.push(ends.last().expect("one") + length);
+    let newest_bytes = &files[&newest];
+    let (mut ends, generation) = (vec![HEADER_LEN], frame::read_header(newest_bytes).expect("a head"));
+    while let Ok(decoded) = frame::read(generation, &newest_bytes[*ends.last().expect("one")..]) {
+        ends.push(ends.last().expect("one") + decoded.length);
     }
     let synced_before = ends[1]..ends[ends.len() - 2];
     assert!(!synced_before.is_empty());
@@ -217,8 +215,8 @@
                         assert!(seq == last || !notes.is_empty(), "{name} {at}: silence");
                         spoken += usize::from(!notes.is_empty());
                     }
-                    Err(StoreError::Damaged { file, why }) => {
-                        assert_eq!((&file, name), (&newest, &newest), "{why}");
+                    Err(StoreError::Corrupt { file, corruption }) => {
+                        assert_eq!((&file, name), (&newest, &newest), "{corruption}");
                         errors += 1;
                     }
                     Err(e) => panic!("{name} {at}: {e}"),
@@ -230,7 +228,7 @@
 }
 
 #[test]
-fn a_failed_sync_or_write_stops_the_store_for_good() {
+fn a_failed_sync_or_write_stops_the_store() {
     let put = |n: u8| Batch::default().put(Table(0), vec![n], vec![n]).clone();
     let sim = Sim::default();
     let mut store = open(&sim);
@@ -244,13 +242,14 @@
     let view = store.view();
     assert_eq!(view.get(Table(0), &[1]).as_deref(), Some(&[1][..]), "reading goes on");
     drop(store);
-    let mut store = open(&sim);
+    let mut reopened = open(&sim);
     sim.room(10);
-    assert!(store.write(put(3)).is_err() && matches!(store.write(put(4)), Err(StoreError::Stopped(_))));
+    assert!(reopened.write(put(3)).is_err());
+    assert!(matches!(reopened.write(put(4)), Err(StoreError::Stopped(_))));
 }
 
 #[test]
-fn two_do_not_open_one_store_and_views_stay_as_they_were() {
+fn a_store_is_opened_once_at_a_time_and_views_do_not_change() {
     let sim = Sim::default();
     let mut store = open(&sim);
     assert!(matches!(Store::open(sim.clone(), Options::default()), Err(StoreError::Locked)));
@@ -263,15 +262,17 @@
 }
 
 #[test]
-fn a_long_run_of_overwrites_stays_within_its_bound() {
+fn a_long_run_of_overwrites_stays_within_its_size_bound() {
     let sim = Sim::default();
-    let options = Options { slack: 0.25, least: 4096 };
+    let options = Options { max_batches_ratio: 0.25, min_batches_len: 4096 };
     let (mut store, _) = Store::open(sim.clone(), options).expect("a store");
     let live = 200 * 110;
     let mut most = 0;
     for n in 0..20_000u32 {
         let key = (n % 200).to_le_bytes().to_vec();
-        store.write(Batch::default().put(Table(0), key, vec![n as u8; 100]).clone()).expect("written");
+        store
+            .write(Batch::default().put(Table(0), key, vec![n.to_le_bytes()[0]; 100]).clone())
+            .expect("written");
         if store.wants_compaction() {
             store.compact().expect("compacted");
         }
--- a/crates/base/store/tests/model/sim.rs
+++ b/crates/base/store/tests/model/sim.rs
@@ -1,17 +1,16 @@
 //! A file system in memory that loses power: what was not synced is lost in part, in any order.
-#![allow(dead_code)]
 
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use beechloft_store::fs::{Append, Fs};
+use beechloft_store::directory::{AppendFile, Directory};
 
 #[derive(Debug, Clone, Default)]
 struct Inode {
     durable: Vec<u8>,
     now: Vec<u8>,
-    /// Where writes since the last sync begin and end.
+    /// Begin and end of each write since the last sync.
     writes: Vec<(usize, usize)>,
 }
 
@@ -26,17 +25,17 @@
     inodes: Vec<Inode>,
     names: BTreeMap<String, usize>,
     durable: BTreeMap<String, usize>,
-    /// Changes of names since the folder was synced.
+    /// Changes of names since the directory was synced.
     changes: Vec<Change>,
     locked: bool,
     ops: u64,
-    /// The operation that fails, and whether it fails in the middle.
+    /// The number of the operation that fails.
     fails: Option<u64>,
-    /// Bytes that fit.
+    /// Bytes that can still be written.
     room: Option<usize>,
 }
 
-/// The folder; clones are the same one.
+/// The directory; clones are the same one.
 #[derive(Debug, Clone, Default)]
 pub struct Sim(Arc<Mutex<Inner>>);
 
@@ -52,7 +51,7 @@
 pub struct SimFile(Sim, usize);
 
 fn broken() -> io::Error {
-    io::Error::other("told to fail")
+    io::Error::other("injected failure")
 }
 
 impl Inner {
@@ -75,18 +74,18 @@
         self.0.lock().expect("no panic holds it")
     }
 
-    /// The operation of this number from now on fails.
+    /// Makes the n-th operation from now fail.
     pub fn fail(&self, after: u64) {
         let mut inner = self.inner();
         inner.fails = Some(inner.ops + after);
     }
 
-    /// No more than so many bytes fit from now on.
+    /// Limits the number of bytes that can be written from now on.
     pub fn room(&self, bytes: usize) {
         self.inner().room = Some(bytes);
     }
 
-    /// Power goes: `chance` gives any numbers.
+    /// Loses power; `chance` supplies random numbers.
     pub fn crash(&self, mut chance: impl FnMut() -> usize) {
         let mut inner = self.inner();
         let kept = chance() % (inner.changes.len() + 1);
@@ -123,7 +122,7 @@
         inner.names.iter().map(|(n, i)| (n.clone(), inner.inodes[*i].now.clone())).collect()
     }
 
-    /// A folder of these files, all of them lasting.
+    /// A directory of these files, all of them durable.
     pub fn of(files: &BTreeMap<String, Vec<u8>>) -> Sim {
         let sim = Sim::default();
         {
@@ -143,7 +142,7 @@
     }
 }
 
-impl Fs for Sim {
+impl Directory for Sim {
     type File = SimFile;
     type Lock = Lock;
 
@@ -177,10 +176,11 @@
         let mut inner = self.inner();
         inner.op()?;
         let inode = *inner.names.get(name).ok_or(io::ErrorKind::NotFound)?;
-        // Files are cut at openings alone, and synced before anything else.
+        // Files are truncated only when a store is opened, and synced before anything else.
         let file = &mut inner.inodes[inode];
-        file.now.truncate(length as usize);
-        file.durable.truncate(length as usize);
+        let length = usize::try_from(length).expect("files in memory");
+        file.now.truncate(length);
+        file.durable.truncate(length);
         Ok(SimFile(self.clone(), inode))
     }
 
@@ -205,7 +205,7 @@
         Ok(())
     }
 
-    fn sync_folder(&self) -> io::Result<()> {
+    fn sync(&self) -> io::Result<()> {
         let mut inner = self.inner();
         inner.op()?;
         inner.durable = inner.names.clone();
@@ -214,7 +214,7 @@
     }
 }
 
-impl Append for SimFile {
+impl AppendFile for SimFile {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut inner = self.0.inner();
         let failed = inner.op();
--- a/crates/base/store/tests/typed.rs
+++ b/crates/base/store/tests/typed.rs
@@ -1,9 +1,7 @@
-//! Typed tables on a real folder: versions, upgrades, order, and entries beyond reading.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::shadow_unrelated)]
+//! Typed tables on a real directory: versions, upgrades, order, and invalid entries.
 
-use beechloft_store::fs::Disk;
-use beechloft_store::typed::older;
+use beechloft_store::directory::DiskDirectory;
+use beechloft_store::typed::decode_value;
 use beechloft_store::{Batch, Options, Record, Store, StoreError, Table, TypedError};
 use serde::{Deserialize, Serialize};
 
@@ -32,7 +30,7 @@
 
     fn upgrade(version: u8, bytes: &[u8]) -> Option<Self> {
         match version {
-            1 => older::<First>(bytes).map(|First { name }| Second { name, seats: None }),
+            1 => decode_value::<First>(bytes).map(|First { name }| Second { name, seats: None }),
             _ => None,
         }
     }
@@ -43,9 +41,9 @@
 }
 
 #[test]
-fn an_older_version_is_read_and_a_later_one_is_said() {
+fn an_older_version_is_upgraded_and_a_later_one_is_an_error() {
     let folder = tempfile::tempdir().expect("a folder");
-    let disk = || Disk::open(folder.path()).expect("the folder");
+    let disk = || DiskDirectory::open(folder.path()).expect("the folder");
     {
         let (mut store, notes) = Store::open(disk(), Options::default()).expect("a store");
         assert_eq!(notes, []);
@@ -72,15 +70,18 @@
     // The older program says that it is too old for the one, and goes on with the other.
     let newer = TypedError::Newer { table: Table(7), key: "0000000000000002".into(), found: 2, known: 1 };
     assert_eq!(view.record::<First>(&2), Err(newer.clone()));
-    let (records, faults) = view.records::<First>();
-    assert_eq!((records.into_iter().collect::<Vec<_>>(), faults), (vec![(256, first("b"))], vec![newer]));
+    let (first_records, first_errors) = view.records::<First>();
+    assert_eq!(
+        (first_records.into_iter().collect::<Vec<_>>(), first_errors),
+        (vec![(256, first("b"))], vec![newer])
+    );
 }
 
 #[test]
-fn what_is_beyond_reading_is_named_and_keeps_nothing_else_from_use() {
+fn an_invalid_entry_is_named_and_does_not_prevent_use_of_the_rest() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut store, _) =
-        Store::open(Disk::open(folder.path()).expect("it"), Options::default()).expect("a store");
+        Store::open(DiskDirectory::open(folder.path()).expect("it"), Options::default()).expect("a store");
     let mut batch = Batch::default();
     batch.put_record(&1, &first("sound"));
     batch.put(Table(7), 2u64.to_be_bytes(), vec![1, 200]);
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -7,9 +7,9 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use beechloft_store::fs::{Disk, Fs};
+use beechloft_store::directory::{Directory, DiskDirectory};
 use beechloft_store::recovery::{self, Recovered};
-use beechloft_store::{Options, Store, StoreError, Table, generation_of};
+use beechloft_store::{Options, Store, StoreError, Table, generation_of_file};
 use clap::Subcommand;
 
 use crate::fail;
@@ -70,19 +70,19 @@
 impl From<StoreError> for Problem {
     fn from(error: StoreError) -> Self {
         match error {
-            StoreError::Damaged { .. } => Problem::Damaged(error.to_string()),
+            StoreError::Corrupt { .. } => Problem::Damaged(error.to_string()),
             other => Problem::Unread(other.to_string()),
         }
     }
 }
 
 /// The generations of a folder that is there, oldest first. A command that looks never makes one.
-fn generations(folder: &Path) -> Result<(Disk, Vec<(u64, String)>), Problem> {
+fn generations(folder: &Path) -> Result<(DiskDirectory, Vec<(u64, String)>), Problem> {
     if !folder.is_dir() {
         return Err(Problem::Unread(format!("{}: no such folder", folder.display())));
     }
-    let disk = Disk::open(folder)?;
-    let all: Vec<_> = disk.list()?.into_iter().filter_map(|n| Some((generation_of(&n)?, n))).collect();
+    let disk = DiskDirectory::open(folder)?;
+    let all: Vec<_> = disk.list()?.into_iter().filter_map(|n| Some((generation_of_file(&n)?, n))).collect();
     if all.is_empty() {
         return Err(Problem::Unread(format!("{}: no store", folder.display())));
     }
@@ -96,12 +96,12 @@
     for (generation, file) in all {
         let bytes = disk.read(&file)?;
         match recovery::recover(generation, &bytes) {
-            Ok(r) if r.torn > 0 => println!(
+            Ok(r) if r.torn_len > 0 => println!(
                 "{file}: sound up to batch {} with {} keys; offset {}: {} bytes of no whole batch",
                 r.seq,
                 r.state.len(),
-                r.sound,
-                r.torn
+                r.valid_len,
+                r.torn_len
             ),
             Ok(r) => println!("{file}: sound, {} keys, up to batch {}", r.state.len(), r.seq),
             Err(why) => {
--- a/crates/cli/tests/store.rs
+++ b/crates/cli/tests/store.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::process::{Command, Output};
 
-use beechloft_store::fs::Disk;
+use beechloft_store::directory::DiskDirectory;
 use beechloft_store::{Batch, Options, Store, Table};
 
 fn store(args: &[&str], folder: &Path) -> (Option<i32>, String) {
@@ -21,7 +21,8 @@
     let folder = temporary.path().join("store");
     assert_eq!(store(&["check"], &folder).0, Some(2), "no folder is made by looking");
     assert!(!folder.exists());
-    let (mut open, _) = Store::open(Disk::open(&folder).expect("it"), Options::default()).expect("a store");
+    let (mut open, _) =
+        Store::open(DiskDirectory::open(&folder).expect("it"), Options::default()).expect("a store");
     for n in 0..20u8 {
         open.write(Batch::default().put(Table(n % 2), vec![n % 4], vec![n; 50]).clone()).expect("written");
     }
--- a/crates/fleet/coordinator/src/store.rs
+++ b/crates/fleet/coordinator/src/store.rs
@@ -9,8 +9,8 @@
 use beechloft_consensus::{
     Chunk, ChunkName, Disk, Entry, Hard, LogPos, MemberId, Membership, Rope, Save, Snapshot, Stored,
 };
-use beechloft_store::fs::Disk as Folder;
-use beechloft_store::{Batch, Options, Store, StoreError, Table, View, Written};
+use beechloft_store::directory::DiskDirectory as Folder;
+use beechloft_store::{Batch, Options, Store, StoreError, Table, View, WrittenGeneration};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -68,7 +68,7 @@
 }
 
 /// A compaction that is written on a thread of its own.
-type Compacting = JoinHandle<Result<Written<File>, StoreError>>;
+type Compacting = JoinHandle<Result<WrittenGeneration<File>, StoreError>>;
 
 /// A keeper's disk.
 pub struct LogStore {
--- a/crates/fleet/coordinator/tests/store_format.rs
+++ b/crates/fleet/coordinator/tests/store_format.rs
@@ -8,7 +8,7 @@
     Stored, Term,
 };
 use beechloft_coordinator::LogStore;
-use beechloft_store::fs::Disk;
+use beechloft_store::directory::DiskDirectory;
 use beechloft_store::{Batch, Options, Store, Table};
 
 const FIXTURE: &str = include_str!("fixtures/store_format.txt");
@@ -50,8 +50,8 @@
     }
 }
 
-fn open_records(folder: &Path) -> Store<Disk> {
-    Store::open(Disk::open(folder).expect("a folder"), Options::default()).expect("a store").0
+fn open_records(folder: &Path) -> Store<DiskDirectory> {
+    Store::open(DiskDirectory::open(folder).expect("a folder"), Options::default()).expect("a store").0
 }
 
 fn write(folder: &Path, records: impl IntoIterator<Item = (Table, Vec<u8>, Vec<u8>)>) {
