--- a/crates/cli/src/fleet/keep.rs
+++ b/crates/cli/src/fleet/keep.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use beechloft_config::front::LogSettings;
-use beechloft_consensus::MemberId;
+use beechloft_consensus::NodeId;
 use beechloft_coordinator::Keeping;
 use beechloft_coordinator::client::{self};
 use beechloft_coordinator::wire::StatusLine;
@@ -28,7 +28,7 @@
         Ok(set) => set,
         Err(code) => return code,
     };
-    let id = |text: &str| u64::from_str_radix(text, 16).ok().filter(|_| text.len() == 16).map(MemberId);
+    let id = |text: &str| u64::from_str_radix(text, 16).ok().filter(|_| text.len() == 16).map(NodeId);
     let (Some(old_id), Some(new_id)) = (id(old), id(new)) else {
         return fail(2, "an id has 16 hex digits, as `fleet status` says it");
     };
--- a/crates/fleet/consensus/src/election.rs
+++ b/crates/fleet/consensus/src/election.rs
@@ -1,16 +1,16 @@
 //! Pre-votes, votes, and the lead handed over.
 
-use crate::message::Body;
-use crate::outputs::{Hard, Outputs};
-use crate::planted::Fault;
-use crate::raft::{Raft, Role};
-use crate::types::{LogPos, MemberId, Term};
+use crate::fault_injection::Fault;
+use crate::message::MessageBody;
+use crate::outputs::{HardState, PendingOutputs};
+use crate::raft::{Raft, RoleState};
+use crate::types::{LogPosition, NodeId, Term};
 
 impl Raft {
-    fn ask_all(&self, body: &Body, term: Term, out: &mut Outputs) {
+    fn ask_all(&self, body: &MessageBody, term: Term, out: &mut PendingOutputs) {
         for to in self.log.members().1.voters().filter(|id| *id != self.id) {
             let message = crate::message::Message { from: self.id, to, term, body: body.clone() };
-            out.released.messages.push(message);
+            out.ready.messages.push(message);
         }
     }
 
@@ -25,28 +25,39 @@
 
     /// Asks who would vote for it. Guards against a member that was cut off and comes back with a higher term for nothing
     /// (section 9.6).
-    pub(crate) fn pre_vote(&mut self, out: &mut Outputs) {
-        self.role = Role::PreCandidate { yes: [self.id].into() };
+    pub(crate) fn pre_vote(&mut self, out: &mut PendingOutputs) {
+        self.role = RoleState::PreCandidate { yes: [self.id].into() };
         let last = self.log.last();
-        self.ask_all(&Body::PreVote { last }, Term(self.hard.term.0 + 1), out);
+        self.ask_all(&MessageBody::PreVoteRequest { last }, Term(self.hard_state.term.0 + 1), out);
         self.count_pre_votes(out);
     }
 
     /// Whether a log is as up to date as this one.
-    fn up_to_date(&self, last: LogPos) -> bool {
-        last >= self.log.last() || self.planted(Fault::VotesForBehind)
+    fn up_to_date(&self, last: LogPosition) -> bool {
+        last >= self.log.last() || self.has_fault(Fault::VotesForBehind)
     }
 
-    pub(crate) fn pre_voted_for(&mut self, from: MemberId, term: Term, last: LogPos, out: &mut Outputs) {
-        let yes = term > self.hard.term && self.up_to_date(last) && !self.hears_a_leader();
-        let term = if yes { term } else { self.hard.term };
-        let message = crate::message::Message { from: self.id, to: from, term, body: Body::PreVoted(yes) };
-        out.released.messages.push(message);
+    pub(crate) fn pre_voted_for(
+        &mut self,
+        from: NodeId,
+        term: Term,
+        last: LogPosition,
+        out: &mut PendingOutputs,
+    ) {
+        let yes = term > self.hard_state.term && self.up_to_date(last) && !self.hears_a_leader();
+        let term = if yes { term } else { self.hard_state.term };
+        let message = crate::message::Message {
+            from: self.id,
+            to: from,
+            term,
+            body: MessageBody::PreVoteResponse(yes),
+        };
+        out.ready.messages.push(message);
     }
 
-    pub(crate) fn pre_vote_came(&mut self, from: MemberId, term: Term, yes: bool, out: &mut Outputs) {
-        let next = Term(self.hard.term.0 + 1);
-        if let Role::PreCandidate { yes: all } = &mut self.role
+    pub(crate) fn pre_vote_came(&mut self, from: NodeId, term: Term, yes: bool, out: &mut PendingOutputs) {
+        let next = Term(self.hard_state.term.0 + 1);
+        if let RoleState::PreCandidate { yes: all } = &mut self.role
             && yes
             && term == next
         {
@@ -55,8 +66,8 @@
         }
     }
 
-    fn count_pre_votes(&mut self, out: &mut Outputs) {
-        if let Role::PreCandidate { yes } = &self.role
+    fn count_pre_votes(&mut self, out: &mut PendingOutputs) {
+        if let RoleState::PreCandidate { yes } = &self.role
             && self.log.members().1.has_quorum(|id| yes.contains(&id))
         {
             self.stand(false, out);
@@ -64,35 +75,36 @@
     }
 
     /// Asks for votes in a term of its own.
-    fn stand(&mut self, handed_over: bool, out: &mut Outputs) {
-        self.hard = Hard { term: Term(self.hard.term.0 + 1), vote: Some(self.id) };
-        out.save.hard = Some(self.hard);
-        self.role = Role::Candidate { yes: [self.id].into() };
+    fn stand(&mut self, leadership_transfer: bool, out: &mut PendingOutputs) {
+        self.hard_state = HardState { term: Term(self.hard_state.term.0 + 1), vote: Some(self.id) };
+        out.save.hard_state = Some(self.hard_state);
+        self.role = RoleState::Candidate { yes: [self.id].into() };
         self.wait_anew();
         let last = self.log.last();
-        self.ask_all(&Body::Vote { last, handed_over }, self.hard.term, out);
+        self.ask_all(&MessageBody::VoteRequest { last, leadership_transfer }, self.hard_state.term, out);
         self.count_votes(out);
     }
 
-    pub(crate) fn voted_for(&mut self, from: MemberId, last: LogPos, out: &mut Outputs) {
-        let free = self.hard.vote.is_none_or(|v| v == from);
-        let follows = matches!(self.role, Role::Follower { leader: None, .. } | Role::PreCandidate { .. });
-        let yes = free && self.up_to_date(last) && (follows || self.hard.vote == Some(from));
+    pub(crate) fn voted_for(&mut self, from: NodeId, last: LogPosition, out: &mut PendingOutputs) {
+        let free = self.hard_state.vote.is_none_or(|v| v == from);
+        let follows =
+            matches!(self.role, RoleState::Follower { leader: None, .. } | RoleState::PreCandidate { .. });
+        let yes = free && self.up_to_date(last) && (follows || self.hard_state.vote == Some(from));
         if yes {
-            if self.hard.vote.is_none() {
-                self.hard.vote = Some(from);
-                if !self.planted(Fault::VoteUnsaved) {
-                    out.save.hard = Some(self.hard);
+            if self.hard_state.vote.is_none() {
+                self.hard_state.vote = Some(from);
+                if !self.has_fault(Fault::VoteUnsaved) {
+                    out.save.hard_state = Some(self.hard_state);
                 }
             }
             // Whoever it voted for gets the time to win.
             self.wait_anew();
         }
-        self.say(from, Body::Voted(yes), out);
+        self.say(from, MessageBody::VoteResponse(yes), out);
     }
 
-    pub(crate) fn vote_came(&mut self, from: MemberId, yes: bool, out: &mut Outputs) {
-        if let Role::Candidate { yes: all } = &mut self.role
+    pub(crate) fn vote_came(&mut self, from: NodeId, yes: bool, out: &mut PendingOutputs) {
+        if let RoleState::Candidate { yes: all } = &mut self.role
             && yes
         {
             all.insert(from);
@@ -100,8 +112,8 @@
         }
     }
 
-    fn count_votes(&mut self, out: &mut Outputs) {
-        if let Role::Candidate { yes } = &self.role
+    fn count_votes(&mut self, out: &mut PendingOutputs) {
+        if let RoleState::Candidate { yes } = &self.role
             && self.log.members().1.has_quorum(|id| yes.contains(&id))
         {
             self.lead(out);
@@ -109,8 +121,8 @@
     }
 
     /// The leader hands over: asks for votes at once.
-    pub(crate) fn take_over(&mut self, from: MemberId, out: &mut Outputs) {
-        let followed = matches!(&self.role, Role::Follower { leader, .. } if *leader == Some(from));
+    pub(crate) fn take_over(&mut self, from: NodeId, out: &mut PendingOutputs) {
+        let followed = matches!(&self.role, RoleState::Follower { leader, .. } if *leader == Some(from));
         if followed && self.may_stand() {
             self.stand(true, out);
         }
--- a/crates/fleet/consensus/src/follower.rs
+++ b/crates/fleet/consensus/src/follower.rs
@@ -2,23 +2,23 @@
 
 use std::time::Duration;
 
+use crate::fault_injection::Fault;
 use crate::membership::Membership;
-use crate::message::{Body, Verdict};
-use crate::outputs::Outputs;
-use crate::planted::Fault;
-use crate::raft::{Incoming, Raft, Role};
-use crate::rope::Rope;
-use crate::types::{Entry, Index, LogPos, MemberId, Snapshot};
+use crate::message::{AppendResult, MessageBody};
+use crate::outputs::PendingOutputs;
+use crate::raft::{Incoming, Raft, RoleState};
+use crate::rope::SnapshotData;
+use crate::types::{Entry, Index, LogPosition, NodeId, Snapshot};
 
 impl Raft {
     /// A leader of this term speaks; false: it can't be one.
-    fn hears(&mut self, from: MemberId, out: &mut Outputs) -> bool {
-        if self.leads() {
+    fn hears(&mut self, from: NodeId, out: &mut PendingOutputs) -> bool {
+        if self.is_leader() {
             return false;
         }
         match &mut self.role {
-            Role::Follower { leader, .. } => *leader = Some(from),
-            _ => self.follow(self.hard.term, Some(from), out),
+            RoleState::Follower { leader, .. } => *leader = Some(from),
+            _ => self.follow(self.hard_state.term, Some(from), out),
         }
         self.heard_leader = Some(self.now);
         self.wait_anew();
@@ -27,12 +27,12 @@
 
     pub(crate) fn appended(
         &mut self,
-        from: MemberId,
-        prev: LogPos,
+        from: NodeId,
+        prev: LogPosition,
         entries: Vec<Entry>,
         commit: Index,
         round: u64,
-        out: &mut Outputs,
+        out: &mut PendingOutputs,
     ) {
         if !self.hears(from, out) {
             return;
@@ -43,7 +43,7 @@
             return;
         }
         let verdict = match self.differs_before(prev) {
-            Some(hint) => Verdict::Differs(hint),
+            Some(hint) => AppendResult::Conflict(hint),
             None => {
                 let through = Index(prev.index.0 + entries.len() as u64);
                 self.take(entries, out);
@@ -52,16 +52,16 @@
                 if commit <= self.commit {
                     self.current = Some(self.now);
                 }
-                Verdict::Matches(through)
+                AppendResult::Match(through)
             }
         };
-        self.say(from, Body::Appended { verdict, round }, out);
+        self.say(from, MessageBody::AppendEntriesResponse { verdict, round }, out);
     }
 
     /// Where the leader may try next, if the entry before its own is not here.
-    fn differs_before(&self, prev: LogPos) -> Option<Index> {
+    fn differs_before(&self, prev: LogPosition) -> Option<Index> {
         // All up to the commit is the same everywhere.
-        if prev.index <= self.commit || self.planted(Fault::TakesAnyPrevious) {
+        if prev.index <= self.commit || self.has_fault(Fault::TakesAnyPrevious) {
             return None;
         }
         match self.log.term_at(prev.index) {
@@ -79,7 +79,7 @@
     }
 
     /// Takes what is not here yet; what contradicts it goes. An old message must not cut what came after it.
-    fn take(&mut self, entries: Vec<Entry>, out: &mut Outputs) {
+    fn take(&mut self, entries: Vec<Entry>, out: &mut PendingOutputs) {
         for entry in entries {
             if entry.at.index <= self.commit {
                 continue;
@@ -101,22 +101,22 @@
 
     pub(crate) fn installed(
         &mut self,
-        from: MemberId,
-        at: LogPos,
+        from: NodeId,
+        at: LogPosition,
         members: Membership,
         (offset, part, last): (u64, &[u8], bool),
         round: u64,
-        out: &mut Outputs,
+        out: &mut PendingOutputs,
     ) {
         if !self.hears(from, out) {
             return;
         }
         if at.index <= self.commit {
-            let verdict = Verdict::Matches(self.commit);
-            return self.say(from, Body::Appended { verdict, round }, out);
+            let verdict = AppendResult::Match(self.commit);
+            return self.say(from, MessageBody::AppendEntriesResponse { verdict, round }, out);
         }
-        let bound = self.set.snapshot_bytes;
-        let Role::Follower { incoming, .. } = &mut self.role else { return };
+        let bound = self.settings.max_snapshot_bytes;
+        let RoleState::Follower { incoming, .. } = &mut self.role else { return };
         if incoming.as_ref().is_none_or(|i| i.at != at) {
             *incoming = Some(Incoming { at, state: Vec::new() });
         }
@@ -125,29 +125,33 @@
         if offset == have && coming.state.len() + part.len() <= bound {
             coming.state.extend_from_slice(part);
             if last {
-                let state = Rope::of_sent(&std::mem::take(&mut coming.state));
+                let state = SnapshotData::decode(&std::mem::take(&mut coming.state));
                 *incoming = None;
                 let Some(state) = state else {
                     // All of it came and it is no state: it is asked for from its start.
-                    return self.say(from, Body::Installing { at, offset: 0, round }, out);
+                    return self.say(
+                        from,
+                        MessageBody::InstallSnapshotResponse { at, offset: 0, round },
+                        out,
+                    );
                 };
                 self.replace(Snapshot { at, members, state }, out);
-                let verdict = Verdict::Matches(self.commit);
-                return self.say(from, Body::Appended { verdict, round }, out);
+                let verdict = AppendResult::Match(self.commit);
+                return self.say(from, MessageBody::AppendEntriesResponse { verdict, round }, out);
             }
         }
         // Said again for a part that came twice or too early, so that the leader goes on from here.
         let offset = coming.state.len() as u64;
-        self.say(from, Body::Installing { at, offset, round }, out);
+        self.say(from, MessageBody::InstallSnapshotResponse { at, offset, round }, out);
     }
 
-    fn replace(&mut self, snapshot: Snapshot, out: &mut Outputs) {
+    fn replace(&mut self, snapshot: Snapshot, out: &mut PendingOutputs) {
         out.save.snapshot = Some(snapshot.clone());
-        out.save.drop_through = Some(snapshot.at.index);
+        out.save.compact_through = Some(snapshot.at.index);
         out.save.entries.retain(|e| e.at.index > snapshot.at.index);
         self.commit = snapshot.at.index;
-        out.released.committed.clear();
-        out.released.restored = Some(snapshot.clone());
+        out.ready.committed_entries.clear();
+        out.ready.installed_snapshot = Some(snapshot.clone());
         if !self.log.install(snapshot) {
             let from = self.commit.next();
             out.save.cut(from);
@@ -157,9 +161,9 @@
     /// For how long it may not have had all that was committed, by its own clock: since it last had all that a leader told it was.
     /// A leader's signs of life alone do not count: one that is heard by nobody goes on hearing them, and gets no entries. A
     /// leader has all; one that is cut off from all others thinks itself one for twice an election's time at most.
-    pub fn stale(&self) -> Duration {
+    pub fn staleness(&self) -> Duration {
         match self.role {
-            Role::Leader(_) => Duration::ZERO,
+            RoleState::Leader(_) => Duration::ZERO,
             _ => self.current.map_or(Duration::MAX, |t| self.now.saturating_sub(t)),
         }
     }
--- a/crates/fleet/consensus/src/ids.rs
+++ b/crates/fleet/consensus/src/ids.rs
@@ -14,16 +14,16 @@
 
 number! {
     /// A member, by the id that was drawn with its folder.
-    MemberId,
+    NodeId,
     /// A term: at most one leader each.
     Term,
     /// A place in the log; the first entry is at 1.
     Index,
     /// Names a proposal, a read or a change to whoever made it.
-    Ticket,
+    RequestId,
 }
 
-impl fmt::Display for MemberId {
+impl fmt::Display for NodeId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
@@ -43,7 +43,7 @@
 
 /// An entry's place and term. Of two logs the one whose last is greater is the more up to date (section 5.4.1).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
-pub struct LogPos {
+pub struct LogPosition {
     /// The term in which it was made.
     pub term: Term,
     /// Its place.
--- a/crates/fleet/consensus/src/leader.rs
+++ b/crates/fleet/consensus/src/leader.rs
@@ -4,19 +4,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::membership::{Change, ChangeError, Membership};
-use crate::message::{Body, Message, Verdict};
-use crate::outputs::Outputs;
-use crate::planted::Fault;
+use crate::fault_injection::Fault;
+use crate::membership::{Membership, MembershipChange, MembershipChangeError};
+use crate::message::{AppendResult, Message, MessageBody};
+use crate::outputs::PendingOutputs;
 use crate::progress::{Flow, Progress};
-use crate::raft::{Leading, Raft, Role, WaitingRead};
-use crate::types::{Index, LogPos, MemberId, Payload, Refused, Settings, Ticket};
+use crate::raft::{Leading, Raft, RoleState, WaitingRead};
+use crate::types::{Index, LogPosition, NodeId, Payload, RequestError, RequestId, Settings};
 
 impl Raft {
     /// Leads from now on. The first entry is empty: what earlier terms left can be committed with one of this term alone
     /// (section 5.4.2).
-    pub(crate) fn lead(&mut self, out: &mut Outputs) {
-        self.role = Role::Leader(Leading {
+    pub(crate) fn lead(&mut self, out: &mut PendingOutputs) {
+        self.role = RoleState::Leader(Leading {
             others: BTreeMap::new(),
             round: 0,
             beat_at: self.now,
@@ -26,7 +26,7 @@
         });
         let next = self.log.last().index.next();
         self.meet(next);
-        self.append(Payload::Nothing, out);
+        self.append(Payload::Noop, out);
         self.beat(out);
         self.count(out);
     }
@@ -35,7 +35,7 @@
     fn meet(&mut self, next: Index) {
         let (_, members) = self.log.members();
         let (me, now) = (self.id, self.now);
-        let Role::Leader(l) = &mut self.role else { return };
+        let RoleState::Leader(l) = &mut self.role else { return };
         l.others.retain(|id, _| members.get(*id).is_some());
         for (id, _) in members.iter().filter(|(id, _)| *id != me) {
             l.others.entry(id).or_insert_with(|| Progress::new(next, now));
@@ -48,14 +48,16 @@
         self.log.members().1.has_quorum(|id| id == self.id || heard(id))
     }
 
-    pub(crate) fn lead_on(&mut self, out: &mut Outputs) {
-        let Role::Leader(l) = &self.role else { return };
+    pub(crate) fn lead_on(&mut self, out: &mut PendingOutputs) {
+        let RoleState::Leader(l) = &self.role else { return };
         // Guards against a leader that is cut off and goes on taking what it can never commit (section 6.2).
-        if !self.heard_by_quorum(l, self.set.election * 2) && self.now >= l.since + self.set.election * 2 {
-            return self.follow(self.hard.term, None, out);
+        if !self.heard_by_quorum(l, self.settings.election_timeout * 2)
+            && self.now >= l.since + self.settings.election_timeout * 2
+        {
+            return self.follow(self.hard_state.term, None, out);
         }
         let now = self.now;
-        let Role::Leader(l) = &mut self.role else { return };
+        let RoleState::Leader(l) = &mut self.role else { return };
         if l.heir.is_some_and(|h| now >= h.1) {
             l.heir = None;
         }
@@ -65,14 +67,14 @@
     }
 
     /// A round: all are told something, and what is lost is found out.
-    fn beat(&mut self, out: &mut Outputs) {
-        let (now, every) = (self.now, self.set.heartbeat);
-        let Role::Leader(l) = &mut self.role else { return };
+    fn beat(&mut self, out: &mut PendingOutputs) {
+        let (now, every) = (self.now, self.settings.heartbeat_interval);
+        let RoleState::Leader(l) = &mut self.role else { return };
         l.round += 1;
         l.beat_at = now + every;
-        let all: Vec<MemberId> = l.others.keys().copied().collect();
+        let all: Vec<NodeId> = l.others.keys().copied().collect();
         for id in all {
-            if let Role::Leader(l) = &mut self.role
+            if let RoleState::Leader(l) = &mut self.role
                 && let Some(p) = l.others.get_mut(&id)
             {
                 // What was on its way and brought no word for two rounds is lost, or its answer is: it goes again.
@@ -93,8 +95,8 @@
     }
 
     /// A sign of life without entries.
-    fn sign(&self, to: MemberId, out: &mut Outputs) {
-        let Role::Leader(l) = &self.role else { return };
+    fn sign(&self, to: NodeId, out: &mut PendingOutputs) {
+        let RoleState::Leader(l) = &self.role else { return };
         let Some(p) = l.others.get(&to) else { return };
         // Behind all that went there: if the last of it was lost, the answer tells.
         let index = match &p.flow {
@@ -102,13 +104,13 @@
             Flow::Stream(_) | Flow::Probe { .. } => p.next.before(),
         };
         let Some(term) = self.log.term_at(index) else { return };
-        let prev = LogPos { term, index };
+        let prev = LogPosition { term, index };
         let commit = self.commit;
-        self.say(to, Body::Append { prev, entries: Vec::new(), commit, round: l.round }, out);
+        self.say(to, MessageBody::AppendEntries { prev, entries: Vec::new(), commit, round: l.round }, out);
     }
 
     /// Sends a member what it lacks, as far as its window goes; whether anything went.
-    fn send(&mut self, to: MemberId, out: &mut Outputs) -> bool {
+    fn send(&mut self, to: NodeId, out: &mut PendingOutputs) -> bool {
         let mut any = false;
         while self.send_one(to, out) {
             any = true;
@@ -116,13 +118,13 @@
         any
     }
 
-    fn send_one(&mut self, to: MemberId, out: &mut Outputs) -> bool {
-        let Settings { window, message_bytes, chunk_bytes, .. } = self.set;
-        let (me, now, term, commit) = (self.id, self.now, self.hard.term, self.commit);
+    fn send_one(&mut self, to: NodeId, out: &mut PendingOutputs) -> bool {
+        let Settings { max_in_flight, max_message_bytes, snapshot_chunk_bytes, .. } = self.settings;
+        let (me, now, term, commit) = (self.id, self.now, self.hard_state.term, self.commit);
         let last = self.log.last().index;
-        let Role::Leader(l) = &mut self.role else { return false };
+        let RoleState::Leader(l) = &mut self.role else { return false };
         let round = l.round;
-        let Some(p) = l.others.get_mut(&to).filter(|p| p.may_send(window)) else { return false };
+        let Some(p) = l.others.get_mut(&to).filter(|p| p.may_send(max_in_flight)) else { return false };
         let prev = p.next.before();
         let known = self.log.term_at(prev).filter(|_| p.next >= self.log.first());
         if known.is_none() && !matches!(p.flow, Flow::Snapshot { .. }) {
@@ -136,11 +138,11 @@
                     // A newer one was taken meanwhile: from its start.
                     (*at, *offset) = (s.at, 0);
                 }
-                let length = s.state.sent_length();
+                let length = s.state.encoded_len();
                 let from = usize::try_from(*offset).unwrap_or(usize::MAX).min(length);
-                let part = s.state.sent_part(from, chunk_bytes);
+                let part = s.state.encoded_range(from, snapshot_chunk_bytes);
                 *sent = Some(now);
-                Body::Install {
+                MessageBody::InstallSnapshot {
                     at: s.at,
                     members: s.members.clone(),
                     offset: from as u64,
@@ -155,7 +157,7 @@
                 }
                 let entries = match flow {
                     Flow::Stream(on_way) => {
-                        let entries = self.log.from(p.next, message_bytes);
+                        let entries = self.log.from(p.next, max_message_bytes);
                         let through = entries.last().map_or(prev, |e| e.at.index);
                         on_way.push_back(through);
                         p.next = through.next();
@@ -168,39 +170,50 @@
                     }
                     Flow::Snapshot { .. } => Vec::new(),
                 };
-                Body::Append { prev: LogPos { term: before, index: prev }, entries, commit, round }
+                MessageBody::AppendEntries {
+                    prev: LogPosition { term: before, index: prev },
+                    entries,
+                    commit,
+                    round,
+                }
             }
             (_, None) => return false,
         };
-        out.released.messages.push(Message { from: me, to, term, body });
+        out.ready.messages.push(Message { from: me, to, term, body });
         true
     }
 
-    fn send_all(&mut self, out: &mut Outputs) {
-        let Role::Leader(l) = &self.role else { return };
-        let all: Vec<MemberId> = l.others.keys().copied().collect();
+    fn send_all(&mut self, out: &mut PendingOutputs) {
+        let RoleState::Leader(l) = &self.role else { return };
+        let all: Vec<NodeId> = l.others.keys().copied().collect();
         for id in all {
             self.send(id, out);
         }
     }
 
     /// Notes that a member was heard, and of which round; its record.
-    fn heard_from(&mut self, from: MemberId, round: u64) -> Option<&mut Progress> {
+    fn heard_from(&mut self, from: NodeId, round: u64) -> Option<&mut Progress> {
         let now = self.now;
-        let Role::Leader(l) = &mut self.role else { return None };
+        let RoleState::Leader(l) = &mut self.role else { return None };
         let p = l.others.get_mut(&from)?;
         (p.heard, p.round) = (now, p.round.max(round.min(l.round)));
         Some(p)
     }
 
-    pub(crate) fn appended_there(&mut self, from: MemberId, verdict: Verdict, round: u64, out: &mut Outputs) {
+    pub(crate) fn appended_there(
+        &mut self,
+        from: NodeId,
+        verdict: AppendResult,
+        round: u64,
+        out: &mut PendingOutputs,
+    ) {
         let last = self.log.last().index;
         let Some(p) = self.heard_from(from, round) else { return };
         match verdict {
             // No member can have more of this leader's log than there is.
-            Verdict::Matches(index) if index <= last => p.matches(index),
-            Verdict::Matches(_) => return,
-            Verdict::Differs(hint) => p.differs(hint),
+            AppendResult::Match(index) if index <= last => p.matches(index),
+            AppendResult::Match(_) => return,
+            AppendResult::Conflict(hint) => p.differs(hint),
         }
         self.count(out);
         self.reads_confirmed(out);
@@ -210,11 +223,11 @@
 
     pub(crate) fn installing_there(
         &mut self,
-        from: MemberId,
-        of: LogPos,
+        from: NodeId,
+        of: LogPosition,
         so_far: u64,
         round: u64,
-        out: &mut Outputs,
+        out: &mut PendingOutputs,
     ) {
         let Some(p) = self.heard_from(from, round) else { return };
         if let Flow::Snapshot { at, offset, sent } = &mut p.flow
@@ -227,21 +240,21 @@
     }
 
     /// Commits what a majority has, if it is of this term. The leader's own log counts: it lasts before any of this goes out.
-    fn count(&mut self, out: &mut Outputs) {
-        let Role::Leader(l) = &self.role else { return };
+    fn count(&mut self, out: &mut PendingOutputs) {
+        let RoleState::Leader(l) = &self.role else { return };
         let (_, members) = self.log.members();
         let last = self.log.last().index;
         let matched =
             |id| if id == self.id { last } else { l.others.get(&id).map_or(Index(0), |p| p.matched) };
-        let reached = if self.planted(Fault::LearnerCounts) {
+        let reached = if self.has_fault(Fault::LearnerCounts) {
             let mut all: Vec<Index> = members.iter().map(|(id, _)| matched(id)).collect();
             all.sort_unstable_by(|a, b| b.cmp(a));
             all.get(members.quorum() - 1).copied().unwrap_or_default()
         } else {
             members.reached(matched)
         };
-        let own = self.log.term_at(reached) == Some(self.hard.term);
-        if reached > self.commit && (own || self.planted(Fault::CommitsOlderTerm)) {
+        let own = self.log.term_at(reached) == Some(self.hard_state.term);
+        if reached > self.commit && (own || self.has_fault(Fault::CommitsOlderTerm)) {
             self.commit_to(reached, out);
             self.reads_begun();
             self.reads_confirmed(out);
@@ -249,23 +262,27 @@
             let (place, members) = self.log.members();
             if place <= self.commit && !members.votes(self.id) {
                 self.beat(out);
-                self.follow(self.hard.term, None, out);
+                self.follow(self.hard_state.term, None, out);
             }
         }
     }
 
     /// Whether it has committed an entry of its own term, so that it knows what is committed.
     fn knows_commit(&self) -> bool {
-        self.log.term_at(self.commit) == Some(self.hard.term)
+        self.log.term_at(self.commit) == Some(self.hard_state.term)
     }
 
-    pub(crate) fn propose(&mut self, command: Arc<[u8]>, out: &mut Outputs) -> Result<LogPos, Refused> {
+    pub(crate) fn propose(
+        &mut self,
+        command: Arc<[u8]>,
+        out: &mut PendingOutputs,
+    ) -> Result<LogPosition, RequestError> {
         self.may_take()?;
-        if command.len() > self.set.proposal_bytes {
-            return Err(Refused::TooLong);
+        if command.len() > self.settings.max_proposal_bytes {
+            return Err(RequestError::ProposalTooLarge);
         }
-        if self.log.bytes_after(self.commit) + command.len() > self.set.uncommitted_bytes {
-            return Err(Refused::Busy);
+        if self.log.bytes_after(self.commit) + command.len() > self.settings.max_uncommitted_bytes {
+            return Err(RequestError::Busy);
         }
         let at = self.append(Payload::Command(command), out);
         self.count(out);
@@ -273,42 +290,46 @@
         Ok(at)
     }
 
-    fn may_take(&self) -> Result<(), Refused> {
+    fn may_take(&self) -> Result<(), RequestError> {
         match &self.role {
-            Role::Leader(l) if l.heir.is_some() => Err(Refused::Busy),
-            Role::Leader(_) => Ok(()),
-            Role::Follower { leader, .. } => Err(Refused::NotLeader(*leader)),
-            _ => Err(Refused::NotLeader(None)),
+            RoleState::Leader(l) if l.heir.is_some() => Err(RequestError::Busy),
+            RoleState::Leader(_) => Ok(()),
+            RoleState::Follower { leader, .. } => Err(RequestError::NotLeader(*leader)),
+            _ => Err(RequestError::NotLeader(None)),
         }
     }
 
-    pub(crate) fn change(&mut self, change: &Change, out: &mut Outputs) -> Result<LogPos, Refused> {
+    pub(crate) fn change(
+        &mut self,
+        change: &MembershipChange,
+        out: &mut PendingOutputs,
+    ) -> Result<LogPosition, RequestError> {
         self.may_take()?;
         let (place, members) = self.log.members();
         let to = members.changed(change)?;
         let free = place <= self.commit && self.knows_commit();
-        if !free && !self.planted(Fault::ChangesTogether) {
-            return Err(ChangeError::UnderWay.into());
+        if !free && !self.has_fault(Fault::ChangesTogether) {
+            return Err(MembershipChangeError::ChangeInProgress.into());
         }
-        if let Change::Promote(id) = change {
+        if let MembershipChange::Promote(id) = change {
             self.caught_up(*id)?;
         }
         Ok(self.change_to(to, out))
     }
 
     /// Guards against a voter that counts for the quorum and is minutes behind: nothing would be committed meanwhile.
-    fn caught_up(&self, id: MemberId) -> Result<(), ChangeError> {
-        let Role::Leader(l) = &self.role else { return Err(ChangeError::UnderWay) };
+    fn caught_up(&self, id: NodeId) -> Result<(), MembershipChangeError> {
+        let RoleState::Leader(l) = &self.role else { return Err(MembershipChangeError::ChangeInProgress) };
         match l.others.get(&id) {
             Some(p) if p.matched >= self.commit => Ok(()),
-            Some(_) => Err(ChangeError::Behind(id)),
-            None => Err(ChangeError::Unknown(id)),
+            Some(_) => Err(MembershipChangeError::NotCaughtUp(id)),
+            None => Err(MembershipChangeError::NotMember(id)),
         }
     }
 
-    fn change_to(&mut self, to: Membership, out: &mut Outputs) -> LogPos {
+    fn change_to(&mut self, to: Membership, out: &mut PendingOutputs) -> LogPosition {
         // In force as soon as it is in the log (section 4.1).
-        let at = self.append(Payload::Members(to), out);
+        let at = self.append(Payload::Membership(to), out);
         let first = self.log.first();
         self.meet(first);
         self.count(out);
@@ -316,21 +337,21 @@
         at
     }
 
-    pub(crate) fn read(&mut self, ticket: Ticket, out: &mut Outputs) {
+    pub(crate) fn read(&mut self, ticket: RequestId, out: &mut PendingOutputs) {
         let index = self.knows_commit().then_some(self.commit);
-        let most = self.set.reads;
+        let most = self.settings.max_pending_reads;
         let refused = match &mut self.role {
-            Role::Leader(l) if l.reads.len() >= most => Err(Refused::Busy),
-            Role::Leader(l) => {
+            RoleState::Leader(l) if l.reads.len() >= most => Err(RequestError::Busy),
+            RoleState::Leader(l) => {
                 // A round that begins now: what was heard before proves nothing of now.
                 l.reads.push_back(WaitingRead { ticket, round: l.round + 1, index });
                 Ok(())
             }
-            Role::Follower { leader, .. } => Err(Refused::NotLeader(*leader)),
-            _ => Err(Refused::NotLeader(None)),
+            RoleState::Follower { leader, .. } => Err(RequestError::NotLeader(*leader)),
+            _ => Err(RequestError::NotLeader(None)),
         };
         match refused {
-            Err(why) => out.released.reads.push((ticket, Err(why))),
+            Err(why) => out.ready.reads.push((ticket, Err(why))),
             Ok(()) => {
                 self.beat(out);
                 self.reads_confirmed(out);
@@ -341,30 +362,30 @@
     /// Reads that came before the leader knew what is committed: now it does.
     fn reads_begun(&mut self) {
         let (knows, commit) = (self.knows_commit(), self.commit);
-        if let Role::Leader(l) = &mut self.role {
+        if let RoleState::Leader(l) = &mut self.role {
             l.reads.iter_mut().filter(|r| knows && r.index.is_none()).for_each(|r| r.index = Some(commit));
         }
     }
 
     /// Answers reads whose round a majority has heard: it led when they came (section 6.4).
-    fn reads_confirmed(&mut self, out: &mut Outputs) {
-        let unconfirmed = self.planted(Fault::ReadsUnconfirmed);
+    fn reads_confirmed(&mut self, out: &mut PendingOutputs) {
+        let unconfirmed = self.has_fault(Fault::ReadsUnconfirmed);
         let (_, members) = self.log.members();
         let me = self.id;
-        let Role::Leader(l) = &mut self.role else { return };
+        let RoleState::Leader(l) = &mut self.role else { return };
         let (own, others) = (l.round, &l.others);
         let heard = members.reached(|id| if id == me { own } else { others.get(&id).map_or(0, |p| p.round) });
         while let Some(r) = l.reads.front().filter(|r| (r.round <= heard || unconfirmed) && r.index.is_some())
         {
-            out.released.reads.push((r.ticket, Ok(())));
+            out.ready.reads.push((r.ticket, Ok(())));
             l.reads.pop_front();
         }
     }
 
-    pub(crate) fn hand_over(&mut self, to: MemberId, out: &mut Outputs) {
-        let until = self.now + self.set.election;
+    pub(crate) fn hand_over(&mut self, to: NodeId, out: &mut PendingOutputs) {
+        let until = self.now + self.settings.election_timeout;
         let fit = to != self.id && self.log.members().1.votes(to);
-        if let Role::Leader(l) = &mut self.role
+        if let RoleState::Leader(l) = &mut self.role
             && fit
         {
             l.heir = Some((to, until));
@@ -374,13 +395,13 @@
     }
 
     /// The heir has all there is: it may ask for votes.
-    fn heir_ready(&mut self, out: &mut Outputs) {
+    fn heir_ready(&mut self, out: &mut PendingOutputs) {
         let last = self.log.last().index;
-        let Role::Leader(l) = &self.role else { return };
+        let RoleState::Leader(l) = &self.role else { return };
         if let Some((to, _)) = l.heir
             && l.others.get(&to).is_some_and(|p| p.matched == last)
         {
-            self.say(to, Body::TakeOver, out);
+            self.say(to, MessageBody::TimeoutNow, out);
         }
     }
 }
--- a/crates/fleet/consensus/src/lib.rs
+++ b/crates/fleet/consensus/src/lib.rs
@@ -1,5 +1,5 @@
 //! A replicated log as a state machine without I/O: [`Raft::handle`] takes the time and an input and adds to
-//! [`Outputs`]. No sockets, no clock, no threads, no files.
+//! [`PendingOutputs`]. No sockets, no clock, no threads, no files.
 //!
 //! From Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (USENIX ATC 2014), and Ongaro's
 //! dissertation "Consensus: Bridging Theory and Practice" (Stanford 2014), in our own words: elections with a pre-vote (9.6)
@@ -8,7 +8,7 @@
 //! (5), linearizable reads without a log write (6.4).
 //!
 //! What must last before anything that depends on it goes out is so by type: messages, committed entries and answers lie in
-//! [`Outputs`] and come out of [`Outputs::commit`] alone, which has the [`Disk`] take the [`Save`] first.
+//! [`PendingOutputs`] and come out of [`PendingOutputs::commit`] alone, which has the [`Storage`] take the [`StateUpdate`] first.
 //!
 //! A member is a disk, not an address: its id is drawn with its folder, and one whose disk is lost never comes back under
 //! its old id. It joins as a new member, and the lost one is removed.
@@ -17,6 +17,7 @@
 #![forbid(unsafe_code)]
 
 mod election;
+mod fault_injection;
 mod follower;
 mod ids;
 mod leader;
@@ -24,17 +25,18 @@
 mod membership;
 mod message;
 mod outputs;
-mod planted;
 mod progress;
 mod raft;
 mod rope;
 mod types;
 
-pub use log::Stored;
-pub use membership::{Change, ChangeError, Member, Membership};
-pub use message::{Body, Message, Verdict};
-pub use outputs::{Disk, Hard, Outputs, Reads, Released, Save};
-pub use planted::Fault;
-pub use raft::{Input, Raft, RoleName, Status};
-pub use rope::{Chunk, ChunkName, MOST_CHUNK, MOST_CHUNKS, Rope};
-pub use types::{Entry, Index, LogPos, MemberId, Payload, Refused, Settings, Snapshot, Term, Ticket};
+pub use fault_injection::Fault;
+pub use log::PersistentState;
+pub use membership::{Member, Membership, MembershipChange, MembershipChangeError};
+pub use message::{AppendResult, Message, MessageBody};
+pub use outputs::{HardState, PendingOutputs, Reads, Ready, StateUpdate, Storage};
+pub use raft::{Input, Raft, Role, Status};
+pub use rope::{Chunk, ChunkId, MAX_CHUNK_BYTES, MAX_CHUNKS, SnapshotData};
+pub use types::{
+    Entry, Index, LogPosition, NodeId, Payload, RequestError, RequestId, Settings, Snapshot, Term,
+};
--- a/crates/fleet/consensus/src/log.rs
+++ b/crates/fleet/consensus/src/log.rs
@@ -3,40 +3,40 @@
 use std::collections::VecDeque;
 
 use crate::membership::Membership;
-use crate::outputs::{Hard, Save};
-use crate::rope::Rope;
-use crate::types::{Entry, Index, LogPos, Payload, Snapshot, Term};
+use crate::outputs::{HardState, StateUpdate};
+use crate::rope::SnapshotData;
+use crate::types::{Entry, Index, LogPosition, Payload, Snapshot, Term};
 
 /// What a member's disk holds.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Stored {
+pub struct PersistentState {
     /// Term and vote.
-    pub hard: Hard,
+    pub hard_state: HardState,
     /// The snapshot. A member begins with one at place 0 that names the first members, or without any and learns them.
     pub snapshot: Option<Snapshot>,
     /// Entries, in order.
     pub entries: Vec<Entry>,
 }
 
-impl Stored {
+impl PersistentState {
     /// The start of one of the first members.
-    pub fn first(members: Membership) -> Stored {
-        let snapshot = Snapshot { at: LogPos::default(), members, state: Rope::default() };
-        Stored { snapshot: Some(snapshot), ..Stored::default() }
+    pub fn first(members: Membership) -> PersistentState {
+        let snapshot = Snapshot { at: LogPosition::default(), members, state: SnapshotData::default() };
+        PersistentState { snapshot: Some(snapshot), ..PersistentState::default() }
     }
 
     /// Takes a save, as a disk that keeps it all in memory would.
-    pub fn apply(&mut self, save: &Save) {
-        if let Some(hard) = save.hard {
-            self.hard = hard;
+    pub fn apply(&mut self, save: &StateUpdate) {
+        if let Some(hard) = save.hard_state {
+            self.hard_state = hard;
         }
         if let Some(snapshot) = &save.snapshot {
             self.snapshot = Some(snapshot.clone());
         }
-        if let Some(through) = save.drop_through {
+        if let Some(through) = save.compact_through {
             self.entries.retain(|e| e.at.index > through);
         }
-        if let Some(from) = save.cut_from {
+        if let Some(from) = save.truncate_from {
             self.entries.retain(|e| e.at.index < from);
         }
         self.entries.extend(save.entries.iter().cloned());
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Log {
     /// The last entry that is not here any more.
-    base: LogPos,
+    base: LogPosition,
     entries: VecDeque<Entry>,
     /// Of each entry, the bytes of all up to it that ever were here; and of those that are not any more. So that bytes past a
     /// place are known without counting, as each proposal asks for them.
@@ -65,7 +65,7 @@
 }
 
 impl Log {
-    pub fn restore(stored: Stored) -> Log {
+    pub fn restore(stored: PersistentState) -> Log {
         let at = stored.snapshot.as_ref().map(|s| s.at).unwrap_or_default();
         let mut log = Log {
             base: at,
@@ -80,7 +80,7 @@
             && first.at.index <= at.index
         {
             // The term of what came before is not known any more; nobody is sent entries from there.
-            log.base = LogPos { term: Term(0), index: first.at.index.before() };
+            log.base = LogPosition { term: Term(0), index: first.at.index.before() };
         }
         for entry in stored.entries {
             if entry.at.index == log.last().index.next() {
@@ -91,7 +91,7 @@
     }
 
     pub fn push(&mut self, entry: Entry) {
-        if let Payload::Members(m) = &entry.payload {
+        if let Payload::Membership(m) = &entry.payload {
             self.members.push_back((entry.at.index, m.clone()));
         }
         self.sums.push_back(self.sum() + entry.size());
@@ -108,7 +108,7 @@
         self.gone = self.sums.pop_front().unwrap_or(self.gone);
     }
 
-    pub fn last(&self) -> LogPos {
+    pub fn last(&self) -> LogPosition {
         self.entries.back().map_or(self.base, |e| e.at)
     }
 
@@ -197,7 +197,7 @@
         while self.entries.front().is_some_and(|e| e.at.index <= through) {
             self.pop_front();
         }
-        self.base = LogPos { term, index: through };
+        self.base = LogPosition { term, index: through };
         self.members.retain(|m| m.0 > snapshot.at.index);
         self.snapshot = Some(snapshot);
         through
--- a/crates/fleet/consensus/src/message.rs
+++ b/crates/fleet/consensus/src/message.rs
@@ -5,53 +5,53 @@
 use serde::{Deserialize, Serialize};
 
 use crate::membership::Membership;
-use crate::types::{Entry, Index, LogPos, MemberId, Term};
+use crate::types::{Entry, Index, LogPosition, NodeId, Term};
 
 /// A message.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Message {
     /// Who says it.
-    pub from: MemberId,
+    pub from: NodeId,
     /// To whom.
-    pub to: MemberId,
+    pub to: NodeId,
     /// The sender's term; for a pre-vote and its consent, the term that would begin.
     pub term: Term,
     /// What it says.
-    pub body: Body,
+    pub body: MessageBody,
 }
 
 /// What became of a message with entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum AppendResult {
     /// The log is the leader's up to here, and lasts.
-    Matches(Index),
+    Match(Index),
     /// It is not at the place before the entries; the leader may try at this one.
-    Differs(Index),
+    Conflict(Index),
 }
 
 /// What a message says.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Body {
+pub enum MessageBody {
     /// Would you vote for me? Changes nothing at who asks, nor at who answers.
-    PreVote {
+    PreVoteRequest {
         /// The last entry of who asks.
-        last: LogPos,
+        last: LogPosition,
     },
     /// I would, or not.
-    PreVoted(bool),
+    PreVoteResponse(bool),
     /// Vote for me.
-    Vote {
+    VoteRequest {
         /// The last entry of who asks.
-        last: LogPos,
+        last: LogPosition,
         /// A leader has handed over to who asks: a leader heard of lately is no reason against it.
-        handed_over: bool,
+        leadership_transfer: bool,
     },
     /// You have my vote, or not.
-    Voted(bool),
+    VoteResponse(bool),
     /// A leader's entries, or none as a sign of life.
-    Append {
+    AppendEntries {
         /// The entry before them.
-        prev: LogPos,
+        prev: LogPosition,
         /// The entries, in order.
         entries: Vec<Entry>,
         /// The leader has committed up to here.
@@ -60,16 +60,16 @@
         round: u64,
     },
     /// What became of that.
-    Appended {
+    AppendEntriesResponse {
         /// Which.
-        verdict: Verdict,
+        verdict: AppendResult,
         /// The round as it came.
         round: u64,
     },
     /// A part of a snapshot.
-    Install {
+    InstallSnapshot {
         /// The snapshot's last entry.
-        at: LogPos,
+        at: LogPosition,
         /// Its members.
         members: Membership,
         /// Where the part begins.
@@ -82,14 +82,14 @@
         round: u64,
     },
     /// So much of a snapshot is there.
-    Installing {
+    InstallSnapshotResponse {
         /// Which snapshot.
-        at: LogPos,
+        at: LogPosition,
         /// Bytes of it so far.
         offset: u64,
         /// The round as it came.
         round: u64,
     },
     /// Ask for votes at once: the lead is handed over.
-    TakeOver,
+    TimeoutNow,
 }
--- a/crates/fleet/consensus/src/progress.rs
+++ b/crates/fleet/consensus/src/progress.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::types::{Index, LogPos};
+use crate::types::{Index, LogPosition};
 
 /// How entries go to a member. Guards against a slow member, which gets a bounded window and holds up nobody.
 #[derive(Debug, Clone, Hash, PartialEq, Eq)]
@@ -18,7 +18,7 @@
     /// It gets a snapshot, a part at a time.
     Snapshot {
         /// Which.
-        at: LogPos,
+        at: LogPosition,
         /// How much of it is there.
         offset: u64,
         /// When the part was sent that is on its way.
--- a/crates/fleet/consensus/tests/encoding.rs
+++ b/crates/fleet/consensus/tests/encoding.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use beechloft_consensus::{
-    Body, Change, Chunk, ChunkName, Entry, Index, LogPos, MemberId, Membership, Message, Payload, Rope, Term,
-    Verdict,
+    AppendResult, Chunk, ChunkId, Entry, Index, LogPosition, Membership, MembershipChange, Message,
+    MessageBody, NodeId, Payload, SnapshotData, Term,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -40,35 +40,37 @@
     assert_eq!(&read, value, "{name} is read otherwise");
 }
 
-fn position(term: u64, index: u64) -> LogPos {
-    LogPos { term: Term(term), index: Index(index) }
+fn position(term: u64, index: u64) -> LogPosition {
+    LogPosition { term: Term(term), index: Index(index) }
 }
 
 /// Two voters and a learner.
 fn membership() -> Membership {
-    let voters = [(MemberId(0x1122_3344_5566_7788), "10.0.0.1:7000".into()), (MemberId(2), "b:1".into())];
-    Membership::of(voters).changed(&Change::Learn(MemberId(3), "c:2".into())).expect("a valid change")
+    let voters = [(NodeId(0x1122_3344_5566_7788), "10.0.0.1:7000".into()), (NodeId(2), "b:1".into())];
+    Membership::of(voters)
+        .changed(&MembershipChange::AddLearner(NodeId(3), "c:2".into()))
+        .expect("a valid change")
 }
 
 /// An entry with each kind of payload.
 fn entries() -> Vec<Entry> {
     let command: Arc<[u8]> = Arc::from(&b"\x00\x01command\xff"[..]);
     vec![
-        Entry { at: position(3, 299), payload: Payload::Nothing },
+        Entry { at: position(3, 299), payload: Payload::Noop },
         Entry { at: position(3, 300), payload: Payload::Command(command) },
-        Entry { at: position(3, 301), payload: Payload::Members(membership()) },
+        Entry { at: position(3, 301), payload: Payload::Membership(membership()) },
     ]
 }
 
-fn rope() -> Rope {
+fn rope() -> SnapshotData {
     let chunks: [&[u8]; 4] = [b"one", b"", b"twotwo", b"one"];
-    Rope::new(chunks.map(Chunk::new).to_vec())
+    SnapshotData::new(chunks.map(Chunk::new).to_vec())
 }
 
 #[test]
 fn every_message_has_the_encoding_of_its_fixture() {
     let last = position(6, 300);
-    let install = |offset, part: &[u8], is_last| Body::Install {
+    let install = |offset, part: &[u8], is_last| MessageBody::InstallSnapshot {
         at: position(5, 290),
         members: membership(),
         offset,
@@ -77,27 +79,44 @@
         round: 77,
     };
     let bodies = [
-        ("pre-vote", Body::PreVote { last }),
-        ("pre-vote-granted", Body::PreVoted(true)),
-        ("pre-vote-denied", Body::PreVoted(false)),
-        ("vote", Body::Vote { last, handed_over: false }),
-        ("vote-after-transfer", Body::Vote { last, handed_over: true }),
-        ("vote-granted", Body::Voted(true)),
-        ("vote-denied", Body::Voted(false)),
+        ("pre-vote", MessageBody::PreVoteRequest { last }),
+        ("pre-vote-granted", MessageBody::PreVoteResponse(true)),
+        ("pre-vote-denied", MessageBody::PreVoteResponse(false)),
+        ("vote", MessageBody::VoteRequest { last, leadership_transfer: false }),
+        ("vote-after-transfer", MessageBody::VoteRequest { last, leadership_transfer: true }),
+        ("vote-granted", MessageBody::VoteResponse(true)),
+        ("vote-denied", MessageBody::VoteResponse(false)),
         (
             "append",
-            Body::Append { prev: position(3, 298), entries: entries(), commit: Index(280), round: 1 << 40 },
+            MessageBody::AppendEntries {
+                prev: position(3, 298),
+                entries: entries(),
+                commit: Index(280),
+                round: 1 << 40,
+            },
+        ),
+        (
+            "append-empty",
+            MessageBody::AppendEntries { prev: last, entries: Vec::new(), commit: Index(300), round: 9 },
+        ),
+        (
+            "append-matches",
+            MessageBody::AppendEntriesResponse { verdict: AppendResult::Match(Index(301)), round: 9 },
+        ),
+        (
+            "append-differs",
+            MessageBody::AppendEntriesResponse { verdict: AppendResult::Conflict(Index(128)), round: 10 },
         ),
-        ("append-empty", Body::Append { prev: last, entries: Vec::new(), commit: Index(300), round: 9 }),
-        ("append-matches", Body::Appended { verdict: Verdict::Matches(Index(301)), round: 9 }),
-        ("append-differs", Body::Appended { verdict: Verdict::Differs(Index(128)), round: 10 }),
         ("install-first", install(0, b"snapshot", false)),
         ("install-last", install(65_536, b"", true)),
-        ("installing", Body::Installing { at: position(5, 290), offset: 65_536, round: 78 }),
-        ("transfer", Body::TakeOver),
+        (
+            "installing",
+            MessageBody::InstallSnapshotResponse { at: position(5, 290), offset: 65_536, round: 78 },
+        ),
+        ("transfer", MessageBody::TimeoutNow),
     ];
     for (name, body) in bodies {
-        let message = Message { from: MemberId(0x1122_3344_5566_7788), to: MemberId(2), term: Term(7), body };
+        let message = Message { from: NodeId(0x1122_3344_5566_7788), to: NodeId(2), term: Term(7), body };
         check(MESSAGES, name, &message);
     }
 }
@@ -110,22 +129,24 @@
     check(STORED, "membership", &membership());
     check(STORED, "membership-empty", &Membership::default());
     check(STORED, "position", &position(1 << 33, 127));
-    check(STORED, "vote", &(Term(7), Some(MemberId(0x1122_3344_5566_7788))));
-    check(STORED, "vote-none", &(Term(300), None::<MemberId>));
+    check(STORED, "vote", &(Term(7), Some(NodeId(0x1122_3344_5566_7788))));
+    check(STORED, "vote-none", &(Term(300), None::<NodeId>));
 }
 
 #[test]
 fn a_snapshot_is_sent_with_the_bytes_of_its_fixture() {
-    for (name, rope) in
-        [("chunks", rope()), ("one-chunk", Rope::whole(*b"whole")), ("no-chunk", Rope::default())]
-    {
-        let sent = rope.sent_part(0, rope.sent_length());
+    for (name, rope) in [
+        ("chunks", rope()),
+        ("one-chunk", SnapshotData::from_bytes(*b"whole")),
+        ("no-chunk", SnapshotData::default()),
+    ] {
+        let sent = rope.encoded_range(0, rope.encoded_len());
         assert_eq!(to_hex(&sent), to_hex(&fixture(SNAPSHOTS, name)), "{name} is sent otherwise");
-        assert_eq!(Rope::of_sent(&fixture(SNAPSHOTS, name)), Some(rope), "{name} is read otherwise");
+        assert_eq!(SnapshotData::decode(&fixture(SNAPSHOTS, name)), Some(rope), "{name} is read otherwise");
     }
     for (name, bytes) in [("chunk-name", &b"one"[..]), ("chunk-name-empty", &b""[..])] {
-        let key = ChunkName::of(bytes).key();
+        let key = ChunkId::of_bytes(bytes).to_key();
         assert_eq!(to_hex(&key), to_hex(&fixture(SNAPSHOTS, name)), "{name} is written otherwise");
-        assert_eq!(ChunkName::of_key(&fixture(SNAPSHOTS, name)), Some(ChunkName::of(bytes)));
+        assert_eq!(ChunkId::from_key(&fixture(SNAPSHOTS, name)), Some(ChunkId::of_bytes(bytes)));
     }
 }
--- a/crates/fleet/consensus/tests/explored.rs
+++ b/crates/fleet/consensus/tests/explored.rs
@@ -14,7 +14,8 @@
 use std::time::Duration;
 
 use beechloft_consensus::{
-    Body, Change, Fault, Index, Input, MemberId, Message, Outputs, Raft, Settings, Stored, Term, Ticket,
+    Fault, Index, Input, MembershipChange, Message, MessageBody, NodeId, PendingOutputs, PersistentState,
+    Raft, RequestId, Settings, Term,
 };
 use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
 use siphasher::sip128::SipHasher13;
@@ -37,7 +38,7 @@
 #[derive(Debug, Clone)]
 struct World {
     /// Shared between states that differ elsewhere, like all that is large here.
-    hosts: BTreeMap<MemberId, Arc<(Raft, Memory)>>,
+    hosts: BTreeMap<NodeId, Arc<(Raft, Memory)>>,
     /// Messages on their way, each once.
     on_way: Vec<Arc<Message>>,
     laws: Arc<Laws>,
@@ -51,71 +52,76 @@
     Copy(Arc<Message>),
     /// Its receiver crashes with it handled and nothing saved, and starts again.
     DeliverCrash(Arc<Message>),
-    Crash(MemberId),
+    Crash(NodeId),
     /// What must never be done: the disk is emptied, and the member starts under its old id.
-    Empty(MemberId),
+    Empty(NodeId),
     /// The member is lost with its disk.
-    Lose(MemberId),
+    Lose(NodeId),
     /// It gives up what it is, and asks for votes.
-    Stand(MemberId),
-    Propose(MemberId),
-    Change(MemberId, Change),
+    Stand(NodeId),
+    Propose(NodeId),
+    Change(NodeId, MembershipChange),
 }
 
 struct Small {
     left: Left,
     fault: Option<Fault>,
     /// Who may ask for votes.
-    may_stand: Vec<MemberId>,
+    may_stand: Vec<NodeId>,
     /// What has happened before the exploration begins.
     before: Vec<Vec<Event>>,
 }
 
 fn settings() -> Settings {
     // One entry a message, so that logs part at any place.
-    Settings { election: NOUGHT, heartbeat: NOUGHT, message_bytes: 1, ..Settings::default() }
+    Settings {
+        election_timeout: NOUGHT,
+        heartbeat_interval: NOUGHT,
+        max_message_bytes: 1,
+        ..Settings::default()
+    }
 }
 
 impl Small {
-    fn process(&self, id: MemberId, disk: &Memory) -> Raft {
+    fn process(&self, id: NodeId, disk: &Memory) -> Raft {
         #[allow(unused_mut)]
         let mut raft = Raft::new(id, settings(), disk.0.clone(), 0, NOUGHT);
         if let Some(fault) = self.fault {
-            raft.plant(fault);
+            raft.inject_fault(fault);
         }
         raft
     }
 
     fn new_world(&self) -> World {
-        let disk = Memory(Stored::first(members(3)));
+        let disk = Memory(PersistentState::first(members(3)));
         let host = |id| Arc::new((self.process(id, &disk), disk.clone()));
         let hosts = members(3).voters().map(|id| (id, host(id))).collect();
         World { hosts, on_way: Vec::new(), laws: Arc::default(), left: self.left }
     }
 
-    fn hear(&self, w: &mut World, id: MemberId, input: Input, crash: bool) {
+    fn hear(&self, w: &mut World, id: NodeId, input: Input, crash: bool) {
         let Some(host) = w.hosts.get_mut(&id) else { return };
         let (raft, disk) = Arc::make_mut(host);
-        let mut out = Outputs::default();
+        let mut out = PendingOutputs::default();
         raft.handle(NOUGHT, input, &mut out);
         if crash {
             let early = out.crash();
             *raft = self.process(id, &disk.clone());
             return early.into_iter().for_each(|m| put(&mut w.on_way, m));
         }
-        let Ok(released) = out.commit(disk);
-        if raft.leads() {
+        let Ok(released) = out.persist(disk);
+        if raft.is_leader() {
             Arc::make_mut(&mut w.laws).leads(raft);
         }
         let term = raft.status().term;
-        for entry in &released.committed {
+        for entry in &released.committed_entries {
             Arc::make_mut(&mut w.laws).commits(id, term, entry);
         }
         released.messages.into_iter().for_each(|m| put(&mut w.on_way, m));
     }
 
-    fn stand(&self, w: &mut World, id: MemberId) {
-        if w.hosts.get(&id).is_some_and(|h| h.0.leads()) {
+    fn stand(&self, w: &mut World, id: NodeId) {
+        if w.hosts.get(&id).is_some_and(|h| h.0.is_leader()) {
             // With no time to hear anybody it steps down.
             self.hear(w, id, Input::Tick, false);
         }
@@ -125,7 +131,7 @@
         w.on_way = before;
         let Some(host) = w.hosts.get(&id) else { return };
         let status = host.0.status();
-        let consent = Body::PreVoted(true);
+        let consent = MessageBody::PreVoteResponse(true);
         for from in status.members.voters().filter(|v| *v != id) {
             let message = Message { from, to: id, term: Term(status.term.0 + 1), body: consent.clone() };
             self.hear(w, id, Input::Message(message), false);
@@ -177,13 +183,13 @@
             if w.left.stands > 0 && self.may_stand.contains(id) {
                 all.push(Event::Stand(*id));
             }
-            if raft.leads() && w.left.proposals > 0 {
+            if raft.is_leader() && w.left.proposals > 0 {
                 all.push(Event::Propose(*id));
             }
-            if raft.leads() && w.left.changes > 0 {
+            if raft.is_leader() && w.left.changes > 0 {
                 let others = raft.status().members;
                 let others = others.voters().filter(|v| v != id);
-                all.extend(others.map(|other| Event::Change(*id, Change::Remove(other))));
+                all.extend(others.map(|other| Event::Change(*id, MembershipChange::Remove(other))));
             }
         }
         all
@@ -214,7 +220,7 @@
             }
             Event::Empty(id) => {
                 left.empties -= 1;
-                let disk = Memory(Stored::first(members(3)));
+                let disk = Memory(PersistentState::first(members(3)));
                 let raft = self.process(*id, &disk);
                 w.hosts.insert(*id, Arc::new((raft, disk)));
             }
@@ -229,11 +235,11 @@
             Event::Propose(id) => {
                 left.proposals = left.proposals.saturating_sub(1);
                 let command: Arc<[u8]> = Arc::from([left.proposals]);
-                self.hear(w, *id, Input::Propose(Ticket(0), command), false);
+                self.hear(w, *id, Input::Propose(RequestId(0), command), false);
             }
             Event::Change(id, change) => {
                 left.changes = left.changes.saturating_sub(1);
-                self.hear(w, *id, Input::Change(Ticket(0), change.clone()), false);
+                self.hear(w, *id, Input::ChangeMembership(RequestId(0), change.clone()), false);
             }
         }
     }
@@ -243,7 +249,7 @@
         w.laws.hash(into);
         for (id, host) in &w.hosts {
             let (raft, disk) = &**host;
-            (id, raft, disk.0.hard, &disk.0.entries).hash(into);
+            (id, raft, disk.0.hard_state, &disk.0.entries).hash(into);
         }
         // Whatever their order on the way.
         let of = |m: &Message| {
@@ -279,18 +285,18 @@
 
 /// A member is elected with the vote of another; what it says besides stays on its way.
 fn elected(id: u64, by: u64, term: u64, last: (u64, u64)) -> Vec<Event> {
-    use beechloft_consensus::LogPos;
-    let (id, by, term) = (MemberId(id), MemberId(by), Term(term));
-    let last = LogPos { term: Term(last.0), index: Index(last.1) };
+    use beechloft_consensus::LogPosition;
+    let (id, by, term) = (NodeId(id), NodeId(by), Term(term));
+    let last = LogPosition { term: Term(last.0), index: Index(last.1) };
     vec![
         Event::Stand(id),
         Event::Deliver(Arc::new(Message {
             from: id,
             to: by,
             term,
-            body: Body::Vote { last, handed_over: false },
+            body: MessageBody::VoteRequest { last, leadership_transfer: false },
         })),
-        Event::Deliver(Arc::new(Message { from: by, to: id, term, body: Body::Voted(true) })),
+        Event::Deliver(Arc::new(Message { from: by, to: id, term, body: MessageBody::VoteResponse(true) })),
     ]
 }
 
@@ -299,9 +305,9 @@
 fn figure_8() -> Vec<Event> {
     let mut all = elected(1, 3, 1, (0, 0));
     // The second knows the first term by its own standing in it, and takes the next.
-    all.push(Event::Stand(MemberId(2)));
+    all.push(Event::Stand(NodeId(2)));
     all.extend(elected(2, 3, 2, (0, 0)));
-    all.push(Event::Stand(MemberId(1)));
+    all.push(Event::Stand(NodeId(1)));
     all.extend(elected(1, 3, 3, (1, 1)));
     all
 }
@@ -338,8 +344,8 @@
     found
 }
 
-fn planted(fault: Fault, left: Left, may_stand: &[u64], before: Vec<Event>) -> Small {
-    let may_stand = may_stand.iter().map(|id| MemberId(*id)).collect();
+fn has_fault(fault: Fault, left: Left, may_stand: &[u64], before: Vec<Event>) -> Small {
+    let may_stand = may_stand.iter().map(|id| NodeId(*id)).collect();
     Small { left, fault: Some(fault), may_stand, before: vec![before] }
 }
 
@@ -348,31 +354,35 @@
 
 #[test]
 fn a_vote_that_does_not_last_is_found() {
-    let small = planted(Fault::VoteUnsaved, Left { crashes: 1, ..STANDS }, &[1, 2, 3], Vec::new());
+    let small = has_fault(Fault::VoteUnsaved, Left { crashes: 1, ..STANDS }, &[1, 2, 3], Vec::new());
     assert!(found(&small, 8).why.contains("two leaders"));
 }
 
 #[test]
 fn entries_that_leave_before_they_last_are_found() {
     let left = Left { stands: 1, crashes: 1, ..STANDS };
-    found(&planted(Fault::EntriesUnsaved, left, &[2], elected(1, 2, 1, (0, 0))), 10);
+    found(&has_fault(Fault::EntriesUnsaved, left, &[2], elected(1, 2, 1, (0, 0))), 10);
 }
 
 #[test]
 fn an_older_terms_entry_counted_as_committed_is_found() {
-    found(&planted(Fault::CommitsOlderTerm, STANDS, &[2], figure_8()), 12);
+    found(&has_fault(Fault::CommitsOlderTerm, STANDS, &[2], figure_8()), 12);
 }
 
 #[test]
 fn an_emptied_disk_under_the_old_id_is_found() {
-    let mut small = planted(Fault::VoteUnsaved, Left { empties: 1, ..STANDS }, &[1, 2], Vec::new());
+    let mut small = has_fault(Fault::VoteUnsaved, Left { empties: 1, ..STANDS }, &[1, 2], Vec::new());
     small.fault = None;
     assert!(found(&small, 8).why.contains("two leaders"));
 }
 
 #[test]
 fn two_changes_at_once_are_found() {
-    let small =
-        planted(Fault::ChangesTogether, Left { changes: 2, ..STANDS }, &[1, 2, 3], elected(1, 2, 1, (0, 0)));
+    let small = has_fault(
+        Fault::ChangesTogether,
+        Left { changes: 2, ..STANDS },
+        &[1, 2, 3],
+        elected(1, 2, 1, (0, 0)),
+    );
     found(&small, 10);
 }
--- a/crates/fleet/consensus/tests/seeds.rs
+++ b/crates/fleet/consensus/tests/seeds.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use beechloft_consensus::{Change, Fault, Input, MemberId, Stored};
+use beechloft_consensus::{Fault, Input, MembershipChange, NodeId, PersistentState};
 use rand::RngExt;
 use rand::seq::IteratorRandom;
 use support::{Cluster, Weather};
@@ -35,7 +35,7 @@
         if c.laws.breach.is_some() {
             break;
         }
-        let ids: Vec<MemberId> = c.hosts.keys().copied().collect();
+        let ids: Vec<NodeId> = c.hosts.keys().copied().collect();
         let any = *ids.iter().choose(&mut c.dice).expect("members");
         match c.dice.random_range(0..40) {
             0..18 => {
@@ -69,27 +69,27 @@
             }
             34 => {
                 if let Some(leader) = c.leader() {
-                    c.hear(leader, Input::HandOver(any));
+                    c.hear(leader, Input::TransferLeadership(any));
                 }
             }
             35 => {
                 next_id += 1;
-                let id = MemberId(next_id);
+                let id = NodeId(next_id);
                 if c.membership().iter().count() < 7 {
-                    c.add(id, Stored::default());
-                    c.change(Change::Learn(id, "new".into()));
+                    c.add(id, PersistentState::default());
+                    c.change(MembershipChange::AddLearner(id, "new".into()));
                 }
             }
             36 | 37 => {
                 let learner = c.membership().iter().find(|(_, m)| !m.voter).map(|(id, _)| id);
                 if let Some(id) = learner {
-                    c.change(Change::Promote(id));
+                    c.change(MembershipChange::Promote(id));
                 }
             }
             38 => {
                 let members = c.membership();
                 if members.voters().count() > 3 {
-                    c.change(Change::Remove(any));
+                    c.change(MembershipChange::Remove(any));
                 }
             }
             _ => lose_one(&mut c, any),
@@ -104,14 +104,14 @@
 }
 
 /// A member's disk is lost, where no quorum of any members that may be in force goes with it.
-fn lose_one(c: &mut Cluster, id: MemberId) {
+fn lose_one(c: &mut Cluster, id: NodeId) {
     let quorum_without = |h: &support::Host| {
         let m = h.raft.status().members;
         m.voters().filter(|v| *v != id && c.hosts.contains_key(v)).count() > m.quorum()
     };
     if c.hosts.values().all(quorum_without) {
         c.lose(id);
-        c.change(Change::Remove(id));
+        c.change(MembershipChange::Remove(id));
     }
 }
 
@@ -156,12 +156,12 @@
     let mut c = Cluster::new(4, 1, None);
     c.pass(Duration::from_secs(3));
     let leader = c.leader().expect("a leader");
-    let others: Vec<MemberId> = c.hosts.keys().copied().filter(|id| *id != leader).collect();
+    let others: Vec<NodeId> = c.hosts.keys().copied().filter(|id| *id != leader).collect();
     // Cut off, it takes its own removal and steps down; another is lost with its disk meanwhile.
     for id in &others {
         c.cut.extend([(leader, *id), (*id, leader)]);
     }
-    c.change(Change::Remove(leader));
+    c.change(MembershipChange::Remove(leader));
     c.lose(others[0]);
     c.pass(Duration::from_secs(3));
     // Started again it does not know any more what was committed.
--- a/crates/fleet/consensus/tests/support/mod.rs
+++ b/crates/fleet/consensus/tests/support/mod.rs
@@ -7,20 +7,21 @@
 use std::time::Duration;
 
 use beechloft_consensus::{
-    Change, Chunk, Disk, Entry, Fault, Index, Input, LogPos, MemberId, Membership, Message, Outputs, Payload,
-    Raft, Released, Rope, Save, Settings, Stored, Term, Ticket,
+    Chunk, Entry, Fault, Index, Input, LogPosition, Membership, MembershipChange, Message, NodeId, Payload,
+    PendingOutputs, PersistentState, Raft, Ready, RequestId, Settings, SnapshotData, StateUpdate, Storage,
+    Term,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 /// A disk that keeps all of it.
 #[derive(Debug, Clone, Default)]
-pub struct Memory(pub Stored);
+pub struct Memory(pub PersistentState);
 
-impl Disk for Memory {
+impl Storage for Memory {
     type Error = std::convert::Infallible;
 
-    fn save(&mut self, save: &Save) -> Result<(), Self::Error> {
+    fn save(&mut self, save: &StateUpdate) -> Result<(), Self::Error> {
         self.0.apply(save);
         Ok(())
     }
@@ -29,7 +30,7 @@
 /// What must hold over all members and all time. The first breach is kept.
 #[derive(Debug, Clone, Default, Hash)]
 pub struct Laws {
-    leaders: BTreeMap<Term, MemberId>,
+    leaders: BTreeMap<Term, NodeId>,
     /// In which term each place was first committed.
     committed_in: BTreeMap<Index, Term>,
     /// What was committed, by place.
@@ -63,7 +64,7 @@
     }
 
     /// State-machine safety: one entry at a place, for ever.
-    pub fn commits(&mut self, id: MemberId, term: Term, entry: &Entry) {
+    pub fn commits(&mut self, id: NodeId, term: Term, entry: &Entry) {
         match self.committed.get(&entry.at.index) {
             Some(other) if other != entry => {
                 let (a, b) = (other.at, entry.at);
@@ -122,8 +123,8 @@
 
 enum Ahead {
     Deliver(Message),
-    Tick(MemberId, u32),
-    Restart(MemberId),
+    Tick(NodeId, u32),
+    Restart(NodeId),
 }
 
 /// How much goes wrong, in a thousand.
@@ -137,36 +138,36 @@
 }
 
 pub struct Cluster {
-    pub hosts: BTreeMap<MemberId, Host>,
+    pub hosts: BTreeMap<NodeId, Host>,
     pub now: Duration,
     pub laws: Laws,
     pub weather: Weather,
     /// Nothing goes from the one to the other.
-    pub cut: BTreeSet<(MemberId, MemberId)>,
+    pub cut: BTreeSet<(NodeId, NodeId)>,
     pub dice: ChaCha8Rng,
-    pub set: Settings,
+    pub settings: Settings,
     fault: Option<Fault>,
     ahead: BTreeMap<(Duration, u64), Ahead>,
     put: u64,
     tickets: u64,
     /// Reads that are out: what had been committed when they came.
-    reads: BTreeMap<Ticket, Index>,
+    reads: BTreeMap<RequestId, Index>,
     pub read: usize,
     pub messages: u64,
 }
 
 pub fn settings() -> Settings {
     Settings {
-        kept_entries: 4,
-        uncommitted_bytes: 4096,
-        message_bytes: 256,
-        chunk_bytes: 5,
+        retained_entries: 4,
+        max_uncommitted_bytes: 4096,
+        max_message_bytes: 256,
+        snapshot_chunk_bytes: 5,
         ..Settings::default()
     }
 }
 
 pub fn members(n: u64) -> Membership {
-    Membership::of((1..=n).map(|i| (MemberId(i), format!("m{i}"))))
+    Membership::of((1..=n).map(|i| (NodeId(i), format!("m{i}"))))
 }
 
 impl Cluster {
@@ -178,7 +179,7 @@
             weather: Weather { lost: 0, doubled: 0, late: 0, crash: 0 },
             cut: BTreeSet::new(),
             dice: ChaCha8Rng::seed_from_u64(seed),
-            set: settings(),
+            settings: settings(),
             fault,
             ahead: BTreeMap::new(),
             put: 0,
@@ -188,12 +189,12 @@
             messages: 0,
         };
         for id in members(voters).voters() {
-            cluster.add(id, Stored::first(members(voters)));
+            cluster.add(id, PersistentState::first(members(voters)));
         }
         cluster
     }
 
-    pub fn add(&mut self, id: MemberId, stored: Stored) {
+    pub fn add(&mut self, id: NodeId, stored: PersistentState) {
         let rate = self.dice.random_range(0.95..1.05);
         let disk = Memory(stored);
         let raft = self.process(id, &disk, rate);
@@ -202,12 +203,12 @@
         self.wake(id);
     }
 
-    fn process(&mut self, id: MemberId, disk: &Memory, rate: f64) -> Raft {
+    fn process(&mut self, id: NodeId, disk: &Memory, rate: f64) -> Raft {
         let now = self.now.mul_f64(rate);
         #[allow(unused_mut)]
-        let mut raft = Raft::new(id, self.set, disk.0.clone(), self.dice.random(), now);
+        let mut raft = Raft::new(id, self.settings, disk.0.clone(), self.dice.random(), now);
         if let Some(fault) = self.fault {
-            raft.plant(fault);
+            raft.inject_fault(fault);
         }
         raft
     }
@@ -217,7 +218,7 @@
         self.ahead.insert((self.now + after, self.put), what);
     }
 
-    fn wake(&mut self, id: MemberId) {
+    fn wake(&mut self, id: NodeId) {
         let host = &self.hosts[&id];
         let due = host.raft.next_due().div_f64(host.rate);
         let start = host.start;
@@ -266,10 +267,10 @@
         self.now = end;
     }
 
-    pub fn hear(&mut self, id: MemberId, input: Input) {
+    pub fn hear(&mut self, id: NodeId, input: Input) {
         let crash = self.chance(self.weather.crash);
         let Some(host) = self.hosts.get_mut(&id).filter(|h| h.up) else { return };
-        let mut out = Outputs::default();
+        let mut out = PendingOutputs::default();
         host.raft.handle(self.now.mul_f64(host.rate), input, &mut out);
         if crash {
             for message in out.crash() {
@@ -279,15 +280,22 @@
             let after = Duration::from_millis(self.dice.random_range(1..2_000));
             return self.put(after, Ahead::Restart(id));
         }
-        let Ok(released) = out.commit(&mut host.disk);
-        if host.raft.leads() {
+        let Ok(released) = out.persist(&mut host.disk);
+        if host.raft.is_leader() {
             self.laws.leads(&host.raft);
         }
         self.take(id, released);
     }
 
-    fn take(&mut self, id: MemberId, released: Released) {
-        let Released { messages, restored, committed, taken: _, reads, members: _ } = released;
+    fn take(&mut self, id: NodeId, released: Ready) {
+        let Ready {
+            messages,
+            installed_snapshot: restored,
+            committed_entries: committed,
+            proposals: _,
+            reads,
+            membership: _,
+        } = released;
         let host = self.hosts.get_mut(&id).expect("it spoke");
         let term = host.raft.status().term;
         if let Some(snapshot) = restored {
@@ -323,14 +331,14 @@
         messages.into_iter().for_each(|m| self.send(m));
     }
 
-    pub fn stop(&mut self, id: MemberId) {
+    pub fn stop(&mut self, id: NodeId) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.up = false;
             host.start += 1;
         }
     }
 
-    pub fn restart(&mut self, id: MemberId) {
+    pub fn restart(&mut self, id: NodeId) {
         let Some(host) = self.hosts.get(&id).filter(|h| !h.up) else { return };
         let (disk, rate) = (host.disk.clone(), host.rate);
         let raft = self.process(id, &disk, rate);
@@ -342,48 +350,48 @@
     }
 
     /// Its disk is lost: it never comes back.
-    pub fn lose(&mut self, id: MemberId) {
+    pub fn lose(&mut self, id: NodeId) {
         self.hosts.remove(&id);
     }
 
-    pub fn leader(&self) -> Option<MemberId> {
-        let leads = |h: &&Host| h.up && h.raft.leads();
+    pub fn leader(&self) -> Option<NodeId> {
+        let leads = |h: &&Host| h.up && h.raft.is_leader();
         self.hosts.values().filter(leads).max_by_key(|h| h.raft.status().term).map(|h| h.raft.status().id)
     }
 
-    pub fn ticket(&mut self) -> Ticket {
+    pub fn ticket(&mut self) -> RequestId {
         self.tickets += 1;
-        Ticket(self.tickets)
+        RequestId(self.tickets)
     }
 
     /// Asks a member to take a command.
-    pub fn propose(&mut self, id: MemberId) {
+    pub fn propose(&mut self, id: NodeId) {
         let ticket = self.ticket();
         let command: Arc<[u8]> = ticket.0.to_be_bytes().into();
         self.hear(id, Input::Propose(ticket, command));
     }
 
     /// Asks a member to read.
-    pub fn ask(&mut self, id: MemberId) {
+    pub fn ask(&mut self, id: NodeId) {
         let ticket = self.ticket();
         self.reads.insert(ticket, self.laws.last());
         self.hear(id, Input::Read(ticket));
     }
 
-    pub fn change(&mut self, change: Change) {
+    pub fn change(&mut self, change: MembershipChange) {
         if let Some(leader) = self.leader() {
             let ticket = self.ticket();
-            self.hear(leader, Input::Change(ticket, change));
+            self.hear(leader, Input::ChangeMembership(ticket, change));
         }
     }
 
     /// Takes a snapshot of a member's state.
-    pub fn compact(&mut self, id: MemberId) {
+    pub fn compact(&mut self, id: NodeId) {
         let Some(host) = self.hosts.get(&id) else { return };
         let (applied, state) = (host.applied, host.state.to_be_bytes());
         // In two pieces, of which one changes each time.
         let state = [Chunk::new(&b"state"[..]), Chunk::new(state.to_vec())].to_vec();
-        self.hear(id, Input::Compact(applied, Rope::new(state)));
+        self.hear(id, Input::Compact(applied, SnapshotData::new(state)));
     }
 
     /// Members as the newest leader has them.
@@ -400,7 +408,7 @@
     pub fn heal(&mut self) {
         self.weather = Weather { lost: 0, doubled: 0, late: 0, crash: 0 };
         self.cut.clear();
-        let down: Vec<MemberId> = self.hosts.iter().filter(|(_, h)| !h.up).map(|(id, _)| *id).collect();
+        let down: Vec<NodeId> = self.hosts.iter().filter(|(_, h)| !h.up).map(|(id, _)| *id).collect();
         down.into_iter().for_each(|id| self.restart(id));
     }
 }
@@ -408,14 +416,14 @@
 fn fold(state: u64, entry: &Entry) -> u64 {
     let of = match &entry.payload {
         Payload::Command(c) => c.iter().fold(7, |h: u64, b| h.wrapping_mul(31).wrapping_add(u64::from(*b))),
-        Payload::Nothing => 1,
-        Payload::Members(m) => 2 + m.iter().count() as u64,
+        Payload::Noop => 1,
+        Payload::Membership(m) => 2 + m.iter().count() as u64,
     };
-    let LogPos { term, index } = entry.at;
+    let LogPosition { term, index } = entry.at;
     (state ^ of ^ (term.0 << 32) ^ index.0).wrapping_mul(0x0100_0000_01b3)
 }
 
-fn state_of(state: &Rope) -> u64 {
-    let bytes = state.gather();
+fn state_of(state: &SnapshotData) -> u64 {
+    let bytes = state.to_bytes();
     bytes.strip_prefix(b"state").and_then(|b| b.try_into().ok()).map_or(0, u64::from_be_bytes)
 }
--- a/crates/fleet/coordinator/src/client.rs
+++ b/crates/fleet/coordinator/src/client.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use beechloft_consensus::MemberId;
+use beechloft_consensus::NodeId;
 use beechloft_leases::{HolderInput, LeaderLocator, Name, Request, Response};
 use crossbeam_channel::{Receiver, Sender, bounded};
 
@@ -105,8 +105,8 @@
 /// Has a keeper that was lost with its disk let go, for the one that came up in its place.
 pub fn replace(
     set: &FleetSettings,
-    old: MemberId,
-    new: MemberId,
+    old: NodeId,
+    new: NodeId,
     within: Duration,
 ) -> Option<Result<(), String>> {
     match ask_leader(set, &Word::Replace { old, new }, within)? {
--- a/crates/fleet/coordinator/src/engine.rs
+++ b/crates/fleet/coordinator/src/engine.rs
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use beechloft_consensus::{MemberId, Outputs, Settings, Ticket};
+use beechloft_consensus::{NodeId, PendingOutputs, RequestId, Settings};
 use beechloft_membership::MemberKind;
-use beechloft_replica::{Asked, Keeper};
+use beechloft_replica::{Replica, ReplicaInput};
 #[cfg(feature = "planted")]
 use beechloft_topic::Fault;
 use crossbeam_channel::{Receiver, RecvTimeoutError, bounded};
@@ -41,7 +41,7 @@
 /// What other keepers have said of themselves.
 #[derive(Debug, Clone, Copy)]
 struct Met {
-    id: MemberId,
+    id: NodeId,
     formed: bool,
 }
 
@@ -49,8 +49,8 @@
 pub struct Keeping {
     set: FleetSettings,
     address: SocketAddr,
-    id: MemberId,
-    keeper: Keeper,
+    id: NodeId,
+    keeper: Replica,
     disk: LogStore,
     conns: Conns,
     peers: BTreeMap<SocketAddr, Peer>,
@@ -62,7 +62,7 @@
     look_at: Duration,
     tickets: u64,
     /// Who asked for a change that the log has not taken yet.
-    asked: BTreeMap<Ticket, ConnId>,
+    asked: BTreeMap<RequestId, ConnId>,
     clock: Box<dyn Fn() -> Duration + Send>,
     /// As a member, if its settings name seeds.
     members: Option<Arc<Peers>>,
@@ -102,7 +102,7 @@
             TcpListener::bind(address).map_err(|e| StartError::Io("the address can't be listened on", e))?;
         let formed = Arc::new(Mutex::new(has_formed(&stored)));
         let clock = Box::new(set.clock());
-        let keeper = Keeper::new(id, Settings::default(), stored, set.drift, rand::random(), clock())?;
+        let keeper = Replica::new(id, Settings::default(), stored, set.drift, rand::random(), clock())?;
         let (queue, came) = bounded(4096);
         let conns = Conns::default();
         conns.accept(listener, set.number(), queue).map_err(|e| StartError::Io("no threads", e))?;
@@ -153,7 +153,7 @@
     #[cfg(feature = "planted")]
     pub fn plant(&mut self, fault: Fault) {
         self.fault = Some(fault);
-        self.keeper.plant(fault);
+        self.keeper.inject_fault(fault);
         self.serving.plant(fault);
     }
 
@@ -172,7 +172,7 @@
             let due = due.saturating_sub((self.clock)());
             // With nothing else to do the cleaners go on.
             let due = if self.unclean { due.min(CLEANS) } else { due };
-            let mut out = Outputs::default();
+            let mut out = PendingOutputs::default();
             match self.came.recv_timeout(due.min(Duration::from_millis(100))) {
                 Ok(came) => {
                     self.take(came, &mut out);
@@ -186,16 +186,16 @@
                 Err(RecvTimeoutError::Disconnected) => return Ok(()),
             }
             let now = (self.clock)();
-            self.keeper.handle(now, Asked::Tick, &mut out);
+            self.keeper.handle(now, ReplicaInput::Tick, &mut out);
             if now >= self.look_at {
                 self.look_at = now + LOOK;
                 self.look(now, &mut out)?;
             }
-            let released = out.commit(&mut self.disk)?;
-            for output in self.keeper.released((self.clock)(), released)? {
+            let released = out.persist(&mut self.disk)?;
+            for output in self.keeper.process_ready((self.clock)(), released)? {
                 self.put_out(output);
             }
-            self.unclean = self.keeper.clean();
+            self.unclean = self.keeper.clean_topics();
             self.serving.serve((self.clock)(), &self.keeper, &self.conns, self.set.number());
             let formed = self.keeper.status().members.iter().next().is_some();
             *self.formed.lock().unwrap_or_else(PoisonError::into_inner) |= formed;
--- a/crates/fleet/coordinator/src/engine/forming.rs
+++ b/crates/fleet/coordinator/src/engine/forming.rs
@@ -5,9 +5,10 @@
 use std::time::Duration;
 
 use beechloft_consensus::{
-    Change, Disk, Input, MemberId, Membership, Outputs, Save, Settings, Snapshot, Stored, Ticket,
+    Input, Membership, MembershipChange, NodeId, PendingOutputs, PersistentState, RequestId, Settings,
+    Snapshot, StateUpdate, Storage,
 };
-use beechloft_replica::{Asked, Keeper};
+use beechloft_replica::{Replica, ReplicaInput};
 use beechloft_topic::Topic;
 use tracing::info;
 
@@ -19,7 +20,7 @@
 impl Keeping {
     /// Removes a member that was lost with its disk, if the one that came up in its place has been met there. That one is let
     /// in as a new keeper then, as it learns and votes.
-    pub(super) fn replace(&mut self, conn: ConnId, old: MemberId, new: MemberId, out: &mut Outputs) {
+    pub(super) fn replace(&mut self, conn: ConnId, old: NodeId, new: NodeId, out: &mut PendingOutputs) {
         let status = self.keeper.status();
         if status.leader != Some(self.id) {
             let address = status.leader.and_then(|l| self.address_of(l)).map(|a| a.to_string());
@@ -41,10 +42,10 @@
             None => return self.say(conn, &no(format!("nobody has come up at {}", member.address))),
         }
         self.tickets += 1;
-        let ticket = Ticket(self.tickets);
+        let ticket = RequestId(self.tickets);
         self.asked.insert(ticket, conn);
-        let change = Input::Change(ticket, Change::Remove(old));
-        self.keeper.handle((self.clock)(), Asked::Group(change), out);
+        let change = Input::ChangeMembership(ticket, MembershipChange::Remove(old));
+        self.keeper.handle((self.clock)(), ReplicaInput::Raft(change), out);
     }
 
     /// A group that has not come together yet grants nothing: its founder alone would be a majority of one.
@@ -53,7 +54,7 @@
     }
 
     /// Looks at who belongs to the group: founds it, once, and has new keepers learn and then vote.
-    pub(super) fn look(&mut self, now: Duration, out: &mut Outputs) -> Result<(), StartError> {
+    pub(super) fn look(&mut self, now: Duration, out: &mut PendingOutputs) -> Result<(), StartError> {
         let status = self.keeper.status();
         if status.members.iter().next().is_none() {
             return self.found(now);
@@ -66,24 +67,28 @@
         let learner = status.members.iter().find(|(_, m)| !m.voter).map(|(id, _)| id);
         // One at a time: the next when the last votes.
         let change = match learner {
-            Some(id) => Some(Change::Promote(id)),
+            Some(id) => Some(MembershipChange::Promote(id)),
             None => self.met.iter().find_map(|(address, met)| {
                 let address = address.to_string();
                 // A keeper that has lost its disk is none until its old self is removed (`keeper replace`).
                 let new =
                     !met.formed && !taken.contains(address.as_str()) && status.members.get(met.id).is_none();
-                new.then_some(Change::Learn(met.id, address))
+                new.then_some(MembershipChange::AddLearner(met.id, address))
             }),
         };
         if let Some(change) = change {
             self.tickets += 1;
-            self.keeper.handle(now, Asked::Group(Input::Change(Ticket(self.tickets), change)), out);
+            self.keeper.handle(
+                now,
+                ReplicaInput::Raft(Input::ChangeMembership(RequestId(self.tickets), change)),
+                out,
+            );
         }
         Ok(())
     }
 
     /// Has the log say which topics there are to be, where it does not: the settings of the keeper that leads say so.
-    fn declare(&mut self, now: Duration, out: &mut Outputs) {
+    fn declare(&mut self, now: Duration, out: &mut PendingOutputs) {
         if !self.serves() {
             return;
         }
@@ -91,7 +96,7 @@
         let lacking = self.set.topics.iter().filter(|spec| there(spec) != Some(spec.terms));
         let lacking: Vec<TopicSpec> = lacking.cloned().collect();
         for TopicSpec { name, terms } in lacking {
-            self.keeper.handle(now, Asked::Declare(rand::random(), name, terms), out);
+            self.keeper.handle(now, ReplicaInput::DeclareTopic(rand::random(), name, terms), out);
         }
     }
 
@@ -106,19 +111,20 @@
         }
         info!("founds the group");
         let members = Membership::of([(self.id, self.address.to_string())]);
-        let stored = Stored::first(members);
+        let stored = PersistentState::first(members);
         let snapshot: Option<Snapshot> = stored.snapshot.clone();
-        self.disk.save(&Save { snapshot, ..Save::default() })?;
-        self.keeper = Keeper::new(self.id, Settings::default(), stored, self.set.drift, rand::random(), now)?;
+        self.disk.save(&StateUpdate { snapshot, ..StateUpdate::default() })?;
+        self.keeper =
+            Replica::new(self.id, Settings::default(), stored, self.set.drift, rand::random(), now)?;
         #[cfg(feature = "planted")]
         if let Some(fault) = self.fault {
-            self.keeper.plant(fault);
+            self.keeper.inject_fault(fault);
         }
         Ok(())
     }
 }
 
 /// Whether a disk has been a group's.
-pub(super) fn has_formed(stored: &Stored) -> bool {
+pub(super) fn has_formed(stored: &PersistentState) -> bool {
     stored.snapshot.is_some() || !stored.entries.is_empty()
 }
--- a/crates/fleet/coordinator/src/engine/lines.rs
+++ b/crates/fleet/coordinator/src/engine/lines.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::Ordering;
 
-use beechloft_consensus::{Member, MemberId};
+use beechloft_consensus::{Member, NodeId};
 use beechloft_leases::{Event, GrantEntry, Name, Table};
 use beechloft_topic::Topic;
 
@@ -12,7 +12,7 @@
 impl Keeping {
     pub(super) fn status(&self) -> StatusLine {
         let s = self.keeper.status();
-        let member = |(id, m): (MemberId, &Member)| MemberLine {
+        let member = |(id, m): (NodeId, &Member)| MemberLine {
             id: id.to_string(),
             address: m.address.clone(),
             voter: m.voter,
@@ -26,7 +26,7 @@
             last: s.last.index.0,
             members: s.members.iter().map(member).collect(),
             refused_words: self.conns.refused.load(Ordering::Relaxed),
-            silent_ms: u64::try_from(self.keeper.stale().as_millis()).unwrap_or(u64::MAX),
+            silent_ms: u64::try_from(self.keeper.staleness().as_millis()).unwrap_or(u64::MAX),
             told_bytes: self.serving.told_bytes,
             topics: self.keeper.topics().all().map(|(name, topic)| self.topic(name, topic)).collect(),
         }
--- a/crates/fleet/coordinator/src/engine/serving.rs
+++ b/crates/fleet/coordinator/src/engine/serving.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use beechloft_leases::{Name, Response};
-use beechloft_replica::Keeper;
+use beechloft_replica::Replica;
 #[cfg(feature = "planted")]
 use beechloft_topic::Fault;
 use beechloft_topic::{Feed, Offset, Position, Said, Topic};
@@ -130,12 +130,12 @@
     }
 
     /// Gives each its turn, as far as a turn's bytes go.
-    pub fn serve(&mut self, now: Duration, keeper: &Keeper, conns: &Conns, fleet: u64) {
+    pub fn serve(&mut self, now: Duration, keeper: &Replica, conns: &Conns, fleet: u64) {
         if now < self.next_due() {
             return;
         }
-        let applied = keeper.applied().0;
-        let silent_ms = u32::try_from(keeper.stale().as_millis()).unwrap_or(u32::MAX);
+        let applied = keeper.applied_index().0;
+        let silent_ms = u32::try_from(keeper.staleness().as_millis()).unwrap_or(u32::MAX);
         let moment = Moment { now, applied, silent_ms, fleet };
         (self.served_at, self.due) = (now, None);
         let (mut left, mut waits, mut made) = (A_TURN, false, Made::new());
--- a/crates/fleet/coordinator/src/lib.rs
+++ b/crates/fleet/coordinator/src/lib.rs
@@ -1,4 +1,4 @@
-//! A keeper on sockets and disk around `beechloft_replica::Keeper`, and the way to keepers for those who ask.
+//! A keeper on sockets and disk around `beechloft_replica::Replica`, and the way to keepers for those who ask.
 //!
 //! One thread has the machine and the disk: it takes what has come, up to a bound, handles all of it into one set of outputs,
 //! has the disk save once (group commit), and sends. Each connection has a thread that reads and one that writes, with a bounded
--- a/crates/fleet/coordinator/src/store.rs
+++ b/crates/fleet/coordinator/src/store.rs
@@ -7,7 +7,8 @@
 use std::thread::{self, JoinHandle};
 
 use beechloft_consensus::{
-    Chunk, ChunkName, Disk, Entry, Hard, LogPos, MemberId, Membership, Rope, Save, Snapshot, Stored,
+    Chunk, ChunkId, Entry, HardState, LogPosition, Membership, NodeId, PersistentState, Snapshot,
+    SnapshotData, StateUpdate, Storage,
 };
 use beechloft_store::fs::Disk as Folder;
 use beechloft_store::{Batch, Options, Store, StoreError, Table, View, Written};
@@ -37,7 +38,7 @@
 /// A snapshot as versions before had it.
 #[derive(Debug, Deserialize)]
 struct Whole {
-    at: LogPos,
+    at: LogPosition,
     members: Membership,
     state: Vec<u8>,
 }
@@ -45,7 +46,7 @@
 /// A snapshot but for its pieces.
 #[derive(Debug, Serialize, Deserialize)]
 struct Head {
-    at: LogPos,
+    at: LogPosition,
     members: Membership,
     chunks: Vec<([u8; 32], u32)>,
 }
@@ -75,7 +76,7 @@
     store: Store<Folder>,
     folder: Folder,
     /// Pieces of the snapshot that are there.
-    chunks: BTreeSet<ChunkName>,
+    chunks: BTreeSet<ChunkId>,
     compacting: Option<Compacting>,
 }
 
@@ -102,7 +103,7 @@
     ///
     /// # Errors
     /// Another fleet's, in use, damaged or unreadable; then nothing in it was changed.
-    pub fn open(folder: &Path, fleet: &str) -> Result<(LogStore, MemberId, Stored), OpenError> {
+    pub fn open(folder: &Path, fleet: &str) -> Result<(LogStore, NodeId, PersistentState), OpenError> {
         let folder = Folder::open(folder)?;
         let (mut store, _) = Store::open(folder.clone(), Options::default())?;
         let view = store.view();
@@ -122,9 +123,9 @@
             return Err(OpenError::OtherFleet(identity.fleet));
         }
         let hard = view.get(HARD, ONE).map(|b| read::<(u64, Option<u64>)>(&b, "the vote")).transpose()?;
-        let hard = hard.map_or(Hard::default(), |(term, vote)| Hard {
+        let hard = hard.map_or(HardState::default(), |(term, vote)| HardState {
             term: beechloft_consensus::Term(term),
-            vote: vote.map(MemberId),
+            vote: vote.map(NodeId),
         });
         let snapshot = snapshot(&view)?;
         let mut entries: Vec<Entry> = Vec::new();
@@ -135,9 +136,9 @@
             }
             entries.push(entry);
         }
-        let chunks = view.table(CHUNKS).filter_map(|(key, _)| ChunkName::of_key(key)).collect();
+        let chunks = view.table(CHUNKS).filter_map(|(key, _)| ChunkId::from_key(key)).collect();
         let disk = LogStore { store, folder, chunks, compacting: None };
-        Ok((disk, MemberId(identity.member), Stored { hard, snapshot, entries }))
+        Ok((disk, NodeId(identity.member), PersistentState { hard_state: hard, snapshot, entries }))
     }
 
     /// Puts a snapshot in place of the last one. Pieces that both have stay as they are.
@@ -147,11 +148,11 @@
         for chunk in snapshot.state.chunks() {
             let name = chunk.name();
             if named.insert(name) && !self.chunks.contains(&name) {
-                batch.put_shared(CHUNKS, name.key(), Arc::clone(chunk.bytes()));
+                batch.put_shared(CHUNKS, name.to_key(), Arc::clone(chunk.bytes()));
             }
         }
         for gone in self.chunks.difference(&named) {
-            batch.remove(CHUNKS, gone.key());
+            batch.remove(CHUNKS, gone.to_key());
         }
         let head = Head { at: snapshot.at, members: snapshot.members.clone(), chunks: names };
         batch.put(SNAPSHOT, ONE, bytes(&head)).remove(WHOLE, ONE);
@@ -182,34 +183,35 @@
 fn snapshot(view: &View) -> Result<Option<Snapshot>, OpenError> {
     if let Some(whole) = view.get(WHOLE, ONE) {
         let Whole { at, members, state } = read(&whole, "the snapshot")?;
-        return Ok(Some(Snapshot { at, members, state: Rope::whole(state) }));
+        return Ok(Some(Snapshot { at, members, state: SnapshotData::from_bytes(state) }));
     }
     let Some(head) = view.get(SNAPSHOT, ONE) else { return Ok(None) };
     let Head { at, members, chunks } = read(&head, "the snapshot")?;
     let mut state = Vec::with_capacity(chunks.len());
     for (hash, length) in chunks {
-        let name = ChunkName { hash, length };
-        let chunk = view.get(CHUNKS, &name.key()).map(Chunk::new).filter(|c| c.name() == name);
+        let name = ChunkId { hash, length };
+        let chunk = view.get(CHUNKS, &name.to_key()).map(Chunk::new).filter(|c| c.name() == name);
         state.push(chunk.ok_or(OpenError::Unreadable("a piece of the snapshot"))?);
     }
-    Ok(Some(Snapshot { at, members, state: Rope::new(state) }))
+    Ok(Some(Snapshot { at, members, state: SnapshotData::new(state) }))
 }
 
-impl Disk for LogStore {
+impl Storage for LogStore {
     type Error = StoreError;
 
-    fn save(&mut self, save: &Save) -> Result<(), StoreError> {
+    fn save(&mut self, save: &StateUpdate) -> Result<(), StoreError> {
         let key = |index: u64| index.to_be_bytes().to_vec();
         let mut batch = Batch::default();
-        if let Some(hard) = save.hard {
+        if let Some(hard) = save.hard_state {
             batch.put(HARD, ONE, bytes(&(hard.term.0, hard.vote.map(|v| v.0))));
         }
         if let Some(snapshot) = &save.snapshot {
             self.put_snapshot(snapshot, &mut batch);
         }
-        if save.drop_through.is_some() || save.cut_from.is_some() {
+        if save.compact_through.is_some() || save.truncate_from.is_some() {
             let gone = |index: u64| {
-                save.drop_through.is_some_and(|t| index <= t.0) || save.cut_from.is_some_and(|f| index >= f.0)
+                save.compact_through.is_some_and(|t| index <= t.0)
+                    || save.truncate_from.is_some_and(|f| index >= f.0)
             };
             for (k, _) in self.store.view().table(ENTRIES) {
                 if k.try_into().is_ok_and(|k| gone(u64::from_be_bytes(k))) {
--- a/crates/fleet/coordinator/src/store/tests.rs
+++ b/crates/fleet/coordinator/src/store/tests.rs
@@ -5,30 +5,37 @@
 use super::*;
 
 fn entry(index: u64, term: u64) -> Entry {
-    let at = LogPos { term: Term(term), index: Index(index) };
+    let at = LogPosition { term: Term(term), index: Index(index) };
     Entry { at, payload: Payload::Command(vec![index as u8].into()) }
 }
 
 fn snapshot(index: u64, pieces: &[&str]) -> Snapshot {
     let chunks: Vec<Chunk> = pieces.iter().map(|p| Chunk::new(p.as_bytes())).collect();
     Snapshot {
-        at: LogPos { term: Term(3), index: Index(index) },
-        members: Membership::of([(MemberId(1), "a".into())]),
-        state: Rope::new(chunks),
+        at: LogPosition { term: Term(3), index: Index(index) },
+        members: Membership::of([(NodeId(1), "a".into())]),
+        state: SnapshotData::new(chunks),
     }
 }
 
-fn saves() -> Vec<Save> {
-    let with = |index, pieces: &[&str]| Save {
+fn saves() -> Vec<StateUpdate> {
+    let with = |index, pieces: &[&str]| StateUpdate {
         snapshot: Some(snapshot(index, pieces)),
-        drop_through: Some(Index(index)),
+        compact_through: Some(Index(index)),
         entries: vec![entry(index + 4, 4)],
-        ..Save::default()
+        ..StateUpdate::default()
     };
     vec![
-        Save { hard: Some(Hard { term: Term(3), vote: Some(MemberId(7)) }), ..Save::default() },
-        Save { entries: (1..6).map(|i| entry(i, 3)).collect(), ..Save::default() },
-        Save { cut_from: Some(Index(4)), entries: vec![entry(4, 4), entry(5, 4)], ..Save::default() },
+        StateUpdate {
+            hard_state: Some(HardState { term: Term(3), vote: Some(NodeId(7)) }),
+            ..StateUpdate::default()
+        },
+        StateUpdate { entries: (1..6).map(|i| entry(i, 3)).collect(), ..StateUpdate::default() },
+        StateUpdate {
+            truncate_from: Some(Index(4)),
+            entries: vec![entry(4, 4), entry(5, 4)],
+            ..StateUpdate::default()
+        },
         with(2, &["first", "same", "gone", "same"]),
         with(3, &["second", "same", "new"]),
         // The same again, and one of none.
@@ -41,8 +48,8 @@
 fn what_was_saved_is_there_again_and_anothers_folder_is_refused() {
     let dir = tempfile::tempdir().expect("a folder");
     let (mut log, id, stored) = LogStore::open(dir.path(), "market").expect("it opens");
-    assert_eq!(stored, Stored::default());
-    let mut expected = Stored::default();
+    assert_eq!(stored, PersistentState::default());
+    let mut expected = PersistentState::default();
     for save in saves() {
         log.save(&save).expect("saved");
         expected.apply(&save);
@@ -75,7 +82,7 @@
     let dir = tempfile::tempdir().expect("a folder");
     let (mut log, _, _) = LogStore::open(dir.path(), "market").expect("it opens");
     let length = || newest(dir.path()).metadata().expect("it is there").len() as usize;
-    let (mut made, mut stored) = (vec![(length(), Stored::default())], Stored::default());
+    let (mut made, mut stored) = (vec![(length(), PersistentState::default())], PersistentState::default());
     for save in saves() {
         log.save(&save).expect("saved");
         stored.apply(&save);
@@ -104,7 +111,7 @@
     let large: Vec<String> = (0..8).map(|n| n.to_string().repeat(4_000)).collect();
     let mut length = newest(dir.path()).metadata().expect("it is there").len();
     let mut wrote = |log: &mut LogStore, index: u64, pieces: &[&str]| {
-        let save = Save { snapshot: Some(snapshot(index, pieces)), ..Save::default() };
+        let save = StateUpdate { snapshot: Some(snapshot(index, pieces)), ..StateUpdate::default() };
         log.save(&save).expect("saved");
         let now = newest(dir.path()).metadata().expect("it is there").len();
         now - std::mem::replace(&mut length, now)
@@ -122,7 +129,7 @@
 fn a_folder_of_the_version_before_is_read_and_gone_on_with() {
     #[derive(Serialize)]
     struct Before {
-        at: LogPos,
+        at: LogPosition,
         members: Membership,
         state: Vec<u8>,
     }
@@ -137,7 +144,7 @@
     let (mut log, _, stored) = LogStore::open(dir.path(), "market").expect("it opens");
     assert_eq!(stored.snapshot, Some(new));
     let next = snapshot(3, &["a", "b"]);
-    log.save(&Save { snapshot: Some(next.clone()), ..Save::default() }).expect("saved");
+    log.save(&StateUpdate { snapshot: Some(next.clone()), ..StateUpdate::default() }).expect("saved");
     drop(log);
     let (_, _, stored) = LogStore::open(dir.path(), "market").expect("it opens");
     assert_eq!(stored.snapshot, Some(next));
@@ -150,15 +157,15 @@
     let (mut log, id, _) = LogStore::open(dir.path(), "market").expect("it opens");
     let large: Vec<String> = (0..40).map(|n| format!("{n} ").repeat(20_000)).collect();
     let pieces: Vec<&str> = large.iter().map(String::as_str).collect();
-    let mut expected = Stored::default();
+    let mut expected = PersistentState::default();
     let (mut index, mut threads) = (5u64, 0);
     while log.store.generation() < 3 {
         index += 1;
-        let save = Save {
+        let save = StateUpdate {
             snapshot: index.is_multiple_of(7).then(|| snapshot(index - 1, &pieces[(index % 5) as usize..])),
-            drop_through: index.is_multiple_of(7).then_some(Index(index - 1)),
+            compact_through: index.is_multiple_of(7).then_some(Index(index - 1)),
             entries: vec![entry(index, 3)],
-            ..Save::default()
+            ..StateUpdate::default()
         };
         log.save(&save).expect("saved");
         expected.apply(&save);
--- a/crates/fleet/coordinator/src/wire.rs
+++ b/crates/fleet/coordinator/src/wire.rs
@@ -2,7 +2,7 @@
 
 use std::io::{self, Read};
 
-use beechloft_consensus::{MemberId, Message};
+use beechloft_consensus::{Message, NodeId};
 use beechloft_leases::{Name, Request, Response};
 use beechloft_membership::Packet;
 use beechloft_topic::{Position, Said, Told, TopicHeard, TopicRequest};
@@ -116,7 +116,7 @@
     /// A keeper says who it is.
     Hello {
         /// The id drawn with its folder.
-        id: MemberId,
+        id: NodeId,
         /// Where it listens.
         listen: String,
         /// It has been a member of a group.
@@ -141,9 +141,9 @@
     /// A keeper that lost its disk is let go, and the one that came up in its place is let in.
     Replace {
         /// The one that was lost.
-        old: MemberId,
+        old: NodeId,
         /// The one in its place.
-        new: MemberId,
+        new: NodeId,
     },
     /// The lost one's removal is in the log, or why not.
     Replacing(Result<(), String>),
@@ -357,7 +357,7 @@
 
     #[test]
     fn a_word_is_read_as_it_was_written_and_nothing_else_is() {
-        let word = Word::Hello { id: MemberId(7), listen: "127.0.0.1:1".into(), formed: true };
+        let word = Word::Hello { id: NodeId(7), listen: "127.0.0.1:1".into(), formed: true };
         let bytes = encode(9, &word).expect("short");
         assert_eq!(read(9, &mut &bytes[..]).expect("sound"), word);
         assert!(matches!(read(8, &mut &bytes[..]), Err(WireError::Fleet)));
--- a/crates/fleet/coordinator/tests/store_format.rs
+++ b/crates/fleet/coordinator/tests/store_format.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 
 use beechloft_consensus::{
-    Chunk, Disk as _, Entry, Hard, Index, LogPos, MemberId, Membership, Payload, Rope, Save, Snapshot,
-    Stored, Term,
+    Chunk, Entry, HardState, Index, LogPosition, Membership, NodeId, Payload, PersistentState, Snapshot,
+    SnapshotData, StateUpdate, Storage as _, Term,
 };
 use beechloft_coordinator::LogStore;
 use beechloft_store::fs::Disk;
@@ -25,28 +25,28 @@
 }
 
 fn members() -> Membership {
-    Membership::of([(MemberId(1), "a".into()), (MemberId(2), "b".into())])
+    Membership::of([(NodeId(1), "a".into()), (NodeId(2), "b".into())])
 }
 
-fn at(term: u64, index: u64) -> LogPos {
-    LogPos { term: Term(term), index: Index(index) }
+fn at(term: u64, index: u64) -> LogPosition {
+    LogPosition { term: Term(term), index: Index(index) }
 }
 
-fn save() -> Save {
+fn save() -> StateUpdate {
     let entry = |index, payload| Entry { at: at(3, index), payload };
-    Save {
-        hard: Some(Hard { term: Term(3), vote: Some(MemberId(300)) }),
+    StateUpdate {
+        hard_state: Some(HardState { term: Term(3), vote: Some(NodeId(300)) }),
         snapshot: Some(Snapshot {
             at: at(3, 2),
             members: members(),
-            state: Rope::new([&b"first"[..], b"second", b"first"].map(Chunk::new).to_vec()),
+            state: SnapshotData::new([&b"first"[..], b"second", b"first"].map(Chunk::new).to_vec()),
         }),
         entries: vec![
-            entry(3, Payload::Nothing),
+            entry(3, Payload::Noop),
             entry(4, Payload::Command(vec![1, 2, 3].into())),
-            entry(5, Payload::Members(members())),
+            entry(5, Payload::Membership(members())),
         ],
-        ..Save::default()
+        ..StateUpdate::default()
     }
 }
 
@@ -80,8 +80,8 @@
     (IDENTITY.0, IDENTITY.1.to_vec(), unhex(IDENTITY.2))
 }
 
-fn expected() -> Stored {
-    let mut stored = Stored::default();
+fn expected() -> PersistentState {
+    let mut stored = PersistentState::default();
     stored.apply(&save());
     stored
 }
@@ -91,7 +91,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     write(folder.path(), [identity()]);
     let (mut log, id, stored) = LogStore::open(folder.path(), "market").expect("it opens");
-    assert_eq!((id, stored), (MemberId(300), Stored::default()));
+    assert_eq!((id, stored), (NodeId(300), PersistentState::default()));
     log.save(&save()).expect("saved");
     drop(log);
     let made = dump(folder.path());
@@ -107,7 +107,7 @@
     };
     write(folder.path(), FIXTURE.lines().map(record));
     let (_, id, stored) = LogStore::open(folder.path(), "market").expect("it opens");
-    assert_eq!((id, stored), (MemberId(300), expected()));
+    assert_eq!((id, stored), (NodeId(300), expected()));
 }
 
 #[test]
@@ -116,6 +116,7 @@
     let (table, key, value) = WHOLE_SNAPSHOT;
     write(folder.path(), [identity(), (table, key.to_vec(), unhex(value))]);
     let (_, _, stored) = LogStore::open(folder.path(), "market").expect("it opens");
-    let snapshot = Snapshot { at: at(3, 2), members: members(), state: Rope::whole(vec![255, 0]) };
+    let snapshot =
+        Snapshot { at: at(3, 2), members: members(), state: SnapshotData::from_bytes(vec![255, 0]) };
     assert_eq!(stored.snapshot, Some(snapshot));
 }
--- a/crates/fleet/coordinator/tests/wire_format.rs
+++ b/crates/fleet/coordinator/tests/wire_format.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use beechloft_consensus::{self as consensus, Body, Entry, Index, LogPos, Payload, Term};
+use beechloft_consensus::{self as consensus, Entry, Index, LogPosition, MessageBody, Payload, Term};
 use beechloft_coordinator::wire::{
     self, ChangeLine, LeaseLine, MemberLine, SeenLine, StatusLine, TopicLine, Word,
 };
@@ -106,19 +106,19 @@
 }
 
 fn messages() -> Vec<(&'static str, Word)> {
-    let at = LogPos { term: Term(2), index: Index(300) };
-    let append = Body::Append {
+    let at = LogPosition { term: Term(2), index: Index(300) };
+    let append = MessageBody::AppendEntries {
         prev: at,
         entries: vec![Entry {
-            at: LogPos { term: Term(2), index: Index(301) },
+            at: LogPosition { term: Term(2), index: Index(301) },
             payload: Payload::Command(vec![1, 2, 3].into()),
         }],
         commit: Index(299),
         round: 8,
     };
     let peer = consensus::Message {
-        from: consensus::MemberId(1),
-        to: consensus::MemberId(2),
+        from: consensus::NodeId(1),
+        to: consensus::NodeId(2),
         term: Term(2),
         body: append,
     };
@@ -137,7 +137,7 @@
     let batch = Batch { from: Offset(1), to: Offset(300), head: Offset(301), messages: Vec::new() };
     let told = |said| Word::Told(Told { feed: 7, applied: 300, silent_ms: 1_000, said });
     vec![
-        ("hello", Word::Hello { id: consensus::MemberId(7), listen: "127.0.0.1:7301".into(), formed: true }),
+        ("hello", Word::Hello { id: consensus::NodeId(7), listen: "127.0.0.1:7301".into(), formed: true }),
         ("peer", Word::Peer(peer)),
         ("ask", Word::Ask(leases::Request { holder: HolderId(9), seq: 2, op: acquire })),
         (
@@ -156,7 +156,7 @@
         ("listed", Word::Listed(vec![lease_line()])),
         ("status", Word::Status),
         ("status_is", Word::StatusIs(status_line())),
-        ("replace", Word::Replace { old: consensus::MemberId(1), new: consensus::MemberId(2) }),
+        ("replace", Word::Replace { old: consensus::NodeId(1), new: consensus::NodeId(2) }),
         ("replacing.done", Word::Replacing(Ok(()))),
         ("replacing.refused", Word::Replacing(Err("no".into()))),
         ("watch", Word::Watch(Some(name("task/1")))),
--- a/crates/fleet/replica/src/command.rs
+++ b/crates/fleet/replica/src/command.rs
@@ -12,7 +12,7 @@
     /// For the placement.
     Placement(beechloft_placement::Command),
     /// For the limits.
-    Limits(beechloft_quotas::Command),
+    Quotas(beechloft_quotas::Command),
 }
 
 /// The parts' numbers, in logs and snapshots. One is never used for another part.
@@ -39,7 +39,7 @@
             Command::Leases(command) => postcard::to_allocvec(command).ok(),
             Command::Topics(command) => postcard::to_extend(command, vec![tag::TOPICS]).ok(),
             Command::Placement(command) => postcard::to_extend(command, vec![tag::PLACEMENT]).ok(),
-            Command::Limits(command) => postcard::to_extend(command, vec![tag::LIMITS]).ok(),
+            Command::Quotas(command) => postcard::to_extend(command, vec![tag::LIMITS]).ok(),
         }
     }
 
@@ -51,7 +51,7 @@
             untagged if untagged < tag::FIRST => postcard::from_bytes(bytes).ok().map(Command::Leases),
             tag::TOPICS => postcard::from_bytes(rest).ok().map(Command::Topics),
             tag::PLACEMENT => postcard::from_bytes(rest).ok().map(Command::Placement),
-            tag::LIMITS => postcard::from_bytes(rest).ok().map(Command::Limits),
+            tag::LIMITS => postcard::from_bytes(rest).ok().map(Command::Quotas),
             _ => None,
         }
     }
--- a/crates/fleet/replica/src/keeper.rs
+++ b/crates/fleet/replica/src/keeper.rs
@@ -3,12 +3,13 @@
 use std::time::Duration;
 
 use beechloft_consensus::{
-    Index, Input, MemberId, Outputs, Payload, Raft, Refused, Released, Settings, Status, Stored, Term,
+    Index, Input, NodeId, Payload, PendingOutputs, PersistentState, Raft, Ready, RequestError, Settings,
+    Status, Term,
 };
 use beechloft_leases::{DriftBound, Table};
 use beechloft_topic::{TopicCommand, Topics};
 
-use crate::asked::{Asked, KeeperOutput};
+use crate::asked::{ReplicaInput, ReplicaOutput};
 use crate::command::Command;
 use crate::parts::{LeasesWait, LimitsWait, Moment, PlacementWait, State, TopicsWait, Waits};
 use crate::planted::Fault;
@@ -24,7 +25,7 @@
 
 /// A keeper.
 #[derive(Debug, Clone)]
-pub struct Keeper {
+pub struct Replica {
     raft: Raft,
     state: State,
     drift: DriftBound,
@@ -40,29 +41,29 @@
 }
 
 /// All that decides what it does next, but for what is drawn by chance.
-impl std::hash::Hash for Keeper {
+impl std::hash::Hash for Replica {
     fn hash<H: std::hash::Hasher>(&self, into: &mut H) {
         (&self.raft, &self.state, self.applied, self.leads_in, self.now, &self.waiting).hash(into);
     }
 }
 
-impl Keeper {
+impl Replica {
     /// A keeper as its disk has it.
     ///
     /// # Errors
     /// The snapshot can't be read.
     pub fn new(
-        id: MemberId,
+        id: NodeId,
         settings: Settings,
-        stored: Stored,
+        stored: PersistentState,
         drift: DriftBound,
         seed: u64,
         now: Duration,
-    ) -> Result<Keeper, StateError> {
+    ) -> Result<Replica, StateError> {
         let raft = Raft::new(id, settings, stored, seed, now);
         let at = raft.snapshot().map(|s| s.at.index).unwrap_or_default();
         let state = raft.snapshot().map_or(Ok(State::default()), |s| State::read(&s.state))?;
-        Ok(Keeper {
+        Ok(Replica {
             raft,
             state,
             drift,
@@ -78,7 +79,7 @@
 
     /// Plants a fault.
     #[cfg(feature = "planted")]
-    pub fn plant(&mut self, fault: impl Into<Fault>) {
+    pub fn inject_fault(&mut self, fault: impl Into<Fault>) {
         let fault = fault.into();
         self.fault = Some(fault);
         self.state.plant(fault);
@@ -95,7 +96,7 @@
     }
 
     /// Its table of leases, which may be behind.
-    pub fn table(&self) -> &Table {
+    pub fn leases(&self) -> &Table {
         self.state.leases.table()
     }
 
@@ -105,7 +106,7 @@
     }
 
     /// Its ledger of limits, which may be behind.
-    pub fn limits(&self) -> &beechloft_quotas::Ledger {
+    pub fn quotas(&self) -> &beechloft_quotas::Ledger {
         self.state.limits.ledger()
     }
 
@@ -115,23 +116,23 @@
     }
 
     /// The last entry that is in its state.
-    pub fn applied(&self) -> Index {
+    pub fn applied_index(&self) -> Index {
         self.applied
     }
 
     /// For how long it may not have had all that was committed.
-    pub fn stale(&self) -> Duration {
-        self.raft.stale()
+    pub fn staleness(&self) -> Duration {
+        self.raft.staleness()
     }
 
     /// Has the topics' cleaners work, in a bounded step; whether there is more to do. Not for the log: each keeper cleans for
     /// itself, and what it promises stays the same.
-    pub fn clean(&mut self) -> bool {
+    pub fn clean_topics(&mut self) -> bool {
         self.state.topics.clean()
     }
 
     /// Whether a grant runs out by then, as it has counted.
-    pub fn runs_out_by(&self, now: Duration) -> bool {
+    pub fn expires_by(&self, now: Duration) -> bool {
         self.leads_in.is_some() && self.state.leases.runs_out_by(now)
     }
 
@@ -145,19 +146,19 @@
         Moment { now: self.now, drift: self.drift, leads: self.leads_in.is_some() }
     }
 
-    /// Takes an input. What comes of it lies in `out`, and goes to [`Keeper::released`] once the disk has it.
-    pub fn handle(&mut self, now: Duration, asked: Asked, out: &mut Outputs) {
+    /// Takes an input. What comes of it lies in `out`, and goes to [`Replica::released`] once the disk has it.
+    pub fn handle(&mut self, now: Duration, asked: ReplicaInput, out: &mut PendingOutputs) {
         self.now = self.now.max(now);
         match asked {
-            Asked::Tick => self.raft.handle(now, Input::Tick, out),
-            Asked::Peer(message) => self.raft.handle(now, Input::Message(message), out),
-            Asked::Request(client, request) => {
+            ReplicaInput::Tick => self.raft.handle(now, Input::Tick, out),
+            ReplicaInput::Peer(message) => self.raft.handle(now, Input::Message(message), out),
+            ReplicaInput::LeaseRequest(client, request) => {
                 let waits = Waits::Leases(LeasesWait::Request(client, request.holder, request.seq));
                 let command = Command::Leases(beechloft_leases::Command::Request(request));
                 self.propose(&command, waits, out);
             }
-            Asked::List(client) => self.read(Waits::Leases(LeasesWait::List(client)), out),
-            Asked::Watch(client, name) => {
+            ReplicaInput::ListLeases(client) => self.read(Waits::Leases(LeasesWait::List(client)), out),
+            ReplicaInput::WatchLeases(client, name) => {
                 let waits = Waits::Leases(LeasesWait::Watch(client));
                 if self.state.leases.watch(client, name) {
                     self.read(waits, out);
@@ -165,41 +166,41 @@
                     self.turned_away.push(waits);
                 }
             }
-            Asked::Publish(client, request) => {
+            ReplicaInput::TopicRequest(client, request) => {
                 let waits = TopicsWait::Publish(client, request.publisher, request.ask());
                 let command = Command::Topics(TopicCommand::Ask(request));
                 self.propose(&command, Waits::Topics(waits), out);
             }
-            Asked::Declare(life, topic, terms) => {
+            ReplicaInput::DeclareTopic(life, topic, terms) => {
                 let command = Command::Topics(TopicCommand::Declare { topic, life, terms });
                 self.propose(&command, Waits::Topics(TopicsWait::Nobody), out);
             }
-            Asked::Limit(client, request) => {
+            ReplicaInput::QuotaRequest(client, request) => {
                 let waits = Waits::Limits(LimitsWait::Request(client, request.front, request.seq));
-                let command = Command::Limits(beechloft_quotas::Command::Request(request));
+                let command = Command::Quotas(beechloft_quotas::Command::Request(request));
                 self.propose(&command, waits, out);
             }
-            Asked::Place(client, number, command) => {
+            ReplicaInput::PlacementCommand(client, number, command) => {
                 let waits = Waits::Placement(PlacementWait::Command(client, number));
                 self.propose(&Command::Placement(*command), waits, out);
             }
-            Asked::ReadPlacement(client, number) => {
+            ReplicaInput::ReadPlacement(client, number) => {
                 self.read(Waits::Placement(PlacementWait::Read(client, number)), out);
             }
-            Asked::Closed(client) => self.state.closed(client),
-            Asked::Group(input) => self.raft.handle(now, input, out),
+            ReplicaInput::ClientDisconnected(client) => self.state.closed(client),
+            ReplicaInput::Raft(input) => self.raft.handle(now, input, out),
         }
         self.lead();
         self.due(out);
         self.compact(out);
     }
 
-    fn read(&mut self, waits: Waits, out: &mut Outputs) {
+    fn read(&mut self, waits: Waits, out: &mut PendingOutputs) {
         let ticket = self.waiting.wait(waits);
         self.raft.handle(self.now, Input::Read(ticket), out);
     }
 
-    fn propose(&mut self, command: &Command, waits: Waits, out: &mut Outputs) {
+    fn propose(&mut self, command: &Command, waits: Waits, out: &mut PendingOutputs) {
         // Past the bound it is refused here, before the log is asked.
         if self.waiting.is_full() {
             return self.turned_away.push(waits);
@@ -211,7 +212,7 @@
 
     /// Sees whether it has begun to lead, or leads no more.
     fn lead(&mut self) {
-        let term = self.raft.leads().then(|| self.raft.status().term);
+        let term = self.raft.is_leader().then(|| self.raft.status().term);
         if term == self.leads_in {
             return;
         }
@@ -221,7 +222,7 @@
     }
 
     /// Has the log say what has become due.
-    fn due(&mut self, out: &mut Outputs) {
+    fn due(&mut self, out: &mut PendingOutputs) {
         if self.leads_in.is_none() {
             return;
         }
@@ -230,11 +231,11 @@
         }
     }
 
-    fn compact(&mut self, out: &mut Outputs) {
+    fn compact(&mut self, out: &mut PendingOutputs) {
         let state = self.raft.snapshot().map_or(0, |s| s.state.bytes());
         let long = self.raft.log_bytes() >= state.clamp(*LOG_BYTES.start(), *LOG_BYTES.end());
         let many = self.applied.0 >= self.snapshot_at.0 + LOG_ENTRIES;
-        if (long || many) && self.applied > self.snapshot_at && self.raft.may_compact() {
+        if (long || many) && self.applied > self.snapshot_at && self.raft.can_compact() {
             self.snapshot_at = self.applied;
             let input = Input::Compact(self.applied, self.state.write());
             self.raft.handle(self.now, input, out);
@@ -245,26 +246,31 @@
     ///
     /// # Errors
     /// Another keeper's snapshot can't be read: this keeper must stop.
-    pub fn released(&mut self, now: Duration, released: Released) -> Result<Vec<KeeperOutput>, StateError> {
+    pub fn process_ready(
+        &mut self,
+        now: Duration,
+        released: Ready,
+    ) -> Result<Vec<ReplicaOutput>, StateError> {
         self.now = self.now.max(now);
-        let Released { messages, restored, committed, taken, reads, members: _ } = released;
-        let mut out: Vec<KeeperOutput> = messages.into_iter().map(KeeperOutput::Peer).collect();
+        let Ready { messages, installed_snapshot, committed_entries, proposals, reads, membership: _ } =
+            released;
+        let mut out: Vec<ReplicaOutput> = messages.into_iter().map(ReplicaOutput::Peer).collect();
         self.state.told(&mut out);
         for waits in std::mem::take(&mut self.turned_away) {
-            self.state.refuse(waits, Refused::Busy, &mut out);
+            self.state.refuse(waits, RequestError::Busy, &mut out);
         }
-        if let Some(snapshot) = restored {
+        if let Some(snapshot) = installed_snapshot {
             self.state.restore(&snapshot.state, self.fault)?;
             (self.applied, self.snapshot_at) = (snapshot.at.index, snapshot.at.index);
         }
-        for (ticket, taken) in taken {
+        for (ticket, taken) in proposals {
             match (self.waiting.take(ticket), taken) {
                 (Some(waits), Ok(at)) => self.waiting.taken(at, waits),
                 (Some(waits), Err(why)) => self.state.refuse(waits, why, &mut out),
-                (None, taken) => out.push(KeeperOutput::Group(ticket, taken)),
+                (None, taken) => out.push(ReplicaOutput::Raft(ticket, taken)),
             }
         }
-        for entry in committed {
+        for entry in committed_entries {
             if entry.at.index <= self.applied {
                 continue;
             }
--- a/crates/fleet/replica/src/keeper/tests.rs
+++ b/crates/fleet/replica/src/keeper/tests.rs
@@ -1,4 +1,4 @@
-use beechloft_consensus::{Disk, Membership, Save};
+use beechloft_consensus::{Membership, StateUpdate, Storage};
 use beechloft_leases::{Event, HolderId, Name, Op, Request, Response, Token};
 
 use super::*;
@@ -10,10 +10,10 @@
 
 struct Nowhere;
 
-impl Disk for Nowhere {
+impl Storage for Nowhere {
     type Error = std::convert::Infallible;
 
-    fn save(&mut self, _: &Save) -> Result<(), Self::Error> {
+    fn save(&mut self, _: &StateUpdate) -> Result<(), Self::Error> {
         Ok(())
     }
 }
@@ -21,39 +21,39 @@
 #[test]
 fn past_the_bound_requests_are_turned_away_at_once_and_all_are_told() {
     let mut keeper = alone();
-    let (now, mut out) = (Duration::from_secs(2), Outputs::default());
-    keeper.handle(now, Asked::Tick, &mut out);
-    assert!(keeper.raft().leads());
+    let (now, mut out) = (Duration::from_secs(2), PendingOutputs::default());
+    keeper.handle(now, ReplicaInput::Tick, &mut out);
+    assert!(keeper.raft().is_leader());
     let more = 100;
     for n in 0..MOST_WAITING as u64 + more {
         let name = Name::try_from("task".to_owned()).expect("a name");
         let op = Op::Acquire { name, slots: 1, ttl_ms: 1_000 };
         keeper.handle(
             now,
-            Asked::Request(ClientId(n), Request { holder: HolderId(n), seq: 1, op }),
+            ReplicaInput::LeaseRequest(ClientId(n), Request { holder: HolderId(n), seq: 1, op }),
             &mut out,
         );
     }
-    let Ok(released) = out.commit(&mut Nowhere);
-    let told = keeper.released(now, released).expect("a table");
-    let busy = told.iter().filter(|o| matches!(o, KeeperOutput::Heard(_, Response::Busy))).count();
+    let Ok(released) = out.persist(&mut Nowhere);
+    let told = keeper.process_ready(now, released).expect("a table");
+    let busy = told.iter().filter(|o| matches!(o, ReplicaOutput::LeaseResponse(_, Response::Busy))).count();
     let answered =
-        told.iter().filter(|o| matches!(o, KeeperOutput::Heard(_, Response::Answer { .. }))).count();
+        told.iter().filter(|o| matches!(o, ReplicaOutput::LeaseResponse(_, Response::Answer { .. }))).count();
     assert_eq!((busy as u64, answered), (more, MOST_WAITING));
 }
 
 /// A keeper alone, that leads.
-fn alone() -> Keeper {
-    let stored = Stored::first(Membership::of([(MemberId(1), "a".into())]));
+fn alone() -> Replica {
+    let stored = PersistentState::first(Membership::of([(NodeId(1), "a".into())]));
     let drift = DriftBound::ppm(100).expect("within bounds");
-    Keeper::new(MemberId(1), Settings::default(), stored, drift, 1, Duration::ZERO).expect("a table")
+    Replica::new(NodeId(1), Settings::default(), stored, drift, 1, Duration::ZERO).expect("a table")
 }
 
-fn does(keeper: &mut Keeper, at_ms: u64, asked: Asked) -> Vec<KeeperOutput> {
-    let (now, mut out) = (Duration::from_millis(at_ms), Outputs::default());
+fn does(keeper: &mut Replica, at_ms: u64, asked: ReplicaInput) -> Vec<ReplicaOutput> {
+    let (now, mut out) = (Duration::from_millis(at_ms), PendingOutputs::default());
     keeper.handle(now, asked, &mut out);
-    let Ok(released) = out.commit(&mut Nowhere);
-    keeper.released(now, released).expect("a table")
+    let Ok(released) = out.persist(&mut Nowhere);
+    keeper.process_ready(now, released).expect("a table")
 }
 
 #[test]
@@ -62,18 +62,18 @@
     let name = |text: &str| Name::try_from(text.to_owned()).expect("a name");
     let ask = |holder: u64, seq, of: &str| {
         let op = Op::Acquire { name: name(of), slots: 1, ttl_ms: 1_000 };
-        Asked::Request(ClientId(9), Request { holder: HolderId(holder), seq, op })
+        ReplicaInput::LeaseRequest(ClientId(9), Request { holder: HolderId(holder), seq, op })
     };
-    does(&mut k, 2_000, Asked::Tick);
+    does(&mut k, 2_000, ReplicaInput::Tick);
     does(&mut k, 2_001, ask(1, 1, "a"));
-    let out = does(&mut k, 2_002, Asked::Watch(ClientId(1), Some(name("a"))));
+    let out = does(&mut k, 2_002, ReplicaInput::WatchLeases(ClientId(1), Some(name("a"))));
     let listed =
-        |o: &KeeperOutput| matches!(o, KeeperOutput::Listed(ClientId(1), t) if t.grants().count() == 1);
+        |o: &ReplicaOutput| matches!(o, ReplicaOutput::Leases(ClientId(1), t) if t.grants().count() == 1);
     assert_eq!(out.iter().filter(|o| listed(o)).count(), 1, "{out:?}");
-    does(&mut k, 2_003, Asked::Watch(ClientId(2), None));
-    let told = |out: &[KeeperOutput]| -> Vec<(u64, Event)> {
-        let one = |o: &KeeperOutput| match o {
-            KeeperOutput::Told(client, event) => Some((client.0, event.clone())),
+    does(&mut k, 2_003, ReplicaInput::WatchLeases(ClientId(2), None));
+    let told = |out: &[ReplicaOutput]| -> Vec<(u64, Event)> {
+        let one = |o: &ReplicaOutput| match o {
+            ReplicaOutput::WatchEvent(client, event) => Some((client.0, event.clone())),
             _ => None,
         };
         out.iter().filter_map(one).collect()
@@ -83,22 +83,22 @@
     assert_eq!(told(&does(&mut k, 2_005, ask(1, 2, "b"))), []);
     // A renewal is nothing to be told.
     let renew = Op::Renew { name: name("b"), token: Token(2) };
-    let renew = Asked::Request(ClientId(9), Request { holder: HolderId(1), seq: 3, op: renew });
+    let renew = ReplicaInput::LeaseRequest(ClientId(9), Request { holder: HolderId(1), seq: 3, op: renew });
     assert_eq!(told(&does(&mut k, 2_006, renew)), []);
-    does(&mut k, 2_007, Asked::Closed(ClientId(2)));
+    does(&mut k, 2_007, ReplicaInput::ClientDisconnected(ClientId(2)));
     // The first grant runs out: its entry is put in, and applied.
-    let expired = told(&does(&mut k, 3_500, Asked::Tick));
+    let expired = told(&does(&mut k, 3_500, ReplicaInput::Tick));
     assert_eq!(expired, [(1, Event::Expired(name("a"), Token(1)))]);
 }
 
 #[test]
 fn past_the_bound_nobody_more_watches() {
     let mut k = alone();
-    does(&mut k, 2_000, Asked::Tick);
+    does(&mut k, 2_000, ReplicaInput::Tick);
     let mut busy = 0;
     for n in 0..MOST_WATCHERS as u64 + 5 {
-        let out = does(&mut k, 2_001, Asked::Watch(ClientId(n), None));
-        busy += out.iter().filter(|o| matches!(o, KeeperOutput::Heard(_, Response::Busy))).count();
+        let out = does(&mut k, 2_001, ReplicaInput::WatchLeases(ClientId(n), None));
+        busy += out.iter().filter(|o| matches!(o, ReplicaOutput::LeaseResponse(_, Response::Busy))).count();
     }
     assert_eq!(busy, 5);
 }
--- a/crates/fleet/replica/src/keeper/tests/placement.rs
+++ b/crates/fleet/replica/src/keeper/tests/placement.rs
@@ -16,10 +16,10 @@
     T::try_from(text.to_owned()).expect("a name")
 }
 
-fn place(k: &mut Keeper, at_ms: u64, command: Command) -> Vec<Answer> {
-    let out = does(k, at_ms, Asked::Place(ClientId(1), at_ms, Box::new(command)));
+fn place(k: &mut Replica, at_ms: u64, command: Command) -> Vec<Answer> {
+    let out = does(k, at_ms, ReplicaInput::PlacementCommand(ClientId(1), at_ms, Box::new(command)));
     let answer = |o| match o {
-        KeeperOutput::Placed(ClientId(1), number, answer) if number == at_ms => Some(answer),
+        ReplicaOutput::PlacementResponse(ClientId(1), number, answer) if number == at_ms => Some(answer),
         _ => None,
     };
     out.into_iter().filter_map(answer).collect()
@@ -44,7 +44,7 @@
 #[test]
 fn records_are_written_to_their_topic_by_the_log_itself_and_rights_run_out() {
     let mut k = alone();
-    does(&mut k, 2_000, Asked::Tick);
+    does(&mut k, 2_000, ReplicaInput::Tick);
     let room = Room { bytes: 100, streams: 10, kb_s: 10 };
     let line = BoxLine { zone: name("z"), rack: RackId(1), has: room, held: Room::default() };
     let quota = Quota { bytes: 100, regions: [name("south")].into(), changes_an_hour: 9, shards: 9 };
@@ -65,9 +65,9 @@
     let mut read = State::read(&k.state.write()).expect("it reads back");
     assert_eq!(read.write(), k.state.write());
     let topic: Name = name("fleet/placement");
-    let written = |k: &Keeper| k.topics().all().find(|(n, _)| **n == topic).map(|(_, t)| t.head().0);
+    let written = |k: &Replica| k.topics().all().find(|(n, _)| **n == topic).map(|(_, t)| t.head().0);
     assert_eq!(written(&k), None);
-    does(&mut k, 2_012, Asked::Declare(7, topic.clone(), beechloft_topic::Terms::default()));
+    does(&mut k, 2_012, ReplicaInput::DeclareTopic(7, topic.clone(), beechloft_topic::Terms::default()));
     assert_eq!(written(&k), Some(1));
     // Sent again it is done once, and nothing more is written; a state that was read goes on as this one.
     assert_eq!(place(&mut k, 2_013, put()), [admitted]);
@@ -78,8 +78,8 @@
     let renew = Renew { front: FrontId(5), seq: 1, has: Some(Revision(1)), ttl_ms: 1_000 };
     let right = Answer::Front { front: FrontId(5), seq: 1, renewed: Renewed::Right };
     assert_eq!(place(&mut k, 2_020, Command::Renew(renew)), [right]);
-    does(&mut k, 3_000, Asked::Tick);
+    does(&mut k, 3_000, ReplicaInput::Tick);
     assert_eq!(k.placements().fronts().len(), 1);
-    does(&mut k, 3_040, Asked::Tick);
+    does(&mut k, 3_040, ReplicaInput::Tick);
     assert_eq!(k.placements().fronts().len(), 0);
 }
--- a/crates/fleet/replica/src/parts.rs
+++ b/crates/fleet/replica/src/parts.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use beechloft_consensus::{Chunk, Refused, Rope};
+use beechloft_consensus::{Chunk, RequestError, SnapshotData};
 use beechloft_leases::DriftBound;
 use beechloft_topic::{Record, TopicCommand, TopicEvent, TopicOp, TopicRequest};
 
-use crate::asked::{ClientId, KeeperOutput};
+use crate::asked::{ClientId, ReplicaOutput};
 use crate::command::{Command, tag};
 use crate::planted::Fault;
 use crate::snapshot::{self, StateError};
@@ -50,12 +50,12 @@
         at: Moment,
         command: Self::Command,
         waits: Option<Self::Waits>,
-        out: &mut Vec<KeeperOutput>,
+        out: &mut Vec<ReplicaOutput>,
     );
     /// A read may be answered: it sees all that was committed before it was asked.
-    fn read(&mut self, waits: Self::Waits, out: &mut Vec<KeeperOutput>);
+    fn read(&mut self, waits: Self::Waits, out: &mut Vec<ReplicaOutput>);
     /// A command or a read was not taken.
-    fn refuse(&mut self, waits: Self::Waits, why: Refused, out: &mut Vec<KeeperOutput>);
+    fn refuse(&mut self, waits: Self::Waits, why: RequestError, out: &mut Vec<ReplicaOutput>);
     /// This keeper has begun to lead, in a new term perhaps, or leads no more (`at.leads`).
     fn lead(&mut self, at: Moment);
     /// When it wants to hear of the time next, while this keeper leads.
@@ -63,7 +63,7 @@
     /// What is due by now, for the log.
     fn due(&mut self, now: Duration) -> Vec<Self::Command>;
     /// What is to be told whatever is released next.
-    fn told(&mut self, out: &mut Vec<KeeperOutput>);
+    fn told(&mut self, out: &mut Vec<ReplicaOutput>);
     /// Whoever asked over this connection is gone.
     fn closed(&mut self, client: ClientId);
 }
@@ -88,14 +88,14 @@
 
 impl State {
     /// Reads a snapshot's; nothing at all is the empty state.
-    pub fn read(state: &Rope) -> Result<State, StateError> {
+    pub fn read(state: &SnapshotData) -> Result<State, StateError> {
         let mut read = State::default();
         read.restore(state, None)?;
         Ok(read)
     }
 
     /// The replicated part of it alone.
-    pub fn write(&self) -> Rope {
+    pub fn write(&self) -> SnapshotData {
         let leases = vec![Chunk::new(self.leases.table().write())];
         snapshot::write([
             (tag::LEASES, leases),
@@ -106,13 +106,13 @@
     }
 
     /// Takes the replicated state of a snapshot; who watches here goes on.
-    pub fn restore(&mut self, state: &Rope, fault: Option<Fault>) -> Result<(), StateError> {
+    pub fn restore(&mut self, state: &SnapshotData, fault: Option<Fault>) -> Result<(), StateError> {
         let parts = snapshot::read(state, tag::LEASES)?;
         let of = |tag| parts.iter().find(|(t, _)| *t == tag).map_or(&[][..], |(_, chunks)| chunks);
         if let Some((unknown, _)) =
             parts.iter().find(|(t, _)| ![tag::LEASES, tag::TOPICS, tag::LIMITS, tag::PLACEMENT].contains(t))
         {
-            return Err(StateError::Unknown(*unknown));
+            return Err(StateError::UnknownPart(*unknown));
         }
         self.leases.restore(of(tag::LEASES).first().map_or(&[][..], |c| c.bytes()))?;
         self.topics.restore(of(tag::TOPICS))?;
@@ -129,12 +129,18 @@
         match fault {
             Fault::Leases(fault) => self.leases.plant(fault),
             Fault::Topics(fault) => self.topics.plant(fault),
-            Fault::Limits(fault) => self.limits.plant(fault),
+            Fault::Quotas(fault) => self.limits.plant(fault),
             Fault::Placement(fault) => self.pinned.plant(fault),
         }
     }
 
-    pub fn apply(&mut self, at: Moment, command: Command, waits: Option<Waits>, out: &mut Vec<KeeperOutput>) {
+    pub fn apply(
+        &mut self,
+        at: Moment,
+        command: Command,
+        waits: Option<Waits>,
+        out: &mut Vec<ReplicaOutput>,
+    ) {
         match command {
             Command::Leases(command) => {
                 let waits = match waits {
@@ -163,7 +169,7 @@
                 self.pinned.apply(at, command, waits, out);
                 self.pinned.publish(&mut self.topics, at, out);
             }
-            Command::Limits(command) => {
+            Command::Quotas(command) => {
                 let waits = match waits {
                     Some(Waits::Limits(waits)) => Some(waits),
                     _ => None,
@@ -174,10 +180,10 @@
     }
 
     /// What the topic of limits has come to say counts for the ledger in the same entry: each keeper has both or neither.
-    fn defined(&mut self, at: Moment, record: Option<Record>, told: usize, out: &mut Vec<KeeperOutput>) {
+    fn defined(&mut self, at: Moment, record: Option<Record>, told: usize, out: &mut Vec<ReplicaOutput>) {
         let Some(record) = record else { return };
         let written = out.get(told..).into_iter().flatten().find_map(|o| match o {
-            KeeperOutput::TopicEvent(TopicEvent::Appended(_, offset)) => Some(offset.0),
+            ReplicaOutput::TopicEvent(TopicEvent::Appended(_, offset)) => Some(offset.0),
             _ => None,
         });
         if let Some(offset) = written {
@@ -185,7 +191,7 @@
         }
     }
 
-    pub fn read_for(&mut self, waits: Waits, out: &mut Vec<KeeperOutput>) {
+    pub fn read_for(&mut self, waits: Waits, out: &mut Vec<ReplicaOutput>) {
         match waits {
             Waits::Leases(waits) => self.leases.read(waits, out),
             Waits::Topics(waits) => self.topics.read(waits, out),
@@ -194,7 +200,7 @@
         }
     }
 
-    pub fn refuse(&mut self, waits: Waits, why: Refused, out: &mut Vec<KeeperOutput>) {
+    pub fn refuse(&mut self, waits: Waits, why: RequestError, out: &mut Vec<ReplicaOutput>) {
         match waits {
             Waits::Leases(waits) => self.leases.refuse(waits, why, out),
             Waits::Topics(waits) => self.topics.refuse(waits, why, out),
@@ -223,13 +229,13 @@
         let topics = self.topics.due(now).into_iter();
         let topics = topics.map(|c| (Command::Topics(c), Waits::Topics(TopicsWait::Nobody)));
         let limits = self.limits.due(now).into_iter();
-        let limits = limits.map(|c| (Command::Limits(c), Waits::Limits(LimitsWait::Nobody)));
+        let limits = limits.map(|c| (Command::Quotas(c), Waits::Limits(LimitsWait::Nobody)));
         let pinned = self.pinned.due(now).into_iter();
         let pinned = pinned.map(|c| (Command::Placement(c), Waits::Placement(PlacementWait::Nobody)));
         leases.chain(topics).chain(limits).chain(pinned).collect()
     }
 
-    pub fn told(&mut self, out: &mut Vec<KeeperOutput>) {
+    pub fn told(&mut self, out: &mut Vec<ReplicaOutput>) {
         self.leases.told(out);
         self.topics.told(out);
         self.limits.told(out);
--- a/crates/fleet/replica/src/parts/leases.rs
+++ b/crates/fleet/replica/src/parts/leases.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use beechloft_consensus::Refused;
+use beechloft_consensus::RequestError;
 use beechloft_leases::{
     Applied, Command, Event, Fault, HolderId, Name, ReplicaId, Response, Table, TableError, Token,
 };
 
 use super::{Moment, Part};
-use crate::asked::{ClientId, KeeperOutput};
+use crate::asked::{ClientId, ReplicaOutput};
 
 /// Who watches, at most.
 pub(crate) const MOST_WATCHERS: usize = 512;
@@ -115,7 +115,7 @@
     }
 
     /// Tells those who watch. Renewals change nothing that anybody waits for.
-    fn tell(&self, event: &Event, out: &mut Vec<KeeperOutput>) {
+    fn tell(&self, event: &Event, out: &mut Vec<ReplicaOutput>) {
         let name = match event {
             Event::Renewed(..) => return,
             Event::Granted { name, .. }
@@ -125,7 +125,7 @@
         };
         let wants = |w: &Watcher| w.told && w.name.as_ref().is_none_or(|n| n == name);
         let watchers = self.watchers.iter().filter(|(_, w)| wants(w));
-        out.extend(watchers.map(|(client, _)| KeeperOutput::Told(*client, event.clone())));
+        out.extend(watchers.map(|(client, _)| ReplicaOutput::WatchEvent(*client, event.clone())));
     }
 }
 
@@ -138,7 +138,7 @@
         at: Moment,
         command: Command,
         waits: Option<LeasesWait>,
-        out: &mut Vec<KeeperOutput>,
+        out: &mut Vec<ReplicaOutput>,
     ) {
         let Applied { answer, event } = self.table.apply(&command);
         match &event {
@@ -154,39 +154,39 @@
         }
         if let Some(event) = event {
             self.tell(&event, out);
-            out.push(KeeperOutput::Event(event));
+            out.push(ReplicaOutput::LeaseEvent(event));
         }
         if let (Some(LeasesWait::Request(client, holder, seq)), Some(answer)) = (waits, answer) {
-            out.push(KeeperOutput::Heard(client, Response::Answer { holder, seq, answer }));
+            out.push(ReplicaOutput::LeaseResponse(client, Response::Answer { holder, seq, answer }));
         }
     }
 
-    fn read(&mut self, waits: LeasesWait, out: &mut Vec<KeeperOutput>) {
+    fn read(&mut self, waits: LeasesWait, out: &mut Vec<ReplicaOutput>) {
         match waits {
-            LeasesWait::List(client) => out.push(KeeperOutput::Listed(client, self.table.clone())),
+            LeasesWait::List(client) => out.push(ReplicaOutput::Leases(client, self.table.clone())),
             LeasesWait::Watch(client) => {
                 // From here on it hears of all that is applied: nothing lies between.
                 if let Some(watcher) = self.watchers.get_mut(&client) {
                     watcher.told = true;
-                    out.push(KeeperOutput::Listed(client, self.table.clone()));
+                    out.push(ReplicaOutput::Leases(client, self.table.clone()));
                 }
             }
             LeasesWait::Request(..) | LeasesWait::Expiry => {}
         }
     }
 
-    fn refuse(&mut self, waits: LeasesWait, why: Refused, out: &mut Vec<KeeperOutput>) {
+    fn refuse(&mut self, waits: LeasesWait, why: RequestError, out: &mut Vec<ReplicaOutput>) {
         let heard = match why {
-            Refused::NotLeader(leader) => Response::NotLeader(leader.map(|l| ReplicaId(l.0))),
+            RequestError::NotLeader(leader) => Response::NotLeader(leader.map(|l| ReplicaId(l.0))),
             _ => Response::Busy,
         };
         match waits {
             LeasesWait::Request(client, ..) | LeasesWait::List(client) => {
-                out.push(KeeperOutput::Heard(client, heard));
+                out.push(ReplicaOutput::LeaseResponse(client, heard));
             }
             LeasesWait::Watch(client) => {
                 self.watchers.remove(&client);
-                out.push(KeeperOutput::Heard(client, heard));
+                out.push(ReplicaOutput::LeaseResponse(client, heard));
             }
             LeasesWait::Expiry => {}
         }
@@ -222,8 +222,8 @@
         over
     }
 
-    fn told(&mut self, out: &mut Vec<KeeperOutput>) {
-        out.extend(self.unwatched.drain(..).map(KeeperOutput::Unwatched));
+    fn told(&mut self, out: &mut Vec<ReplicaOutput>) {
+        out.extend(self.unwatched.drain(..).map(ReplicaOutput::WatchEnded));
     }
 
     fn closed(&mut self, client: ClientId) {
--- a/crates/fleet/replica/src/parts/limits.rs
+++ b/crates/fleet/replica/src/parts/limits.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use beechloft_consensus::{Chunk, Refused};
+use beechloft_consensus::{Chunk, RequestError};
 use beechloft_leases::ReplicaId;
 use beechloft_quotas::{Command, Definition, Fault, FrontId, Heard, Ledger, LedgerError, Times};
 
 use super::{Moment, Part};
-use crate::asked::{ClientId, KeeperOutput};
+use crate::asked::{ClientId, ReplicaOutput};
 
 /// The topic whose records define limits: keys are their names.
 pub(crate) const TOPIC: &str = "fleet/limits";
@@ -66,7 +66,7 @@
         key: &[u8],
         value: Option<&[u8]>,
         offset: u64,
-        out: &mut Vec<KeeperOutput>,
+        out: &mut Vec<ReplicaOutput>,
     ) {
         let text = std::str::from_utf8(key).map(str::to_owned);
         let Some(name) = text.ok().and_then(|t| beechloft_leases::Name::try_from(t).ok()) else { return };
@@ -91,31 +91,31 @@
         at: Moment,
         command: Command,
         waits: Option<LimitsWait>,
-        out: &mut Vec<KeeperOutput>,
+        out: &mut Vec<ReplicaOutput>,
     ) {
         let (answer, events) = self.ledger.apply(&command);
         for event in events {
             if let Some(times) = &mut self.times {
                 times.applied(at.now, &self.ledger, &event);
             }
-            out.push(KeeperOutput::LimitEvent(event));
+            out.push(ReplicaOutput::QuotaEvent(event));
         }
         if let (Some(LimitsWait::Request(client, front, seq)), Some(answer)) = (waits, answer) {
-            out.push(KeeperOutput::LimitHeard(client, Heard::Answer { front, seq, answer }));
+            out.push(ReplicaOutput::QuotaResponse(client, Heard::Answer { front, seq, answer }));
         }
     }
 
-    fn read(&mut self, _: LimitsWait, _: &mut Vec<KeeperOutput>) {}
+    fn read(&mut self, _: LimitsWait, _: &mut Vec<ReplicaOutput>) {}
 
-    fn refuse(&mut self, waits: LimitsWait, why: Refused, out: &mut Vec<KeeperOutput>) {
+    fn refuse(&mut self, waits: LimitsWait, why: RequestError, out: &mut Vec<ReplicaOutput>) {
         let LimitsWait::Request(client, ..) = waits else { return };
         let heard = match why {
-            Refused::NotLeader(leader) => {
+            RequestError::NotLeader(leader) => {
                 beechloft_leases::Response::NotLeader(leader.map(|l| ReplicaId(l.0)))
             }
             _ => beechloft_leases::Response::Busy,
         };
-        out.push(KeeperOutput::Heard(client, heard));
+        out.push(ReplicaOutput::LeaseResponse(client, heard));
     }
 
     /// A new leader gives all accounts their full time again: it does not know when the one before it began to count.
@@ -139,7 +139,7 @@
         self.times.as_mut().map(|t| t.due(now)).unwrap_or_default()
     }
 
-    fn told(&mut self, _: &mut Vec<KeeperOutput>) {}
+    fn told(&mut self, _: &mut Vec<ReplicaOutput>) {}
 
     fn closed(&mut self, _: ClientId) {}
 }
--- a/crates/fleet/replica/src/parts/placement.rs
+++ b/crates/fleet/replica/src/parts/placement.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use beechloft_consensus::{Chunk, Refused};
+use beechloft_consensus::{Chunk, RequestError};
 use beechloft_leases::Name;
 use beechloft_placement::names::{Revision, ShardId};
 use beechloft_placement::state::StateError;
@@ -19,7 +19,7 @@
 
 use super::topics::KeyedLogs;
 use super::{Moment, Part};
-use crate::asked::{ClientId, KeeperOutput};
+use crate::asked::{ClientId, ReplicaOutput};
 
 /// The topic of records: key `CUSTOMER/SHARD`, value a revision and a [`Record`], a tombstone for what is pinned no more.
 pub(crate) const TOPIC: &str = "fleet/placement";
@@ -98,7 +98,7 @@
     }
 
     /// Writes the records that are due, as far as the topic takes them.
-    pub fn publish(&mut self, topics: &mut KeyedLogs, at: Moment, out: &mut Vec<KeeperOutput>) {
+    pub fn publish(&mut self, topics: &mut KeyedLogs, at: Moment, out: &mut Vec<ReplicaOutput>) {
         // One session may have been let go, or fenced by somebody who had no business there; not twice in one entry.
         let mut anew = true;
         while let Some(due) = self.replicated.due.front() {
@@ -160,7 +160,7 @@
         at: Moment,
         command: Command,
         waits: Option<PlacementWait>,
-        out: &mut Vec<KeeperOutput>,
+        out: &mut Vec<ReplicaOutput>,
     ) {
         let (answer, events) = self.replicated.placements.apply(&command);
         for event in events {
@@ -171,22 +171,22 @@
                 let due = Due { shard: shard.clone(), revision: *revision, record: record.clone() };
                 self.replicated.due.push_back(due);
             }
-            out.push(KeeperOutput::PlacementEvent(event));
+            out.push(ReplicaOutput::PlacementEvent(event));
         }
         if let Some(PlacementWait::Command(client, number)) = waits {
-            out.push(KeeperOutput::Placed(client, number, answer));
+            out.push(ReplicaOutput::PlacementResponse(client, number, answer));
         }
     }
 
-    fn read(&mut self, waits: PlacementWait, out: &mut Vec<KeeperOutput>) {
+    fn read(&mut self, waits: PlacementWait, out: &mut Vec<ReplicaOutput>) {
         if let PlacementWait::Read(client, number) = waits {
-            out.push(KeeperOutput::Placed(client, number, Answer::Done));
+            out.push(ReplicaOutput::PlacementResponse(client, number, Answer::Done));
         }
     }
 
-    fn refuse(&mut self, waits: PlacementWait, why: Refused, out: &mut Vec<KeeperOutput>) {
+    fn refuse(&mut self, waits: PlacementWait, why: RequestError, out: &mut Vec<ReplicaOutput>) {
         if let PlacementWait::Command(client, number) | PlacementWait::Read(client, number) = waits {
-            out.push(KeeperOutput::NotPlaced(client, number, why));
+            out.push(ReplicaOutput::PlacementRejected(client, number, why));
         }
     }
 
@@ -211,7 +211,7 @@
         self.rights.as_mut().map_or_else(Vec::new, |rights| rights.due(now))
     }
 
-    fn told(&mut self, _: &mut Vec<KeeperOutput>) {}
+    fn told(&mut self, _: &mut Vec<ReplicaOutput>) {}
 
     fn closed(&mut self, _: ClientId) {}
 }
--- a/crates/fleet/replica/src/parts/topics.rs
+++ b/crates/fleet/replica/src/parts/topics.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use beechloft_consensus::{Chunk, ChunkName, Refused};
+use beechloft_consensus::{Chunk, ChunkId, RequestError};
 use beechloft_topic::{
     ChunkError, Fault, Layout, PublisherId, Retention, TopicAnswer, TopicAsk, TopicCommand, TopicHeard,
     Topics,
 };
 
 use super::{Moment, Part};
-use crate::asked::{ClientId, KeeperOutput};
+use crate::asked::{ClientId, ReplicaOutput};
 
 /// Who waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -63,7 +63,7 @@
             return Vec::new();
         }
         let chunk = |c: beechloft_topic::Chunk| {
-            Chunk::named(ChunkName { hash: c.name.hash, length: c.name.length }, c.bytes)
+            Chunk::with_id(ChunkId { hash: c.name.hash, length: c.name.length }, c.bytes)
         };
         self.topics.write_chunks().into_iter().map(chunk).collect()
     }
@@ -93,7 +93,7 @@
         &mut self,
         at: Moment,
         command: &TopicCommand,
-        out: &mut Vec<KeeperOutput>,
+        out: &mut Vec<ReplicaOutput>,
     ) -> Option<TopicAnswer> {
         if let TopicCommand::Ask(request) = command {
             self.to_clean += size(request);
@@ -103,7 +103,7 @@
             if let Some(counting) = &mut self.counting {
                 counting.look_at.get_or_insert(at.now + LOOK);
             }
-            out.push(KeeperOutput::TopicEvent(event));
+            out.push(ReplicaOutput::TopicEvent(event));
         }
         answer
     }
@@ -124,20 +124,20 @@
         at: Moment,
         command: TopicCommand,
         waits: Option<TopicsWait>,
-        out: &mut Vec<KeeperOutput>,
+        out: &mut Vec<ReplicaOutput>,
     ) {
         let answer = self.command(at, &command, out);
         if let (Some(TopicsWait::Publish(client, publisher, ask)), Some(answer)) = (waits, answer) {
             let heard = TopicHeard { publisher, ask, answer };
-            out.push(KeeperOutput::TopicHeard(client, heard));
+            out.push(ReplicaOutput::TopicResponse(client, heard));
         }
     }
 
-    fn read(&mut self, _: TopicsWait, _: &mut Vec<KeeperOutput>) {}
+    fn read(&mut self, _: TopicsWait, _: &mut Vec<ReplicaOutput>) {}
 
-    fn refuse(&mut self, waits: TopicsWait, why: Refused, out: &mut Vec<KeeperOutput>) {
+    fn refuse(&mut self, waits: TopicsWait, why: RequestError, out: &mut Vec<ReplicaOutput>) {
         if let TopicsWait::Publish(client, publisher, ..) = waits {
-            out.push(KeeperOutput::NotPublished(client, publisher, why));
+            out.push(ReplicaOutput::TopicRequestRejected(client, publisher, why));
         }
     }
 
@@ -170,7 +170,7 @@
         })
     }
 
-    fn told(&mut self, _: &mut Vec<KeeperOutput>) {}
+    fn told(&mut self, _: &mut Vec<ReplicaOutput>) {}
 
     fn closed(&mut self, _: ClientId) {}
 }
--- a/crates/fleet/replica/src/planted.rs
+++ b/crates/fleet/replica/src/planted.rs
@@ -10,12 +10,12 @@
     /// Of the placement.
     Placement(beechloft_placement::Fault),
     /// Of the limits.
-    Limits(beechloft_quotas::Fault),
+    Quotas(beechloft_quotas::Fault),
 }
 
 impl From<beechloft_quotas::Fault> for Fault {
     fn from(fault: beechloft_quotas::Fault) -> Fault {
-        Fault::Limits(fault)
+        Fault::Quotas(fault)
     }
 }
 
--- a/crates/fleet/replica/src/snapshot.rs
+++ b/crates/fleet/replica/src/snapshot.rs
@@ -1,6 +1,6 @@
 //! The replicated state as a snapshot has it: a first piece that says which pieces are which part's, and then those.
 
-use beechloft_consensus::{Chunk, Rope};
+use beechloft_consensus::{Chunk, SnapshotData};
 use beechloft_leases::TableError;
 use beechloft_topic::ChunkError;
 use serde::{Deserialize, Serialize};
@@ -20,13 +20,13 @@
     Placement(#[from] beechloft_placement::state::StateError),
     /// Of the limits.
     #[error(transparent)]
-    Limits(#[from] beechloft_quotas::LedgerError),
+    Quotas(#[from] beechloft_quotas::LedgerError),
     /// What says which pieces are whose.
     #[error("a snapshot whose pieces do not fit together")]
-    Pieces,
+    Malformed,
     /// It has a part that this version does not know, and would lose.
     #[error("a snapshot with part {0}, which this version does not know")]
-    Unknown(u8),
+    UnknownPart(u8),
 }
 
 /// What the first piece begins with. What does not is a table of leases, which was all there was at first.
@@ -37,7 +37,7 @@
 struct Shares(Vec<(u8, u32)>);
 
 /// Pieces of parts, by tag, as one state. A part without pieces is not named.
-pub(crate) fn write(parts: impl IntoIterator<Item = (u8, Vec<Chunk>)>) -> Rope {
+pub(crate) fn write(parts: impl IntoIterator<Item = (u8, Vec<Chunk>)>) -> SnapshotData {
     let (mut shares, mut all) = (Shares(Vec::new()), Vec::new());
     for (tag, chunks) in parts {
         if !chunks.is_empty() {
@@ -48,27 +48,27 @@
     // Only a value that has no length beforehand could fail, and this has none such.
     let shares = postcard::to_allocvec(&shares).unwrap_or_default();
     all.insert(0, Chunk::new([MAGIC, &shares].concat()));
-    Rope::new(all)
+    SnapshotData::new(all)
 }
 
 /// The pieces of each part, by tag; `leases` is the tag of a state that has nothing but a table.
-pub(crate) fn read(state: &Rope, leases: u8) -> Result<Vec<(u8, &[Chunk])>, StateError> {
+pub(crate) fn read(state: &SnapshotData, leases: u8) -> Result<Vec<(u8, &[Chunk])>, StateError> {
     let Some((first, mut rest)) = state.chunks().split_first() else { return Ok(Vec::new()) };
     let Some(shares) = first.bytes().strip_prefix(MAGIC) else {
-        return if rest.is_empty() { Ok(vec![(leases, state.chunks())]) } else { Err(StateError::Pieces) };
+        return if rest.is_empty() { Ok(vec![(leases, state.chunks())]) } else { Err(StateError::Malformed) };
     };
-    let shares: Shares = postcard::from_bytes(shares).map_err(|_| StateError::Pieces)?;
+    let shares: Shares = postcard::from_bytes(shares).map_err(|_| StateError::Malformed)?;
     let mut parts: Vec<(u8, &[Chunk])> = Vec::new();
     for (tag, count) in shares.0 {
         let known = parts.iter().any(|(t, _)| *t == tag);
-        let (own, more) = rest.split_at_checked(count as usize).ok_or(StateError::Pieces)?;
+        let (own, more) = rest.split_at_checked(count as usize).ok_or(StateError::Malformed)?;
         if known {
-            return Err(StateError::Pieces);
+            return Err(StateError::Malformed);
         }
         parts.push((tag, own));
         rest = more;
     }
-    if rest.is_empty() { Ok(parts) } else { Err(StateError::Pieces) }
+    if rest.is_empty() { Ok(parts) } else { Err(StateError::Malformed) }
 }
 
 #[cfg(test)]
@@ -81,17 +81,21 @@
         let state = write([(1, vec![piece("a")]), (16, vec![piece("b"), piece("c")]), (17, Vec::new())]);
         let read_back = read(&state, 1).expect("sound");
         assert_eq!(read_back, [(1, &[piece("a")][..]), (16, &[piece("b"), piece("c")][..])]);
-        assert_eq!(read(&Rope::default(), 1), Ok(Vec::new()));
+        assert_eq!(read(&SnapshotData::default(), 1), Ok(Vec::new()));
         // As versions before had it.
-        let whole = Rope::whole(*b"a table");
+        let whole = SnapshotData::from_bytes(*b"a table");
         assert_eq!(read(&whole, 1), Ok(vec![(1, whole.chunks())]));
         for n in 1..state.chunks().len() {
-            assert_eq!(read(&Rope::new(state.chunks()[..n].to_vec()), 1), Err(StateError::Pieces), "{n}");
+            assert_eq!(
+                read(&SnapshotData::new(state.chunks()[..n].to_vec()), 1),
+                Err(StateError::Malformed),
+                "{n}"
+            );
         }
         let more = [state.chunks(), &[piece("d")]].concat();
-        assert_eq!(read(&Rope::new(more), 1), Err(StateError::Pieces));
-        assert_eq!(read(&Rope::new(state.chunks()[1..].to_vec()), 1), Err(StateError::Pieces));
+        assert_eq!(read(&SnapshotData::new(more), 1), Err(StateError::Malformed));
+        assert_eq!(read(&SnapshotData::new(state.chunks()[1..].to_vec()), 1), Err(StateError::Malformed));
         let twice = write([(1, vec![piece("a")]), (1, vec![piece("b")])]);
-        assert_eq!(read(&twice, 1), Err(StateError::Pieces));
+        assert_eq!(read(&twice, 1), Err(StateError::Malformed));
     }
 }
--- a/crates/fleet/replica/tests/encoding/snapshot.rs
+++ b/crates/fleet/replica/tests/encoding/snapshot.rs
@@ -6,13 +6,14 @@
 use std::time::Duration;
 
 use beechloft_consensus::{
-    Chunk, Disk, Input, MemberId, Membership, Outputs, Rope, Save, Settings, Snapshot, Stored, Ticket,
+    Chunk, Input, Membership, NodeId, PendingOutputs, PersistentState, RequestId, Settings, Snapshot,
+    SnapshotData, StateUpdate, Storage,
 };
 use beechloft_leases::DriftBound;
 use beechloft_placement::names::{AskId, BoxId, DiskId, Life, Order, Revision, Version};
 use beechloft_placement::{Answer, Command as PlacementCommand, Outcome, Renew, Step};
 use beechloft_quotas::{Claim, Definition, Key, Kind, Of, Op as QuotaOp, Said};
-use beechloft_replica::{Asked, ClientId, Command, Keeper, KeeperOutput};
+use beechloft_replica::{ClientId, Command, Replica, ReplicaInput, ReplicaOutput};
 use beechloft_topic::{Epoch, Expect, TopicCommand, TopicOp};
 
 use super::values::{
@@ -26,12 +27,12 @@
 const LEADS_AT: Duration = Duration::from_secs(2);
 
 #[derive(Default)]
-struct MemoryDisk(Stored);
+struct MemoryDisk(PersistentState);
 
-impl Disk for MemoryDisk {
+impl Storage for MemoryDisk {
     type Error = Infallible;
 
-    fn save(&mut self, save: &Save) -> Result<(), Infallible> {
+    fn save(&mut self, save: &StateUpdate) -> Result<(), Infallible> {
         self.0.apply(save);
         Ok(())
     }
@@ -39,42 +40,46 @@
 
 /// A replica that is the only one of its fleet.
 struct Single {
-    replica: Keeper,
+    replica: Replica,
     disk: MemoryDisk,
 }
 
 impl Single {
-    fn start(stored: Stored) -> Single {
+    fn start(stored: PersistentState) -> Single {
         let drift = DriftBound::ppm(100).expect("within bounds");
-        let replica = Keeper::new(MemberId(1), Settings::default(), stored.clone(), drift, 1, Duration::ZERO);
+        let replica = Replica::new(NodeId(1), Settings::default(), stored.clone(), drift, 1, Duration::ZERO);
         let mut single =
             Single { replica: replica.expect("a state that can be read"), disk: MemoryDisk(stored) };
-        single.handle(Asked::Tick);
+        single.handle(ReplicaInput::Tick);
         single
     }
 
     fn new() -> Single {
-        Single::start(Stored::first(Membership::of([(MemberId(1), "a".into())])))
+        Single::start(PersistentState::first(Membership::of([(NodeId(1), "a".into())])))
     }
 
-    fn handle(&mut self, asked: Asked) -> Vec<KeeperOutput> {
-        let mut outputs = Outputs::default();
+    fn handle(&mut self, asked: ReplicaInput) -> Vec<ReplicaOutput> {
+        let mut outputs = PendingOutputs::default();
         self.replica.handle(LEADS_AT, asked, &mut outputs);
-        let Ok(released) = outputs.commit(&mut self.disk);
-        self.replica.released(LEADS_AT, released).expect("no snapshot of another's")
+        let Ok(released) = outputs.persist(&mut self.disk);
+        self.replica.process_ready(LEADS_AT, released).expect("no snapshot of another's")
     }
 
     /// Has a command committed and applied.
-    fn apply(&mut self, command: Command) -> Vec<KeeperOutput> {
+    fn apply(&mut self, command: Command) -> Vec<ReplicaOutput> {
         let client = ClientId(1);
         let asked = match command {
-            Command::Leases(beechloft_leases::Command::Request(request)) => Asked::Request(client, request),
-            Command::Topics(TopicCommand::Ask(request)) => Asked::Publish(client, request),
+            Command::Leases(beechloft_leases::Command::Request(request)) => {
+                ReplicaInput::LeaseRequest(client, request)
+            }
+            Command::Topics(TopicCommand::Ask(request)) => ReplicaInput::TopicRequest(client, request),
             Command::Topics(TopicCommand::Declare { topic, life, terms }) => {
-                Asked::Declare(life, topic, terms)
+                ReplicaInput::DeclareTopic(life, topic, terms)
+            }
+            Command::Quotas(beechloft_quotas::Command::Request(request)) => {
+                ReplicaInput::QuotaRequest(client, request)
             }
-            Command::Limits(beechloft_quotas::Command::Request(request)) => Asked::Limit(client, request),
-            Command::Placement(command) => Asked::Place(client, 1, Box::new(command)),
+            Command::Placement(command) => ReplicaInput::PlacementCommand(client, 1, Box::new(command)),
             other => panic!("{other:?} comes from the log alone"),
         };
         self.handle(asked)
@@ -85,7 +90,7 @@
         let before = self.replica.raft().snapshot().map(|snapshot| snapshot.at);
         let unknown: Arc<[u8]> = vec![u8::MAX; 64 << 10].into();
         for _ in 0..10 {
-            self.handle(Asked::Group(Input::Propose(Ticket(1), unknown.clone())));
+            self.handle(ReplicaInput::Raft(Input::Propose(RequestId(1), unknown.clone())));
             let snapshot = self.disk.0.snapshot.as_ref().filter(|snapshot| Some(snapshot.at) != before);
             if let Some(snapshot) = snapshot {
                 return snapshot.clone();
@@ -114,16 +119,16 @@
         single.apply(Command::Topics(TopicCommand::Ask(topic_request(op))));
     }
     let open = QuotaOp::Open { ttl_ms: 9_000, tagged: true };
-    single.apply(Command::Limits(beechloft_quotas::Command::Request(quota_request(1, open))));
-    let account = single.replica.limits().accounts().next().map(|account| account.0).expect("an account");
+    single.apply(Command::Quotas(beechloft_quotas::Command::Request(quota_request(1, open))));
+    let account = single.replica.quotas().accounts().next().map(|account| account.0).expect("an account");
     let hard = Definition { of: Of::Title, only: None, kind: Kind::Hard, ..definition() };
     let declare_limit = QuotaOp::Declare { account, definition: hard };
-    single.apply(Command::Limits(beechloft_quotas::Command::Request(quota_request(2, declare_limit))));
+    single.apply(Command::Quotas(beechloft_quotas::Command::Request(quota_request(2, declare_limit))));
     let customer = Key::of("ann");
     let claim = Claim { limit: name("limit"), key: customer.clone(), customer };
     let lines = vec![Said { claim, hold: 0, used: 2, want: 30 }];
     let settle = QuotaOp::Settle { account, lines };
-    single.apply(Command::Limits(beechloft_quotas::Command::Request(quota_request(3, settle))));
+    single.apply(Command::Quotas(beechloft_quotas::Command::Request(quota_request(3, settle))));
     for (_, operate) in operate() {
         single.apply(Command::Placement(PlacementCommand::Operate(operate)));
     }
@@ -131,7 +136,7 @@
     single.apply(Command::Placement(PlacementCommand::Step(beechloft_leases::Token(1), met)));
     let admitted = Answer::Asked(AskId(1), Outcome::Admitted(Version(1)));
     let outputs = single.apply(Command::Placement(PlacementCommand::Change(put())));
-    assert!(outputs.contains(&KeeperOutput::Placed(ClientId(1), 1, admitted)), "{outputs:?}");
+    assert!(outputs.contains(&ReplicaOutput::PlacementResponse(ClientId(1), 1, admitted)), "{outputs:?}");
     let front = beechloft_placement::names::FrontId(5);
     let renew = Renew { front, seq: 1, has: Some(Revision(1)), ttl_ms: 1_000 };
     single.apply(Command::Placement(PlacementCommand::Renew(renew)));
@@ -139,24 +144,25 @@
 }
 
 /// The state of the fixture: its chunks in order.
-fn of_fixture() -> Rope {
+fn of_fixture() -> SnapshotData {
     let chunk = |number: usize| Chunk::new(fixture(SNAPSHOT, &format!("chunk-{number}")));
-    Rope::new((0..SNAPSHOT.lines().count()).map(chunk).collect::<Vec<_>>())
+    SnapshotData::new((0..SNAPSHOT.lines().count()).map(chunk).collect::<Vec<_>>())
 }
 
-fn assert_written_as_the_fixture(state: &Rope) {
-    let hex =
-        |rope: &Rope| -> Vec<String> { rope.chunks().iter().map(|chunk| to_hex(chunk.bytes())).collect() };
+fn assert_written_as_the_fixture(state: &SnapshotData) {
+    let hex = |rope: &SnapshotData| -> Vec<String> {
+        rope.chunks().iter().map(|chunk| to_hex(chunk.bytes())).collect()
+    };
     assert_eq!(hex(state), hex(&of_fixture()), "the state is written otherwise");
 }
 
 #[test]
 fn a_state_with_content_in_each_part_is_written_as_the_fixture() {
     let mut single = with_content();
-    assert!(single.replica.table().grants().count() >= 2, "leases have content");
+    assert!(single.replica.leases().grants().count() >= 2, "leases have content");
     assert_eq!(single.replica.topics().all().count(), 1, "topics have content");
-    assert_eq!(single.replica.limits().accounts().count(), 1, "limits have content");
-    assert_eq!(single.replica.limits().definitions().count(), 1, "limits have content");
+    assert_eq!(single.replica.quotas().accounts().count(), 1, "limits have content");
+    assert_eq!(single.replica.quotas().definitions().count(), 1, "limits have content");
     assert_eq!(single.replica.placements().fronts().len(), 1, "the placement has content");
     assert_written_as_the_fixture(&single.take_snapshot().state);
 }
@@ -166,11 +172,11 @@
     let expected = with_content();
     let mut source = with_content();
     let snapshot = Snapshot { state: of_fixture(), ..source.take_snapshot() };
-    let mut read = Single::start(Stored { snapshot: Some(snapshot), ..Stored::default() });
+    let mut read = Single::start(PersistentState { snapshot: Some(snapshot), ..PersistentState::default() });
     let (expected, replica) = (&expected.replica, &read.replica);
-    assert_eq!(replica.table(), expected.table());
+    assert_eq!(replica.leases(), expected.leases());
     assert!(replica.topics().all().eq(expected.topics().all()), "the topics are equal");
-    assert_eq!(replica.limits(), expected.limits());
+    assert_eq!(replica.quotas(), expected.quotas());
     assert_eq!(replica.placements(), expected.placements());
     assert_written_as_the_fixture(&read.take_snapshot().state);
 }
--- a/crates/fleet/replica/tests/encoding/values.rs
+++ b/crates/fleet/replica/tests/encoding/values.rs
@@ -129,7 +129,7 @@
         ("limits-define", QuotaCommand::Define(definition())),
         ("limits-undefine", QuotaCommand::Undefine(name("limit"), 300)),
     ];
-    commands.into_iter().map(|(text, command)| (text, Command::Limits(command))).collect()
+    commands.into_iter().map(|(text, command)| (text, Command::Quotas(command))).collect()
 }
 
 pub fn shard() -> ShardId {
--- a/crates/fleet/replica/tests/explored.rs
+++ b/crates/fleet/replica/tests/explored.rs
@@ -15,13 +15,14 @@
 use std::time::Duration;
 
 use beechloft_consensus::{
-    Body, Change, Input, MemberId, Membership, Message, Outputs, Settings, Stored, Term, Ticket,
+    Input, Membership, MembershipChange, Message, MessageBody, NodeId, PendingOutputs, PersistentState,
+    RequestId, Settings, Term,
 };
 use beechloft_leases::{
     DriftBound, Fault, Holder, HolderId, HolderInput, HolderOutput, LeaseSpec, Name, Request, Response, Token,
 };
 use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
-use beechloft_replica::{Asked, ClientId, Keeper, KeeperOutput};
+use beechloft_replica::{ClientId, Replica, ReplicaInput, ReplicaOutput};
 use siphasher::sip128::SipHasher13;
 use support::Memory;
 
@@ -52,7 +53,7 @@
 struct World {
     /// True time, in steps.
     steps: u32,
-    keepers: BTreeMap<MemberId, Arc<(Keeper, Memory)>>,
+    keepers: BTreeMap<NodeId, Arc<(Replica, Memory)>>,
     holders: Vec<Arc<Holder>>,
     on_way: Vec<Arc<Message>>,
     asked: Vec<Arc<(usize, Request)>>,
@@ -68,14 +69,14 @@
     Copy(Arc<Message>),
     /// Its receiver crashes with it handled and nothing saved, and starts again.
     DeliverCrash(Arc<Message>),
-    Crash(MemberId),
-    Stand(MemberId),
+    Crash(NodeId),
+    Stand(NodeId),
     /// All clocks go on.
     Step,
     /// A keeper looks at its clock.
-    Look(MemberId),
-    Ask(MemberId, Arc<(usize, Request)>),
-    AskCopy(MemberId, Arc<(usize, Request)>),
+    Look(NodeId),
+    Ask(NodeId, Arc<(usize, Request)>),
+    AskCopy(NodeId, Arc<(usize, Request)>),
     Tell(Arc<(usize, Response)>),
     Want(usize),
     /// A candidate looks at its clock.
@@ -84,11 +85,11 @@
     /// A candidate's process is killed, and another comes in its place.
     Kill(usize),
     /// A keeper is lost with its disk; another, with an id of its own and nothing on its disk, comes up in its place.
-    Lose(MemberId),
+    Lose(NodeId),
     /// What an operator does next at a keeper that leads: the lost one is let go, the new one learns, then votes.
-    Change(MemberId, Change),
+    Change(NodeId, MembershipChange),
     /// What must never be done: the disk is emptied, and the keeper starts under its old id.
-    Empty(MemberId),
+    Empty(NodeId),
 }
 
 struct Small {
@@ -122,14 +123,14 @@
 }
 
 /// The one that comes up in a lost one's place.
-const NEW: MemberId = MemberId(4);
+const NEW: NodeId = NodeId(4);
 
 fn members() -> Membership {
     Membership::of(keepers().map(|id| (id, String::new())))
 }
 
-fn keepers() -> impl Iterator<Item = MemberId> {
-    (1..=3).map(MemberId)
+fn keepers() -> impl Iterator<Item = NodeId> {
+    (1..=3).map(NodeId)
 }
 
 impl Small {
@@ -142,13 +143,18 @@
         Duration::from_secs(1) + self.span.mul_f64(by) * steps
     }
 
-    fn process(&self, id: MemberId, disk: &Memory, now: Duration) -> Keeper {
+    fn process(&self, id: NodeId, disk: &Memory, now: Duration) -> Replica {
         let nought = Duration::ZERO;
-        let set = Settings { election: nought, heartbeat: nought, message_bytes: 1, ..Settings::default() };
+        let set = Settings {
+            election_timeout: nought,
+            heartbeat_interval: nought,
+            max_message_bytes: 1,
+            ..Settings::default()
+        };
         #[allow(unused_mut)]
-        let mut keeper = Keeper::new(id, set, disk.0.clone(), self.drift(), 0, now).expect("a table");
+        let mut keeper = Replica::new(id, set, disk.0.clone(), self.drift(), 0, now).expect("a table");
         if let Some(fault) = self.fault {
-            keeper.plant(fault);
+            keeper.inject_fault(fault);
         }
         keeper
     }
@@ -165,7 +171,7 @@
     }
 
     fn new_world(&self) -> World {
-        let disk = Memory(Stored::first(members()));
+        let disk = Memory(PersistentState::first(members()));
         let now = self.clock(self.rates.0, 0);
         World {
             steps: 0,
@@ -182,11 +188,11 @@
         }
     }
 
-    fn keeper(&self, w: &mut World, id: MemberId, asked: Asked, crash: bool) {
+    fn keeper(&self, w: &mut World, id: NodeId, asked: ReplicaInput, crash: bool) {
         let now = self.clock(self.rates.0, w.steps);
         let Some(host) = w.keepers.get_mut(&id) else { return };
         let (keeper, disk) = Arc::make_mut(host);
-        let mut out = Outputs::default();
+        let mut out = PendingOutputs::default();
         keeper.handle(now, asked, &mut out);
         if crash {
             // Nothing has left that was not saved.
@@ -194,11 +200,11 @@
             *keeper = self.process(id, &disk.clone(), now);
             return;
         }
-        let Ok(released) = out.commit(disk);
-        for output in keeper.released(now, released).expect("a table") {
+        let Ok(released) = out.persist(disk);
+        for output in keeper.process_ready(now, released).expect("a table") {
             match output {
-                KeeperOutput::Peer(message) => put(&mut w.on_way, message),
-                KeeperOutput::Heard(client, heard @ Response::Answer { .. }) => {
+                ReplicaOutput::Peer(message) => put(&mut w.on_way, message),
+                ReplicaOutput::LeaseResponse(client, heard @ Response::Answer { .. }) => {
                     put(&mut w.told, (client.0 as usize, heard));
                 }
                 _ => {}
@@ -222,63 +228,63 @@
         }
     }
 
-    fn stand(&self, w: &mut World, id: MemberId) {
-        if w.keepers.get(&id).is_some_and(|h| h.0.raft().leads()) {
+    fn stand(&self, w: &mut World, id: NodeId) {
+        if w.keepers.get(&id).is_some_and(|h| h.0.raft().is_leader()) {
             // With no time to hear anybody it steps down.
-            self.keeper(w, id, Asked::Tick, false);
+            self.keeper(w, id, ReplicaInput::Tick, false);
         }
         let before = w.on_way.clone();
-        self.keeper(w, id, Asked::Tick, false);
+        self.keeper(w, id, ReplicaInput::Tick, false);
         // Consent to stand is always had, so its messages need not be followed.
         w.on_way = before;
         let Some(host) = w.keepers.get(&id) else { return };
         let status = host.0.status();
         let term = Term(status.term.0 + 1);
         for from in status.members.voters().filter(|v| *v != id) {
-            let message = Message { from, to: id, term, body: Body::PreVoted(true) };
-            self.keeper(w, id, Asked::Peer(message), false);
+            let message = Message { from, to: id, term, body: MessageBody::PreVoteResponse(true) };
+            self.keeper(w, id, ReplicaInput::Peer(message), false);
         }
     }
 
-    fn lose(&self, w: &mut World, id: MemberId) {
+    fn lose(&self, w: &mut World, id: NodeId) {
         w.keepers.remove(&id);
-        let disk = Memory(Stored::default());
+        let disk = Memory(PersistentState::default());
         let now = self.clock(self.rates.0, w.steps);
         w.keepers.insert(NEW, Arc::new((self.process(NEW, &disk, now), disk)));
     }
 
     /// What is to be done next at this keeper, if it leads, for one that was lost to be replaced.
-    fn next_change(&self, w: &World, id: MemberId) -> Option<Change> {
-        let host = w.keepers.get(&id).filter(|h| h.0.raft().leads() && w.keepers.contains_key(&NEW))?;
+    fn next_change(&self, w: &World, id: NodeId) -> Option<MembershipChange> {
+        let host = w.keepers.get(&id).filter(|h| h.0.raft().is_leader() && w.keepers.contains_key(&NEW))?;
         let members = host.0.status().members;
         if let Some((lost, _)) = members.iter().find(|(id, _)| !w.keepers.contains_key(id)) {
-            return Some(Change::Remove(lost));
+            return Some(MembershipChange::Remove(lost));
         }
         match members.get(NEW) {
-            None => Some(Change::Learn(NEW, String::new())),
-            Some(new) if !new.voter => Some(Change::Promote(NEW)),
+            None => Some(MembershipChange::AddLearner(NEW, String::new())),
+            Some(new) if !new.voter => Some(MembershipChange::Promote(NEW)),
             Some(_) => None,
         }
     }
 
-    fn change(&self, w: &mut World, id: MemberId, change: &Change) {
-        self.keeper(w, id, Asked::Group(Input::Change(Ticket(0), change.clone())), false);
+    fn change(&self, w: &mut World, id: NodeId, change: &MembershipChange) {
+        self.keeper(w, id, ReplicaInput::Raft(Input::ChangeMembership(RequestId(0), change.clone())), false);
     }
 
     /// Delivers all that is on its way between keepers in the order in which it was said, until nothing is.
     fn settle(&self, w: &mut World) {
         while !w.on_way.is_empty() {
             let message = w.on_way.remove(0);
-            self.keeper(w, message.to, Asked::Peer((*message).clone()), false);
+            self.keeper(w, message.to, ReplicaInput::Peer((*message).clone()), false);
         }
     }
 
     fn before(&self, before: Before) -> World {
         let mut w = self.new_world();
-        let (first, second) = (MemberId(1), MemberId(2));
+        let (first, second) = (NodeId(1), NodeId(2));
         self.stand(&mut w, first);
         self.settle(&mut w);
-        assert!(w.keepers[&first].0.raft().leads());
+        assert!(w.keepers[&first].0.raft().is_leader());
         if before == Before::Led {
             return w;
         }
@@ -293,12 +299,12 @@
             self.settle(&mut w);
             self.candidate(&mut w, 0, HolderInput::Acquire);
             while let Some(asked) = w.asked.pop() {
-                self.keeper(&mut w, first, Asked::Request(ClientId(0), asked.1.clone()), false);
+                self.keeper(&mut w, first, ReplicaInput::LeaseRequest(ClientId(0), asked.1.clone()), false);
             }
             while !w.on_way.is_empty() {
                 let message = w.on_way.remove(0);
-                if message.to != MemberId(3) && message.from != MemberId(3) {
-                    self.keeper(&mut w, message.to, Asked::Peer((*message).clone()), false);
+                if message.to != NodeId(3) && message.from != NodeId(3) {
+                    self.keeper(&mut w, message.to, ReplicaInput::Peer((*message).clone()), false);
                 }
             }
             while let Some(told) = w.told.pop() {
@@ -314,13 +320,13 @@
             Before::HeldAndLedAnew => {
                 self.stand(&mut w, second);
                 self.settle(&mut w);
-                assert!(w.keepers[&second].0.raft().leads());
+                assert!(w.keepers[&second].0.raft().is_leader());
             }
             Before::HeldAndLost | Before::HeldAndReplaced => {
                 self.lose(&mut w, first);
                 self.stand(&mut w, second);
                 self.settle(&mut w);
-                assert!(w.keepers[&second].0.raft().leads());
+                assert!(w.keepers[&second].0.raft().is_leader());
                 while let Some(change) =
                     self.next_change(&w, second).filter(|_| before == Before::HeldAndReplaced)
                 {
@@ -332,7 +338,12 @@
                 w.steps += 1;
                 self.candidate(&mut w, 0, HolderInput::Tick);
                 while let Some(asked) = w.asked.pop() {
-                    self.keeper(&mut w, first, Asked::Request(ClientId(0), asked.1.clone()), false);
+                    self.keeper(
+                        &mut w,
+                        first,
+                        ReplicaInput::LeaseRequest(ClientId(0), asked.1.clone()),
+                        false,
+                    );
                 }
                 self.settle(&mut w);
                 assert!(!w.told.is_empty());
@@ -344,9 +355,9 @@
     }
 
     /// What a candidate asks is done, and it hears so.
-    fn delivered(&self, w: &mut World, leader: MemberId) {
+    fn delivered(&self, w: &mut World, leader: NodeId) {
         while let Some(asked) = w.asked.pop() {
-            let request = Asked::Request(ClientId(asked.0 as u64), asked.1.clone());
+            let request = ReplicaInput::LeaseRequest(ClientId(asked.0 as u64), asked.1.clone());
             self.keeper(w, leader, request, false);
         }
         self.settle(w);
@@ -398,12 +409,12 @@
                 all.push(Event::Stand(*id));
             }
             // To one that does not lead a request changes nothing.
-            if host.0.raft().leads() {
+            if host.0.raft().is_leader() {
                 all.extend(w.asked.iter().cloned().map(|a| Event::Ask(*id, a)));
                 if w.left.copies > 0 {
                     all.extend(w.asked.iter().cloned().map(|a| Event::AskCopy(*id, a)));
                 }
-                if host.0.runs_out_by(clock) {
+                if host.0.expires_by(clock) {
                     all.push(Event::Look(*id));
                 }
             }
@@ -426,20 +437,20 @@
     }
 
     fn step(&self, w: &mut World, event: &Event) {
-        let request = |a: &(usize, Request)| Asked::Request(ClientId(a.0 as u64), a.1.clone());
+        let request = |a: &(usize, Request)| ReplicaInput::LeaseRequest(ClientId(a.0 as u64), a.1.clone());
         match event {
             Event::Deliver(m) => {
                 w.on_way.retain(|x| x != m);
-                self.keeper(w, m.to, Asked::Peer((**m).clone()), false);
+                self.keeper(w, m.to, ReplicaInput::Peer((**m).clone()), false);
             }
             Event::Copy(m) => {
                 w.left.copies -= 1;
-                self.keeper(w, m.to, Asked::Peer((**m).clone()), false);
+                self.keeper(w, m.to, ReplicaInput::Peer((**m).clone()), false);
             }
             Event::DeliverCrash(m) => {
                 w.left.crashes -= 1;
                 w.on_way.retain(|x| x != m);
-                self.keeper(w, m.to, Asked::Peer((**m).clone()), true);
+                self.keeper(w, m.to, ReplicaInput::Peer((**m).clone()), true);
             }
             Event::Crash(id) => {
                 w.left.crashes -= 1;
@@ -458,7 +469,7 @@
                 w.steps += 1;
             }
             // Anything that is not time for the log's machine, as that would have its leader step down.
-            Event::Look(id) => self.keeper(w, *id, Asked::Closed(ClientId(9)), false),
+            Event::Look(id) => self.keeper(w, *id, ReplicaInput::ClientDisconnected(ClientId(9)), false),
             Event::Ask(id, a) => {
                 w.asked.retain(|x| x != a);
                 self.keeper(w, *id, request(a), false);
@@ -490,7 +501,7 @@
             }
             Event::Empty(id) => {
                 w.left.empties -= 1;
-                let disk = Memory(Stored::first(members()));
+                let disk = Memory(PersistentState::first(members()));
                 let keeper = self.process(*id, &disk, self.clock(self.rates.0, w.steps));
                 w.keepers.insert(*id, Arc::new((keeper, disk)));
             }
@@ -507,7 +518,7 @@
         (w.left, w.steps, w.highest, &w.holders).hash(into);
         for (id, host) in &w.keepers {
             let (keeper, disk) = &**host;
-            (id, keeper, disk.0.hard, &disk.0.entries).hash(into);
+            (id, keeper, disk.0.hard_state, &disk.0.entries).hash(into);
         }
         fn of(m: &impl Hash) -> u64 {
             let mut one = SipHasher13::new();
--- a/crates/fleet/replica/tests/leases.rs
+++ b/crates/fleet/replica/tests/leases.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use beechloft_consensus::MemberId;
+use beechloft_consensus::NodeId;
 use beechloft_leases::Fault;
 use rand::RngExt;
 use rand::seq::IndexedRandom;
@@ -38,7 +38,7 @@
         if w.breach.is_some() {
             break;
         }
-        let any: MemberId = *keepers.choose(&mut w.dice).expect("keepers");
+        let any: NodeId = *keepers.choose(&mut w.dice).expect("keepers");
         let some = w.dice.random_range(0..candidates);
         let holder = w.holding().first().copied().unwrap_or(some);
         let span = Duration::from_millis(w.dice.random_range(100..3_000));
--- a/crates/fleet/replica/tests/numbers.rs
+++ b/crates/fleet/replica/tests/numbers.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use beechloft_consensus::MemberId;
+use beechloft_consensus::NodeId;
 use beechloft_leases::{
     Answer, Command, DriftBound, Fault, Handoff, HolderId, Name, Op, Request, SlotAssignment, SlotShare,
     Succession, Table, Token,
@@ -179,7 +179,7 @@
         }
         let n = w.dice.random_range(0..FRONTS);
         let span = Duration::from_millis(w.dice.random_range(100..4_000));
-        let any: MemberId = *keepers.choose(&mut w.dice).expect("keepers");
+        let any: NodeId = *keepers.choose(&mut w.dice).expect("keepers");
         match w.dice.random_range(0..22) {
             0..5 => w.want(n),
             5 => w.give_back(n),
