--- a/crates/fleet/replica/tests/support/mod.rs
+++ b/crates/fleet/replica/tests/support/mod.rs
@@ -7,30 +7,31 @@
 use std::time::Duration;
 
 use beechloft_consensus::{
-    Change, Disk, Input, MemberId, Membership, Message, Outputs, Save, Settings, Stored, Ticket,
+    Input, Membership, MembershipChange, Message, NodeId, PendingOutputs, PersistentState, RequestId,
+    Settings, StateUpdate, Storage,
 };
 use beechloft_leases::{
     Answer, DriftBound, Fault, HandoffOffer, Holder, HolderId, HolderInput, HolderOutput, LeaderLocator,
     LeaseSpec, Name, Op, Request, Response, Token,
 };
-use beechloft_replica::{Asked, ClientId, Keeper, KeeperOutput};
+use beechloft_replica::{ClientId, Replica, ReplicaInput, ReplicaOutput};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 #[derive(Debug, Clone, Default)]
-pub struct Memory(pub Stored);
+pub struct Memory(pub PersistentState);
 
-impl Disk for Memory {
+impl Storage for Memory {
     type Error = Infallible;
 
-    fn save(&mut self, save: &Save) -> Result<(), Infallible> {
+    fn save(&mut self, save: &StateUpdate) -> Result<(), Infallible> {
         self.0.apply(save);
         Ok(())
     }
 }
 
 struct KeeperHost {
-    keeper: Keeper,
+    keeper: Replica,
     disk: Memory,
     rate: f64,
     up: bool,
@@ -55,11 +56,11 @@
 
 enum Ahead {
     Peer(Message),
-    Ask(MemberId, usize, Request),
+    Ask(NodeId, usize, Request),
     Tell(usize, u32, Response),
-    KeeperTick(MemberId, u32),
+    KeeperTick(NodeId, u32),
     CandidateTick(usize, u64),
-    Restart(MemberId),
+    Restart(NodeId),
 }
 
 /// A renewal or grant that a holder heard of.
@@ -71,15 +72,15 @@
 }
 
 pub struct World {
-    keepers: BTreeMap<MemberId, KeeperHost>,
+    keepers: BTreeMap<NodeId, KeeperHost>,
     pub candidates: Vec<Candidate>,
     pub now: Duration,
     pub lost: u32,
     pub doubled: u32,
     pub late: u32,
     pub crash: u32,
-    pub cut: BTreeSet<(MemberId, MemberId)>,
-    pub deaf: BTreeSet<(usize, MemberId)>,
+    pub cut: BTreeSet<(NodeId, NodeId)>,
+    pub deaf: BTreeSet<(usize, NodeId)>,
     pub dice: ChaCha8Rng,
     drift: DriftBound,
     off_by: f64,
@@ -108,7 +109,7 @@
     /// Each two candidates, one after the other, sit in one seat.
     pub seats: bool,
     /// A keeper that was lost with its disk, and the one that is to take its place.
-    replacing: Option<(MemberId, MemberId)>,
+    replacing: Option<(NodeId, NodeId)>,
     next_id: u64,
     pub replaced: usize,
 }
@@ -117,7 +118,7 @@
     pub fn new(keepers: u64, candidates: usize, places: u16, seed: u64, fault: Option<Fault>) -> World {
         let mut dice = ChaCha8Rng::seed_from_u64(seed);
         let ppm = 50_000;
-        let members = Membership::of((1..=keepers).map(|i| (MemberId(i), format!("k{i}"))));
+        let members = Membership::of((1..=keepers).map(|i| (NodeId(i), format!("k{i}"))));
         let mut world = World {
             keepers: BTreeMap::new(),
             candidates: Vec::new(),
@@ -133,8 +134,8 @@
             places,
             ttl_ms: 1_000,
             set: Settings {
-                election: Duration::from_millis(200),
-                heartbeat: Duration::from_millis(50),
+                election_timeout: Duration::from_millis(200),
+                heartbeat_interval: Duration::from_millis(50),
                 ..Settings::default()
             },
             fault,
@@ -159,7 +160,7 @@
             dice: ChaCha8Rng::seed_from_u64(dice.random()),
         };
         for id in members.voters() {
-            let disk = Memory(Stored::first(members.clone()));
+            let disk = Memory(PersistentState::first(members.clone()));
             let rate = world.rate();
             let keeper = world.process(id, &disk, rate);
             let host = KeeperHost { keeper, disk, rate, up: true, start: 0, stopped_until: Duration::ZERO };
@@ -194,13 +195,13 @@
         }
     }
 
-    fn process(&mut self, id: MemberId, disk: &Memory, rate: f64) -> Keeper {
+    fn process(&mut self, id: NodeId, disk: &Memory, rate: f64) -> Replica {
         let (now, seed) = (self.now.mul_f64(rate), self.dice.random());
         let stored = disk.0.clone();
         #[allow(unused_mut)]
-        let mut keeper = Keeper::new(id, self.set, stored, self.drift, seed, now).expect("a table");
+        let mut keeper = Replica::new(id, self.set, stored, self.drift, seed, now).expect("a table");
         if let Some(fault) = self.fault {
-            keeper.plant(fault);
+            keeper.inject_fault(fault);
         }
         keeper
     }
@@ -234,7 +235,7 @@
         Duration::from_micros(self.dice.random_range(200..most * 1000))
     }
 
-    fn wake_keeper(&mut self, id: MemberId) {
+    fn wake_keeper(&mut self, id: NodeId) {
         let host = &self.keepers[&id];
         let due = host.keeper.next_due().div_f64(host.rate).saturating_sub(self.now);
         let start = host.start;
@@ -274,11 +275,13 @@
                 continue;
             }
             match what {
-                Ahead::Peer(message) => self.keeper(message.to, Asked::Peer(message)),
-                Ahead::Ask(id, n, request) => self.keeper(id, Asked::Request(ClientId(n as u64), request)),
+                Ahead::Peer(message) => self.keeper(message.to, ReplicaInput::Peer(message)),
+                Ahead::Ask(id, n, request) => {
+                    self.keeper(id, ReplicaInput::LeaseRequest(ClientId(n as u64), request))
+                }
                 Ahead::KeeperTick(id, start) => {
                     if self.keepers.get(&id).is_some_and(|h| h.start == start && h.up) {
-                        self.keeper(id, Asked::Tick);
+                        self.keeper(id, ReplicaInput::Tick);
                         self.wake_keeper(id);
                     }
                 }
@@ -303,22 +306,22 @@
         self.now = end;
     }
 
-    fn keeper(&mut self, id: MemberId, asked: Asked) {
+    fn keeper(&mut self, id: NodeId, asked: ReplicaInput) {
         let crash = self.chance(self.crash);
         let Some(host) = self.keepers.get_mut(&id).filter(|h| h.up) else { return };
         let local = self.now.mul_f64(host.rate);
-        let mut out = Outputs::default();
+        let mut out = PendingOutputs::default();
         host.keeper.handle(local, asked, &mut out);
         if crash {
             self.stop(id);
             let after = Duration::from_millis(self.dice.random_range(1..1_500));
             return self.put(after, Ahead::Restart(id));
         }
-        let Ok(released) = out.commit(&mut host.disk);
-        let outputs = host.keeper.released(local, released).expect("a table");
+        let Ok(released) = out.persist(&mut host.disk);
+        let outputs = host.keeper.process_ready(local, released).expect("a table");
         for output in outputs {
             match output {
-                KeeperOutput::Peer(message) => {
+                ReplicaOutput::Peer(message) => {
                     self.messages += 1;
                     if self.cut.contains(&(message.from, message.to)) || self.chance(self.lost) {
                         continue;
@@ -328,7 +331,7 @@
                         self.put(way, Ahead::Peer(message.clone()));
                     }
                 }
-                KeeperOutput::Heard(client, heard) => {
+                ReplicaOutput::LeaseResponse(client, heard) => {
                     let n = client.0 as usize;
                     if self.deaf.contains(&(n, id)) || self.chance(self.lost) {
                         continue;
@@ -336,31 +339,31 @@
                     let (way, start) = (self.way(), self.candidates[n].start);
                     self.put(way, Ahead::Tell(n, start, heard));
                 }
-                KeeperOutput::Listed(..)
-                | KeeperOutput::Event(_)
-                | KeeperOutput::Told(..)
-                | KeeperOutput::Unwatched(_)
-                | KeeperOutput::TopicHeard(..)
-                | KeeperOutput::NotPublished(..)
-                | KeeperOutput::TopicEvent(_)
-                | KeeperOutput::Placed(..)
-                | KeeperOutput::NotPlaced(..)
-                | KeeperOutput::PlacementEvent(_)
-                | KeeperOutput::LimitHeard(..)
-                | KeeperOutput::LimitEvent(_)
-                | KeeperOutput::Group(..) => {}
+                ReplicaOutput::Leases(..)
+                | ReplicaOutput::LeaseEvent(_)
+                | ReplicaOutput::WatchEvent(..)
+                | ReplicaOutput::WatchEnded(_)
+                | ReplicaOutput::TopicResponse(..)
+                | ReplicaOutput::TopicRequestRejected(..)
+                | ReplicaOutput::TopicEvent(_)
+                | ReplicaOutput::PlacementResponse(..)
+                | ReplicaOutput::PlacementRejected(..)
+                | ReplicaOutput::PlacementEvent(_)
+                | ReplicaOutput::QuotaResponse(..)
+                | ReplicaOutput::QuotaEvent(_)
+                | ReplicaOutput::Raft(..) => {}
             }
         }
     }
 
-    pub fn stop(&mut self, id: MemberId) {
+    pub fn stop(&mut self, id: NodeId) {
         if let Some(host) = self.keepers.get_mut(&id) {
             host.up = false;
             host.start += 1;
         }
     }
 
-    pub fn restart(&mut self, id: MemberId) {
+    pub fn restart(&mut self, id: NodeId) {
         let Some(host) = self.keepers.get(&id).filter(|h| !h.up) else { return };
         let (disk, rate) = (host.disk.clone(), host.rate);
         let keeper = self.process(id, &disk, rate);
@@ -372,11 +375,11 @@
     /// A keeper's process is stopped for a while, and goes on.
     /// A keeper is lost with its disk, and another comes up in its place with an empty one. One at a time: a second loss while
     /// the group is being mended could leave it without a majority, which is no fault of anybody's.
-    pub fn lose(&mut self, id: MemberId) {
+    pub fn lose(&mut self, id: NodeId) {
         if self.replacing.is_some() || self.keepers.remove(&id).is_none() {
             return;
         }
-        let new = MemberId(self.next_id);
+        let new = NodeId(self.next_id);
         self.next_id += 1;
         let (disk, rate) = (Memory::default(), self.rate());
         let keeper = self.process(new, &disk, rate);
@@ -393,11 +396,11 @@
         let Some(host) = self.keepers.get(&leader).filter(|h| h.stopped_until <= self.now) else { return };
         let members = host.keeper.status().members;
         let change = if members.get(old).is_some() {
-            Change::Remove(old)
+            MembershipChange::Remove(old)
         } else {
             match members.get(new) {
-                None => Change::Learn(new, format!("k{}", new.0)),
-                Some(member) if !member.voter => Change::Promote(new),
+                None => MembershipChange::AddLearner(new, format!("k{}", new.0)),
+                Some(member) if !member.voter => MembershipChange::Promote(new),
                 Some(_) => {
                     self.replaced += 1;
                     self.replacing = None;
@@ -405,10 +408,10 @@
                 }
             }
         };
-        self.keeper(leader, Asked::Group(Input::Change(Ticket(self.put), change)));
+        self.keeper(leader, ReplicaInput::Raft(Input::ChangeMembership(RequestId(self.put), change)));
     }
 
-    pub fn pause_keeper(&mut self, id: MemberId, span: Duration) {
+    pub fn pause_keeper(&mut self, id: NodeId, span: Duration) {
         let until = self.now + span;
         self.keepers.entry(id).and_modify(|h| h.stopped_until = until);
     }
@@ -489,12 +492,12 @@
         self.candidate(n, HolderInput::Release);
     }
 
-    pub fn leader(&self) -> Option<MemberId> {
-        let leads = |h: &&KeeperHost| h.up && h.keeper.raft().leads();
+    pub fn leader(&self) -> Option<NodeId> {
+        let leads = |h: &&KeeperHost| h.up && h.keeper.raft().is_leader();
         self.keepers.values().filter(leads).map(|h| h.keeper.status()).max_by_key(|s| s.term).map(|s| s.id)
     }
 
-    pub fn keeper_ids(&self) -> Vec<MemberId> {
+    pub fn keeper_ids(&self) -> Vec<NodeId> {
         self.keepers.keys().copied().collect()
     }
 
@@ -624,7 +627,7 @@
         (self.lost, self.doubled, self.late, self.crash) = (0, 0, 0, 0);
         self.cut.clear();
         self.deaf.clear();
-        let down: Vec<MemberId> = self.keepers.iter().filter(|(_, h)| !h.up).map(|(id, _)| *id).collect();
+        let down: Vec<NodeId> = self.keepers.iter().filter(|(_, h)| !h.up).map(|(id, _)| *id).collect();
         down.into_iter().for_each(|id| self.restart(id));
     }
 }
--- a/crates/fleet/replica/tests/topics/world.rs
+++ b/crates/fleet/replica/tests/topics/world.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use beechloft_consensus::{
-    Change, Disk, Input, MemberId, Membership, Message, Outputs, Payload, Refused, Save, Settings, Stored,
-    Ticket,
+    Input, Membership, MembershipChange, Message, NodeId, Payload, PendingOutputs, PersistentState,
+    RequestError, RequestId, Settings, StateUpdate, Storage,
 };
 use beechloft_leases::{DriftBound, LeaderLocator, Name};
-use beechloft_replica::{Asked, ClientId, Command, Keeper, KeeperOutput};
+use beechloft_replica::{ClientId, Command, Replica, ReplicaInput, ReplicaOutput};
 use beechloft_topic::{
     Expect, Fault, Feed, Key, Offset, Outcome, Position, Publisher, PublisherId, PublisherInput,
     PublisherOutput, PublisherSettings, PublisherTicket, Record, Said, Subscriber, SubscriberInput,
@@ -22,19 +22,19 @@
 use rand_chacha::ChaCha8Rng;
 
 #[derive(Debug, Clone, Default)]
-struct Memory(Stored);
+struct Memory(PersistentState);
 
-impl Disk for Memory {
+impl Storage for Memory {
     type Error = Infallible;
 
-    fn save(&mut self, save: &Save) -> Result<(), Infallible> {
+    fn save(&mut self, save: &StateUpdate) -> Result<(), Infallible> {
         self.0.apply(save);
         Ok(())
     }
 }
 
 struct KeeperHost {
-    keeper: Keeper,
+    keeper: Replica,
     disk: Memory,
     rate: f64,
     up: bool,
@@ -46,7 +46,7 @@
 
 pub struct Sub {
     pub machine: Subscriber,
-    on: Option<(MemberId, u64)>,
+    on: Option<(NodeId, u64)>,
     last: BTreeMap<Key, Offset>,
     asleep_until: Duration,
     at: usize,
@@ -63,21 +63,21 @@
 
 enum Ahead {
     Peer(Message),
-    KeeperTick(MemberId, u32),
-    Restart(MemberId),
-    Ask(MemberId, usize, TopicRequest),
+    KeeperTick(NodeId, u32),
+    Restart(NodeId),
+    Ask(NodeId, usize, TopicRequest),
     Answer(usize, u64, Result<TopicHeard, Option<usize>>),
-    Subscribe(MemberId, usize, u64, Option<Position>, u64),
-    Allow(MemberId, usize, u64, u64),
+    Subscribe(NodeId, usize, u64, Option<Position>, u64),
+    Allow(NodeId, usize, u64, u64),
     Told(usize, Told),
     Broken(usize, u64),
     SubTick(usize),
     PubTick(usize, u64),
-    Still(MemberId, u32),
+    Still(NodeId, u32),
 }
 
 pub struct World {
-    keepers: BTreeMap<MemberId, KeeperHost>,
+    keepers: BTreeMap<NodeId, KeeperHost>,
     pub subs: Vec<Sub>,
     pub pubs: Vec<Pub>,
     pub now: Duration,
@@ -85,7 +85,7 @@
     pub doubled: u32,
     pub late: u32,
     pub crash: u32,
-    pub cut: BTreeSet<(MemberId, MemberId)>,
+    pub cut: BTreeSet<(NodeId, NodeId)>,
     pub dice: ChaCha8Rng,
     drift: DriftBound,
     set: Settings,
@@ -102,7 +102,7 @@
     wanted: BTreeMap<u64, (Key, bool)>,
     tickets: u64,
     pub breach: Option<String>,
-    replacing: Option<(MemberId, MemberId)>,
+    replacing: Option<(NodeId, NodeId)>,
     next_id: u64,
     pub replaced: usize,
     pub caught_up: usize,
@@ -125,10 +125,10 @@
 
 impl World {
     pub fn new(keepers: u64, subs: usize, pubs: usize, seed: u64, fault: Option<Fault>) -> World {
-        let members = Membership::of((1..=keepers).map(|i| (MemberId(i), format!("k{i}"))));
+        let members = Membership::of((1..=keepers).map(|i| (NodeId(i), format!("k{i}"))));
         let set = Settings {
-            election: Duration::from_millis(200),
-            heartbeat: Duration::from_millis(50),
+            election_timeout: Duration::from_millis(200),
+            heartbeat_interval: Duration::from_millis(50),
             ..Settings::default()
         };
         let mut w = World {
@@ -164,7 +164,7 @@
             restored: 0,
         };
         for id in members.voters() {
-            w.add(id, Memory(Stored::first(members.clone())));
+            w.add(id, Memory(PersistentState::first(members.clone())));
         }
         for n in 0..subs {
             let settings = SubscriberSettings {
@@ -198,7 +198,7 @@
         [0.95, 1.0, 1.05][self.dice.random_range(0..3)]
     }
 
-    fn add(&mut self, id: MemberId, disk: Memory) {
+    fn add(&mut self, id: NodeId, disk: Memory) {
         let rate = self.rate();
         let keeper = self.process(id, &disk, rate);
         let (stopped_until, feeds) = (Duration::ZERO, BTreeMap::new());
@@ -207,11 +207,11 @@
         self.later(Duration::from_millis(500), Ahead::Still(id, 0));
     }
 
-    fn process(&mut self, id: MemberId, disk: &Memory, rate: f64) -> Keeper {
+    fn process(&mut self, id: NodeId, disk: &Memory, rate: f64) -> Replica {
         let (now, seed) = (self.now.mul_f64(rate), self.dice.random());
-        let mut keeper = Keeper::new(id, self.set, disk.0.clone(), self.drift, seed, now).expect("a state");
+        let mut keeper = Replica::new(id, self.set, disk.0.clone(), self.drift, seed, now).expect("a state");
         if let Some(fault) = self.fault {
-            keeper.plant(fault);
+            keeper.inject_fault(fault);
         }
         keeper
     }
@@ -246,7 +246,7 @@
         self.breach.get_or_insert_with(|| format!("{now:?}: {why}"));
     }
 
-    fn wake_keeper(&mut self, id: MemberId) {
+    fn wake_keeper(&mut self, id: NodeId) {
         let Some(host) = self.keepers.get(&id) else { return };
         let due = host.keeper.next_due().div_f64(host.rate).saturating_sub(self.now);
         let start = host.start;
@@ -278,21 +278,23 @@
         self.now = end;
     }
 
-    fn is_up(&self, id: MemberId, start: u32) -> bool {
+    fn is_up(&self, id: NodeId, start: u32) -> bool {
         self.keepers.get(&id).is_some_and(|h| h.up && h.start == start)
     }
 
     fn happen(&mut self, what: Ahead) {
         match what {
-            Ahead::Peer(message) => self.keeper(message.to, Asked::Peer(message)),
+            Ahead::Peer(message) => self.keeper(message.to, ReplicaInput::Peer(message)),
             Ahead::KeeperTick(id, start) => {
                 if self.is_up(id, start) {
-                    self.keeper(id, Asked::Tick);
+                    self.keeper(id, ReplicaInput::Tick);
                     self.wake_keeper(id);
                 }
             }
             Ahead::Restart(id) => self.restart(id),
-            Ahead::Ask(id, n, request) => self.keeper(id, Asked::Publish(ClientId(n as u64), request)),
+            Ahead::Ask(id, n, request) => {
+                self.keeper(id, ReplicaInput::TopicRequest(ClientId(n as u64), request))
+            }
             Ahead::Answer(n, life, answer) => {
                 if self.pubs[n].life == life {
                     let input = match answer {
@@ -358,28 +360,28 @@
         }
     }
 
-    fn keeper(&mut self, id: MemberId, asked: Asked) {
+    fn keeper(&mut self, id: NodeId, asked: ReplicaInput) {
         let crash = self.chance(self.crash);
         let Some(host) = self.keepers.get_mut(&id).filter(|h| h.up) else { return };
         let local = self.now.mul_f64(host.rate);
-        let mut out = Outputs::default();
+        let mut out = PendingOutputs::default();
         host.keeper.handle(local, asked, &mut out);
         if crash {
             self.stop(id);
             let after = Duration::from_millis(self.dice.random_range(1..1_500));
             return self.later(after, Ahead::Restart(id));
         }
-        let Ok(released) = out.commit(&mut host.disk);
+        let Ok(released) = out.persist(&mut host.disk);
         let committed: Vec<_> =
-            released.committed.iter().map(|e| (e.at.index.0, e.payload.clone())).collect();
-        self.restored += usize::from(released.restored.is_some());
-        let outputs = host.keeper.released(local, released).expect("a state");
-        host.keeper.clean();
+            released.committed_entries.iter().map(|e| (e.at.index.0, e.payload.clone())).collect();
+        self.restored += usize::from(released.installed_snapshot.is_some());
+        let outputs = host.keeper.process_ready(local, released).expect("a state");
+        host.keeper.clean_topics();
         let ids = self.keeper_ids();
         committed.into_iter().for_each(|(index, payload)| self.committed(index, payload));
         for output in outputs {
             match output {
-                KeeperOutput::Peer(message) => {
+                ReplicaOutput::Peer(message) => {
                     if self.cut.contains(&(message.from, message.to)) || self.chance(self.lost) {
                         continue;
                     }
@@ -388,9 +390,9 @@
                         self.later(way, Ahead::Peer(message.clone()));
                     }
                 }
-                KeeperOutput::TopicHeard(client, heard) => self.answer(client, Ok(heard)),
-                KeeperOutput::NotPublished(client, _, why) => {
-                    let leader = if let Refused::NotLeader(Some(l)) = why { Some(l) } else { None };
+                ReplicaOutput::TopicResponse(client, heard) => self.answer(client, Ok(heard)),
+                ReplicaOutput::TopicRequestRejected(client, _, why) => {
+                    let leader = if let RequestError::NotLeader(Some(l)) = why { Some(l) } else { None };
                     self.answer(client, Err(leader.and_then(|l| ids.iter().position(|i| *i == l))));
                 }
                 _ => {}
@@ -443,7 +445,7 @@
     }
 
     /// A feed says all that it may.
-    fn feed(&mut self, id: MemberId, n: usize) {
+    fn feed(&mut self, id: NodeId, n: usize) {
         loop {
             let Some(host) = self.keepers.get_mut(&id).filter(|h| h.up) else { return };
             let Some(topic) = host.keeper.topics().topic(&name()) else { return };
@@ -455,10 +457,10 @@
         }
     }
 
-    fn say(&mut self, id: MemberId, n: usize, said: Said) {
+    fn say(&mut self, id: NodeId, n: usize, said: Said) {
         let way = self.way();
         let Some(host) = self.keepers.get_mut(&id) else { return };
-        let (applied, stale) = (host.keeper.applied().0, host.keeper.stale());
+        let (applied, stale) = (host.keeper.applied_index().0, host.keeper.staleness());
         let Some((number, _, last)) = host.feeds.get_mut(&n) else { return };
         // In order, as on a connection.
         *last = (self.now + way).max(*last);
@@ -613,28 +615,28 @@
         let terms = Terms { retention_ms: 2_000, ..Terms::default() };
         if let Some(leader) = self.leader().filter(|_| self.reference.topic(&name()).is_none()) {
             let life = self.dice.random();
-            self.keeper(leader, Asked::Declare(life, name(), terms));
+            self.keeper(leader, ReplicaInput::DeclareTopic(life, name(), terms));
         }
     }
 
-    pub fn leader(&self) -> Option<MemberId> {
-        let leads = |h: &&KeeperHost| h.up && h.keeper.raft().leads();
+    pub fn leader(&self) -> Option<NodeId> {
+        let leads = |h: &&KeeperHost| h.up && h.keeper.raft().is_leader();
         self.keepers.values().filter(leads).map(|h| h.keeper.status()).max_by_key(|s| s.term).map(|s| s.id)
     }
 
-    pub fn keeper_ids(&self) -> Vec<MemberId> {
+    pub fn keeper_ids(&self) -> Vec<NodeId> {
         self.keepers.keys().copied().collect()
     }
 
     /// Its connections break; whoever was on them hears of it.
-    fn drop_feeds(&mut self, id: MemberId) {
+    fn drop_feeds(&mut self, id: NodeId) {
         let feeds = self.keepers.get_mut(&id).map(|h| std::mem::take(&mut h.feeds)).unwrap_or_default();
         for (n, (number, ..)) in feeds {
             self.later(Duration::from_millis(3), Ahead::Broken(n, number));
         }
     }
 
-    pub fn stop(&mut self, id: MemberId) {
+    pub fn stop(&mut self, id: NodeId) {
         self.drop_feeds(id);
         if let Some(host) = self.keepers.get_mut(&id) {
             host.up = false;
@@ -642,7 +644,7 @@
         }
     }
 
-    pub fn restart(&mut self, id: MemberId) {
+    pub fn restart(&mut self, id: NodeId) {
         let Some(host) = self.keepers.get(&id).filter(|h| !h.up) else { return };
         let (disk, rate, start) = (host.disk.clone(), host.rate, host.start);
         let keeper = self.process(id, &disk, rate);
@@ -655,13 +657,13 @@
 
     /// A keeper is lost with its disk, and another comes in its place with an empty one. One at a time: a second loss while the
     /// group is being mended could leave it without a majority, which is no fault of anybody's.
-    pub fn lose(&mut self, id: MemberId) {
+    pub fn lose(&mut self, id: NodeId) {
         if self.replacing.is_some() || !self.keepers.contains_key(&id) {
             return;
         }
         self.drop_feeds(id);
         self.keepers.remove(&id);
-        let new = MemberId(self.next_id);
+        let new = NodeId(self.next_id);
         self.next_id += 1;
         self.add(new, Memory::default());
         self.replacing = Some((id, new));
@@ -673,11 +675,11 @@
         let Some(host) = self.keepers.get(&leader).filter(|h| h.stopped_until <= self.now) else { return };
         let members = host.keeper.status().members;
         let change = if members.get(old).is_some() {
-            Change::Remove(old)
+            MembershipChange::Remove(old)
         } else {
             match members.get(new) {
-                None => Change::Learn(new, format!("k{}", new.0)),
-                Some(member) if !member.voter => Change::Promote(new),
+                None => MembershipChange::AddLearner(new, format!("k{}", new.0)),
+                Some(member) if !member.voter => MembershipChange::Promote(new),
                 Some(_) => {
                     self.replaced += 1;
                     self.replacing = None;
@@ -685,10 +687,10 @@
                 }
             }
         };
-        self.keeper(leader, Asked::Group(Input::Change(Ticket(self.put), change)));
+        self.keeper(leader, ReplicaInput::Raft(Input::ChangeMembership(RequestId(self.put), change)));
     }
 
-    pub fn pause_keeper(&mut self, id: MemberId, span: Duration) {
+    pub fn pause_keeper(&mut self, id: NodeId, span: Duration) {
         let until = self.now + span;
         self.keepers.entry(id).and_modify(|h| h.stopped_until = until);
     }
@@ -724,7 +726,7 @@
             }
         }
         let reference = self.reference.clone();
-        let other: Vec<MemberId> =
+        let other: Vec<NodeId> =
             self.keepers.iter().filter(|(_, h)| *h.keeper.topics() != reference).map(|(id, _)| *id).collect();
         if !other.is_empty() {
             self.breach(format!("{other:?} are not what the log says"));
