--- a/crates/fleet/coordinator/src/limiter.rs
+++ b/crates/fleet/coordinator/src/limiter.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use beechloft_gossip::Kind;
+use beechloft_gossip::SectionKind;
 use beechloft_quotas::{
     Answer, Claim, Front, FrontId, FrontInput, FrontOutput, FrontSettings, Gate, Heard, Op, OrphanId,
     Request, tag,
@@ -156,7 +156,7 @@
             FrontOutput::Closed => self.closed.store(true, Ordering::Relaxed),
             FrontOutput::Row(row) => {
                 let bytes = postcard::to_allocvec(&row).unwrap_or_default();
-                if let Some(Err(why)) = peers.map(|p| p.write_row(Kind::SOFT_LIMITS, bytes)) {
+                if let Some(Err(why)) = peers.map(|p| p.write_row(SectionKind::SOFT_QUOTAS, bytes)) {
                     warn!("soft limits' parts are not told: {why}");
                 }
             }
@@ -166,7 +166,7 @@
     /// Takes the other fronts' parts.
     fn rows(&self, now: Duration, peers: &Peers) {
         let own = self.gate.front().id();
-        for row in peers.rows(Kind::SOFT_LIMITS) {
+        for row in peers.rows(SectionKind::SOFT_QUOTAS) {
             let from = FrontId(row.life.0);
             // A row that makes no sense says nothing: its front counts as one that is not heard.
             let Ok(parts) = postcard::from_bytes(&row.bytes) else { continue };
--- a/crates/fleet/coordinator/src/peers.rs
+++ b/crates/fleet/coordinator/src/peers.rs
@@ -118,9 +118,9 @@
     /// The row would be too long; it stays as it was.
     pub fn write_row(
         &self,
-        kind: beechloft_gossip::Kind,
+        kind: beechloft_gossip::SectionKind,
         bytes: Vec<u8>,
-    ) -> Result<(), beechloft_gossip::TooLong> {
+    ) -> Result<(), beechloft_gossip::RowTooLong> {
         self.shared.rows.as_ref().map_or(Ok(()), |r| r.write((self.shared.clock)(), kind, bytes))
     }
 
@@ -132,12 +132,12 @@
     }
 
     /// What all rows that are known say of a matter, this front's own among them.
-    pub fn rows(&self, kind: beechloft_gossip::Kind) -> Vec<RowSeen> {
+    pub fn rows(&self, kind: beechloft_gossip::SectionKind) -> Vec<RowSeen> {
         self.shared.rows.as_ref().map(|r| r.seen((self.shared.clock)(), kind)).unwrap_or_default()
     }
 
     /// What happened to rows so far.
-    pub fn row_counts(&self) -> Option<beechloft_gossip::Counts> {
+    pub fn row_counts(&self) -> Option<beechloft_gossip::Counters> {
         self.shared.rows.as_ref().map(Rows::counts)
     }
 
@@ -198,7 +198,7 @@
         if let Some(rows) = self.rows.as_ref().filter(|_| bytes.starts_with(&rows::MAGIC)) {
             match rows::read_datagram(self.set.number(), bytes) {
                 Ok(packet) => {
-                    let heard = beechloft_gossip::Input::Heard(self.set.behind(from), packet);
+                    let heard = beechloft_gossip::Input::Received(self.set.behind(from), packet);
                     self.send_rows(rows.handle((self.clock)(), heard));
                 }
                 Err(why) => {
--- a/crates/fleet/coordinator/src/rows/mod.rs
+++ b/crates/fleet/coordinator/src/rows/mod.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use beechloft_gossip::{Counts, Input, Kind, Output, Packet, Peer, Settings, Spread, TooLong};
+use beechloft_gossip::{Counters, Gossip, Input, Output, Packet, Peer, RowTooLong, SectionKind, Settings};
 use beechloft_membership::{MemberId, MemberKind, MemberList};
 
 use crate::wire::{self, WireError};
@@ -45,21 +45,21 @@
 
 /// The rows of this process.
 pub(crate) struct Rows {
-    spread: Mutex<Spread>,
+    spread: Mutex<Gossip>,
     zone: String,
 }
 
 impl Rows {
     pub(crate) fn new(id: MemberId, zone: String, set: Settings, now: Duration) -> Rows {
-        Rows { spread: Mutex::new(Spread::new(id, set, rand::random(), now)), zone }
+        Rows { spread: Mutex::new(Gossip::new(id, set, rand::random(), now)), zone }
     }
 
-    fn spread(&self) -> MutexGuard<'_, Spread> {
+    fn spread(&self) -> MutexGuard<'_, Gossip> {
         self.spread.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn next_due(&self) -> Duration {
-        self.spread().next_due()
+        self.spread().next_deadline()
     }
 
     /// What is to be sent where.
@@ -79,15 +79,15 @@
         self.handle(now, Input::Peers(peers.collect()))
     }
 
-    pub(crate) fn write(&self, now: Duration, kind: Kind, bytes: Vec<u8>) -> Result<(), TooLong> {
-        self.spread().write(now, kind, bytes)
+    pub(crate) fn write(&self, now: Duration, kind: SectionKind, bytes: Vec<u8>) -> Result<(), RowTooLong> {
+        self.spread().write_section(now, kind, bytes)
     }
 
     pub(crate) fn number(&self, now: Duration, number: Option<u16>) {
-        self.spread().number(now, number);
+        self.spread().set_front_number(now, number);
     }
 
-    pub(crate) fn seen(&self, now: Duration, kind: Kind) -> Vec<RowSeen> {
+    pub(crate) fn seen(&self, now: Duration, kind: SectionKind) -> Vec<RowSeen> {
         let spread = self.spread();
         let zone = |life| {
             if life == spread.id() {
@@ -97,14 +97,14 @@
         };
         let rows = spread.rows(now).filter_map(|r| {
             let bytes = r.section(kind)?.to_vec();
-            let (life, number, version, age) = (r.life, r.number, r.version, r.age);
+            let (life, number, version, age) = (r.member, r.front_number, r.version, r.age);
             Some(RowSeen { life, number, zone: zone(life), version, age, bytes })
         });
         rows.collect()
     }
 
-    pub(crate) fn counts(&self) -> Counts {
-        self.spread().counts()
+    pub(crate) fn counts(&self) -> Counters {
+        self.spread().counters()
     }
 }
 
--- a/crates/fleet/coordinator/src/rows/tests.rs
+++ b/crates/fleet/coordinator/src/rows/tests.rs
@@ -1,11 +1,11 @@
-use beechloft_gossip::{Delta, Entry, LifeKey, Said, Section};
+use beechloft_gossip::{MemberKey, Message, RowDelta, RowVersion, Section};
 
 use super::*;
 
 #[test]
 fn a_packet_of_rows_is_read_as_it_was_written_and_nothing_else_is() {
-    let said = Said::Compare { seq: u64::MAX, parts: vec![[255; 8]; 32] };
-    let packet = Packet { from: MemberId(7), to: MemberId(8), said };
+    let message = Message::CompareDigests { seq: u64::MAX, digests: vec![[255; 8]; 32] };
+    let packet = Packet { from: MemberId(7), to: MemberId(8), message };
     let bytes = datagram(9, &packet).expect("short");
     assert_eq!(read_datagram(9, &bytes).expect("sound"), packet);
     assert!(matches!(read_datagram(8, &bytes), Err(WireError::Fleet)));
@@ -25,21 +25,24 @@
 const FIXTURE: &str = include_str!("../../tests/fixtures/gossip_datagrams.txt");
 
 fn packets() -> Vec<(&'static str, Packet)> {
-    let packet = |said| Packet { from: MemberId(300), to: MemberId(301), said };
-    let entries = || vec![Entry { life: LifeKey([1, 2, 3, 4, 5, 6, 7, 8]), version: 300 }];
-    let delta = Delta {
-        life: LifeKey([8; 8]),
-        number: Some(3),
+    let packet = |message| Packet { from: MemberId(300), to: MemberId(301), message };
+    let versions = || vec![RowVersion { member: MemberKey([1, 2, 3, 4, 5, 6, 7, 8]), version: 300 }];
+    let delta = RowDelta {
+        member: MemberKey([8; 8]),
+        front_number: Some(3),
         since: 1,
         version: 300,
         age_ms: 1_000,
-        sections: vec![Section { kind: Kind::EVIDENCE, version: 2, bytes: vec![1, 2, 3] }],
+        sections: vec![Section { kind: SectionKind::OUTLIER_REPORT, version: 2, bytes: vec![1, 2, 3] }],
     };
     vec![
-        ("compare", packet(Said::Compare { seq: 1, parts: vec![[255; 8], [1; 8]] })),
-        ("digest", packet(Said::Digest { answers: 1, seq: 2, parts: 3, entries: entries() })),
-        ("want", packet(Said::Want { seq: 1, entries: entries() })),
-        ("rows", packet(Said::Rows { answers: 2, rows: vec![delta] })),
+        ("compare", packet(Message::CompareDigests { seq: 1, digests: vec![[255; 8], [1; 8]] })),
+        (
+            "digest",
+            packet(Message::Versions { in_reply_to: 1, seq: 2, complete_buckets: 3, versions: versions() }),
+        ),
+        ("want", packet(Message::RequestRows { seq: 1, versions: versions() })),
+        ("rows", packet(Message::Rows { in_reply_to: 2, rows: vec![delta] })),
     ]
 }
 
--- a/crates/fleet/coordinator/src/settings/verdicts.rs
+++ b/crates/fleet/coordinator/src/settings/verdicts.rs
@@ -27,12 +27,14 @@
 pub(super) fn rows(s: &Section<'_>, fronts: usize, drift_ppm: u32) -> Settings {
     let default = Settings::default();
     let set = Settings {
-        round: span(s, "round_ms", default.round),
-        peers: s.integer("peers", 1..=8).map_or(default.peers, |n| n as usize),
-        refresh: span(s, "refresh_ms", default.refresh),
-        forget: span(s, "forget_ms", default.forget),
-        bytes: s.integer("bytes_per_s", 4_096..=1 << 30).map_or(default.bytes, |n| n as u32),
-        drift_ppm,
+        round_interval: span(s, "round_ms", default.round_interval),
+        fanout: s.integer("peers", 1..=8).map_or(default.fanout, |n| n as usize),
+        refresh_interval: span(s, "refresh_ms", default.refresh_interval),
+        row_expiry: span(s, "forget_ms", default.row_expiry),
+        max_bytes_per_second: s
+            .integer("bytes_per_s", 4_096..=1 << 30)
+            .map_or(default.max_bytes_per_second, |n| n as u32),
+        max_drift_ppm: drift_ppm,
     };
     if let Err(why) = set.check(fronts) {
         s.report("round_ms", why.to_string());
--- a/crates/fleet/coordinator/src/verdicts.rs
+++ b/crates/fleet/coordinator/src/verdicts.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use beechloft_gossip::Kind;
+use beechloft_gossip::SectionKind;
 use beechloft_leases::{Holder, HolderId, HolderInput, HolderOutput, LeaseSpec, Name, Request};
 use beechloft_outlier_detection::{
     BoxKey, BoxLine, Change, Evidence, FrontLife, Ledger, Outcome, Outlook, Places, Report, Seen, Tried,
@@ -212,7 +212,7 @@
 
     /// Takes in all rows.
     fn read(&self) {
-        let rows = self.peers.rows(Kind::EVIDENCE);
+        let rows = self.peers.rows(SectionKind::OUTLIER_REPORT);
         let mut ages = BTreeMap::new();
         let mut state = self.state();
         for row in rows {
@@ -277,7 +277,7 @@
             report = lie(report, places, |server| BoxKey::new(server, lives.get(&server).map(|l| l.0)));
         }
         drop(state);
-        if let Err(why) = self.peers.write_row(Kind::EVIDENCE, report.encode()) {
+        if let Err(why) = self.peers.write_row(SectionKind::OUTLIER_REPORT, report.encode()) {
             warn!("evidence is not told to others: {why}");
         }
     }
--- a/crates/fleet/gossip/src/lib.rs
+++ b/crates/fleet/gossip/src/lib.rs
@@ -1,31 +1,32 @@
-//! Rows that the fronts of a fleet spread by gossip: counts of what each has admitted, of what each has seen.
+//! Rows of state that the fronts of a fleet disseminate by gossip.
 //!
 //! Each front writes its own row and no other. A row has a version that rises with each change; the higher version wins, so that
-//! order, repeats and loss do no harm. Rows are compared and filled up by digests (push-pull anti-entropy: Demers et al.,
-//! "Epidemic Algorithms for Replicated Database Maintenance", PODC 1987; one version for the whole row and only what changed
-//! since is sent: van Renesse, Dumitriu, Gough and Thomas, "Efficient Reconciliation and Flow Control for Anti-Entropy
-//! Protocols", LADIS 2008). `docs/verdicts.md` weighs the options and argues the bounds.
+//! reordering, duplication and loss do no harm. Rows are reconciled by push-pull anti-entropy (Demers et al., "Epidemic Algorithms
+//! for Replicated Database Maintenance", PODC 1987). A row has one version, and only the sections that changed since a version are
+//! sent (van Renesse, Dumitriu, Gough and Thomas, "Efficient Reconciliation and Flow Control for Anti-Entropy Protocols", LADIS
+//! 2008). `docs/outlier-detection.md` compares the alternatives and derives the bounds.
 //!
-//! [`Spread`] has no I/O and goes by one monotonic clock of its own. Each row is known with its [`RowView::age`], which is never
-//! too small: see [`table`](crate) on how it is counted. What it tells may be late by [`Settings::staleness`], later where links
-//! fail: nothing that must hold may rest on it.
+//! [`Gossip`] does no I/O and uses a single monotonic clock that its caller passes in. Each row is known with a bound of its age,
+//! [`RowView::age`], which is never below the true one. A row may be stale by [`Settings::staleness`], and by more where links
+//! fail: nothing that needs agreement may rely on it.
 //!
-//! A network of one's own is assumed: there is no sign-in. A row comes in only in answer to a question of one's own, from the
-//! address that was asked; a front whose row another forges sees that, counts it and overwrites it.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
+//! A private network is assumed: there is no authentication. A row is accepted only in answer to a request of this front, from the
+//! address that was asked. A front whose row is forged by another notices it, counts it and overwrites the forged row.
 #![forbid(unsafe_code)]
 
-mod planted;
+mod fault_injection;
+mod gossip;
+mod messages;
+mod row_table;
 mod settings;
-mod spread;
-mod table;
-mod words;
+#[cfg(feature = "simulation")]
+pub mod simulation;
 
-pub use planted::Fault;
-pub use settings::{Settings, SettingsError};
-pub use spread::{Counts, Input, Output, Peer, Spread};
-pub use table::{RowView, TooLong};
-pub use words::{
-    Delta, Entry, Kind, LifeKey, MOST_PACKET, MOST_ROW, MOST_ROWS, MOST_SECTIONS, Packet, Said, Section,
+pub use fault_injection::Fault;
+pub use gossip::{Counters, Gossip, Input, Output, Peer};
+pub use messages::{
+    MAX_PACKET_BYTES, MAX_ROW_BYTES, MAX_ROWS, MAX_SECTIONS, MemberKey, Message, Packet, RowDelta,
+    RowVersion, Section, SectionKind,
 };
+pub use row_table::{RowTooLong, RowView};
+pub use settings::{Settings, SettingsError};
--- /dev/null
+++ b/crates/fleet/gossip/tests/gossip/main.rs
@@ -0,0 +1,9 @@
+//! Dissemination of rows in simulated clusters, and what a single front accepts.
+
+mod bounds;
+mod dissemination;
+mod unsolicited;
+
+use std::time::Duration;
+
+const SECOND: Duration = Duration::from_secs(1);
--- a/crates/fleet/gossip/tests/wire_format.rs
+++ b/crates/fleet/gossip/tests/wire_format.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use beechloft_gossip::{Delta, Entry, Kind, LifeKey, Packet, Said, Section};
+use beechloft_gossip::{MemberKey, Message, Packet, RowDelta, RowVersion, Section, SectionKind};
 use beechloft_membership::MemberId;
 
 const FIXTURES: &str = include_str!("fixtures/packets.txt");
@@ -21,33 +21,46 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn deltas() -> Vec<(&'static str, Delta)> {
-    let life = LifeKey::from(MemberId(0x1122_3344_5566_7788));
+fn deltas() -> Vec<(&'static str, RowDelta)> {
+    let member = MemberKey::from(MemberId(0x1122_3344_5566_7788));
     let sections = vec![
-        Section { kind: Kind::SOFT_LIMITS, version: 130, bytes: vec![1, 2, 3, 200] },
-        Section { kind: Kind::EVIDENCE, version: 400, bytes: Vec::new() },
+        Section { kind: SectionKind::SOFT_QUOTAS, version: 130, bytes: vec![1, 2, 3, 200] },
+        Section { kind: SectionKind::OUTLIER_REPORT, version: 400, bytes: Vec::new() },
     ];
-    let full = Delta { life, number: Some(300), since: 129, version: 70_000, age_ms: 90_000, sections };
-    let empty = Delta { number: None, since: 0, version: 1, age_ms: 0, sections: Vec::new(), ..full.clone() };
+    let full =
+        RowDelta { member, front_number: Some(300), since: 129, version: 70_000, age_ms: 90_000, sections };
+    let empty = RowDelta {
+        front_number: None,
+        since: 0,
+        version: 1,
+        age_ms: 0,
+        sections: Vec::new(),
+        ..full.clone()
+    };
     vec![("delta", full), ("delta-empty", empty)]
 }
 
 fn packets() -> Vec<(&'static str, Packet)> {
-    let packet = |said: Said| Packet { from: MemberId(7), to: MemberId(u64::MAX), said };
-    let parts = (0..32u64).map(|part| (part * 0x0101_0101_0101_0101).to_le_bytes()).collect();
-    let entries = vec![
-        Entry { life: MemberId(5).into(), version: 0 },
-        Entry { life: MemberId(u64::MAX - 2).into(), version: 300 },
+    let packet = |message: Message| Packet { from: MemberId(7), to: MemberId(u64::MAX), message };
+    let digests = (0..32u64).map(|bucket| (bucket * 0x0101_0101_0101_0101).to_le_bytes()).collect();
+    let versions = vec![
+        RowVersion { member: MemberId(5).into(), version: 0 },
+        RowVersion { member: MemberId(u64::MAX - 2).into(), version: 300 },
     ];
     let rows = deltas().into_iter().map(|(_, delta)| delta).collect();
     vec![
-        ("compare", packet(Said::Compare { seq: u64::MAX, parts })),
+        ("compare", packet(Message::CompareDigests { seq: u64::MAX, digests })),
         (
             "digest",
-            packet(Said::Digest { answers: 1_000, seq: 2_000, parts: 0x8000_0001, entries: entries.clone() }),
+            packet(Message::Versions {
+                in_reply_to: 1_000,
+                seq: 2_000,
+                complete_buckets: 0x8000_0001,
+                versions: versions.clone(),
+            }),
         ),
-        ("want", packet(Said::Want { seq: 3_000, entries })),
-        ("rows", packet(Said::Rows { answers: 4_000, rows })),
+        ("want", packet(Message::RequestRows { seq: 3_000, versions })),
+        ("rows", packet(Message::Rows { in_reply_to: 4_000, rows })),
     ]
 }
 
@@ -58,7 +71,7 @@
         let bytes = postcard::to_allocvec(&delta).expect("it is encoded");
         let committed = fixtures.get(name).unwrap_or_else(|| panic!("{name} {}", hex(&bytes)));
         assert_eq!(hex(&bytes), hex(committed), "{name}");
-        assert_eq!(postcard::from_bytes::<Delta>(committed), Ok(delta), "{name}");
+        assert_eq!(postcard::from_bytes::<RowDelta>(committed), Ok(delta), "{name}");
     }
 }
 
--- a/crates/fleet/outlier-detection/tests/seeds.rs
+++ b/crates/fleet/outlier-detection/tests/seeds.rs
@@ -6,18 +6,15 @@
 // Not reworked yet, see docs/ROADMAP.md.
 #![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
-#[path = "../../gossip/tests/support/mod.rs"]
-mod net;
-
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use beechloft_gossip::{Kind, Settings};
+use beechloft_gossip::simulation::{Cluster, Network};
+use beechloft_gossip::{SectionKind, Settings};
 use beechloft_outlier_detection::{
     BoxKey, BoxLine, Change, Evidence, Fault, FrontLife, Ledger, Outcome, Place, Places, Report, Rules, Seen,
     Tried, Verdicts, Witness,
 };
-use net::{Network, World};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -51,7 +48,7 @@
 }
 
 struct Fleet {
-    net: World,
+    net: Cluster,
     boxes: Vec<SimBox>,
     fronts: Vec<SimFront>,
     rules: Rules,
@@ -71,7 +68,7 @@
 
 impl Fleet {
     fn new(fronts: usize, boxes: usize, seed: u64, rules: Rules, shared: bool) -> Fleet {
-        let net = World::new(fronts, seed, Settings::default(), None);
+        let net = Cluster::new(fronts, seed, Settings::default(), None);
         let front = |n: usize| SimFront {
             ledger: Ledger::new(rules.window, (n % 3) as u16),
             verdicts: Verdicts::new(rules),
@@ -107,7 +104,7 @@
 
     fn reaches(&self, front: usize, server: usize) -> bool {
         let (a, b) = (self.net.zones[front], self.boxes[server].zone);
-        a == b || !(self.net.cut.contains(&a) || self.net.cut.contains(&b))
+        a == b || !(self.net.isolated_zones.contains(&a) || self.net.isolated_zones.contains(&b))
     }
 
     fn key(&self, front: usize, server: usize) -> BoxKey {
@@ -171,9 +168,14 @@
         let now = self.net.clock(n);
         let rows: Vec<(FrontLife, u64, Duration, Vec<u8>)> = {
             let node = self.net.nodes[n].as_ref().expect("it runs");
-            let rows = node.spread.rows(now);
+            let rows = node.gossip.rows(now);
             rows.filter_map(|r| {
-                Some((FrontLife(r.life.0), r.version, r.age, r.section(Kind::EVIDENCE)?.to_vec()))
+                Some((
+                    FrontLife(r.member.0),
+                    r.version,
+                    r.age,
+                    r.section(SectionKind::OUTLIER_REPORT)?.to_vec(),
+                ))
             })
             .collect()
         };
@@ -256,7 +258,7 @@
                 }
             }
             self.grant();
-            self.net.pass(STEP);
+            self.net.run_for(STEP);
         }
     }
 
@@ -296,17 +298,17 @@
     let mut f = Fleet::new(fronts, boxes, seed, rules(fault), true);
     f.net.network = Network {
         lost: dice.random_range(0..150),
-        doubled: 100,
-        late: Duration::from_millis(dice.random_range(2..300)),
+        duplicated: 100,
+        max_delay: Duration::from_millis(dice.random_range(2..300)),
     };
     let liar = dice.random_range(0..fronts);
     f.fronts[liar].lies = true;
     f.pass(12 * SECOND);
     let cut = dice.random_range(0..3);
     if seed.is_multiple_of(2) {
-        f.net.cut.insert(cut);
+        f.net.isolated_zones.insert(cut);
         f.pass(Duration::from_secs(dice.random_range(3..15)));
-        f.net.cut.clear();
+        f.net.isolated_zones.clear();
         f.pass(14 * SECOND);
     }
     if let Some(why) = f.wrong(Duration::ZERO, &[]) {
@@ -380,7 +382,7 @@
 /// One box of many errs for a while: attempts wasted in the whole fleet, and from the first failing one until the last front holds it.
 fn figures(fronts: usize, shared: bool, seconds: u32, seed: u64) -> (usize, Option<Duration>, Vec<Duration>) {
     let mut f = Fleet::new(fronts, 60, seed, Rules::default(), shared);
-    f.net.network = Network { lost: 20, doubled: 10, late: Duration::from_millis(5) };
+    f.net.network = Network { lost: 20, duplicated: 10, max_delay: Duration::from_millis(5) };
     f.rate = 10.0;
     f.pass(12 * SECOND);
     f.boxes[7].health = Health::Errs(1.0);
