--- a/crates/cli/tests/twenty/attempts.rs
+++ b/crates/cli/tests/twenty/attempts.rs
@@ -70,11 +70,18 @@
     /// Notes a set-up that was read from this connection.
     pub fn begin(&self, server: usize, id: u64, node: usize, connection: &Connection) {
         connection.belongs_to(node);
-        let seen = self.sockets.snapshot(node);
+        let still_out = self.connections_out(id);
+        let seen = self.sockets.snapshot(node, &still_out);
         let attempt = Attempt { server, connection: connection.number, seen, ends: Vec::new() };
         lock(&self.attempts).entry(id).or_default().push(attempt);
     }
 
+    /// The connections on which a session is out.
+    fn connections_out(&self, id: u64) -> Vec<u64> {
+        let attempts = lock(&self.attempts);
+        attempts.get(&id).into_iter().flatten().filter(|a| a.is_out()).map(|a| a.connection).collect()
+    }
+
     /// Notes the end of the last set-up of a session on this connection; whether it was out until now.
     pub fn end(&self, id: u64, connection: u64, end: AttemptEnd) -> bool {
         let by_server = matches!(end, AttemptEnd::ByServer { .. });
--- a/crates/cli/tests/twenty/sockets.rs
+++ b/crates/cli/tests/twenty/sockets.rs
@@ -7,6 +7,7 @@
 use std::collections::BTreeMap;
 use std::io::{self, Read};
 use std::net::{TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, OnceLock, Weak};
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
@@ -41,18 +42,25 @@
         self.node.get_or_init(|| node);
     }
 
-    /// What has reached it by now.
-    fn arrived(&self) -> Arrived {
+    /// How many bytes have reached it by now.
+    fn bytes_arrived(&self) -> u64 {
         let taken = lock(&self.taken);
         // This takes the socket's lock in the kernel, so that segments which waited for that lock are counted too.
-        let unread = ioctl_fionread(&self.stream).unwrap_or(0);
-        let bytes = *taken + unread;
-        drop(taken);
+        *taken + ioctl_fionread(&self.stream).unwrap_or(0)
+    }
+
+    /// Whether one of its ends has closed it.
+    fn has_ended(&self) -> bool {
         let mut state = [PollFd::new(&self.stream, PollFlags::RDHUP)];
         let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
         let polled = poll(&mut state, Some(&at_once));
         let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        Arrived { bytes, ended: polled.is_err() || state[0].revents().intersects(ended) }
+        polled.is_err() || state[0].revents().intersects(ended)
+    }
+
+    /// Whether the front node may have opened it.
+    fn may_be_of(&self, node: usize) -> bool {
+        self.node.get().is_none_or(|known| *known == node)
     }
 }
 
@@ -95,43 +103,40 @@
 
 struct Listener {
     socket: TcpListener,
-    /// Starts to serve a connection; it must not use the sockets' lock.
+    /// Starts to serve a connection; it must not accept or take snapshots itself.
     serve: Serve,
 }
 
+/// The connections of all media servers that are there.
 #[derive(Default)]
-struct State {
-    listeners: BTreeMap<usize, Listener>,
-    connections: BTreeMap<u64, Weak<Connection>>,
-    next_connection: u64,
-    order: u64,
+struct Connections {
+    by_number: BTreeMap<u64, Weak<Connection>>,
+    next_number: u64,
 }
 
-impl State {
-    fn next_order(&mut self) -> u64 {
-        self.order += 1;
-        self.order
+impl Connections {
+    fn add(&mut self, stream: TcpStream) -> Arc<Connection> {
+        let number = self.next_number;
+        self.next_number += 1;
+        let connection =
+            Arc::new(Connection { number, stream, node: OnceLock::new(), taken: Mutex::default() });
+        self.by_number.retain(|_, connection| connection.strong_count() > 0);
+        self.by_number.insert(number, Arc::downgrade(&connection));
+        connection
     }
 
-    fn accept_all(&mut self) {
-        for listener in self.listeners.values() {
-            while let Ok((stream, _)) = listener.socket.accept() {
-                let _ = stream.set_nonblocking(false);
-                let _ = stream.set_nodelay(true);
-                let number = self.next_connection;
-                self.next_connection += 1;
-                let (node, taken) = (OnceLock::new(), Mutex::new(0));
-                let connection = Arc::new(Connection { number, stream, node, taken });
-                self.connections.insert(number, Arc::downgrade(&connection));
-                (listener.serve)(connection);
-            }
-        }
+    fn get(&self, number: u64) -> Option<Arc<Connection>> {
+        self.by_number.get(&number)?.upgrade()
     }
 }
 
 /// The sockets of all media servers.
 #[derive(Default)]
-pub struct Sockets(Mutex<State>);
+pub struct Sockets {
+    listeners: Mutex<BTreeMap<usize, Listener>>,
+    connections: Mutex<Connections>,
+    order: AtomicU64,
+}
 
 impl Sockets {
     /// Accepts the connections of a media server from now on.
@@ -142,39 +147,66 @@
         serve: impl Fn(Arc<Connection>) + Send + 'static,
     ) -> io::Result<()> {
         socket.set_nonblocking(true)?;
-        lock(&self.0).listeners.insert(server, Listener { socket, serve: Box::new(serve) });
+        lock(&self.listeners).insert(server, Listener { socket, serve: Box::new(serve) });
         Ok(())
     }
 
     /// Accepts what waits; whether this media server still listens.
     pub fn accept(&self, server: usize) -> bool {
-        let mut state = lock(&self.0);
-        state.accept_all();
-        state.listeners.contains_key(&server)
+        let listeners = lock(&self.listeners);
+        self.accept_all(&listeners);
+        listeners.contains_key(&server)
+    }
+
+    fn accept_all(&self, listeners: &BTreeMap<usize, Listener>) {
+        for listener in listeners.values() {
+            while let Ok((stream, _)) = listener.socket.accept() {
+                let _ = stream.set_nonblocking(false);
+                let _ = stream.set_nodelay(true);
+                let connection = lock(&self.connections).add(stream);
+                (listener.serve)(connection);
+            }
+        }
     }
 
     /// Ends listening; whoever waits for connections there wakes.
     pub fn stop_listening(&self, server: usize) {
-        if let Some(listener) = lock(&self.0).listeners.remove(&server) {
+        if let Some(listener) = lock(&self.listeners).remove(&server) {
             let _ = rustix::net::shutdown(&listener.socket, rustix::net::Shutdown::Both);
         }
     }
 
     /// Marks this moment in the order of snapshots.
     pub fn mark(&self) -> u64 {
-        lock(&self.0).next_order()
+        self.order.fetch_add(1, Ordering::SeqCst)
     }
 
-    /// What has reached the connections of a front node by now.
-    pub fn snapshot(&self, node: usize) -> Snapshot {
-        let mut state = lock(&self.0);
+    /// What has reached the connections of a front node by now. It looks at `first` before all others, so that little
+    /// time passes until then.
+    pub fn snapshot(&self, node: usize, first: &[u64]) -> Snapshot {
+        let order = self.mark();
+        let looked_at_first = {
+            let connections = lock(&self.connections);
+            first.iter().filter_map(|number| connections.get(*number)).collect()
+        };
+        let mut seen = BTreeMap::new();
+        look_at(looked_at_first, &mut seen);
         // A connection that no thread has accepted yet may carry a set-up and its giving-up already.
-        state.accept_all();
-        state.connections.retain(|_, connection| connection.strong_count() > 0);
-        let (order, next_connection) = (state.next_order(), state.next_connection);
-        let there = state.connections.iter().filter_map(|(number, weak)| Some((*number, weak.upgrade()?)));
-        let of_node = there.filter(|(_, connection)| connection.node.get().is_none_or(|n| *n == node));
-        let connections = of_node.map(|(number, connection)| (number, connection.arrived())).collect();
-        Snapshot { order, next_connection, connections }
+        self.accept_all(&lock(&self.listeners));
+        let (next_connection, others) = {
+            let connections = lock(&self.connections);
+            let others = connections.by_number.iter().filter(|(number, _)| !first.contains(number));
+            let others: Vec<_> = others.filter_map(|(_, connection)| connection.upgrade()).collect();
+            (connections.next_number, others)
+        };
+        look_at(others.into_iter().filter(|connection| connection.may_be_of(node)).collect(), &mut seen);
+        Snapshot { order, next_connection, connections: seen }
+    }
+}
+
+fn look_at(connections: Vec<Arc<Connection>>, seen: &mut BTreeMap<u64, Arrived>) {
+    let bytes: Vec<u64> = connections.iter().map(|connection| connection.bytes_arrived()).collect();
+    for (connection, bytes) in connections.iter().zip(bytes) {
+        seen.insert(connection.number, Arrived { bytes, ended: connection.has_ended() });
     }
 }
