--- /dev/null
+++ b/crates/platform/settings/tests/parsing.rs
@@ -0,0 +1,172 @@
+//! Each key of the platform's settings and the field that it sets.
+
+use beechloft::api;
+
+/// Every key, each with a value of its own.
+const EVERY_KEY: &str = r#"{
+    "caps": {"cancel": true, "conn_idle_us": 31, "dial_timeout_us": 32, "max_attempts": 33,
+             "max_retry_after_us": 34, "probes": true, "retry_after": true},
+    "classes": [
+        {"name": "film", "aim_us": 41, "deadline_us": 42, "effect": "repeatable", "points": 0.75},
+        {"name": "match", "aim_us": 43, "deadline_us": 44, "effect": "by_key", "group": "zone", "window_us": 45},
+        {"name": "talk", "aim_us": 46, "deadline_us": 47, "effect": "by_key", "group": "all", "window_us": 48},
+        {"name": "news", "aim_us": 49, "deadline_us": 50, "effect": "by_key", "group": "cell", "window_us": 51},
+        {"aim_us": 52, "deadline_us": 53, "effect": "by_key", "group": "same zone", "window_us": 54},
+        {"aim_us": 55, "deadline_us": 56, "effect": "once"}
+    ],
+    "discovery": "ask",
+    "family_info": {
+        "all_links_kb": 61.5, "change_costs_s": 62.5, "floor_by_class": [1, 0], "guard": 63.5,
+        "is_live": [false, true], "join_adds": 0.25, "kind_streams": [64, 65.9], "link_unit_kb": 66.5,
+        "places": 67, "rack_link_kb": 68.5, "rates_kb": [200, 450, 1000], "scale_by_class": [1.5, 0.5],
+        "seats": [3, 0], "see_us": 69, "shelves": 70, "top_by_class": [1, 9], "worth_by_rung": [0.2, 0.5, 1]
+    },
+    "group_size": 71,
+    "kinds": ["small", "large"],
+    "locality": 72,
+    "my_number": 73,
+    "over_share_worth": 0.125,
+    "prices": {"moves": 0.375, "probe": 0.625},
+    "reporting": {"how": "piggyback", "names": ["outstanding", "utilization", "x0", "x1", "x2"]},
+    "rules": {"budget_free": 81.5, "extra_per_request": 82.5, "resend_span_us": 83, "cold_from": 84.5,
+              "cold_us": 85, "fall_multiple": 86.5, "fall_us": 87},
+    "tenants": [{"quota_per_s": 91.5}, {"quota_per_s": null}],
+    "weights": "nominal",
+    "zones": ["north", "south"],
+    "a_key_of_a_later_version": 1
+}"#;
+
+/// The keys that must be there, and no others.
+const REQUIRED_KEYS: &str =
+    r#"{"classes": [{"aim_us": 1, "deadline_us": 2, "effect": "once"}], "family_info": {}}"#;
+
+fn class(aim: u64, deadline: u64, effect: api::Effect) -> api::Class {
+    api::Class {
+        aim: api::Micros(aim),
+        deadline: api::Micros(deadline),
+        effect,
+        worth: 1.0,
+        scale: 1.0,
+        floor: api::Rung(0),
+        top: api::Rung(2),
+        seats: None,
+        join: 1.0,
+    }
+}
+
+fn keyed(group: api::Group, window: u64) -> api::Effect {
+    api::Effect::Keyed { group, window: api::Micros(window) }
+}
+
+fn parse(text: &str) -> beechloft_settings::Parsed {
+    beechloft_settings::parse(text.as_bytes()).expect("well-formed settings")
+}
+
+#[test]
+fn every_key_sets_its_field() {
+    let parsed = parse(EVERY_KEY);
+    let classes = vec![
+        api::Class {
+            worth: 0.75,
+            scale: 1.5,
+            floor: api::Rung(1),
+            top: api::Rung(1),
+            seats: Some(3),
+            ..class(41, 42, api::Effect::Repeatable)
+        },
+        api::Class { scale: 0.5, join: 0.25, ..class(43, 44, keyed(api::Group::Zone, 45)) },
+        class(46, 47, keyed(api::Group::All, 48)),
+        class(49, 50, keyed(api::Group::Cell, 51)),
+        class(52, 53, keyed(api::Group::Zone, 54)),
+        class(55, 56, api::Effect::Once),
+    ];
+    let expected = api::Settings {
+        classes,
+        tenants: vec![api::Tenant { quota_per_s: Some(91.5) }, api::Tenant { quota_per_s: None }],
+        kind_streams: vec![64, 65],
+        ladder: api::Ladder {
+            rates_kb: vec![200.0, 450.0, 1000.0],
+            worth: vec![0.2, 0.5, 1.0],
+            change_cost_s: 62.5,
+        },
+        cells: 67,
+        racks: 70,
+        all_links_kb: Some(61.5),
+        link_unit_kb: Some(66.5),
+        uplink_kb: Some(68.5),
+        guard: Some(63.5),
+        note_delay: api::Micros(69),
+        fronts: 71,
+        number: 73,
+        zone: api::ZoneId(72),
+        reporting: api::Reporting::InAnswers,
+        sizes: api::Sizes::Size,
+        discovery: api::Discovery::Ask,
+        limits: api::Limits {
+            max_attempts: 33,
+            probes: true,
+            cancel: true,
+            retry_after: Some(api::Micros(34)),
+        },
+        budget: Some(api::RetryBudget { free: 81.5, share: 82.5, window: api::Micros(83) }),
+        cold: api::ColdRule {
+            warm_after: api::Micros(85),
+            from: 84.5,
+            multiple: 86.5,
+            span: api::Micros(87),
+        },
+        probe_price: 0.625,
+        move_price: 0.375,
+        over_share_worth: 0.125,
+    };
+    assert_eq!(parsed.settings, expected);
+    assert_eq!(parsed.names.classes, ["film", "match", "talk", "news", "", ""]);
+    assert_eq!(parsed.names.zones, ["north", "south"]);
+    assert_eq!(parsed.names.kinds, ["small", "large"]);
+    assert_eq!(parsed.names.reported, ["outstanding", "utilization", "x0", "x1", "x2"]);
+    assert_eq!(parsed.connections.connect_within, api::Micros(32));
+    assert_eq!(parsed.connections.idle, api::Micros(31));
+    let fields = [
+        api::ReportField::Streams,
+        api::ReportField::LinkUse,
+        api::ReportField::LinkUse,
+        api::ReportField::UplinkUse,
+        api::ReportField::Other,
+    ];
+    assert_eq!(parsed.fields, fields);
+}
+
+#[test]
+fn a_key_that_is_absent_leaves_its_default() {
+    let parsed = parse(REQUIRED_KEYS);
+    let expected = api::Settings {
+        classes: vec![api::Class { top: api::Rung(0), ..class(1, 2, api::Effect::Once) }],
+        fronts: 1,
+        limits: api::Limits { max_attempts: u32::MAX, ..api::Limits::default() },
+        over_share_worth: 1.0,
+        ..api::Settings::default()
+    };
+    assert_eq!(parsed.settings, expected);
+    assert_eq!(parsed.connections.connect_within, api::Micros(250_000));
+    assert_eq!(parsed.connections.idle, api::Micros(30_000_000));
+    assert!(parsed.fields.is_empty());
+}
+
+#[test]
+fn each_name_of_an_enumerated_key_has_its_meaning() {
+    let with = |key: &str, value: &str| {
+        let text = REQUIRED_KEYS.replacen('{', &format!("{{\"{key}\": {value},"), 1);
+        parse(&text).settings
+    };
+    let reporting = |how: &str| with("reporting", &format!("{{\"how\": \"{how}\"}}")).reporting;
+    assert_eq!(reporting("piggyback"), api::Reporting::InAnswers);
+    assert_eq!(reporting("pull"), api::Reporting::InProbes);
+    assert_eq!(reporting("anything else"), api::Reporting::Silent);
+    let sizes = |weights: &str| with("weights", &format!("\"{weights}\"")).sizes;
+    assert_eq!(sizes("nominal"), api::Sizes::Size);
+    assert_eq!(sizes("rough"), api::Sizes::Size);
+    assert_eq!(sizes("live"), api::Sizes::Live);
+    assert_eq!(sizes("anything else"), api::Sizes::Silent);
+    assert_eq!(with("discovery", "\"ask\"").discovery, api::Discovery::Ask);
+    assert_eq!(with("discovery", "\"push\"").discovery, api::Discovery::Push);
+}
