--- a/crates/cli/src/among.rs
+++ b/crates/cli/src/among.rs
@@ -12,7 +12,7 @@
 use beechloft_quotas::Gate;
 use beechloft_server::observe::Observer;
 use beechloft_server::{Boxes, Hooks};
-use beechloft_session::api::Numbered;
+use beechloft_session::api::SlotAssignment;
 
 use crate::witness::Witness;
 
@@ -79,7 +79,7 @@
     }
 
     /// Its number, for whoever asks at any moment.
-    pub fn numbers(&self) -> Box<dyn Fn() -> Option<Numbered> + Send> {
+    pub fn numbers(&self) -> Box<dyn Fn() -> Option<SlotAssignment> + Send> {
         let (agent, peers) = (Arc::clone(&self.agent), self.peers.clone());
         Box::new(move || {
             // Without a part: a number that is not under them all.
@@ -88,7 +88,7 @@
                 (Part::None, reach) => (0, 0, reach),
             };
             let fronts = peers.as_ref().map_or(reach, |p| p.fronts()).max(1);
-            Some(Numbered { number, of, fronts })
+            Some(SlotAssignment { slot: number, slot_count: of, live_fronts: fronts })
         })
     }
 
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -55,7 +55,7 @@
         Err(e) => return fail(1, format_args!("no signals: {e}")),
     };
     let listen = settings.listen;
-    let span = Duration::from_micros(settings.settings.cold.span.0);
+    let span = Duration::from_micros(settings.settings.slow_start.overload_window.0);
     let mut among = match fleet.map(|set| Among::start(&set, span)).transpose() {
         Ok(among) => among,
         Err(e) => return fail(1, e),
--- a/crates/cli/src/witness.rs
+++ b/crates/cli/src/witness.rs
@@ -8,7 +8,7 @@
 use beechloft_coordinator::{Noted, Verdicting};
 use beechloft_outlier_detection::{Outcome, Place, title_key};
 use beechloft_server::observe::{Observer, Showed, Tried};
-use beechloft_session::api::{Micros, ServerId, ServerState};
+use beechloft_session::api::{EndpointState, Micros, ServerId};
 use beechloft_session::catalog::Catalog;
 use beechloft_session::narrow::{Avoid, Narrowed, Shy};
 
@@ -27,7 +27,7 @@
 
 impl Observer for Witness {
     fn list(&mut self, catalog: &Catalog) {
-        let listed = catalog.boxes().filter(|b| b.state != ServerState::Gone);
+        let listed = catalog.boxes().filter(|b| b.state != EndpointState::Removed);
         let place = |zone, size: f64| Place { zone, size: if size > 0.0 { size } else { 1.0 } };
         self.verdicts.list(listed.map(|b| (b.id.0, place(b.zone.0, b.size))).collect());
         // Names change seldom, and there may be many.
--- a/crates/front/config/src/front.rs
+++ b/crates/front/config/src/front.rs
@@ -99,7 +99,7 @@
     }
     let zone = ZoneId(f.index("zone", &service.zones, "zone").unwrap_or(0) as u16);
     let settings =
-        Settings { fronts: fronts as u32, number: number as u32, zone, ..service.settings.clone() };
+        Settings { front_count: fronts as u32, slot: number as u32, zone, ..service.settings.clone() };
     let b = top.section("boxes");
     FrontSettings {
         listen,
@@ -212,7 +212,10 @@
     #[test]
     fn a_sound_file_is_read_whole() {
         let f = parse(SOUND).expect("sound");
-        assert_eq!((f.settings.zone, f.settings.ladder.rates_kb.len(), f.settings.fronts), (ZoneId(1), 2, 1));
+        assert_eq!(
+            (f.settings.zone, f.settings.ladder.rates_kb.len(), f.settings.front_count),
+            (ZoneId(1), 2, 1)
+        );
         let ListSource::Written(boxes, titles) = f.list else { panic!("written here") };
         assert_eq!((boxes.len(), titles[0].holders.len()), (1, 1));
     }
--- a/crates/front/config/src/list.rs
+++ b/crates/front/config/src/list.rs
@@ -36,17 +36,17 @@
         b.fault("address", "missing");
     }
     let sip: Option<std::net::SocketAddr> = b.address("sip");
-    let states = [("ready", ServerState::Ready), ("draining", ServerState::Draining)];
+    let states = [("ready", EndpointState::Ready), ("draining", EndpointState::Draining)];
     let last = u64::from(service.settings.racks.saturating_sub(1));
     BoxLine {
         id,
         name: b.text("name").unwrap_or_else(|| format!("box-{}", id.0)).into(),
         url: address.map_or_else(String::new, |a| a.to_string()).into(),
         sip: sip.map(|a| a.to_string().into()),
-        state: b.choice("state", &states).unwrap_or(ServerState::Ready),
+        state: b.choice("state", &states).unwrap_or(EndpointState::Ready),
         rack: b.whole("rack", 0..=last).unwrap_or(0) as u16,
         zone: ZoneId(b.index("zone", &service.zones, "zone").unwrap_or(0) as u16),
-        kind: KindId(b.index("kind", &service.kinds, "kind").unwrap_or(0) as u8),
+        kind: ServerType(b.index("kind", &service.kinds, "kind").unwrap_or(0) as u8),
         started: Micros(0),
         size: b.number("size", 0.0..=1e6).unwrap_or(1.0),
     }
--- a/crates/front/config/src/service.rs
+++ b/crates/front/config/src/service.rs
@@ -73,59 +73,66 @@
     let settings = Settings {
         classes: class_list,
         tenants: tenant_list,
-        kind_streams,
+        max_streams_by_type: kind_streams,
         ladder,
         // The list names racks, not cells; titles name their holders.
         cells: racks,
         racks,
-        all_links_kb: links.number("all_kb", 1.0..=1e12),
-        link_unit_kb: links.number("unit_kb", 1.0..=1e9),
-        uplink_kb: links.number("uplink_kb", 1.0..=1e12),
-        guard: links.number("guard", 0.1..=10.0),
-        note_delay: micros(s, "notes_late_ms", 0, 1000),
-        fronts: 1,
-        number: 0,
+        total_link_kb: links.number("all_kb", 1.0..=1e12),
+        link_kb_per_weight: links.number("unit_kb", 1.0..=1e9),
+        mean_uplink_kb: links.number("uplink_kb", 1.0..=1e12),
+        admission_limit: links.number("guard", 0.1..=10.0),
+        feedback_delay: micros(s, "notes_late_ms", 0, 1000),
+        front_count: 1,
+        slot: 0,
         zone: ZoneId(0),
-        reporting: s
+        load_reporting: s
             .choice(
                 "reports",
                 &[
-                    ("answers", Reporting::InAnswers),
-                    ("probes", Reporting::InProbes),
-                    ("none", Reporting::Silent),
+                    ("answers", LoadReporting::InResponses),
+                    ("probes", LoadReporting::InHealthChecks),
+                    ("none", LoadReporting::Disabled),
                 ],
             )
-            .unwrap_or(Reporting::InAnswers),
-        sizes: s
-            .choice("sizes", &[("size", Sizes::Size), ("live", Sizes::Live), ("none", Sizes::Silent)])
-            .unwrap_or(Sizes::Size),
+            .unwrap_or(LoadReporting::InResponses),
+        weight_meaning: s
+            .choice(
+                "sizes",
+                &[
+                    ("size", WeightMeaning::Capacity),
+                    ("live", WeightMeaning::LoadAdjusted),
+                    ("none", WeightMeaning::Unset),
+                ],
+            )
+            .unwrap_or(WeightMeaning::Capacity),
         discovery: Discovery::Push,
-        limits: Limits {
+        capabilities: Capabilities {
             max_attempts: limits.whole("attempts", 1..=100).unwrap_or(4) as u32,
-            probes: limits.flag("probes", false),
+            health_checks: limits.flag("probes", false),
             cancel: true,
-            retry_after: limits.whole("retry_after_ms", 0..=DAY_MS).map(|ms| Micros(ms * 1000)),
+            max_retry_after: limits.whole("retry_after_ms", 0..=DAY_MS).map(|ms| Micros(ms * 1000)),
         },
-        budget: s.has("budget").then(|| budget(&s.section("budget"))),
-        cold: cold(&s.section("cold")),
-        probe_price: prices.number("probe", 0.0..=1.0).unwrap_or(0.01),
-        move_price: prices.number("move", 0.0..=1.0).unwrap_or(0.1),
-        over_share_worth: prices.number("over_share_worth", 0.0..=1.0).unwrap_or(1.0),
+        retry_budget: s.has("budget").then(|| budget(&s.section("budget"))),
+        slow_start: cold(&s.section("cold")),
+        health_check_price: prices.number("probe", 0.0..=1.0).unwrap_or(0.01),
+        migration_price: prices.number("move", 0.0..=1.0).unwrap_or(0.1),
+        over_quota_utility: prices.number("over_share_worth", 0.0..=1.0).unwrap_or(1.0),
     };
-    if settings.reporting == Reporting::InProbes && !settings.limits.probes {
+    if settings.load_reporting == LoadReporting::InHealthChecks && !settings.capabilities.health_checks {
         s.fault("reports", "boxes report with probes alone, but limits.probes does not allow any");
     }
     Service { zones, classes, tenants, kinds, settings }
 }
 
-fn ladder(s: &Section<'_>) -> Ladder {
+fn ladder(s: &Section<'_>) -> BitrateLadder {
     let rungs = s.sections("ladder");
     if rungs.is_empty() || rungs.len() > 64 {
         s.fault("ladder", "1 to 64 rungs are needed, the lowest first");
     }
-    let mut ladder = Ladder {
-        change_cost_s: s.number("change_costs_s", 0.0..=3600.0).unwrap_or(0.5),
-        ..Ladder::default()
+    let mut ladder = BitrateLadder {
+        switch_cost_s: s.number("change_costs_s", 0.0..=3600.0).unwrap_or(0.5),
+        ..BitrateLadder::default()
     };
     for rung in &rungs {
         let rate = rung.needed_number("rate_kb", 0.001..=1e9);
@@ -133,11 +140,11 @@
         if ladder.rates_kb.last().is_some_and(|below| rate <= *below) {
             rung.fault("rate_kb", "each rung needs a higher rate than the one before");
         }
-        if ladder.worth.last().is_some_and(|below| worth < *below) {
+        if ladder.utility.last().is_some_and(|below| worth < *below) {
             rung.fault("worth", "a rung can't be worth less than the one before");
         }
         ladder.rates_kb.push(rate);
-        ladder.worth.push(worth);
+        ladder.utility.push(worth);
     }
     ladder
 }
@@ -155,8 +162,8 @@
     }
     let window = || Micros(c.needed_whole("window_ms", 1..=DAY_MS) * 1000);
     let group = || {
-        let groups = [("all", Group::All), ("zone", Group::Zone), ("rack", Group::Cell)];
-        c.choice("group", &groups).unwrap_or(Group::All)
+        let groups = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("rack", DedupScope::Cell)];
+        c.choice("group", &groups).unwrap_or(DedupScope::All)
     };
     #[derive(Clone, Copy)]
     enum Word {
@@ -166,32 +173,32 @@
     }
     let words = [("repeatable", Word::Repeatable), ("keyed", Word::Keyed), ("once", Word::Once)];
     let effect = match c.choice("effect", &words).unwrap_or(Word::Repeatable) {
-        Word::Repeatable => Effect::Repeatable,
-        Word::Keyed => Effect::Keyed { group: group(), window: window() },
-        Word::Once => Effect::Once,
+        Word::Repeatable => Idempotency::Idempotent,
+        Word::Keyed => Idempotency::Deduplicated { scope: group(), window: window() },
+        Word::Once => Idempotency::AtMostOnce,
     };
     Class {
-        aim,
+        latency_objective: aim,
         deadline,
-        effect,
-        worth: c.number("worth", 0.0..=1e6).unwrap_or(1.0),
-        scale: c.number("rate_scale", 0.001..=1000.0).unwrap_or(1.0),
-        floor: Rung(floor as u8),
-        top: Rung(top as u8),
-        seats: c.whole("seats", 1..=1_000_000).map(|n| n as u32),
-        join: c.number("join", 0.0..=1.0).unwrap_or(1.0),
+        idempotency: effect,
+        utility: c.number("worth", 0.0..=1e6).unwrap_or(1.0),
+        rate_scale: c.number("rate_scale", 0.001..=1000.0).unwrap_or(1.0),
+        min_rung: Rung(floor as u8),
+        max_rung: Rung(top as u8),
+        max_sessions_per_title: c.whole("seats", 1..=1_000_000).map(|n| n as u32),
+        shared_rate_fraction: c.number("join", 0.0..=1.0).unwrap_or(1.0),
     }
 }
 
 fn budget(b: &Section<'_>) -> RetryBudget {
     RetryBudget {
-        free: b.needed_number("free", 0.0..=1e6),
-        share: b.needed_number("share", 0.0..=100.0),
+        min_retries: b.needed_number("free", 0.0..=1e6),
+        retry_ratio: b.needed_number("share", 0.0..=100.0),
         window: Micros(b.needed_whole("window_ms", 1..=DAY_MS) * 1000),
     }
 }
 
-fn cold(c: &Section<'_>) -> ColdRule {
+fn cold(c: &Section<'_>) -> SlowStart {
     let multiple = c.number("multiple", 0.0..=1000.0).unwrap_or(0.0);
     if multiple > 0.0 {
         for key in ["warm_ms", "span_ms"] {
@@ -200,10 +207,10 @@
             }
         }
     }
-    ColdRule {
-        warm_after: micros(c, "warm_ms", 0, 0),
-        from: c.number("from", 0.0..=1.0).unwrap_or(0.3),
-        multiple,
-        span: micros(c, "span_ms", 0, 0),
+    SlowStart {
+        warm_up: micros(c, "warm_ms", 0, 0),
+        initial_fraction: c.number("from", 0.0..=1.0).unwrap_or(0.3),
+        overload_factor: multiple,
+        overload_window: micros(c, "span_ms", 0, 0),
     }
 }
--- a/crates/front/discovery/src/lib.rs
+++ b/crates/front/discovery/src/lib.rs
@@ -152,9 +152,9 @@
 fn box_line(value: &Value, service: &Service) -> Result<BoxLine, String> {
     let b = BoxText::deserialize(value).map_err(|e| e.to_string())?;
     let state = match b.state.as_str() {
-        "ready" => ServerState::Ready,
-        "draining" => ServerState::Draining,
-        "gone" => ServerState::Gone,
+        "ready" => EndpointState::Ready,
+        "draining" => EndpointState::Draining,
+        "gone" => EndpointState::Removed,
         other => return Err(format!("no state is called '{other}'")),
     };
     for address in [Some(&b.address), b.sip.as_ref()].into_iter().flatten() {
@@ -174,7 +174,7 @@
         state,
         rack: b.rack,
         zone: ZoneId(position(&service.zones, &b.zone, "zone")? as u16),
-        kind: KindId(position(&service.kinds, &b.kind, "kind")? as u8),
+        kind: ServerType(position(&service.kinds, &b.kind, "kind")? as u8),
         started: Micros(b.started_us),
         size: b.size,
     })
--- a/crates/front/server/src/attempt.rs
+++ b/crates/front/server/src/attempt.rs
@@ -44,7 +44,7 @@
     tell_hung_up: impl FnOnce(),
 ) -> Ended {
     let until = shared.clock.instant(set_up.until);
-    let Some(address) = set_up.address else { return without(Outcome::Moot) };
+    let Some(address) = set_up.address else { return without(Outcome::NotSent) };
     let mut exchange = match send(shared, address, request, until) {
         Ok(exchange) => exchange,
         Err(e) => return without(failed(shared, set_up, &e)),
--- a/crates/front/server/src/engine/run.rs
+++ b/crates/front/server/src/engine/run.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use beechloft_session::Core;
-use beechloft_session::api::{Numbered, SessionId};
+use beechloft_session::api::{SessionId, SlotAssignment};
 use beechloft_session::io::{Answer, Ask, Input, Output, RequestId};
 use beechloft_sip::agent;
 use beechloft_whep::events::PlayerEvent;
@@ -33,7 +33,7 @@
     pub(super) recording: Option<Recording>,
     pub(super) sip: Option<Sender<agent::Input>>,
     pub(super) numbers: Option<Numbers>,
-    pub(super) numbered: Option<Numbered>,
+    pub(super) numbered: Option<SlotAssignment>,
     pub(super) observing: Option<Observing>,
     pub(super) limited: Option<Limited>,
     /// What became of attempts that were stopped by a limit, for the core.
@@ -132,7 +132,7 @@
     fn renumber(&mut self) {
         let now = self.numbers.as_ref().and_then(|n| n());
         if let Some(numbered) = now.filter(|n| Some(*n) != self.numbered) {
-            info!(target: "core", number = numbered.number, of = numbered.of, fronts = numbered.fronts, "numbered");
+            info!(target: "core", number = numbered.slot, of = numbered.slot_count, fronts = numbered.live_fronts, "numbered");
             self.numbered = Some(numbered);
             self.handle(Input::Numbered(numbered));
         }
--- a/crates/front/server/src/limits.rs
+++ b/crates/front/server/src/limits.rs
@@ -103,7 +103,7 @@
                 let never = Input::Verdict {
                     attempt,
                     server,
-                    verdict: Verdict::Ended(Outcome::Moot),
+                    verdict: Verdict::Ended(Outcome::NotSent),
                     sent: now,
                     load: Default::default(),
                 };
--- a/crates/front/server/src/list.rs
+++ b/crates/front/server/src/list.rs
@@ -114,7 +114,7 @@
             return Err(CallError::Refused);
         };
         let request = Request::new(Method::GET, path.clone()).with(header::ACCEPT, EVENTS);
-        let request = request.with(header::VIA, boxes::via(self.shared.settings.settings.number));
+        let request = request.with(header::VIA, boxes::via(self.shared.settings.settings.slot));
         let until = Instant::now() + Duration::from_secs(2);
         let (response, stream) = Conn::open(*address, until)?.send(&request, until)?.into_stream(until)?;
         if response.status.is_success() {
--- a/crates/front/server/src/observe.rs
+++ b/crates/front/server/src/observe.rs
@@ -113,7 +113,7 @@
             // One that was dropped as its viewer left counts as a time-out for the module, too.
             Outcome::Timeout => (now + SHORT >= open.until).then_some(Showed::Hang),
             Outcome::ConnectFailed | Outcome::Reset => Some(Showed::Error),
-            Outcome::Ok | Outcome::Full | Outcome::Cancelled | Outcome::Moot => None,
+            Outcome::Ok | Outcome::Overloaded | Outcome::Cancelled | Outcome::NotSent => None,
         };
         let showed = match verdict {
             Verdict::Accepted { .. } => Some(Showed::Taken(now - sent)),
--- a/crates/front/server/src/player.rs
+++ b/crates/front/server/src/player.rs
@@ -103,7 +103,7 @@
         };
         let told = self.shared.handle.ask(ask, token.map(viewer));
         let answer = self.serve(session, &told, link, |set_up| {
-            let number = self.shared.settings.settings.number;
+            let number = self.shared.settings.settings.slot;
             let offer = offer.limited(set_up.rate_kb);
             boxes::tagged(boxes::set_up(&title, publishes, offer, token, number), set_up.tag.as_deref())
         });
@@ -269,7 +269,7 @@
     }
 
     fn refuse(&self) -> Response {
-        let advice = self.shared.settings.settings.limits.retry_after;
+        let advice = self.shared.settings.settings.capabilities.max_retry_after;
         answer::for_browsers(answer::response(&Answer::Refused(Some(advice.unwrap_or(Micros(1_000_000))))))
     }
 
--- a/crates/front/server/src/sip.rs
+++ b/crates/front/server/src/sip.rs
@@ -37,7 +37,7 @@
     tcp.set_nonblocking(true)?;
     let (sender, lanes) = lanes();
     shared.handle.sip(sender.of_core());
-    let (seed, number) = (shared.of_this_start(seed) ^ 0x0073_6970, shared.settings.settings.number);
+    let (seed, number) = (shared.of_this_start(seed) ^ 0x0073_6970, shared.settings.settings.slot);
     let agent = Agent::with(address, number, seed, Control::new(seed, shared.settings.sip_control));
     let streams = Streams::start(shared, sender.clone())?;
     let run = Run { shared: shared.clone(), agent, udp: udp.clone(), streams: streams.clone() };
--- a/crates/front/server/src/told.rs
+++ b/crates/front/server/src/told.rs
@@ -4,7 +4,7 @@
 
 use beechloft_quotas::{Gate, No};
 use beechloft_session::Exchanged;
-use beechloft_session::api::{Micros, Numbered, ServerId};
+use beechloft_session::api::{Micros, ServerId, SlotAssignment};
 use beechloft_session::io::{Answer, AttemptId, Input, Output};
 
 use crate::observe::Observer;
@@ -66,7 +66,7 @@
 }
 
 /// A front's number among others, now; none: as its settings say. It is asked before each input and must not wait.
-pub type Numbers = Box<dyn Fn() -> Option<Numbered> + Send>;
+pub type Numbers = Box<dyn Fn() -> Option<SlotAssignment> + Send>;
 
 /// What a front is told by its fleet, and tells it.
 #[derive(Default)]
--- a/crates/front/server/tests/replay.rs
+++ b/crates/front/server/tests/replay.rs
@@ -47,7 +47,7 @@
         let mut same = Vec::new();
         module.handle(now, event, &mut same);
         assert_eq!(same, actions);
-        set_ups += same.iter().filter(|a| matches!(a, Action::SetUp(..))).count();
+        set_ups += same.iter().filter(|a| matches!(a, Action::StartAttempt { .. })).count();
     }
     assert!(set_ups > 40, "{set_ups}");
 }
--- a/crates/front/server/tests/sip.rs
+++ b/crates/front/server/tests/sip.rs
@@ -265,7 +265,7 @@
     let fleet = Fleet::start(&fleet_spec(1), &recorder).expect("a fleet");
     let mut settings = settings(&format!("url: {}", fleet.list.url()), "");
     settings.sip = Some("127.0.0.1:0".parse().expect("an address"));
-    settings.settings.classes[0].seats = Some(2);
+    settings.settings.classes[0].max_sessions_per_title = Some(2);
     let front = Front::start(settings, None).expect("a front");
     until("the list is known", || front.status().boxes == 1);
     let mut s = Sip { recorder, fleet, front, seed: 10 };
--- a/crates/front/server/tests/whep.rs
+++ b/crates/front/server/tests/whep.rs
@@ -233,8 +233,8 @@
     let recorder = beechloft_checker::Recorder::default();
     let fleet = beechloft_fakes::fleet::Fleet::start(&fleet_spec(2), &recorder).expect("a fleet");
     let mut settings = settings(&format!("url: {}", fleet.list.url()), "boxes: {call_ms: 300}\n");
-    settings.settings.reporting = beechloft_session::api::Reporting::InProbes;
-    settings.settings.limits.probes = true;
+    settings.settings.load_reporting = beechloft_session::api::LoadReporting::InHealthChecks;
+    settings.settings.capabilities.health_checks = true;
     let front = beechloft_server::Front::start_recorded(settings).expect("a front");
     until("the list is known", || front.status().boxes == 2);
     let mut dice = beechloft_fakes::dice::Dice::new(4);
@@ -252,7 +252,7 @@
     let told = |ok: bool| {
         let is = |i: &beechloft_session::io::Input| match i {
             beechloft_session::io::Input::Probed { outcome, load, .. } => {
-                (*outcome == beechloft_session::api::Outcome::Ok && load.link.is_some()) == ok
+                (*outcome == beechloft_session::api::Outcome::Ok && load.link_utilization.is_some()) == ok
             }
             _ => false,
         };
--- a/crates/front/session/src/catalog.rs
+++ b/crates/front/session/src/catalog.rs
@@ -38,13 +38,13 @@
     /// Where it takes SIP calls, if it does.
     pub sip: Option<Arc<str>>,
     /// Its state.
-    pub state: ServerState,
+    pub state: EndpointState,
     /// The rack it stands in.
     pub rack: u16,
     /// Its zone.
     pub zone: ZoneId,
     /// Its kind.
-    pub kind: KindId,
+    pub kind: ServerType,
     /// Latest start of its process; zero: long ago or unknown.
     pub started: Micros,
     /// Its size, as [`Sizes`] says.
@@ -138,11 +138,11 @@
     heard: bool,
 }
 
-fn readiness(state: ServerState) -> u8 {
+fn readiness(state: EndpointState) -> u8 {
     match state {
-        ServerState::Gone => 0,
-        ServerState::Draining => 1,
-        ServerState::Ready => 2,
+        EndpointState::Removed => 0,
+        EndpointState::Draining => 1,
+        EndpointState::Ready => 2,
     }
 }
 
@@ -152,18 +152,20 @@
         let mut done = Applied::default();
         let (form, boxes, titles, gone) = match update {
             ListUpdate::Failed => {
-                done.event = Some(Event::Servers(ListForm::Failed, Vec::new()));
+                done.event =
+                    Some(Event::EndpointsUpdated { kind: UpdateKind::Failed, endpoints: Vec::new() });
                 return done;
             }
             ListUpdate::Snapshot { boxes, .. } if boxes.is_empty() && !self.boxes.is_empty() => {
                 done.faults.push("an empty list is taken for a failure; the boxes known stay".into());
-                done.event = Some(Event::Servers(ListForm::Failed, Vec::new()));
+                done.event =
+                    Some(Event::EndpointsUpdated { kind: UpdateKind::Failed, endpoints: Vec::new() });
                 return done;
             }
             ListUpdate::Snapshot { cached, boxes, titles } => {
-                (if cached { ListForm::Cached } else { ListForm::Full }, boxes, titles, Vec::new())
+                (if cached { UpdateKind::Cached } else { UpdateKind::Full }, boxes, titles, Vec::new())
             }
-            ListUpdate::Change { boxes, titles, gone } => (ListForm::Delta, boxes, titles, gone),
+            ListUpdate::Change { boxes, titles, gone } => (UpdateKind::Delta, boxes, titles, gone),
         };
         if boxes.len() > MAX_BOXES || titles.len() > MAX_TITLES {
             done.faults.push(format!(
@@ -175,13 +177,14 @@
         }
         self.heard = true;
         let boxes = self.merge(boxes, &mut done.faults);
-        let whole = form != ListForm::Delta;
+        let whole = form != UpdateKind::Delta;
         if whole {
             done.gone.extend(self.boxes.keys().filter(|id| !boxes.contains_key(id)));
         }
-        done.gone.extend(boxes.values().filter(|b| b.state == ServerState::Gone).map(|b| b.id));
+        done.gone.extend(boxes.values().filter(|b| b.state == EndpointState::Removed).map(|b| b.id));
         done.moved.extend(boxes.values().filter(|b| self.is_new_address(b)).map(|b| b.id));
-        done.event = Some(Event::Servers(form, boxes.values().map(entry).collect()));
+        done.event =
+            Some(Event::EndpointsUpdated { kind: form, endpoints: boxes.values().map(entry).collect() });
         self.boxes.extend(boxes);
         for id in &done.gone {
             self.boxes.remove(id);
@@ -212,7 +215,7 @@
     }
 
     fn is_new_address(&self, line: &BoxLine) -> bool {
-        line.state != ServerState::Gone && self.boxes.get(&line.id).is_none_or(|b| b.url != line.url)
+        line.state != EndpointState::Removed && self.boxes.get(&line.id).is_none_or(|b| b.url != line.url)
     }
 
     fn apply_titles(
@@ -282,14 +285,14 @@
     }
 }
 
-fn entry(b: &BoxLine) -> ServerEntry {
-    ServerEntry {
+fn entry(b: &BoxLine) -> Endpoint {
+    Endpoint {
         server: b.id,
         state: b.state,
         cell: CellId(b.rack),
         zone: b.zone,
-        kind: b.kind,
-        started: b.started,
-        size: b.size,
+        server_type: b.kind,
+        started_at: b.started,
+        weight: b.size,
     }
 }
--- a/crates/front/session/src/core/acts.rs
+++ b/crates/front/session/src/core/acts.rs
@@ -24,8 +24,10 @@
 
     fn act(&mut self, action: Action, out: &mut Vec<Output>) {
         match action {
-            Action::SetUp(id, server, until) => self.set_up(id, server, until, out),
-            Action::SetRung(id, rung) => {
+            Action::StartAttempt { session: id, server, deadline: until } => {
+                self.set_up(id, server, until, out)
+            }
+            Action::SetRung { session: id, rung } => {
                 let Some(class) = self.sessions.get(&id).map(|s| s.class) else { return };
                 let rate_kb = self.rate_kb(class, rung);
                 let Some(session) = self.sessions.get_mut(&id) else { return };
@@ -35,20 +37,20 @@
                     out.push(Output::SetRung { server, session: id, layers, rung, rate_kb });
                 }
             }
-            Action::Refuse(id, advice) => {
+            Action::Reject { session: id, retry_after: advice } => {
                 out.extend(self.close(id).map(|owed| owed.settle(Answer::Refused(advice))));
             }
             Action::Fail(id) => out.extend(self.close(id).map(|owed| owed.settle(Answer::Failed))),
-            Action::Cancel(id, number) => {
+            Action::CancelAttempt { session: id, attempt: number } => {
                 let id = attempt_id(id, number.0);
                 if self.sessions.get(&id.session).is_some_and(|s| s.is_out(id)) {
                     out.push(Output::Cancel(id));
                 }
             }
-            Action::Move(id) => self.take_back(id, Why::Moved, out),
-            Action::Probe(server) => out.push(Output::Probe(server)),
+            Action::Migrate(id) => self.take_back(id, Why::Moved, out),
+            Action::HealthCheck(server) => out.push(Output::Probe(server)),
             Action::Subscribe => out.push(Output::Subscribe),
-            Action::SetTimer(delay, token) => {
+            Action::SetTimer { delay, token } => {
                 self.timers.insert((self.now + delay, token));
             }
             Action::Log(line) => out.push(Output::Log(line)),
--- a/crates/front/session/src/core/asked.rs
+++ b/crates/front/session/src/core/asked.rs
@@ -24,7 +24,7 @@
             };
             return out.push(Output::Reply(ask.request, again));
         }
-        let advice = self.set.limits.retry_after;
+        let advice = self.set.capabilities.max_retry_after;
         let full =
             self.stopping || self.sessions.len() >= MAX_SESSIONS || self.sessions.contains_key(&ask.session);
         if full || !self.catalog.heard() {
@@ -38,17 +38,17 @@
         };
         let gives_up = self.now + class.deadline;
         let holders = self.catalog.holders(title, ask.protocol);
-        let ready = |id| self.catalog.server(id).is_some_and(|b| b.state == ServerState::Ready);
+        let ready = |id| self.catalog.server(id).is_some_and(|b| b.state == EndpointState::Ready);
         let (offered, warning) = self.narrowing.offered((&ask.title, title.id), ask.session, holders, ready);
         out.extend(warning.map(Output::Log));
         let request = Request {
             session: ask.session,
             class: title.class,
             title: title.id,
-            on: Some(offered),
-            top: self.top_rung(class, ask.max_rate_kb),
-            gives_up,
-            hint: title.length,
+            eligible_servers: Some(offered),
+            max_rung: self.top_rung(class, ask.max_rate_kb),
+            deadline: gives_up,
+            expected_duration: title.length,
             tenant: title.tenant,
             ..Request::default()
         };
@@ -70,7 +70,7 @@
     /// The highest rung whose rate a client can use; the lowest, if it can't use any.
     pub(super) fn top_rung(&self, class: &Class, max_rate_kb: Option<f64>) -> Rung {
         let Some(max) = max_rate_kb else { return Rung(u8::MAX) };
-        let fit = self.set.ladder.rates_kb.iter().take_while(|rate| class.scale * **rate <= max).count();
+        let fit = self.set.ladder.rates_kb.iter().take_while(|rate| class.rate_scale * **rate <= max).count();
         Rung(u8::try_from(fit.saturating_sub(1)).unwrap_or(u8::MAX))
     }
 
--- a/crates/front/session/src/core/attempts.rs
+++ b/crates/front/session/src/core/attempts.rs
@@ -58,8 +58,8 @@
         self.replays.push_back((self.now + REPLAY_FOR, id.session));
         self.playing.entry(server).or_default().insert(resource, id.session);
         let (session, attempt) = (id.session, api::Attempt(id.number));
-        self.queue.push_back(Event::Started { session, attempt, server, took });
-        self.queue.push_back(Event::Probed { server, outcome: Outcome::Ok, report: load });
+        self.queue.push_back(Event::Started { session, attempt, server, elapsed: took });
+        self.queue.push_back(Event::HealthChecked { server, outcome: Outcome::Ok, report: load });
     }
 
     /// Told twice, or of a session long forgotten. What was set up and is nobody's must not stay at the box.
@@ -91,12 +91,20 @@
             true
         };
         let (session, attempt) = (id.session, api::Attempt(id.number));
-        self.queue.push_back(Event::Ended { session, attempt, server, outcome, closed, took, report });
+        self.queue.push_back(Event::AttemptEnded {
+            session,
+            attempt,
+            server,
+            outcome,
+            is_final: closed,
+            elapsed: took,
+            report,
+        });
     }
 
     /// The rate of a rung of a class, kB a second.
     pub(super) fn rate_kb(&self, class: ClassId, rung: Rung) -> f64 {
-        let scale = self.set.classes.get(usize::from(class.0)).map_or(1.0, |c| c.scale);
+        let scale = self.set.classes.get(usize::from(class.0)).map_or(1.0, |c| c.rate_scale);
         scale * self.set.ladder.rates_kb.get(usize::from(rung.0)).copied().unwrap_or(0.0)
     }
 
@@ -122,13 +130,13 @@
             // The box's address is not known, or the title may not be played there any more: the attempt never ran.
             (stage, _) => {
                 let closed = !matches!(stage, Stage::Owed(..));
-                self.queue.push_back(Event::Ended {
+                self.queue.push_back(Event::AttemptEnded {
                     session: id,
                     attempt: api::Attempt(number),
                     server,
-                    outcome: Outcome::Moot,
-                    closed,
-                    took: Micros(0),
+                    outcome: Outcome::NotSent,
+                    is_final: closed,
+                    elapsed: Micros(0),
                     report: LoadReport::default(),
                 });
             }
--- a/crates/front/session/src/core/boxes.rs
+++ b/crates/front/session/src/core/boxes.rs
@@ -52,7 +52,11 @@
             }
             BoxNews::Note(note) => {
                 let session = self.playing.get(&server).and_then(|p| p.values().next()).copied();
-                self.queue.push_back(Event::Noted { session: session.unwrap_or_default(), server, note });
+                self.queue.push_back(Event::FeedbackReceived {
+                    session: session.unwrap_or_default(),
+                    server,
+                    feedback: note,
+                });
             }
             BoxNews::Over { resource } => {
                 let id = self.playing.get(&server).and_then(|p| p.get(&resource)).copied();
--- a/crates/front/session/src/core/ending.rs
+++ b/crates/front/session/src/core/ending.rs
@@ -76,13 +76,13 @@
                 self.playing.remove(&playing.server);
             }
         }
-        self.queue.push_back(Event::Ended {
+        self.queue.push_back(Event::AttemptEnded {
             session: id,
             attempt: api::Attempt(playing.number),
             server: playing.server,
             outcome,
-            closed: true,
-            took: self.now - playing.since,
+            is_final: true,
+            elapsed: self.now - playing.since,
             report: LoadReport::default(),
         });
         out.push(Output::Over(id, why));
--- a/crates/front/session/src/core/mod.rs
+++ b/crates/front/session/src/core/mod.rs
@@ -103,11 +103,11 @@
             }
             Input::Box(server, news) => self.box_news(server, news, out),
             Input::Probed { server, outcome, load } => {
-                self.queue.push_back(Event::Probed { server, outcome, report: load });
+                self.queue.push_back(Event::HealthChecked { server, outcome, report: load });
             }
             Input::Released(ticket, gone) => self.releases.result(self.now, ticket, gone),
             Input::Narrowed(narrowed) => self.narrowing.change(narrowed),
-            Input::Numbered(numbered) => self.queue.push_back(Event::Numbered(numbered)),
+            Input::Numbered(numbered) => self.queue.push_back(Event::SlotAssigned(numbered)),
             Input::Tick => {}
             Input::Stop => self.stopping = true,
         }
--- a/crates/front/session/src/io.rs
+++ b/crates/front/session/src/io.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use beechloft::api::{LoadReport, Micros, Note, Numbered, Outcome, Rung, ServerId, SessionId};
+use beechloft::api::{Feedback, LoadReport, Micros, Outcome, Rung, ServerId, SessionId, SlotAssignment};
 
 use crate::catalog::ListUpdate;
 pub use crate::catalog::Protocol;
@@ -99,7 +99,7 @@
     /// Nobody listens at its address: the process is not there.
     Refused,
     /// A figure about what plays there.
-    Note(Note),
+    Note(Feedback),
     /// A session is over at the box.
     Over {
         /// Its path there.
@@ -165,7 +165,7 @@
     /// Other boxes are to be offered to the module from now on.
     Narrowed(Narrowed),
     /// This front's number among the fronts changed.
-    Numbered(Numbered),
+    Numbered(SlotAssignment),
     /// Time passes.
     Tick,
     /// Nothing new is taken from now on.
--- a/crates/front/session/tests/cases.rs
+++ b/crates/front/session/tests/cases.rs
@@ -109,10 +109,10 @@
 #[test]
 fn nothing_goes_to_a_box_once_its_drain_is_known() {
     let mut f = Front::new(1);
-    f.input(Input::List(change(vec![line(1, ServerState::Draining), line(3, ServerState::Gone)])));
+    f.input(Input::List(change(vec![line(1, EndpointState::Draining), line(3, EndpointState::Removed)])));
     assert!(matches!(replies(&f.ask(1, "title-1"))[..], [Answer::Refused(_)]));
     // Named twice, the least ready state holds.
-    f.input(Input::List(change(vec![line(3, ServerState::Ready), line(3, ServerState::Draining)])));
+    f.input(Input::List(change(vec![line(3, EndpointState::Ready), line(3, EndpointState::Draining)])));
     assert!(matches!(replies(&f.ask(2, "title-1"))[..], [Answer::Refused(_)]));
 }
 
@@ -156,7 +156,7 @@
 fn a_box_off_the_list_is_watched_until_its_last_session_is_over() {
     let mut f = Front::new(1);
     let server = f.play(1, "title-0");
-    let gone = change(vec![line(server.0, ServerState::Gone)]);
+    let gone = change(vec![line(server.0, EndpointState::Removed)]);
     assert!(!f.input(Input::List(gone)).contains(&Output::Unwatch(server)));
     let out = f.input(Input::Box(server, BoxNews::Over { resource: "/r/1-0".into() }));
     assert!(out.contains(&Output::Over(SessionId(1), Why::Box)) && out.contains(&Output::Unwatch(server)));
--- a/crates/front/session/tests/narrowed.rs
+++ b/crates/front/session/tests/narrowed.rs
@@ -67,11 +67,11 @@
     f.input(avoid(vec![shy(1, 0), shy(3, 0)], 1_000));
     assert_eq!(places(&mut f, 0, "title-1"), BTreeSet::from([3]));
     let mut f = Front::new(1);
-    f.input(Input::List(change(vec![line(3, ServerState::Draining)])));
+    f.input(Input::List(change(vec![line(3, EndpointState::Draining)])));
     f.input(avoid(vec![shy(1, 0)], 1_000));
     assert_eq!(places(&mut f, 0, "title-1"), BTreeSet::from([1]), "the other one is not ready");
     f.input(avoid(Vec::new(), 500));
-    f.input(Input::List(change(vec![line(3, ServerState::Ready)])));
+    f.input(Input::List(change(vec![line(3, EndpointState::Ready)])));
     assert_eq!(places(&mut f, 100, "title-1"), BTreeSet::from([1, 3]));
 }
 
--- a/crates/front/session/tests/orders.rs
+++ b/crates/front/session/tests/orders.rs
@@ -104,7 +104,7 @@
 
 fn outcome(kind: u8) -> Outcome {
     match kind {
-        2 => Outcome::Full,
+        2 => Outcome::Overloaded,
         3 => Outcome::Error,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
@@ -215,8 +215,8 @@
                     1 => BoxNews::Hello { boot: self.front.now },
                     2 => BoxNews::Broken,
                     3 => BoxNews::Refused,
-                    4 => BoxNews::Note(Note::LinkUse(0.7)),
-                    _ => BoxNews::Note(Note::Delivered(0.8)),
+                    4 => BoxNews::Note(Feedback::LinkUtilization(0.7)),
+                    _ => BoxNews::Note(Feedback::DeliveredFraction(0.8)),
                 };
                 let restarted = match news {
                     BoxNews::Refused => {
--- a/crates/front/session/tests/support/mod.rs
+++ b/crates/front/session/tests/support/mod.rs
@@ -14,38 +14,48 @@
 pub fn settings() -> Settings {
     Settings {
         classes: vec![Class {
-            aim: Micros(800 * MS),
+            latency_objective: Micros(800 * MS),
             deadline: Micros(4 * S),
-            effect: Effect::Repeatable,
-            worth: 1.0,
-            scale: 1.0,
-            floor: Rung(0),
-            top: Rung(3),
-            seats: None,
-            join: 1.0,
+            idempotency: Idempotency::Idempotent,
+            utility: 1.0,
+            rate_scale: 1.0,
+            min_rung: Rung(0),
+            max_rung: Rung(3),
+            max_sessions_per_title: None,
+            shared_rate_fraction: 1.0,
         }],
-        kind_streams: vec![20],
-        ladder: Ladder {
+        max_streams_by_type: vec![20],
+        ladder: BitrateLadder {
             rates_kb: vec![200.0, 450.0, 1_000.0, 2_000.0],
-            worth: vec![0.2, 0.5, 0.75, 1.0],
-            change_cost_s: 0.5,
+            utility: vec![0.2, 0.5, 0.75, 1.0],
+            switch_cost_s: 0.5,
         },
         cells: 2,
         racks: 2,
-        link_unit_kb: Some(10_000.0),
-        uplink_kb: Some(18_000.0),
-        guard: Some(1.2),
-        fronts: 2,
-        reporting: Reporting::InAnswers,
-        limits: Limits { max_attempts: 3, probes: false, cancel: true, retry_after: Some(Micros(500 * MS)) },
-        budget: Some(RetryBudget { free: 3.0, share: 0.1, window: Micros(10 * S) }),
-        cold: ColdRule { warm_after: Micros(12 * S), from: 0.4, multiple: 2.5, span: Micros(2 * S) },
-        over_share_worth: 1.0,
+        link_kb_per_weight: Some(10_000.0),
+        mean_uplink_kb: Some(18_000.0),
+        admission_limit: Some(1.2),
+        front_count: 2,
+        load_reporting: LoadReporting::InResponses,
+        capabilities: Capabilities {
+            max_attempts: 3,
+            health_checks: false,
+            cancel: true,
+            max_retry_after: Some(Micros(500 * MS)),
+        },
+        retry_budget: Some(RetryBudget { min_retries: 3.0, retry_ratio: 0.1, window: Micros(10 * S) }),
+        slow_start: SlowStart {
+            warm_up: Micros(12 * S),
+            initial_fraction: 0.4,
+            overload_factor: 2.5,
+            overload_window: Micros(2 * S),
+        },
+        over_quota_utility: 1.0,
         ..Settings::default()
     }
 }
 
-pub fn line(n: u32, state: ServerState) -> BoxLine {
+pub fn line(n: u32, state: EndpointState) -> BoxLine {
     BoxLine {
         id: ServerId(n),
         name: format!("box-{n}").into(),
@@ -54,7 +64,7 @@
         state,
         rack: (n % 2) as u16,
         zone: ZoneId((n % 2) as u16),
-        kind: KindId(0),
+        kind: ServerType(0),
         started: Micros(0),
         size: 1.0,
     }
@@ -72,7 +82,7 @@
 
 /// All four boxes; `title-2` lies nowhere.
 pub fn snapshot(cached: bool) -> ListUpdate {
-    let boxes = (0..4).map(|n| line(n, ServerState::Ready)).collect();
+    let boxes = (0..4).map(|n| line(n, EndpointState::Ready)).collect();
     let titles = vec![title("title-0", 0..4), title("title-1", [1, 3]), title("title-2", [])];
     ListUpdate::Snapshot { cached, boxes, titles }
 }
@@ -83,10 +93,10 @@
 
 pub fn list_change(n: u8) -> ListUpdate {
     match n {
-        0 => change(vec![line(1, ServerState::Draining)]),
-        1 => change(vec![line(1, ServerState::Ready)]),
-        2 => change(vec![line(2, ServerState::Gone)]),
-        3 => change(vec![line(2, ServerState::Ready), line(2, ServerState::Draining)]),
+        0 => change(vec![line(1, EndpointState::Draining)]),
+        1 => change(vec![line(1, EndpointState::Ready)]),
+        2 => change(vec![line(2, EndpointState::Removed)]),
+        3 => change(vec![line(2, EndpointState::Ready), line(2, EndpointState::Draining)]),
         4 => ListUpdate::Failed,
         5 => ListUpdate::Snapshot { cached: false, boxes: vec![], titles: vec![] },
         _ => snapshot(false),
--- a/crates/front/sip/src/agent/boxes.rs
+++ b/crates/front/sip/src/agent/boxes.rs
@@ -50,7 +50,7 @@
             }
         });
         let Some(((request, address), offer)) = built.zip(offer) else {
-            let verdict = Verdict::Ended(Outcome::Moot);
+            let verdict = Verdict::Ended(Outcome::NotSent);
             let load = LoadReport::default();
             return self.tell(core_io::Input::Verdict { attempt, server, verdict, sent: self.now, load });
         };
@@ -251,7 +251,7 @@
 /// What a box's final status means: full, the caller's own fault, or an error.
 fn refusal(status: u16) -> Verdict {
     match status {
-        486 | 503 | 600 => Verdict::Ended(Outcome::Full),
+        486 | 503 | 600 => Verdict::Ended(Outcome::Overloaded),
         400 | 401 | 403 | 407 | 415 | 488 => Verdict::Declined(status),
         408 => Verdict::Ended(Outcome::Timeout),
         _ => Verdict::Ended(Outcome::Error),
--- a/crates/front/sip/tests/agent.rs
+++ b/crates/front/sip/tests/agent.rs
@@ -23,26 +23,31 @@
 fn settings() -> Settings {
     Settings {
         classes: vec![Class {
-            aim: Micros(800 * MS),
+            latency_objective: Micros(800 * MS),
             deadline: Micros(4 * S),
-            effect: Effect::Repeatable,
-            worth: 1.0,
-            scale: 1.0,
-            floor: Rung(0),
-            top: Rung(1),
-            seats: None,
-            join: 1.0,
+            idempotency: Idempotency::Idempotent,
+            utility: 1.0,
+            rate_scale: 1.0,
+            min_rung: Rung(0),
+            max_rung: Rung(1),
+            max_sessions_per_title: None,
+            shared_rate_fraction: 1.0,
         }],
-        kind_streams: vec![20],
-        ladder: Ladder { rates_kb: vec![200.0, 450.0], worth: vec![0.4, 1.0], change_cost_s: 0.5 },
+        max_streams_by_type: vec![20],
+        ladder: BitrateLadder { rates_kb: vec![200.0, 450.0], utility: vec![0.4, 1.0], switch_cost_s: 0.5 },
         cells: 1,
         racks: 1,
-        link_unit_kb: Some(10_000.0),
-        fronts: 1,
-        reporting: Reporting::InAnswers,
-        limits: Limits { max_attempts: 3, probes: false, cancel: true, retry_after: Some(Micros(500 * MS)) },
-        cold: ColdRule::default(),
-        over_share_worth: 1.0,
+        link_kb_per_weight: Some(10_000.0),
+        front_count: 1,
+        load_reporting: LoadReporting::InResponses,
+        capabilities: Capabilities {
+            max_attempts: 3,
+            health_checks: false,
+            cancel: true,
+            max_retry_after: Some(Micros(500 * MS)),
+        },
+        slow_start: SlowStart::default(),
+        over_quota_utility: 1.0,
         ..Settings::default()
     }
 }
@@ -129,10 +134,10 @@
             name: format!("box-{n}").into(),
             url: format!("127.0.0.1:{}", 8000 + n).into(),
             sip: Some(format!("127.0.0.1:{}", 9000 + n).into()),
-            state: ServerState::Ready,
+            state: EndpointState::Ready,
             rack: 0,
             zone: ZoneId(0),
-            kind: KindId(0),
+            kind: ServerType(0),
             started: Micros(0),
             size: 1.0,
         });
@@ -516,7 +521,7 @@
     ] {
         // A set-up that must not be repeated: what is silent may have run.
         let mut once = settings();
-        once.classes[0].effect = Effect::Once;
+        once.classes[0].idempotency = Idempotency::AtMostOnce;
         let mut w = World::with(once, &[manner; 2]);
         w.caller_sends(&invite("c1"));
         w.wait(4 * S);
--- a/crates/front/whep/src/boxes.rs
+++ b/crates/front/whep/src/boxes.rs
@@ -101,7 +101,7 @@
     let report = load::field(response.field(load::FIELD));
     let verdict = match response.status.as_u16() {
         201 => accepted(response),
-        503 | 429 => Verdict::Ended(Outcome::Full),
+        503 | 429 => Verdict::Ended(Outcome::Overloaded),
         status @ (400 | 401 | 403 | 406 | 413 | 415 | 422) => Verdict::Declined(status),
         _ => Verdict::Ended(Outcome::Error),
     };
@@ -154,7 +154,7 @@
             let (verdict, report) = super::verdict(&created(location, ANSWER));
             let Verdict::Accepted { resource, reply } = verdict else { panic!("{verdict:?}") };
             assert_eq!(
-                (resource.as_str(), reply.layers.as_deref(), report.link),
+                (resource.as_str(), reply.layers.as_deref(), report.link_utilization),
                 ("/r/1", Some("/l/1"), Some(0.4))
             );
             assert_eq!(reply.links, ["<stun:a.example>; rel=\"ice-server\""]);
@@ -172,7 +172,7 @@
         assert_eq!(of(&created("r/1", ANSWER)), Verdict::Ended(Outcome::Error));
         assert_eq!(of(&created(&format!("/{}", "a".repeat(600)), ANSWER)), Verdict::Ended(Outcome::Error));
         let status = |code: u16| of(&Response::new(StatusCode::from_u16(code).expect("a status")));
-        assert_eq!(status(503), Verdict::Ended(Outcome::Full));
+        assert_eq!(status(503), Verdict::Ended(Outcome::Overloaded));
         assert_eq!(status(401), Verdict::Declined(401));
         assert_eq!(
             (status(500), status(404), status(200)),
--- a/crates/front/whep/src/load.rs
+++ b/crates/front/whep/src/load.rs
@@ -17,8 +17,8 @@
     let value = Some(value).filter(|v| v.is_finite() && *v >= 0.0);
     match name {
         "streams" => report.streams = value,
-        "link" => report.link = value,
-        "uplink" => report.uplink = value,
+        "link" => report.link_utilization = value,
+        "uplink" => report.uplink_utilization = value,
         _ => {}
     }
 }
@@ -56,7 +56,11 @@
 
 /// Writes a body.
 pub fn write(report: &LoadReport) -> String {
-    let named = [("streams", report.streams), ("link", report.link), ("uplink", report.uplink)];
+    let named = [
+        ("streams", report.streams),
+        ("link", report.link_utilization),
+        ("uplink", report.uplink_utilization),
+    ];
     let named: serde_json::Map<String, Value> =
         named.iter().filter_map(|(k, v)| Some(((*k).to_owned(), Value::from((*v)?)))).collect();
     serde_json::json!({ "named_metrics": named }).to_string()
@@ -68,7 +72,7 @@
 
     #[test]
     fn all_forms_say_the_same_and_nonsense_says_nothing() {
-        let report = LoadReport { streams: Some(3.0), link: Some(0.5), uplink: None };
+        let report = LoadReport { streams: Some(3.0), link_utilization: Some(0.5), uplink_utilization: None };
         assert_eq!(body(write(&report).as_bytes()), report);
         assert_eq!(field(Some(&format!("JSON {}", write(&report)))), report);
         let text = "TEXT cpu_utilization=0.3, named_metrics.streams=3,named_metrics.link=0.5, named_metrics.uplink=x";
--- a/crates/front/whep/src/news.rs
+++ b/crates/front/whep/src/news.rs
@@ -4,7 +4,7 @@
 //! hold a thousand streams, so the box offers one for all sessions of a front, with the event names below.
 
 use beechloft_http::sse::Event;
-use beechloft_session::api::{Micros, Note};
+use beechloft_session::api::{Feedback, Micros};
 use beechloft_session::io::BoxNews;
 use serde::{Deserialize, Serialize};
 
@@ -35,9 +35,9 @@
     let share = data.share.filter(|s| s.is_finite() && *s >= 0.0);
     match event.name.as_str() {
         "hello" => Some(BoxNews::Hello { boot: data.boot? }),
-        "delivered" => Some(BoxNews::Note(Note::Delivered(share?))),
-        "link" => Some(BoxNews::Note(Note::LinkUse(share?))),
-        "uplink" => Some(BoxNews::Note(Note::UplinkUse(share?))),
+        "delivered" => Some(BoxNews::Note(Feedback::DeliveredFraction(share?))),
+        "link" => Some(BoxNews::Note(Feedback::LinkUtilization(share?))),
+        "uplink" => Some(BoxNews::Note(Feedback::UplinkUtilization(share?))),
         "over" => Some(BoxNews::Over { resource: data.resource? }),
         _ => None,
     }
@@ -47,11 +47,15 @@
 pub fn write(news: &BoxNews) -> Option<Event> {
     let (name, data) = match news {
         BoxNews::Hello { boot } => ("hello", Data { boot: Some(*boot), ..Data::default() }),
-        BoxNews::Note(Note::Delivered(x)) => ("delivered", Data { share: Some(*x), ..Data::default() }),
-        BoxNews::Note(Note::LinkUse(x)) => ("link", Data { share: Some(*x), ..Data::default() }),
-        BoxNews::Note(Note::UplinkUse(x)) => ("uplink", Data { share: Some(*x), ..Data::default() }),
+        BoxNews::Note(Feedback::DeliveredFraction(x)) => {
+            ("delivered", Data { share: Some(*x), ..Data::default() })
+        }
+        BoxNews::Note(Feedback::LinkUtilization(x)) => ("link", Data { share: Some(*x), ..Data::default() }),
+        BoxNews::Note(Feedback::UplinkUtilization(x)) => {
+            ("uplink", Data { share: Some(*x), ..Data::default() })
+        }
         BoxNews::Over { resource } => ("over", Data { resource: Some(resource.clone()), ..Data::default() }),
-        BoxNews::Note(Note::Rung(_)) | BoxNews::Broken | BoxNews::Refused => return None,
+        BoxNews::Note(Feedback::Rung(_)) | BoxNews::Broken | BoxNews::Refused => return None,
     };
     Some(Event { name: name.into(), data: serde_json::to_string(&data).ok()?, ..Event::default() })
 }
@@ -64,8 +68,8 @@
     fn news_is_read_as_written_and_the_rest_is_passed_over() {
         for news in [
             BoxNews::Hello { boot: 7 },
-            BoxNews::Note(Note::Delivered(0.9)),
-            BoxNews::Note(Note::UplinkUse(1.2)),
+            BoxNews::Note(Feedback::DeliveredFraction(0.9)),
+            BoxNews::Note(Feedback::UplinkUtilization(1.2)),
             BoxNews::Over { resource: "/r/1".into() },
         ] {
             assert_eq!(write(&news).as_ref().and_then(read), Some(news));
--- a/crates/platform/event-loop/src/fleet.rs
+++ b/crates/platform/event-loop/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use beechloft::api::{Micros, Numbered};
+use beechloft::api::{Micros, SlotAssignment};
 use beechloft_front_node::{Input, Node};
 use tracing::{info, warn};
 
@@ -12,7 +12,7 @@
 /// What a front node has to do with others of its fleet, if it has. Both are asked at any moment and must not wait.
 pub struct Fleet {
     /// Its number among them, now; none: as the configuration says.
-    pub numbered: Box<dyn Fn() -> Option<Numbered> + Send>,
+    pub numbered: Box<dyn Fn() -> Option<SlotAssignment> + Send>,
     /// Whether it may stop taking requests, now, once it was told to.
     pub may_end: Box<dyn Fn() -> bool + Send>,
     /// It is told to end, and waits for its turn.
@@ -25,7 +25,7 @@
 #[derive(Default)]
 pub(crate) struct Among {
     fleet: Option<Fleet>,
-    numbered: Option<Numbered>,
+    numbered: Option<SlotAssignment>,
     /// It was told to end, and waits for its turn until then at most.
     ends_by: Option<Micros>,
 }
@@ -57,11 +57,11 @@
     }
 
     /// Its number, if that has changed.
-    pub fn renumbered(&mut self) -> Option<Numbered> {
+    pub fn renumbered(&mut self) -> Option<SlotAssignment> {
         let now = self.fleet.as_ref().and_then(|f| (f.numbered)());
         let changed = now.filter(|_| now != self.numbered)?;
         self.numbered = now;
-        info!(number = changed.number, of = changed.of, fronts = changed.fronts, "numbered");
+        info!(number = changed.slot, of = changed.slot_count, fronts = changed.live_fronts, "numbered");
         Some(changed)
     }
 }
--- a/crates/platform/front-node/src/actions.rs
+++ b/crates/platform/front-node/src/actions.rs
@@ -13,12 +13,14 @@
 impl Node {
     pub(crate) fn act(&mut self, action: Action) {
         match action {
-            Action::SetUp(s, server, until) => self.send(CallId(s.0), server, until),
-            Action::SetRung(s, rung) => self.set_rung(CallId(s.0), rung.0),
-            Action::Refuse(s, wait) => {
+            Action::StartAttempt { session: s, server, deadline: until } => {
+                self.send(CallId(s.0), server, until)
+            }
+            Action::SetRung { session: s, rung } => self.set_rung(CallId(s.0), rung.0),
+            Action::Reject { session: s, retry_after: wait } => {
                 let id = CallId(s.0);
                 // The settings cap the time to come back; a wait of nothing is none.
-                let most = self.settings.limits.retry_after.unwrap_or_default();
+                let most = self.settings.capabilities.max_retry_after.unwrap_or_default();
                 let ms = wait.map_or(0, |w| w.min(most).0 / 1000);
                 self.answer(
                     id,
@@ -32,12 +34,12 @@
                 let id = CallId(s.0);
                 self.answer(id, ToViewer::Release(id, Cause::TemporaryFailure));
             }
-            Action::Cancel(s, number) => self.cancel(CallId(s.0), number),
-            Action::Move(s) => self.move_away(CallId(s.0)),
-            Action::Probe(server) => self.probe(server),
+            Action::CancelAttempt { session: s, attempt: number } => self.cancel(CallId(s.0), number),
+            Action::Migrate(s) => self.move_away(CallId(s.0)),
+            Action::HealthCheck(server) => self.probe(server),
             // The event bus is read all the time.
             Action::Subscribe => {}
-            Action::SetTimer(delay, token) => self.timers.set(self.now + delay, Due::Module(token)),
+            Action::SetTimer { delay, token } => self.timers.set(self.now + delay, Due::Module(token)),
             Action::Log(text) => self.out.push(Output::Log(text)),
         }
     }
@@ -68,7 +70,7 @@
                 self.timers.set(until, Due::Attempt(id, number));
                 self.out.push(Output::SetUp { lane, id, conn, line, leave_by: until });
             }
-            None => self.attempt_ended(id, number, server, Outcome::Moot, LoadReport::default(), now),
+            None => self.attempt_ended(id, number, server, Outcome::NotSent, LoadReport::default(), now),
         }
     }
 
@@ -83,13 +85,13 @@
         sent: Micros,
     ) {
         let closed = !self.sessions.get(&id).is_some_and(|s| matches!(s.phase, Phase::Owed { .. }));
-        self.feed(Event::Ended {
+        self.feed(Event::AttemptEnded {
             session: SessionId(id.0),
             attempt: Number(number),
             server,
             outcome,
-            closed,
-            took: self.now - sent,
+            is_final: closed,
+            elapsed: self.now - sent,
             report,
         });
     }
@@ -150,7 +152,7 @@
     fn probe(&mut self, server: ServerId) {
         let Some(lane) = self.directory.lane(server) else {
             let report = LoadReport::default();
-            return self.feed(Event::Probed { server, outcome: Outcome::ConnectFailed, report });
+            return self.feed(Event::HealthChecked { server, outcome: Outcome::ConnectFailed, report });
         };
         self.probes_made = self.probes_made.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let id = CallId(self.probes_made);
--- a/crates/platform/front-node/src/directory.rs
+++ b/crates/platform/front-node/src/directory.rs
@@ -74,7 +74,7 @@
     }
 
     /// Takes a line of the list: the module's form of it, and what it brings about here.
-    pub fn take(&mut self, e: &Endpoint, names: &Names) -> Option<(api::ServerEntry, Change)> {
+    pub fn take(&mut self, e: &Endpoint, names: &Names) -> Option<(api::Endpoint, Change)> {
         let addr: SocketAddr = e.address.parse().ok()?;
         let at = |list: &[String], name: &str| list.iter().position(|n| n == name).unwrap_or(0);
         let gone = e.status == Status::Gone;
@@ -82,18 +82,18 @@
             return None;
         }
         let server = self.id(&e.name)?;
-        let entry = api::ServerEntry {
+        let entry = api::Endpoint {
             server,
             state: match e.status {
-                Status::Ready => api::ServerState::Ready,
-                Status::Terminating => api::ServerState::Draining,
-                Status::Gone => api::ServerState::Gone,
+                Status::Ready => api::EndpointState::Ready,
+                Status::Terminating => api::EndpointState::Draining,
+                Status::Gone => api::EndpointState::Removed,
             },
             cell: api::CellId(e.group),
             zone: api::ZoneId(at(&names.zones, &e.zone) as u16),
-            kind: api::KindId(at(&names.kinds, &e.kind) as u8),
-            started: Micros(e.since_ms.saturating_mul(1000)),
-            size: if e.weight.is_finite() { e.weight } else { 0.0 },
+            server_type: api::ServerType(at(&names.kinds, &e.kind) as u8),
+            started_at: Micros(e.since_ms.saturating_mul(1000)),
+            weight: if e.weight.is_finite() { e.weight } else { 0.0 },
         };
         let mut change = Change::default();
         let old = self.known.get(&server).map(|k| (k.lane, k.addr, k.since_ms));
--- a/crates/platform/front-node/src/io.rs
+++ b/crates/platform/front-node/src/io.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use beechloft::api::{Micros, Numbered};
+use beechloft::api::{Micros, SlotAssignment};
 use beechloft_protocol::CallId;
 use beechloft_protocol::bus::Topology;
 use beechloft_protocol::server::Line;
@@ -49,7 +49,7 @@
     /// enough.
     Lost(Lane),
     /// This front node's number among the fronts changed.
-    Numbered(Numbered),
+    Numbered(SlotAssignment),
     /// SIGTERM.
     Terminate,
     /// Only time has passed.
--- a/crates/platform/front-node/src/node.rs
+++ b/crates/platform/front-node/src/node.rs
@@ -119,7 +119,7 @@
 
     /// The span over which the module paces cold servers.
     pub fn pace_span(&self) -> Micros {
-        self.settings.cold.span
+        self.settings.slow_start.overload_window
     }
 
     /// Takes one input; what is due by now comes after it, so that what has arrived counts before time-outs do.
@@ -134,7 +134,7 @@
             Input::Server(lane, line) => self.server(lane, line),
             Input::Broken(lane, id, how) => self.broken(lane, id, how),
             Input::Lost(lane) => self.lane_dead(lane),
-            Input::Numbered(numbered) => self.feed(Event::Numbered(numbered)),
+            Input::Numbered(numbered) => self.feed(Event::SlotAssigned(numbered)),
             Input::Terminate => {
                 if self.terminated.is_none() {
                     self.terminated = Some(self.now);
@@ -202,7 +202,7 @@
                 Due::Probe(id, server) => {
                     if self.probes.remove(&id).is_some() {
                         let report = LoadReport::default();
-                        self.feed(Event::Probed { server, outcome: Outcome::Timeout, report });
+                        self.feed(Event::HealthChecked { server, outcome: Outcome::Timeout, report });
                     }
                 }
                 Due::Sweep => self.sweep(),
@@ -247,7 +247,7 @@
 
     /// The list at the start is that of the events before it; perhaps it is stale.
     fn known(&mut self, all: &[Topology]) {
-        let mut entries: Vec<api::ServerEntry> = Vec::new();
+        let mut entries: Vec<api::Endpoint> = Vec::new();
         for topology in all {
             let lines = self.lines(topology);
             if topology.snapshot && !lines.is_empty() {
@@ -258,7 +258,7 @@
         }
         let listed = self.directory.listed();
         entries.retain(|e| listed.contains(&e.server));
-        self.feed(Event::Servers(api::ListForm::Cached, entries));
+        self.feed(Event::EndpointsUpdated { kind: api::UpdateKind::Cached, endpoints: entries });
         if !std::mem::replace(&mut self.started, true) {
             self.timers.set(self.now + SWEEP, Due::Sweep);
         }
@@ -266,8 +266,8 @@
 
     fn topology(&mut self, topology: &Topology) {
         let entries = self.lines(topology);
-        let form = if topology.snapshot { api::ListForm::Full } else { api::ListForm::Delta };
-        self.feed(Event::Servers(form, entries));
+        let form = if topology.snapshot { api::UpdateKind::Full } else { api::UpdateKind::Delta };
+        self.feed(Event::EndpointsUpdated { kind: form, endpoints: entries });
         self.started = true;
         if topology.snapshot {
             // What a whole list leaves out is gone if the module believes it; one that names nobody it does not.
@@ -289,7 +289,7 @@
     }
 
     /// Takes the lines of a list, and ends what has lost its media server by them.
-    fn lines(&mut self, topology: &Topology) -> Vec<api::ServerEntry> {
+    fn lines(&mut self, topology: &Topology) -> Vec<api::Endpoint> {
         let mut entries = Vec::with_capacity(topology.endpoints.len());
         for e in &topology.endpoints {
             let Some((entry, change)) = self.directory.take(e, &self.names) else { continue };
@@ -321,8 +321,8 @@
             let Some(at) = self.names.reported.iter().position(|n| n == name) else { continue };
             match self.fields.get(at) {
                 Some(ReportField::Streams) => report.streams = Some(value),
-                Some(ReportField::LinkUse) => report.link = Some(value),
-                Some(ReportField::UplinkUse) => report.uplink = Some(value),
+                Some(ReportField::LinkUtilization) => report.link_utilization = Some(value),
+                Some(ReportField::UplinkUtilization) => report.uplink_utilization = Some(value),
                 Some(ReportField::Other) | None => {}
             }
         }
--- a/crates/platform/front-node/src/servers.rs
+++ b/crates/platform/front-node/src/servers.rs
@@ -22,7 +22,7 @@
             FromServer::Tested(id, passed) => {
                 if let Some(server) = self.probes.remove(&id) {
                     let outcome = if passed { Outcome::Ok } else { Outcome::Error };
-                    self.feed(Event::Probed { server, outcome, report });
+                    self.feed(Event::HealthChecked { server, outcome, report });
                 }
             }
             FromServer::Nothing(_) => self.heard(lane, report),
@@ -34,7 +34,7 @@
         if report != LoadReport::default()
             && let Some(l) = self.directory.lanes.get(&lane)
         {
-            self.feed(Event::Probed { server: l.server, outcome: Outcome::Ok, report });
+            self.feed(Event::HealthChecked { server: l.server, outcome: Outcome::Ok, report });
         }
     }
 
@@ -87,7 +87,7 @@
             session: SessionId(id.0),
             attempt: api::Attempt(attempt.number),
             server: attempt.server,
-            took: self.now - attempt.sent,
+            elapsed: self.now - attempt.sent,
         });
         self.heard(attempt.lane, report);
     }
@@ -110,9 +110,9 @@
             }
             Some((_, Some(attempt))) => {
                 let outcome = match cause {
-                    Cause::NoCircuit => Outcome::Full,
+                    Cause::NoCircuit => Outcome::Overloaded,
                     Cause::ResourceUnavailable => Outcome::Error,
-                    Cause::TimerExpiry => Outcome::Moot,
+                    Cause::TimerExpiry => Outcome::NotSent,
                     _ => Outcome::Reset,
                 };
                 self.close_attempt(id, attempt);
@@ -130,19 +130,19 @@
         }
         let server = a.server;
         let note = match note {
-            Note::KeptUp(x) => api::Note::Delivered(x),
+            Note::KeptUp(x) => api::Feedback::DeliveredFraction(x),
             Note::Tier(x) => {
                 let rung = x.min(255.0) as u8;
                 if usize::from(rung) >= self.settings.ladder.rates_kb.len() {
                     return;
                 }
                 self.sessions.entry(id).and_modify(|s| s.rung = rung);
-                api::Note::Rung(Rung(rung))
+                api::Feedback::Rung(Rung(rung))
             }
-            Note::Wire(x) => api::Note::LinkUse(x),
-            Note::Trunk(x) => api::Note::UplinkUse(x),
+            Note::Wire(x) => api::Feedback::LinkUtilization(x),
+            Note::Trunk(x) => api::Feedback::UplinkUtilization(x),
         };
-        self.feed(Event::Noted { session: SessionId(id.0), server, note });
+        self.feed(Event::FeedbackReceived { session: SessionId(id.0), server, feedback: note });
     }
 
     /// The shell says that an attempt broke.
@@ -152,7 +152,7 @@
         self.close_attempt(id, attempt);
         let outcome = match how {
             Broken::NoConnection => Outcome::ConnectFailed,
-            Broken::Unsent => Outcome::Moot,
+            Broken::Unsent => Outcome::NotSent,
             Broken::Reset => Outcome::Reset,
         };
         self.attempt_ended(id, attempt.number, attempt.server, outcome, LoadReport::default(), attempt.sent);
--- a/crates/platform/front-node/src/viewers.rs
+++ b/crates/platform/front-node/src/viewers.rs
@@ -60,15 +60,15 @@
             class: ClassId(class as u16),
             title: TitleId(setup.title_id),
             viewer: ViewerId(f.viewer),
-            home: f.home,
-            holders: f.copies,
-            on: None,
-            top: Rung(f.top.min(u8::MAX.into()) as u8),
-            gives_up: gives_up - self.bounds.transit,
-            hint: None,
+            first_cell: f.home,
+            cell_count: f.copies,
+            eligible_servers: None,
+            max_rung: Rung(f.top.min(u8::MAX.into()) as u8),
+            deadline: gives_up - self.bounds.transit,
+            expected_duration: None,
             tenant: TenantId(0),
-            moved: self.moved.remove(&ViewerId(f.viewer)).is_some(),
-            again: f.again,
+            migrated: self.moved.remove(&ViewerId(f.viewer)).is_some(),
+            is_retry: f.again,
         };
         if let Some(at) = &f.at {
             return self.handed_over(conn, id, request, at);
@@ -84,8 +84,8 @@
             return self.turn_away(conn, id, Cause::Congestion);
         }
         self.releases.conns.entry(conn).or_default().open.insert(id);
-        self.timers.set(request.gives_up, Due::Answer(id));
-        let phase = Phase::Owed { setup, gives_up: request.gives_up, out: None };
+        self.timers.set(request.deadline, Due::Answer(id));
+        let phase = Phase::Owed { setup, gives_up: request.deadline, out: None };
         self.sessions.insert(id, Session { conn, viewer: request.viewer, attempts: 0, rung: 0, phase });
         self.feed(Event::Request(request));
     }
@@ -102,7 +102,7 @@
         let phase = Phase::Standing(attempt);
         self.sessions.insert(id, Session { conn, viewer: request.viewer, attempts: 1, rung: 0, phase });
         self.stands(lane, conn, id);
-        self.feed(Event::HandedOver(request, server));
+        self.feed(Event::SessionAdopted { request, server });
     }
 
     /// A viewer gives a set-up up, or leaves.
--- a/crates/platform/settings/src/lib.rs
+++ b/crates/platform/settings/src/lib.rs
@@ -185,26 +185,26 @@
         .iter()
         .enumerate()
         .map(|(i, c)| api::Class {
-            aim: api::Micros(c.aim_us),
+            latency_objective: api::Micros(c.aim_us),
             deadline: api::Micros(c.deadline_us),
-            effect: match c.effect.as_str() {
-                "repeatable" => api::Effect::Repeatable,
-                "by_key" => api::Effect::Keyed {
-                    group: match c.group.as_str() {
-                        "all" => api::Group::All,
-                        "zone" | "same zone" => api::Group::Zone,
-                        _ => api::Group::Cell,
+            idempotency: match c.effect.as_str() {
+                "repeatable" => api::Idempotency::Idempotent,
+                "by_key" => api::Idempotency::Deduplicated {
+                    scope: match c.group.as_str() {
+                        "all" => api::DedupScope::All,
+                        "zone" | "same zone" => api::DedupScope::Zone,
+                        _ => api::DedupScope::Cell,
                     },
                     window: api::Micros(c.window_us),
                 },
-                _ => api::Effect::Once,
+                _ => api::Idempotency::AtMostOnce,
             },
-            worth: c.points,
-            scale: f.scale_by_class.get(i).copied().unwrap_or(1.0),
-            floor: api::Rung(f.floor_by_class.get(i).copied().unwrap_or(0)),
-            top: api::Rung(f.top_by_class.get(i).copied().unwrap_or(steps - 1).min(steps - 1)),
-            seats: f.seats.get(i).copied().filter(|n| *n > 0),
-            join: match (f.is_live.get(i), f.join_adds) {
+            utility: c.points,
+            rate_scale: f.scale_by_class.get(i).copied().unwrap_or(1.0),
+            min_rung: api::Rung(f.floor_by_class.get(i).copied().unwrap_or(0)),
+            max_rung: api::Rung(f.top_by_class.get(i).copied().unwrap_or(steps - 1).min(steps - 1)),
+            max_sessions_per_title: f.seats.get(i).copied().filter(|n| *n > 0),
+            shared_rate_fraction: match (f.is_live.get(i), f.join_adds) {
                 (Some(true), Some(j)) => j,
                 _ => 1.0,
             },
@@ -212,14 +212,14 @@
         .collect();
     let fields = s.reporting.names.iter().map(|n| match n.as_str() {
         "outstanding" => api::ReportField::Streams,
-        "utilization" | "x0" => api::ReportField::LinkUse,
-        "x1" => api::ReportField::UplinkUse,
+        "utilization" | "x0" => api::ReportField::LinkUtilization,
+        "x1" => api::ReportField::UplinkUtilization,
         _ => api::ReportField::Other,
     });
     let budget = match (s.rules.extra_per_request, s.rules.resend_span_us) {
         (Some(share), Some(span)) => Some(api::RetryBudget {
-            free: s.rules.budget_free.unwrap_or(0.0),
-            share,
+            min_retries: s.rules.budget_free.unwrap_or(0.0),
+            retry_ratio: share,
             window: api::Micros(span),
         }),
         _ => None,
@@ -227,49 +227,49 @@
     let settings = api::Settings {
         classes,
         tenants: s.tenants.iter().map(|t| api::Tenant { quota_per_s: t.quota_per_s }).collect(),
-        kind_streams: f.kind_streams.iter().map(|n| *n as u32).collect(),
-        ladder: api::Ladder {
+        max_streams_by_type: f.kind_streams.iter().map(|n| *n as u32).collect(),
+        ladder: api::BitrateLadder {
             rates_kb: f.rates_kb.clone(),
-            worth: f.worth_by_rung.clone(),
-            change_cost_s: f.change_costs_s,
+            utility: f.worth_by_rung.clone(),
+            switch_cost_s: f.change_costs_s,
         },
         cells: f.places,
         racks: f.shelves,
-        all_links_kb: f.all_links_kb,
-        link_unit_kb: f.link_unit_kb,
-        uplink_kb: f.rack_link_kb.filter(|k| *k > 0.0),
-        guard: Some(f.guard).filter(|g| *g > 0.0),
-        note_delay: api::Micros(f.see_us),
-        fronts: s.group_size,
-        number: s.my_number,
+        total_link_kb: f.all_links_kb,
+        link_kb_per_weight: f.link_unit_kb,
+        mean_uplink_kb: f.rack_link_kb.filter(|k| *k > 0.0),
+        admission_limit: Some(f.guard).filter(|g| *g > 0.0),
+        feedback_delay: api::Micros(f.see_us),
+        front_count: s.group_size,
+        slot: s.my_number,
         zone: api::ZoneId(s.locality),
-        reporting: match s.reporting.how.as_str() {
-            "piggyback" => api::Reporting::InAnswers,
-            "pull" => api::Reporting::InProbes,
-            _ => api::Reporting::Silent,
+        load_reporting: match s.reporting.how.as_str() {
+            "piggyback" => api::LoadReporting::InResponses,
+            "pull" => api::LoadReporting::InHealthChecks,
+            _ => api::LoadReporting::Disabled,
         },
-        sizes: match s.weights.as_str() {
-            "nominal" | "rough" => api::Sizes::Size,
-            "live" => api::Sizes::Live,
-            _ => api::Sizes::Silent,
+        weight_meaning: match s.weights.as_str() {
+            "nominal" | "rough" => api::WeightMeaning::Capacity,
+            "live" => api::WeightMeaning::LoadAdjusted,
+            _ => api::WeightMeaning::Unset,
         },
-        discovery: if s.discovery == "ask" { api::Discovery::Ask } else { api::Discovery::Push },
-        limits: api::Limits {
+        discovery: if s.discovery == "ask" { api::Discovery::Subscribe } else { api::Discovery::Push },
+        capabilities: api::Capabilities {
             max_attempts: s.caps.max_attempts,
-            probes: s.caps.probes,
+            health_checks: s.caps.probes,
             cancel: s.caps.cancel,
-            retry_after: s.caps.retry_after.then_some(api::Micros(s.caps.max_retry_after_us)),
+            max_retry_after: s.caps.retry_after.then_some(api::Micros(s.caps.max_retry_after_us)),
         },
-        budget,
-        cold: api::ColdRule {
-            warm_after: api::Micros(s.rules.cold_us),
-            from: s.rules.cold_from,
-            multiple: s.rules.fall_multiple,
-            span: api::Micros(s.rules.fall_us),
+        retry_budget: budget,
+        slow_start: api::SlowStart {
+            warm_up: api::Micros(s.rules.cold_us),
+            initial_fraction: s.rules.cold_from,
+            overload_factor: s.rules.fall_multiple,
+            overload_window: api::Micros(s.rules.fall_us),
         },
-        probe_price: s.prices.probe,
-        move_price: s.prices.moves,
-        over_share_worth: s.over_share_worth,
+        health_check_price: s.prices.probe,
+        migration_price: s.prices.moves,
+        over_quota_utility: s.over_share_worth,
     };
     let fields = fields.collect();
     let connections = Connections {
--- a/crates/platform/settings/tests/parsing.rs
+++ b/crates/platform/settings/tests/parsing.rs
@@ -40,22 +40,22 @@
 const REQUIRED_KEYS: &str =
     r#"{"classes": [{"aim_us": 1, "deadline_us": 2, "effect": "once"}], "family_info": {}}"#;
 
-fn class(aim: u64, deadline: u64, effect: api::Effect) -> api::Class {
+fn class(aim: u64, deadline: u64, effect: api::Idempotency) -> api::Class {
     api::Class {
-        aim: api::Micros(aim),
+        latency_objective: api::Micros(aim),
         deadline: api::Micros(deadline),
-        effect,
-        worth: 1.0,
-        scale: 1.0,
-        floor: api::Rung(0),
-        top: api::Rung(2),
-        seats: None,
-        join: 1.0,
+        idempotency: effect,
+        utility: 1.0,
+        rate_scale: 1.0,
+        min_rung: api::Rung(0),
+        max_rung: api::Rung(2),
+        max_sessions_per_title: None,
+        shared_rate_fraction: 1.0,
     }
 }
 
-fn keyed(group: api::Group, window: u64) -> api::Effect {
-    api::Effect::Keyed { group, window: api::Micros(window) }
+fn keyed(group: api::DedupScope, window: u64) -> api::Idempotency {
+    api::Idempotency::Deduplicated { scope: group, window: api::Micros(window) }
 }
 
 fn parse(text: &str) -> beechloft_settings::Parsed {
@@ -67,57 +67,65 @@
     let parsed = parse(EVERY_KEY);
     let classes = vec![
         api::Class {
-            worth: 0.75,
-            scale: 1.5,
-            floor: api::Rung(1),
-            top: api::Rung(1),
-            seats: Some(3),
-            ..class(41, 42, api::Effect::Repeatable)
+            utility: 0.75,
+            rate_scale: 1.5,
+            min_rung: api::Rung(1),
+            max_rung: api::Rung(1),
+            max_sessions_per_title: Some(3),
+            ..class(41, 42, api::Idempotency::Idempotent)
         },
-        api::Class { scale: 0.5, join: 0.25, ..class(43, 44, keyed(api::Group::Zone, 45)) },
-        class(46, 47, keyed(api::Group::All, 48)),
-        class(49, 50, keyed(api::Group::Cell, 51)),
-        class(52, 53, keyed(api::Group::Zone, 54)),
-        class(55, 56, api::Effect::Once),
+        api::Class {
+            rate_scale: 0.5,
+            shared_rate_fraction: 0.25,
+            ..class(43, 44, keyed(api::DedupScope::Zone, 45))
+        },
+        class(46, 47, keyed(api::DedupScope::All, 48)),
+        class(49, 50, keyed(api::DedupScope::Cell, 51)),
+        class(52, 53, keyed(api::DedupScope::Zone, 54)),
+        class(55, 56, api::Idempotency::AtMostOnce),
     ];
     let expected = api::Settings {
         classes,
         tenants: vec![api::Tenant { quota_per_s: Some(91.5) }, api::Tenant { quota_per_s: None }],
-        kind_streams: vec![64, 65],
-        ladder: api::Ladder {
+        max_streams_by_type: vec![64, 65],
+        ladder: api::BitrateLadder {
             rates_kb: vec![200.0, 450.0, 1000.0],
-            worth: vec![0.2, 0.5, 1.0],
-            change_cost_s: 62.5,
+            utility: vec![0.2, 0.5, 1.0],
+            switch_cost_s: 62.5,
         },
         cells: 67,
         racks: 70,
-        all_links_kb: Some(61.5),
-        link_unit_kb: Some(66.5),
-        uplink_kb: Some(68.5),
-        guard: Some(63.5),
-        note_delay: api::Micros(69),
-        fronts: 71,
-        number: 73,
+        total_link_kb: Some(61.5),
+        link_kb_per_weight: Some(66.5),
+        mean_uplink_kb: Some(68.5),
+        admission_limit: Some(63.5),
+        feedback_delay: api::Micros(69),
+        front_count: 71,
+        slot: 73,
         zone: api::ZoneId(72),
-        reporting: api::Reporting::InAnswers,
-        sizes: api::Sizes::Size,
-        discovery: api::Discovery::Ask,
-        limits: api::Limits {
+        load_reporting: api::LoadReporting::InResponses,
+        weight_meaning: api::WeightMeaning::Capacity,
+        discovery: api::Discovery::Subscribe,
+        capabilities: api::Capabilities {
             max_attempts: 33,
-            probes: true,
+            health_checks: true,
             cancel: true,
-            retry_after: Some(api::Micros(34)),
+            max_retry_after: Some(api::Micros(34)),
         },
-        budget: Some(api::RetryBudget { free: 81.5, share: 82.5, window: api::Micros(83) }),
-        cold: api::ColdRule {
-            warm_after: api::Micros(85),
-            from: 84.5,
-            multiple: 86.5,
-            span: api::Micros(87),
+        retry_budget: Some(api::RetryBudget {
+            min_retries: 81.5,
+            retry_ratio: 82.5,
+            window: api::Micros(83),
+        }),
+        slow_start: api::SlowStart {
+            warm_up: api::Micros(85),
+            initial_fraction: 84.5,
+            overload_factor: 86.5,
+            overload_window: api::Micros(87),
         },
-        probe_price: 0.625,
-        move_price: 0.375,
-        over_share_worth: 0.125,
+        health_check_price: 0.625,
+        migration_price: 0.375,
+        over_quota_utility: 0.125,
     };
     assert_eq!(parsed.settings, expected);
     assert_eq!(parsed.names.classes, ["film", "match", "talk", "news", "", ""]);
@@ -128,9 +136,9 @@
     assert_eq!(parsed.connections.idle, api::Micros(31));
     let fields = [
         api::ReportField::Streams,
-        api::ReportField::LinkUse,
-        api::ReportField::LinkUse,
-        api::ReportField::UplinkUse,
+        api::ReportField::LinkUtilization,
+        api::ReportField::LinkUtilization,
+        api::ReportField::UplinkUtilization,
         api::ReportField::Other,
     ];
     assert_eq!(parsed.fields, fields);
@@ -140,10 +148,10 @@
 fn a_key_that_is_absent_leaves_its_default() {
     let parsed = parse(REQUIRED_KEYS);
     let expected = api::Settings {
-        classes: vec![api::Class { top: api::Rung(0), ..class(1, 2, api::Effect::Once) }],
-        fronts: 1,
-        limits: api::Limits { max_attempts: u32::MAX, ..api::Limits::default() },
-        over_share_worth: 1.0,
+        classes: vec![api::Class { max_rung: api::Rung(0), ..class(1, 2, api::Idempotency::AtMostOnce) }],
+        front_count: 1,
+        capabilities: api::Capabilities { max_attempts: u32::MAX, ..api::Capabilities::default() },
+        over_quota_utility: 1.0,
         ..api::Settings::default()
     };
     assert_eq!(parsed.settings, expected);
@@ -158,15 +166,15 @@
         let text = REQUIRED_KEYS.replacen('{', &format!("{{\"{key}\": {value},"), 1);
         parse(&text).settings
     };
-    let reporting = |how: &str| with("reporting", &format!("{{\"how\": \"{how}\"}}")).reporting;
-    assert_eq!(reporting("piggyback"), api::Reporting::InAnswers);
-    assert_eq!(reporting("pull"), api::Reporting::InProbes);
-    assert_eq!(reporting("anything else"), api::Reporting::Silent);
-    let sizes = |weights: &str| with("weights", &format!("\"{weights}\"")).sizes;
-    assert_eq!(sizes("nominal"), api::Sizes::Size);
-    assert_eq!(sizes("rough"), api::Sizes::Size);
-    assert_eq!(sizes("live"), api::Sizes::Live);
-    assert_eq!(sizes("anything else"), api::Sizes::Silent);
-    assert_eq!(with("discovery", "\"ask\"").discovery, api::Discovery::Ask);
+    let reporting = |how: &str| with("reporting", &format!("{{\"how\": \"{how}\"}}")).load_reporting;
+    assert_eq!(reporting("piggyback"), api::LoadReporting::InResponses);
+    assert_eq!(reporting("pull"), api::LoadReporting::InHealthChecks);
+    assert_eq!(reporting("anything else"), api::LoadReporting::Disabled);
+    let sizes = |weights: &str| with("weights", &format!("\"{weights}\"")).weight_meaning;
+    assert_eq!(sizes("nominal"), api::WeightMeaning::Capacity);
+    assert_eq!(sizes("rough"), api::WeightMeaning::Capacity);
+    assert_eq!(sizes("live"), api::WeightMeaning::LoadAdjusted);
+    assert_eq!(sizes("anything else"), api::WeightMeaning::Unset);
+    assert_eq!(with("discovery", "\"ask\"").discovery, api::Discovery::Subscribe);
     assert_eq!(with("discovery", "\"push\"").discovery, api::Discovery::Push);
 }
--- a/crates/platform/simhost/src/host.rs
+++ b/crates/platform/simhost/src/host.rs
@@ -88,15 +88,15 @@
         class: api::ClassId(v.qos),
         title: api::TitleId(v.show),
         viewer: api::ViewerId(v.item),
-        home: whole(v.home),
-        holders: whole(v.holders),
-        on: None,
-        top: api::Rung(whole(v.top.floor()).min(u8::MAX.into()) as u8),
-        gives_up: api::Micros(v.drop_dead_us),
-        hint: (v.flags & 1 != 0).then_some(api::Micros(v.hint_us.into())),
+        first_cell: whole(v.home),
+        cell_count: whole(v.holders),
+        eligible_servers: None,
+        max_rung: api::Rung(whole(v.top.floor()).min(u8::MAX.into()) as u8),
+        deadline: api::Micros(v.drop_dead_us),
+        expected_duration: (v.flags & 1 != 0).then_some(api::Micros(v.hint_us.into())),
         tenant: api::TenantId(v.user_group),
-        moved: v.flags & 8 != 0,
-        again: v.flags & 16 != 0,
+        migrated: v.flags & 8 != 0,
+        is_retry: v.flags & 16 != 0,
     }
 }
 
@@ -104,12 +104,12 @@
     match reason {
         0 => api::Outcome::Ok,
         1 => api::Outcome::Error,
-        2 => api::Outcome::Full,
+        2 => api::Outcome::Overloaded,
         3 => api::Outcome::Timeout,
         4 => api::Outcome::ConnectFailed,
         5 => api::Outcome::Reset,
         6 => api::Outcome::Cancelled,
-        _ => api::Outcome::Moot,
+        _ => api::Outcome::NotSent,
     }
 }
 
@@ -119,8 +119,8 @@
         let value = Some(f64::from(*value)).filter(|v| v.is_finite() && *v >= 0.0);
         match field {
             api::ReportField::Streams => out.streams = value,
-            api::ReportField::LinkUse => out.link = value,
-            api::ReportField::UplinkUse => out.uplink = value,
+            api::ReportField::LinkUtilization => out.link_utilization = value,
+            api::ReportField::UplinkUtilization => out.uplink_utilization = value,
             api::ReportField::Other => {}
         }
     }
@@ -139,9 +139,11 @@
             session: SessionId(txn),
             attempt: Attempt(round_no),
             server: ServerId(server),
-            took: Micros(spent_us.into()),
+            elapsed: Micros(spent_us.into()),
         },
-        Event::Open { visit: v, server } => api::Event::HandedOver(visit(v), ServerId(server)),
+        Event::Open { visit: v, server } => {
+            api::Event::SessionAdopted { request: visit(v), server: ServerId(server) }
+        }
         Event::Knock { visit: v } => api::Event::Request(visit(v)),
         Event::Timer { cookie } => api::Event::Timer(api::TimerToken(cookie)),
         Event::Note { txn, server, kind, level } => {
@@ -150,36 +152,43 @@
                 return Ok(None);
             }
             let note = match kind {
-                1 => api::Note::Delivered(level),
-                2 => api::Note::Rung(api::Rung(level as u8)),
-                3 => api::Note::LinkUse(level),
-                4 => api::Note::UplinkUse(level),
+                1 => api::Feedback::DeliveredFraction(level),
+                2 => api::Feedback::Rung(api::Rung(level as u8)),
+                3 => api::Feedback::LinkUtilization(level),
+                4 => api::Feedback::UplinkUtilization(level),
                 _ => return Ok(None),
             };
-            api::Event::Noted { session: SessionId(txn), server: ServerId(server), note }
+            api::Event::FeedbackReceived { session: SessionId(txn), server: ServerId(server), feedback: note }
+        }
+        Event::Outcome { txn, server, reason, round_no, complete, spent_us, pressure } => {
+            api::Event::AttemptEnded {
+                session: SessionId(txn),
+                attempt: Attempt(round_no),
+                server: ServerId(server),
+                outcome: outcome(reason),
+                is_final: complete,
+                elapsed: Micros(spent_us.into()),
+                report: report(&pressure, fields),
+            }
         }
-        Event::Outcome { txn, server, reason, round_no, complete, spent_us, pressure } => api::Event::Ended {
-            session: SessionId(txn),
-            attempt: Attempt(round_no),
-            server: ServerId(server),
-            outcome: outcome(reason),
-            closed: complete,
-            took: Micros(spent_us.into()),
-            report: report(&pressure, fields),
-        },
         Event::Withdrawn { txn } => api::Event::Withdrawn(SessionId(txn)),
         Event::BackendsChanged { form, roster_id } => {
             let form = match form {
-                0 => api::ListForm::Delta,
-                1 => api::ListForm::Full,
-                2 => api::ListForm::Cached,
-                _ => return Ok(Some(api::Event::Servers(api::ListForm::Failed, Vec::new()))),
+                0 => api::UpdateKind::Delta,
+                1 => api::UpdateKind::Full,
+                2 => api::UpdateKind::Cached,
+                _ => {
+                    return Ok(Some(api::Event::EndpointsUpdated {
+                        kind: api::UpdateKind::Failed,
+                        endpoints: Vec::new(),
+                    }));
+                }
             };
             let table = tables.get(&roster_id).ok_or(HostError::NoTable { index, roster: roster_id })?;
-            api::Event::Servers(form, table.iter().map(entry).collect())
+            api::Event::EndpointsUpdated { kind: form, endpoints: table.iter().map(entry).collect() }
         }
-        Event::Heard { src, payload } => api::Event::Peer(src, payload),
-        Event::Checked { server, reason, pressure } => api::Event::Probed {
+        Event::Heard { src, payload } => api::Event::PeerMessage { sender: src, payload },
+        Event::Checked { server, reason, pressure } => api::Event::HealthChecked {
             server: ServerId(server),
             outcome: outcome(reason),
             report: report(&pressure, fields),
@@ -188,19 +197,19 @@
     }))
 }
 
-fn entry(e: &wire::Entry) -> api::ServerEntry {
-    api::ServerEntry {
+fn entry(e: &wire::Entry) -> api::Endpoint {
+    api::Endpoint {
         server: api::ServerId(e.server),
         state: match e.status {
-            2 => api::ServerState::Ready,
-            1 => api::ServerState::Draining,
-            _ => api::ServerState::Gone,
+            2 => api::EndpointState::Ready,
+            1 => api::EndpointState::Draining,
+            _ => api::EndpointState::Removed,
         },
         cell: api::CellId(e.place),
         zone: api::ZoneId(e.site),
-        kind: api::KindId(e.flavor),
-        started: api::Micros(e.up_since_us),
-        size: if e.size.is_finite() { f64::from(e.size) } else { 0.0 },
+        server_type: api::ServerType(e.flavor),
+        started_at: api::Micros(e.up_since_us),
+        weight: if e.size.is_finite() { f64::from(e.size) } else { 0.0 },
     }
 }
 
@@ -210,17 +219,21 @@
 
 fn outbound(action: api::Action) -> Option<Action> {
     Some(match action {
-        api::Action::SetUp(s, server, until) => {
+        api::Action::StartAttempt { session: s, server, deadline: until } => {
             Action::Relay { txn: s.0, server: server.0, until_us: until.0 }
         }
-        api::Action::SetRung(s, rung) => Action::Grade { txn: s.0, step: rung.0 },
-        api::Action::Refuse(s, pause) => Action::Deny { txn: s.0, pause_us: pause.map_or(0, short) },
+        api::Action::SetRung { session: s, rung } => Action::Grade { txn: s.0, step: rung.0 },
+        api::Action::Reject { session: s, retry_after: pause } => {
+            Action::Deny { txn: s.0, pause_us: pause.map_or(0, short) }
+        }
         api::Action::Fail(s) => Action::Lose { txn: s.0 },
-        api::Action::Cancel(s, attempt) => Action::AbortAttempt { txn: s.0, round_no: attempt.0 },
-        api::Action::Move(s) => Action::Rebalance { txn: s.0 },
-        api::Action::Probe(server) => Action::Probe { server: server.0 },
+        api::Action::CancelAttempt { session: s, attempt } => {
+            Action::AbortAttempt { txn: s.0, round_no: attempt.0 }
+        }
+        api::Action::Migrate(s) => Action::Rebalance { txn: s.0 },
+        api::Action::HealthCheck(server) => Action::Probe { server: server.0 },
         api::Action::Subscribe => Action::KeepInformed { active: true },
-        api::Action::SetTimer(delay, token) => Action::Defer { delay_us: short(delay), cookie: token.0 },
+        api::Action::SetTimer { delay, token } => Action::Defer { delay_us: short(delay), cookie: token.0 },
         api::Action::Log(text) => Action::WriteLog { text },
     })
 }
--- a/crates/testing/fakes/src/boxes/life.rs
+++ b/crates/testing/fakes/src/boxes/life.rs
@@ -9,7 +9,7 @@
 use beechloft_checker::What;
 use beechloft_http::Limits;
 use beechloft_http::server::{Server, Sizes};
-use beechloft_session::api::{LoadReport, Note};
+use beechloft_session::api::{Feedback, LoadReport};
 use beechloft_session::io::BoxNews;
 
 use super::Inner;
@@ -113,12 +113,12 @@
             let short = share.delivered < 0.98;
             if now - short_told >= SHORT_EVERY && (short || was_short) {
                 (short_told, was_short) = (now, short);
-                self.tell(&BoxNews::Note(Note::Delivered(share.delivered)));
+                self.tell(&BoxNews::Note(Feedback::DeliveredFraction(share.delivered)));
             }
             if now - full_told >= FULL_EVERY {
                 full_told = now;
-                self.tell(&BoxNews::Note(Note::LinkUse(share.link)));
-                self.tell(&BoxNews::Note(Note::UplinkUse(share.uplink)));
+                self.tell(&BoxNews::Note(Feedback::LinkUtilization(share.link)));
+                self.tell(&BoxNews::Note(Feedback::UplinkUtilization(share.uplink)));
             }
         }
     }
@@ -143,7 +143,11 @@
             let mut state = self.lock();
             let share = self.share(&state);
             let streams = Some(state.sessions.len() as f64);
-            state.reported = LoadReport { streams, link: Some(share.link), uplink: Some(share.uplink) };
+            state.reported = LoadReport {
+                streams,
+                link_utilization: Some(share.link),
+                uplink_utilization: Some(share.uplink),
+            };
             let dies = state.faults.iter().any(
                 |f| matches!(f.0, Fault::GrowSlow { dies_after_s, .. } if f.1.elapsed().as_secs_f64() >= dies_after_s),
             );
--- a/crates/testing/scenario/src/script/fleet.rs
+++ b/crates/testing/scenario/src/script/fleet.rs
@@ -24,7 +24,7 @@
             kind: service.kinds.get(kind).cloned().unwrap_or_default(),
             size: b.number("size", 0.001..=1e6).unwrap_or(1.0),
             link_kb: b.needed_number("link_kb", 1.0..=1e9),
-            streams: service.settings.kind_streams.get(kind).map_or(1, |n| *n as usize),
+            streams: service.settings.max_streams_by_type.get(kind).map_or(1, |n| *n as usize),
             cores: b.whole("cores", 1..=1024).unwrap_or(2) as usize,
         };
         for n in 0..count {
@@ -50,7 +50,7 @@
         let name = t.needed_text("name");
         let class = t.index("class", &service.classes, "class").unwrap_or(0);
         let holders = t.whole("holders", 0..=u64::from(boxes.max(1))).unwrap_or(3);
-        let scale = service.settings.classes.get(class).map_or(1.0, |c| c.scale);
+        let scale = service.settings.classes.get(class).map_or(1.0, |c| c.rate_scale);
         let rates_kb: Vec<f64> = service.settings.ladder.rates_kb.iter().map(|r| r * scale).collect();
         for n in 0..count {
             // Boxes in a row from a drawn one, as libraries are copied.
--- a/crates/testing/scenario/src/script/mod.rs
+++ b/crates/testing/scenario/src/script/mod.rs
@@ -69,12 +69,12 @@
     let fleet_section = top.section("fleet");
     let boxes = boxes(&fleet_section, &service);
     let titles = titles(&top.sections("titles"), &service, boxes.len() as u32, &mut dice);
-    let cold = service.settings.cold;
-    let warming = (cold.multiple > 0.0).then(|| Warming {
-        after: Duration::from_micros(cold.warm_after.0),
-        from: cold.from,
-        multiple: cold.multiple,
-        span: Duration::from_micros(cold.span.0),
+    let cold = service.settings.slow_start;
+    let warming = (cold.overload_factor > 0.0).then(|| Warming {
+        after: Duration::from_micros(cold.warm_up.0),
+        from: cold.initial_fraction,
+        multiple: cold.overload_factor,
+        span: Duration::from_micros(cold.overload_window.0),
     });
     let uplinks_kb = fleet_section.numbers("uplinks_kb", 1.0..=1e12);
     let racks = service.settings.racks as usize;
@@ -84,7 +84,7 @@
     let fleet = FleetSpec {
         uplinks_kb,
         set_up: fleet_section.millis("set_up_ms", 0..=60_000).unwrap_or(Duration::from_millis(10)),
-        guard: service.settings.guard.unwrap_or(0.0),
+        guard: service.settings.admission_limit.unwrap_or(0.0),
         warming,
         seed,
         boxes,
--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Write as _;
 
-use crate::api::Micros;
+use crate::api::{Micros, ServerId};
 use crate::policy::Policy;
 use crate::state::{Books, Gauge, Phase};
 
@@ -26,6 +26,11 @@
         self.servers.len()
     }
 
+    /// Whether a server is on the list, as far as the list is believed.
+    pub fn lists(&self, server: ServerId) -> bool {
+        self.servers.get(&server).is_some_and(|s| s.listed())
+    }
+
     /// What it believes of servers, uplinks and its sessions, a line each, at most so many: to be held against what
     /// crossed the wire. Of a resource: its size and what own sessions ask of it in kB a second, and the use heard last
     /// with its age.
@@ -35,11 +40,11 @@
             let held = if now < g.held_until { " held" } else { "" };
             format!("{:.0}/{:.0} {}{held}", g.own, g.size, heard.unwrap_or_default())
         };
-        let server = |(id, s): (&crate::api::ServerId, &crate::state::Server)| {
+        let server = |(id, s): (&ServerId, &crate::state::Server)| {
             let (state, out, strikes) = (s.entry.state, s.out, s.strikes);
             let rest = (s.shut_until - now).secs();
             let cold = s.cold_since.map_or(-1.0, |t| (now - t).secs());
-            let (cell, sent) = (s.entry.cell.0, s.sent.within(now, self.set.cold.span));
+            let (cell, sent) = (s.entry.cell.0, s.sent.within(now, self.set.slow_start.overload_window));
             let witnessed = if s.witnessed { " witnessed" } else { "" };
             format!(
                 "server {} {state:?} cell {cell} link {} streams {:.0}/{:.0} out {out} strikes {strikes} \
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,4 +9,5 @@
 pub mod api;
 mod invariants;
 pub mod policy;
+mod settings;
 mod state;
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -47,7 +47,7 @@
     /// uplinks: what the links are thought to carry) as much as two reports.
     pub(super) fn think(&mut self) {
         // Past the guard nothing more is taken, so that a higher figure is brief, or absurd.
-        let cap = self.set.guard.unwrap_or(1.0);
+        let cap = self.set.admission_limit.unwrap_or(1.0);
         let mean = |like: &mut dyn Iterator<Item = &Gauge>, prior: f64| {
             let (mut own, mut size, mut heard, mut n, mut total) = (0.0, 0.0, PRIOR * prior, PRIOR, 0.0);
             for g in like {
@@ -60,7 +60,7 @@
                 }
             }
             let alike = self.set.others() * own / f64::max(size, 1e-9);
-            let part = total / f64::from(self.set.fronts.max(1));
+            let part = total / f64::from(self.set.front_count.max(1));
             ((heard + alike * part) / (n + part), size)
         };
         let (link, links) = mean(&mut self.listed().map(|s| &s.link), 0.5);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -58,7 +58,7 @@
 impl Policy {
     /// A controller that knows its settings and nothing else.
     pub fn new(set: Settings, seed: u64) -> Self {
-        let turn = Some((set.number, set.fronts.max(1)));
+        let turn = Some((set.slot, set.front_count.max(1)));
         Policy { best_step: set.best_step(), turn, set, rng: Random(seed), ..Policy::default() }
     }
 
@@ -67,44 +67,44 @@
         self.now = now;
         if self.born == Micros(0) {
             self.born = now.max(Micros(1));
-            self.subscribe = self.set.discovery == Discovery::Ask;
+            self.subscribe = self.set.discovery == Discovery::Subscribe;
             self.tick();
         }
         match event {
-            Event::Servers(form, entries) => self.list(form, entries),
+            Event::EndpointsUpdated { kind: form, endpoints: entries } => self.list(form, entries),
             Event::Request(req) => self.request(req),
-            Event::HandedOver(req, server) => self.handed_over(req, server),
+            Event::SessionAdopted { request: req, server } => self.handed_over(req, server),
             Event::Started { session, server, .. } => self.started(session, server),
-            Event::Ended { session, server, outcome, closed, report, .. } => {
+            Event::AttemptEnded { session, server, outcome, is_final: closed, report, .. } => {
                 self.report(server, report);
                 self.ended(session, server, outcome, closed);
             }
             Event::Withdrawn(id) => self.withdrawn(id),
-            Event::Noted { session, server, note } => self.noted(session, server, note),
-            Event::Probed { server, outcome, report } => {
+            Event::FeedbackReceived { session, server, feedback: note } => self.noted(session, server, note),
+            Event::HealthChecked { server, outcome, report } => {
                 self.report(server, report);
                 if matches!(outcome, Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset) {
                     self.strike(server, now, outcome);
                 }
             }
-            Event::Numbered(n) => {
-                self.turn = (n.number < n.of).then_some((n.number, n.of));
-                self.set.fronts = n.fronts;
+            Event::SlotAssigned(n) => {
+                self.turn = (n.slot < n.slot_count).then_some((n.slot, n.slot_count));
+                self.set.front_count = n.live_fronts;
             }
             Event::Timer(TICK_TOKEN) => self.tick(),
-            Event::Timer(_) | Event::Peer(..) => {}
+            Event::Timer(_) | Event::PeerMessage { .. } => {}
         }
         out.append(&mut self.out);
     }
 
     fn tick(&mut self) {
-        self.out.push(Action::SetTimer(TICK, TICK_TOKEN));
+        self.out.push(Action::SetTimer { delay: TICK, token: TICK_TOKEN });
         if std::mem::take(&mut self.subscribe) {
             self.out.push(Action::Subscribe);
         }
         // An answer is owed even if a driver forgets the outcome of an attempt cut to the viewer's time.
         for (&id, s) in &mut self.sessions {
-            if s.phase == Phase::Owed && self.now >= s.req.gives_up {
+            if s.phase == Phase::Owed && self.now >= s.req.deadline {
                 s.phase = Phase::Over;
                 self.out.push(Action::Fail(id));
             }
--- a/src/policy/placing.rs
+++ b/src/policy/placing.rs
@@ -15,7 +15,7 @@
         }
         let Some(s) = self.sessions.get(&id) else { return };
         let (class, top) = (s.req.class, self.set.top(&s.req));
-        let floor = self.set.class(class).floor;
+        let floor = self.set.class(class).min_rung;
         if top < floor || !self.may_try(s) || self.seats_taken(&s.req) {
             return self.give_up(id);
         }
@@ -38,18 +38,18 @@
     fn holders(&self, session: &Session) -> Vec<ServerId> {
         let req = &session.req;
         let cells = self.set.cells.max(1);
-        let group = match self.set.class(req.class).effect {
-            Effect::Keyed { group, .. } => group,
-            _ => Group::All,
+        let group = match self.set.class(req.class).idempotency {
+            Idempotency::Deduplicated { scope: group, .. } => group,
+            _ => DedupScope::All,
         };
         let ran: Vec<_> = session.ran.iter().filter_map(|r| Some(&self.servers.get(&r.0)?.entry)).collect();
         let open = |s: &&Server| {
-            let place = (u32::from(s.entry.cell.0) + cells - req.home % cells) % cells;
-            let in_row = || place < req.holders.min(cells);
-            let holds = req.on.as_ref().map_or_else(in_row, |on| on.contains(&s.entry.server));
+            let place = (u32::from(s.entry.cell.0) + cells - req.first_cell % cells) % cells;
+            let in_row = || place < req.cell_count.min(cells);
+            let holds = req.eligible_servers.as_ref().map_or_else(in_row, |on| on.contains(&s.entry.server));
             let kin = ran.iter().all(|r| group.joins(r, &s.entry));
             let untried = !session.tried.contains(&s.entry.server);
-            let ready = s.entry.state == ServerState::Ready && holds;
+            let ready = s.entry.state == EndpointState::Ready && holds;
             ready && kin && untried && self.pace_allows(s)
         };
         let open: Vec<&Server> = self.servers.values().filter(open).collect();
--- a/src/policy/probes.rs
+++ b/src/policy/probes.rs
@@ -10,14 +10,14 @@
     /// stays the same however many fronts and racks there are. Guards against stepping up blind; it hurts
     /// when few sessions come and the little that is heard grows old.
     pub(super) fn probe(&mut self) {
-        if !self.set.limits.probes || self.set.reporting != Reporting::InProbes {
+        if !self.set.capabilities.health_checks || self.set.load_reporting != LoadReporting::InHealthChecks {
             return;
         }
         let stale = |t: Option<Micros>| t.is_none_or(|t| self.now - t > PROBE_AGE);
         let mut order = Vec::new();
         for (&id, s) in &self.servers {
             let Some(rack) = self.racks.get(&s.rack).filter(|g| stale(g.heard_at())) else { continue };
-            if s.entry.state == ServerState::Ready && s.strikes == 0 && stale(s.probed_at) {
+            if s.entry.state == EndpointState::Ready && s.strikes == 0 && stale(s.probed_at) {
                 let rank = (rack.own <= 0.0, rack.heard_at(), s.link.own <= 0.0, s.link.heard_at());
                 order.push((rank, id, s.rack));
             }
@@ -28,7 +28,7 @@
             if self.probes >= 1.0 && asked.insert(rack) {
                 self.probes -= 1.0;
                 self.servers.entry(id).and_modify(|s| s.probed_at = Some(self.now));
-                self.out.push(Action::Probe(id));
+                self.out.push(Action::HealthCheck(id));
             }
         }
     }
--- a/src/policy/reports.rs
+++ b/src/policy/reports.rs
@@ -8,24 +8,28 @@
 impl Policy {
     pub(super) fn report(&mut self, id: ServerId, report: LoadReport) {
         let Some(s) = self.servers.get_mut(&id) else { return };
-        s.link.hear(self.now, REPORT_WINDOW, report.link);
+        s.link.hear(self.now, REPORT_WINDOW, report.link_utilization);
         s.streams.hear(self.now, REPORT_WINDOW, report.streams.map(|n| n / s.streams.size.max(1.0)));
         if let Some(g) = self.racks.get_mut(&s.rack) {
-            g.hear(self.now, REPORT_WINDOW, report.uplink);
+            g.hear(self.now, REPORT_WINDOW, report.uplink_utilization);
         }
-        self.uplinks_told |= report.uplink.is_some();
+        self.uplinks_told |= report.uplink_utilization.is_some();
     }
 
-    pub(super) fn noted(&mut self, id: SessionId, server: ServerId, note: Note) {
+    pub(super) fn noted(&mut self, id: SessionId, server: ServerId, note: Feedback) {
         match note {
-            Note::Rung(rung) => {
+            Feedback::Rung(rung) => {
                 self.book(id, false);
                 self.sessions.entry(id).and_modify(|s| s.rung = rung);
                 self.book(id, true);
             }
-            Note::LinkUse(x) => self.report(server, LoadReport { link: Some(x), ..Default::default() }),
-            Note::UplinkUse(x) => self.report(server, LoadReport { uplink: Some(x), ..Default::default() }),
-            Note::Delivered(share) => self.delivered(server, share),
+            Feedback::LinkUtilization(x) => {
+                self.report(server, LoadReport { link_utilization: Some(x), ..Default::default() })
+            }
+            Feedback::UplinkUtilization(x) => {
+                self.report(server, LoadReport { uplink_utilization: Some(x), ..Default::default() })
+            }
+            Feedback::DeliveredFraction(share) => self.delivered(server, share),
         }
     }
 
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -9,13 +9,13 @@
     pub(super) fn request(&mut self, req: Request) {
         self.taken.note(self.now, self.set.budget_window());
         self.trials = (self.trials + TRIALS).min(1.0);
-        self.probes += (PROBE_SPEND / self.set.probe_price.max(1e-9)).min(1.0);
+        self.probes += (PROBE_SPEND / self.set.health_check_price.max(1e-9)).min(1.0);
         let id = req.session;
         let Some(class) = self.set.classes.get(usize::from(req.class.0)) else {
             self.out.push(Action::Fail(id));
             return;
         };
-        let aim = (self.now + class.aim).min(req.gives_up);
+        let aim = (self.now + class.latency_objective).min(req.deadline);
         self.sessions.insert(id, Session { req, aim, ..Session::default() });
         self.place(id);
     }
@@ -23,7 +23,7 @@
     pub(super) fn handed_over(&mut self, req: Request, server: ServerId) {
         self.servers.values_mut().for_each(|s| s.doubt_until = Micros(0));
         let Some(class) = self.set.classes.get(usize::from(req.class.0)) else { return };
-        let (phase, at, rung) = (Phase::Playing, Some(server), class.floor);
+        let (phase, at, rung) = (Phase::Playing, Some(server), class.min_rung);
         let session = Session { phase, at, rung, req, ..Session::default() };
         let id = session.req.session;
         self.sessions.insert(id, session);
@@ -47,7 +47,7 @@
         let sent = self.sessions.get(&id).and_then(|s| s.ran.last()).map_or(self.now, |r| r.1);
         match outcome {
             Outcome::Ok => self.alive(server),
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
             // Whose fault it was shows in what becomes of the session.
             Outcome::Error if self.sessions.get(&id).is_some_and(|s| s.phase != Phase::Playing) => {}
             failure => self.strike(server, sent, failure),
@@ -77,8 +77,11 @@
         s.phase = Phase::Over;
         if s.at.is_none() {
             self.sessions.remove(&id).into_iter().for_each(|s| self.blame(&s));
-        } else if self.set.limits.cancel {
-            self.out.push(Action::Cancel(id, Attempt(s.tried.len().saturating_sub(1) as u16)));
+        } else if self.set.capabilities.cancel {
+            self.out.push(Action::CancelAttempt {
+                session: id,
+                attempt: Attempt(s.tried.len().saturating_sub(1) as u16),
+            });
         }
     }
 
@@ -86,12 +89,12 @@
     pub(super) fn give_up(&mut self, id: SessionId) {
         let Some(s) = self.sessions.remove(&id) else { return };
         self.blame(&s);
-        let lasting = match self.set.class(s.req.class).effect {
-            Effect::Repeatable => false,
-            Effect::Keyed { group, .. } => group != Group::All,
-            Effect::Once => true,
+        let lasting = match self.set.class(s.req.class).idempotency {
+            Idempotency::Idempotent => false,
+            Idempotency::Deduplicated { scope: group, .. } => group != DedupScope::All,
+            Idempotency::AtMostOnce => true,
         };
-        let refusal = Action::Refuse(id, self.set.limits.retry_after);
+        let refusal = Action::Reject { session: id, retry_after: self.set.capabilities.max_retry_after };
         self.out.push(if lasting && !s.ran.is_empty() { Action::Fail(id) } else { refusal });
     }
 }
--- a/src/policy/rungs.rs
+++ b/src/policy/rungs.rs
@@ -103,7 +103,7 @@
         if let Some(s) = self.sessions.get_mut(&id) {
             (s.rung, s.changed) = (Rung(s.rung.0.saturating_add_signed(by)), self.now);
             s.downs += u32::from(by < 0);
-            self.out.push(Action::SetRung(id, s.rung));
+            self.out.push(Action::SetRung { session: id, rung: s.rung });
         }
         self.book(id, true);
     }
@@ -117,7 +117,7 @@
 
     /// The rung from the class's floor up that earns most for its rate.
     pub(super) fn base(&self, class: ClassId) -> Rung {
-        let floor = self.set.class(class).floor;
+        let floor = self.set.class(class).min_rung;
         let per_kb = |r: &u8| self.set.worth(class, Rung(*r)) / self.set.rate(class, Rung(*r)).max(1e-9);
         let better = |a: &u8, b: &u8| per_kb(a).total_cmp(&per_kb(b)).then(b.cmp(a));
         (floor.0..=self.set.ladder_top().0).max_by(better).map_or(floor, Rung)
--- a/src/policy/trust.rs
+++ b/src/policy/trust.rs
@@ -11,9 +11,9 @@
     /// that has answered others since: it is slow. One that turns set-ups away is full for a while.
     pub(super) fn strike(&mut self, id: ServerId, sent: Micros, outcome: Outcome) {
         let Some(s) = self.servers.get_mut(&id) else { return };
-        if outcome == Outcome::Full {
+        if outcome == Outcome::Overloaded {
             s.shut_until = s.shut_until.max(self.now + FULL_FOR);
-            return s.link.hear(self.now, REPORT_WINDOW, self.set.guard.unwrap_or(1.0));
+            return s.link.hear(self.now, REPORT_WINDOW, self.set.admission_limit.unwrap_or(1.0));
         }
         if outcome == Outcome::Timeout && s.alive_at > sent {
             return;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -67,7 +67,7 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Server {
-    pub entry: ServerEntry,
+    pub entry: Endpoint,
     pub rack: u32,
     pub link: Gauge,
     pub streams: Gauge,
@@ -92,12 +92,12 @@
 impl Server {
     /// Whether the list has it as ready.
     pub fn ready(&self) -> bool {
-        self.entry.state == ServerState::Ready
+        self.entry.state == EndpointState::Ready
     }
 
     /// Whether it is on the list, ready or draining.
     pub fn listed(&self) -> bool {
-        self.entry.state != ServerState::Gone
+        self.entry.state != EndpointState::Removed
     }
 }
 
@@ -172,13 +172,13 @@
     }
 }
 
-impl Group {
+impl DedupScope {
     /// Whether two servers recognise each other's copies.
-    pub(crate) fn joins(self, a: &ServerEntry, b: &ServerEntry) -> bool {
+    pub(crate) fn joins(self, a: &Endpoint, b: &Endpoint) -> bool {
         match self {
-            Group::All => true,
-            Group::Zone => a.zone == b.zone,
-            Group::Cell => a.cell == b.cell,
+            DedupScope::All => true,
+            DedupScope::Zone => a.zone == b.zone,
+            DedupScope::Cell => a.cell == b.cell,
         }
     }
 }
@@ -186,12 +186,12 @@
 impl Settings {
     /// How many other fronts there are.
     pub(crate) fn others(&self) -> f64 {
-        f64::from(self.fronts.max(1) - 1)
+        f64::from(self.front_count.max(1) - 1)
     }
 
     /// Streams that a server of this kind runs at most.
-    pub(crate) fn places(&self, kind: KindId) -> f64 {
-        f64::from(self.kind_streams.get(usize::from(kind.0)).copied().unwrap_or(u32::MAX))
+    pub(crate) fn places(&self, kind: ServerType) -> f64 {
+        f64::from(self.max_streams_by_type.get(usize::from(kind.0)).copied().unwrap_or(u32::MAX))
     }
 
     /// A known class; requests of unknown ones are answered before anything asks for it.
@@ -206,15 +206,15 @@
 
     /// The highest rung that class, viewer and ladder allow.
     pub(crate) fn top(&self, req: &Request) -> Rung {
-        self.class(req.class).top.min(req.top).min(self.ladder_top())
+        self.class(req.class).max_rung.min(req.max_rung).min(self.ladder_top())
     }
 
     pub(crate) fn rate(&self, class: ClassId, rung: Rung) -> f64 {
-        self.class(class).scale * rung_of(&self.ladder.rates_kb, rung)
+        self.class(class).rate_scale * rung_of(&self.ladder.rates_kb, rung)
     }
 
     pub(crate) fn worth(&self, class: ClassId, rung: Rung) -> f64 {
-        self.class(class).worth * rung_of(&self.ladder.worth, rung)
+        self.class(class).utility * rung_of(&self.ladder.utility, rung)
     }
 
     /// What a step to this rung earns for its rate.
@@ -227,7 +227,7 @@
     pub(crate) fn best_step(&self) -> f64 {
         let mut best = 1e-9;
         for (n, class) in (0..).zip(&self.classes) {
-            let steps = class.floor.0 + 1..=class.top.min(self.ladder_top()).0;
+            let steps = class.min_rung.0 + 1..=class.max_rung.min(self.ladder_top()).0;
             best = steps.map(|r| self.earns(ClassId(n), Rung(r))).fold(best, f64::max);
         }
         best
@@ -235,8 +235,8 @@
 
     /// Until when a further attempt of a session is recognised as a copy; never ends where that is not asked.
     pub(crate) fn repeat_until(&self, s: &Session) -> Micros {
-        match self.class(s.req.class).effect {
-            Effect::Keyed { window, .. } => {
+        match self.class(s.req.class).idempotency {
+            Idempotency::Deduplicated { window, .. } => {
                 s.ran.iter().map(|r| r.1 + window).min().unwrap_or(Micros(u64::MAX))
             }
             _ => Micros(u64::MAX),
@@ -245,7 +245,7 @@
 
     /// The window of the budget for further attempts.
     pub(crate) fn budget_window(&self) -> Micros {
-        self.budget.map_or(Micros(0), |b| b.window)
+        self.retry_budget.map_or(Micros(0), |b| b.window)
     }
 
     /// Worth a second and rate that this rung adds to the one below.
@@ -296,7 +296,7 @@
         if !put(self.at_rack.entry(server.rack).or_default(), s.req.session, entered) {
             return;
         }
-        let join = set.class(s.req.class).join;
+        let join = set.class(s.req.class).shared_rate_fraction;
         let mut first = true;
         if join < 1.0 {
             let key = (at, s.req.class, s.req.title, s.rung);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -21,7 +21,7 @@
     let mut f = Front::new(settings());
     f.wait(20 * S);
     for server in 0..4 {
-        f.note(server, Note::LinkUse(1.1));
+        f.note(server, Feedback::LinkUtilization(1.1));
     }
     assert!(refused(&f.ask(1)));
     f.wait(9 * S);
@@ -31,14 +31,18 @@
 /// Found on linz-main: without probes on a timer nothing is heard while all is refused.
 #[test]
 fn unheard_racks_are_probed_where_only_probes_tell_load() {
-    let limits = Limits { probes: true, ..settings().limits };
-    let mut f = Front::new(Settings { reporting: Reporting::InProbes, limits, ..settings() });
+    let limits = Capabilities { health_checks: true, ..settings().capabilities };
+    let mut f = Front::new(Settings {
+        load_reporting: LoadReporting::InHealthChecks,
+        capabilities: limits,
+        ..settings()
+    });
     let mut racks = std::collections::BTreeSet::new();
     for id in 0..10 {
         f.wait(S);
         f.ask(id);
         for a in f.tick() {
-            if let Action::Probe(server) = a {
+            if let Action::HealthCheck(server) = a {
                 racks.insert(server.0 % 2);
             }
         }
@@ -49,29 +53,34 @@
 /// Found on linz-main-later: each of 230 fronts probed all racks every 2 s, at up to half the result.
 #[test]
 fn probes_cost_no_more_than_a_part_of_the_result_at_any_size() {
-    let limits = Limits { probes: true, ..settings().limits };
-    let set =
-        Settings { reporting: Reporting::InProbes, limits, fronts: 230, probe_price: 0.05, ..settings() };
+    let limits = Capabilities { health_checks: true, ..settings().capabilities };
+    let set = Settings {
+        load_reporting: LoadReporting::InHealthChecks,
+        capabilities: limits,
+        front_count: 230,
+        health_check_price: 0.05,
+        ..settings()
+    };
     let mut f = Front::new(set);
     let mut probes = 0;
     for id in 0..40 {
         f.ask(id);
         f.wait(4 * S);
-        probes += f.tick().iter().filter(|a| matches!(a, Action::Probe(_))).count();
+        probes += f.tick().iter().filter(|a| matches!(a, Action::HealthCheck(_))).count();
     }
     assert!((4..=8).contains(&probes), "{probes} probes for 40 sessions at 0.01 of the result");
 }
 
 #[test]
 fn no_probes_where_answers_tell_load_or_probes_are_not_allowed() {
-    let limits = Limits { probes: true, ..settings().limits };
-    let told = Settings { limits, ..settings() };
-    let barred = Settings { reporting: Reporting::InProbes, ..settings() };
+    let limits = Capabilities { health_checks: true, ..settings().capabilities };
+    let told = Settings { capabilities: limits, ..settings() };
+    let barred = Settings { load_reporting: LoadReporting::InHealthChecks, ..settings() };
     for set in [told, barred] {
         let mut f = Front::new(set);
         for _ in 0..20 {
             f.wait(S);
-            assert!(!f.tick().iter().any(|a| matches!(a, Action::Probe(_))));
+            assert!(!f.tick().iter().any(|a| matches!(a, Action::HealthCheck(_))));
         }
     }
 }
@@ -81,7 +90,7 @@
 fn a_full_answer_closes_one_server_only() {
     let mut f = Front::new(settings());
     let (server, _) = set_up(&f.ask(1)).expect("sent");
-    let (second, _) = set_up(&f.ended(1, server, Outcome::Full, false)).expect("sent again");
+    let (second, _) = set_up(&f.ended(1, server, Outcome::Overloaded, false)).expect("sent again");
     assert_ne!(server, second);
     f.started(1, second);
     for id in 2..5 {
@@ -107,16 +116,16 @@
 #[test]
 fn small_sessions_go_where_most_is_left_not_to_the_own_zone() {
     let big = Settings {
-        kind_streams: vec![250],
-        link_unit_kb: Some(60_000.0),
-        all_links_kb: Some(240_000.0),
-        uplink_kb: Some(300_000.0),
+        max_streams_by_type: vec![250],
+        link_kb_per_weight: Some(60_000.0),
+        total_link_kb: Some(240_000.0),
+        mean_uplink_kb: Some(300_000.0),
         ..settings()
     };
     let mut f = Front::new(big);
     // The own zone's servers, 0 and 2, are at 0.6 of their links, the others nearly idle.
     for server in 0..4 {
-        f.note(server, Note::LinkUse(if server % 2 == 0 { 0.6 } else { 0.05 }));
+        f.note(server, Feedback::LinkUtilization(if server % 2 == 0 { 0.6 } else { 0.05 }));
     }
     let mut to = [0; 4];
     for id in 0..20 {
@@ -132,9 +141,9 @@
 #[test]
 fn a_slow_server_that_answers_others_is_not_distrusted() {
     let mut f = Front::new(settings());
-    f.list(1, ServerState::Gone, 0);
-    f.list(2, ServerState::Gone, 0);
-    f.list(3, ServerState::Gone, 0);
+    f.list(1, EndpointState::Removed, 0);
+    f.list(2, EndpointState::Removed, 0);
+    f.list(3, EndpointState::Removed, 0);
     assert!(set_up(&f.ask(1)).is_some());
     f.wait(10 * MS);
     assert!(set_up(&f.ask(2)).is_some());
@@ -149,11 +158,11 @@
 #[test]
 fn free_uplinks_are_not_taken_by_all_fronts_at_once() {
     let load = |fronts| {
-        let mut f = Front::new(Settings { fronts, ..settings() });
+        let mut f = Front::new(Settings { front_count: fronts, ..settings() });
         f.wait(20 * S);
         for server in 0..4 {
-            f.note(server, Note::LinkUse(0.0));
-            f.note(server, Note::UplinkUse(0.0));
+            f.note(server, Feedback::LinkUtilization(0.0));
+            f.note(server, Feedback::UplinkUtilization(0.0));
         }
         let rates = settings().ladder.rates_kb;
         (0..60).filter_map(|id| play(&mut f, id)).map(|(_, r)| rates[usize::from(r)]).sum::<f64>()
@@ -175,10 +184,10 @@
     for half in 0..120 {
         f.wait(500 * MS);
         for server in 0..4 {
-            f.note(server, Note::LinkUse(if half / 8 % 2 == 0 { 0.2 } else { 1.3 }));
-            f.note(server, Note::UplinkUse(0.3));
+            f.note(server, Feedback::LinkUtilization(if half / 8 % 2 == 0 { 0.2 } else { 1.3 }));
+            f.note(server, Feedback::UplinkUtilization(0.3));
         }
-        steps += f.tick().iter().filter(|a| matches!(a, Action::SetRung(..))).count();
+        steps += f.tick().iter().filter(|a| matches!(a, Action::SetRung { .. })).count();
     }
     assert!(steps > 0, "sessions are relieved");
     assert!(steps < 3 * 8, "{steps} steps of 8 sessions in a minute");
@@ -189,7 +198,7 @@
 fn few_sessions_are_risked_on_distrusted_servers() {
     let mut set = settings();
     set.cells = 16;
-    let place = |n: u32| ServerEntry { cell: CellId(n as u16), ..entry(n, ServerState::Ready, 0) };
+    let place = |n: u32| Endpoint { cell: CellId(n as u16), ..entry(n, EndpointState::Ready, 0) };
     let mut f = Front::with_list(set, (0..16).map(place).collect());
     for n in 0..8u32 {
         f.hand_over(900 + u64::from(n), 2 * n);
@@ -200,7 +209,7 @@
     let mut lost = 0;
     for id in 0..100 {
         f.wait(100 * MS);
-        let req = Request { holders: 16, ..request(id, f.now) };
+        let req = Request { cell_count: 16, ..request(id, f.now) };
         let mut actions = f.send(Event::Request(req));
         while let Some((server, _)) = set_up(&actions) {
             if server % 2 == 1 {
@@ -274,7 +283,7 @@
     f.wait(20 * S);
     for id in 0..20 {
         f.wait(500 * MS);
-        f.note(3, Note::Delivered(0.05));
+        f.note(3, Feedback::DeliveredFraction(0.05));
         if let Some((server, _)) = play(&mut f, id) {
             assert_ne!(server, 3);
         }
@@ -295,13 +304,13 @@
     let mut f = Front::new(settings());
     f.wait(20 * S);
     for server in 0..4 {
-        f.note(server, Note::LinkUse(if server == 2 { 1.6 } else { 0.3 }));
-        f.note(server, Note::UplinkUse(0.3));
+        f.note(server, Feedback::LinkUtilization(if server == 2 { 1.6 } else { 0.3 }));
+        f.note(server, Feedback::UplinkUtilization(0.3));
     }
-    f.list(1, ServerState::Gone, 0);
-    f.list(3, ServerState::Gone, 0);
-    f.note(2, Note::Delivered(0.6));
-    f.note(2, Note::Delivered(0.62));
+    f.list(1, EndpointState::Removed, 0);
+    f.list(3, EndpointState::Removed, 0);
+    f.note(2, Feedback::DeliveredFraction(0.6));
+    f.note(2, Feedback::DeliveredFraction(0.62));
     assert_eq!(set_up(&f.ask(1)).map(|s| s.0), Some(0), "the rack's other server is free");
 }
 
@@ -310,12 +319,12 @@
 fn links_known_to_be_full_are_not_laid_to_their_uplink() {
     let mut f = Front::new(settings());
     f.wait(20 * S);
-    f.list(4, ServerState::Ready, 0);
+    f.list(4, EndpointState::Ready, 0);
     for server in 0..5 {
-        f.note(server, Note::LinkUse(if server == 2 { 0.2 } else { 1.1 }));
+        f.note(server, Feedback::LinkUtilization(if server == 2 { 0.2 } else { 1.1 }));
     }
-    f.note(0, Note::Delivered(0.91));
-    f.note(4, Note::Delivered(0.92));
+    f.note(0, Feedback::DeliveredFraction(0.91));
+    f.note(4, Feedback::DeliveredFraction(0.92));
     assert_eq!(set_up(&f.ask(1)).map(|s| s.0), Some(2), "its uplink is not the cause");
 }
 
@@ -325,10 +334,10 @@
     let mut f = Front::new(settings());
     f.wait(20 * S);
     for server in 0..4 {
-        f.note(server, Note::LinkUse(0.2));
+        f.note(server, Feedback::LinkUtilization(0.2));
     }
-    f.note(0, Note::Delivered(0.6));
-    f.note(2, Note::Delivered(0.62));
+    f.note(0, Feedback::DeliveredFraction(0.6));
+    f.note(2, Feedback::DeliveredFraction(0.62));
     for id in 0..6 {
         if let Some((server, _)) = play(&mut f, id) {
             assert_eq!(server % 2, 1, "servers 0 and 2 share the sagging uplink");
@@ -342,9 +351,9 @@
     f.wait(20 * S);
     for value in [f64::NAN, f64::INFINITY, -1.0, 1e300, 0.0] {
         for server in 0..4 {
-            f.note(server, Note::LinkUse(value));
-            f.note(server, Note::UplinkUse(value));
-            f.note(server, Note::Delivered(value));
+            f.note(server, Feedback::LinkUtilization(value));
+            f.note(server, Feedback::UplinkUtilization(value));
+            f.note(server, Feedback::DeliveredFraction(value));
         }
         f.tick();
         f.ask((value.to_bits() >> 20) & 0xffff);
@@ -356,15 +365,18 @@
 #[test]
 fn an_empty_list_and_a_flapping_one() {
     let mut f = Front::with_list(settings(), vec![]);
-    f.send(Event::Servers(ListForm::Full, vec![]));
+    f.send(Event::EndpointsUpdated { kind: UpdateKind::Full, endpoints: vec![] });
     assert!(refused(&f.ask(1)), "no server was ever known");
     // An empty list says nothing of servers that are known (see the rules), but those told as gone stay gone.
     let mut f = Front::new(settings());
-    f.send(Event::Servers(ListForm::Delta, (0..4).map(|n| entry(n, ServerState::Gone, 0)).collect()));
-    f.send(Event::Servers(ListForm::Full, vec![]));
+    f.send(Event::EndpointsUpdated {
+        kind: UpdateKind::Delta,
+        endpoints: (0..4).map(|n| entry(n, EndpointState::Removed, 0)).collect(),
+    });
+    f.send(Event::EndpointsUpdated { kind: UpdateKind::Full, endpoints: vec![] });
     assert!(refused(&f.ask(1)));
     for n in 0..50 {
-        let state = if n % 2 == 0 { ServerState::Ready } else { ServerState::Gone };
+        let state = if n % 2 == 0 { EndpointState::Ready } else { EndpointState::Removed };
         f.list(1, state, 0);
         f.wait(100 * MS);
         assert_eq!(set_up(&f.ask(10 + n)).is_some(), n % 2 == 0);
@@ -377,8 +389,9 @@
 #[test]
 fn viewers_of_a_live_title_share_its_stream() {
     let count = |join| {
-        let live = Class { join, ..class(Effect::Repeatable) };
-        let mut f = Front::new(Settings { classes: vec![live], kind_streams: vec![1_000], ..settings() });
+        let live = Class { shared_rate_fraction: join, ..class(Idempotency::Idempotent) };
+        let mut f =
+            Front::new(Settings { classes: vec![live], max_streams_by_type: vec![1_000], ..settings() });
         f.wait(20 * S);
         (0..600).filter(|id| play(&mut f, *id).is_some()).count()
     };
@@ -397,13 +410,13 @@
     for id in 0..400 {
         f.wait(20 * MS);
         for server in 0..4 {
-            f.note(server, Note::LinkUse(0.01));
-            f.note(server, Note::UplinkUse(0.01));
+            f.note(server, Feedback::LinkUtilization(0.01));
+            f.note(server, Feedback::UplinkUtilization(0.01));
         }
         for action in f.ask(id) {
             match action {
-                Action::SetRung(s, r) => drop(rungs.insert(s, r)),
-                Action::SetUp(s, server, _) => drop(at.insert(s, server.0)),
+                Action::SetRung { session: s, rung: r } => drop(rungs.insert(s, r)),
+                Action::StartAttempt { session: s, server, .. } => drop(at.insert(s, server.0)),
                 _ => {}
             }
         }
@@ -426,11 +439,11 @@
         let mut front = Front::new(settings());
         // The cells in a row would allow server 0 alone.
         let on = Some(std::sync::Arc::new([ServerId(named)].into()));
-        let req = Request { home: 0, holders: 1, on, ..request(1, front.now) };
+        let req = Request { first_cell: 0, cell_count: 1, eligible_servers: on, ..request(1, front.now) };
         assert_eq!(set_up(&front.send(Event::Request(req))).map(|s| s.0), Some(named));
     }
     let mut front = Front::new(settings());
-    let nowhere = Request { on: Some(Default::default()), ..request(1, front.now) };
+    let nowhere = Request { eligible_servers: Some(Default::default()), ..request(1, front.now) };
     assert!(refused(&front.send(Event::Request(nowhere))), "a title that no server holds is refused");
 }
 
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -65,7 +65,7 @@
 
 fn outcome(n: u8) -> Outcome {
     use Outcome::*;
-    [Ok, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot][usize::from(n % 8)]
+    [Ok, Error, Overloaded, Timeout, ConnectFailed, Reset, Cancelled, NotSent][usize::from(n % 8)]
 }
 
 /// What the outside world knows of a request.
@@ -87,7 +87,7 @@
     zones: bool,
     front: Front,
     lives: BTreeMap<u64, Life>,
-    states: BTreeMap<u32, ServerState>,
+    states: BTreeMap<u32, EndpointState>,
     extra: Vec<u64>,
     taken: Vec<u64>,
 }
@@ -99,52 +99,57 @@
         assert_eq!(kept, self.front.policy.sums_anew(), "sums kept up by events, and counted anew");
         for a in actions {
             match a {
-                Action::SetUp(id, server, until) => {
+                Action::StartAttempt { session: id, server, deadline: until } => {
                     let now = self.front.now;
                     let life = self.lives.get_mut(&id.0).expect("a known request");
                     let class = &self.set.classes[life.class];
                     assert!(life.out.is_none(), "two attempts out");
                     assert!(life.answers == 0 && !life.left, "sent after its end");
-                    assert_eq!(self.states.get(&server.0), Some(&ServerState::Ready), "not ready");
+                    assert_eq!(self.states.get(&server.0), Some(&EndpointState::Ready), "not ready");
                     assert!(until.0 <= life.gives_up, "outlives the viewer's time");
-                    assert!(life.attempts < self.set.limits.max_attempts);
-                    match class.effect {
-                        Effect::Once => assert!(life.ran.is_empty(), "once, twice"),
-                        Effect::Keyed { group, window } => {
+                    assert!(life.attempts < self.set.capabilities.max_attempts);
+                    match class.idempotency {
+                        Idempotency::AtMostOnce => assert!(life.ran.is_empty(), "once, twice"),
+                        Idempotency::Deduplicated { scope: group, window } => {
                             let kin = |r: &(u32, u64)| match group {
-                                Group::All => true,
-                                Group::Zone => !self.zones || r.0 % 2 == server.0 % 2,
-                                Group::Cell => r.0 % 4 == server.0 % 4,
+                                DedupScope::All => true,
+                                DedupScope::Zone => !self.zones || r.0 % 2 == server.0 % 2,
+                                DedupScope::Cell => r.0 % 4 == server.0 % 4,
                             };
                             // It runs once more if it arrives past the window, whenever it was sent.
                             let inside = |r: &(u32, u64)| now < until.0 && until.0 < r.1 + window.0;
                             let sound = |r: &(u32, u64)| kin(r) && inside(r);
                             assert!(life.ran.iter().all(sound), "outside the group or window");
                         }
-                        Effect::Repeatable => {}
+                        Idempotency::Idempotent => {}
                     }
                     if life.attempts > 0 {
                         self.extra.push(now);
-                        if let Some(b) = self.set.budget {
+                        if let Some(b) = self.set.retry_budget {
                             let within =
                                 |v: &[u64]| v.iter().filter(|t| now - **t < b.window.0).count() as f64;
-                            assert!(within(&self.extra) <= b.free + b.share * within(&self.taken) + 1e-9);
+                            assert!(
+                                within(&self.extra)
+                                    <= b.min_retries + b.retry_ratio * within(&self.taken) + 1e-9
+                            );
                         }
                     }
                     (life.out, life.attempts) = (Some(server.0), life.attempts + 1);
                     life.ran.push((server.0, now));
                 }
-                Action::SetRung(id, rung) => {
+                Action::SetRung { session: id, rung } => {
                     let life = &self.lives[&id.0];
                     let class = &self.set.classes[life.class];
-                    assert!(rung >= class.floor && rung.0 <= life.top, "{rung:?}");
+                    assert!(rung >= class.min_rung && rung.0 <= life.top, "{rung:?}");
                 }
-                Action::Refuse(id, _) => {
+                Action::Reject { session: id, .. } => {
                     let life = self.lives.get_mut(&id.0).expect("a known request");
                     assert!(life.out.is_none() || life.left, "refused with an attempt out");
-                    let effect = self.set.classes[life.class].effect;
-                    let harmless =
-                        matches!(effect, Effect::Repeatable | Effect::Keyed { group: Group::All, .. });
+                    let effect = self.set.classes[life.class].idempotency;
+                    let harmless = matches!(
+                        effect,
+                        Idempotency::Idempotent | Idempotency::Deduplicated { scope: DedupScope::All, .. }
+                    );
                     assert!(harmless || life.ran.is_empty(), "refused after it ran");
                     life.answers += 1;
                 }
@@ -153,12 +158,12 @@
                         life.answers += 1;
                     }
                 }
-                Action::Cancel(id, _) => {
-                    assert!(self.set.limits.cancel && self.lives[&id.0].attempts > 0);
+                Action::CancelAttempt { session: id, .. } => {
+                    assert!(self.set.capabilities.cancel && self.lives[&id.0].attempts > 0);
                 }
-                Action::Probe(_) => assert!(self.set.limits.probes),
-                Action::Move(id) => assert!(self.lives[&id.0].playing),
-                Action::Subscribe | Action::SetTimer(..) | Action::Log(_) => {}
+                Action::HealthCheck(_) => assert!(self.set.capabilities.health_checks),
+                Action::Migrate(id) => assert!(self.lives[&id.0].playing),
+                Action::Subscribe | Action::SetTimer { .. } | Action::Log(_) => {}
             }
         }
         for life in self.lives.values() {
@@ -167,7 +172,7 @@
             assert!(held || life.answers == 1, "neither out, playing nor answered");
         }
         for (i, class) in self.set.classes.iter().enumerate() {
-            if let Some(seats) = class.seats {
+            if let Some(seats) = class.max_sessions_per_title {
                 let held = self.lives.values().filter(|l| l.class == i && l.out.is_some()).count();
                 let handed = self.lives.values().filter(|l| l.class == i && l.gives_up == 0).count();
                 assert!(held <= seats as usize * 3 + handed, "seats of three titles: {held}");
@@ -209,10 +214,10 @@
                 let req = Request {
                     class: ClassId(class),
                     title: TitleId(title),
-                    home,
-                    holders,
-                    top: Rung(top),
-                    gives_up: Micros(now + patience),
+                    first_cell: home,
+                    cell_count: holders,
+                    max_rung: Rung(top),
+                    deadline: Micros(now + patience),
                     ..request(next, now)
                 };
                 self.lives.insert(next, life);
@@ -222,7 +227,7 @@
             }
             Move::HandOver { class, server, rung } => {
                 let class = class % self.set.classes.len() as u16;
-                let floor = self.set.classes[usize::from(class)].floor;
+                let floor = self.set.classes[usize::from(class)].min_rung;
                 let life = Life {
                     class: class.into(),
                     top: 3,
@@ -232,11 +237,12 @@
                     ..Life::default()
                 };
                 self.lives.insert(next, life);
-                let req = Request { class: ClassId(class), gives_up: Micros(0), ..request(next, 0) };
-                let mut actions = self.front.send(Event::HandedOver(req, ServerId(server)));
-                let note = Note::Rung(Rung(rung).max(floor));
+                let req = Request { class: ClassId(class), deadline: Micros(0), ..request(next, 0) };
+                let mut actions =
+                    self.front.send(Event::SessionAdopted { request: req, server: ServerId(server) });
+                let note = Feedback::Rung(Rung(rung).max(floor));
                 let (session, server) = (SessionId(next), ServerId(server));
-                actions.extend(self.front.send(Event::Noted { session, server, note }));
+                actions.extend(self.front.send(Event::FeedbackReceived { session, server, feedback: note }));
                 self.apply(actions);
             }
             Move::Start(n) => {
@@ -258,9 +264,9 @@
                 self.apply(actions);
             }
             Move::List(form, n, state, new) => {
-                let state =
-                    [ServerState::Ready, ServerState::Draining, ServerState::Gone][usize::from(state)];
-                use ListForm::*;
+                let state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed]
+                    [usize::from(state)];
+                use UpdateKind::*;
                 let empty = form >= 3;
                 let form = [Delta, Full, Cached, Failed, Full, Cached][usize::from(form)];
                 // A whole list that names nobody changes nothing.
@@ -274,21 +280,22 @@
                     let started = if new { self.front.now } else { 0 };
                     vec![placed(self.zones, n, state, started)]
                 };
-                let actions = self.front.send(Event::Servers(form, entries));
+                let actions = self.front.send(Event::EndpointsUpdated { kind: form, endpoints: entries });
                 self.apply(actions);
             }
             Move::Note(server, kind, level) => {
                 let note = match kind {
-                    0 => Note::Delivered(level),
-                    1 => Note::LinkUse(level),
-                    _ => Note::UplinkUse(level),
+                    0 => Feedback::DeliveredFraction(level),
+                    1 => Feedback::LinkUtilization(level),
+                    _ => Feedback::UplinkUtilization(level),
                 };
                 self.front.note(server, note);
             }
             Move::Probed(server, o, x) => {
-                let report = LoadReport { streams: Some(x), link: Some(x), uplink: Some(x) };
+                let report =
+                    LoadReport { streams: Some(x), link_utilization: Some(x), uplink_utilization: Some(x) };
                 let (server, outcome) = (ServerId(server), outcome(o));
-                let actions = self.front.send(Event::Probed { server, outcome, report });
+                let actions = self.front.send(Event::HealthChecked { server, outcome, report });
                 self.apply(actions);
             }
             Move::Tick => {
@@ -296,7 +303,7 @@
                 self.apply(actions);
             }
             Move::Peer => {
-                let actions = self.front.send(Event::Peer(1, vec![1, 2]));
+                let actions = self.front.send(Event::PeerMessage { sender: 1, payload: vec![1, 2] });
                 self.apply(actions);
             }
         }
@@ -318,9 +325,9 @@
     }
 }
 
-fn placed(zones: bool, n: u32, state: ServerState, started: u64) -> ServerEntry {
+fn placed(zones: bool, n: u32, state: EndpointState, started: u64) -> Endpoint {
     let usual = entry(n, state, started);
-    ServerEntry { zone: if zones { usual.zone } else { ZoneId(0) }, ..usual }
+    Endpoint { zone: if zones { usual.zone } else { ZoneId(0) }, ..usual }
 }
 
 fn play(odd: &Odd, seed: u64, list: &[Move]) -> Vec<String> {
@@ -331,12 +338,12 @@
         zones: odd.zones,
         front,
         lives: BTreeMap::new(),
-        states: (0..4).map(|n| (n, ServerState::Ready)).collect(),
+        states: (0..4).map(|n| (n, EndpointState::Ready)).collect(),
         extra: vec![],
         taken: vec![],
     };
-    let entries = (0..4).map(|n| placed(odd.zones, n, ServerState::Ready, 0)).collect();
-    let first = world.front.send(Event::Servers(ListForm::Cached, entries));
+    let entries = (0..4).map(|n| placed(odd.zones, n, EndpointState::Ready, 0)).collect();
+    let first = world.front.send(Event::EndpointsUpdated { kind: UpdateKind::Cached, endpoints: entries });
     world.apply(first);
     for (i, m) in list.iter().enumerate() {
         world.step(i as u64 + 1, m.clone());
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -22,7 +22,7 @@
         actions = f.ended(1, server, Outcome::Timeout, false);
     }
     assert!(attempts >= 2, "a silent server leaves time for another attempt");
-    assert_eq!(actions.iter().filter(|a| matches!(a, Action::Refuse(..) | Action::Fail(..))).count(), 1);
+    assert_eq!(actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(..))).count(), 1);
     assert!(f.now < 100 * S + 4 * S, "the answer does not wait for the viewer's deadline");
 }
 
@@ -46,9 +46,9 @@
 #[test]
 fn refusals_are_immediate_and_name_a_time() {
     let mut f = Front::new(settings());
-    let req = Request { holders: 0, ..request(1, f.now) };
+    let req = Request { cell_count: 0, ..request(1, f.now) };
     let actions = f.send(Event::Request(req));
-    assert_eq!(actions, [Action::Refuse(SessionId(1), Some(Micros(500 * MS)))]);
+    assert_eq!(actions, [Action::Reject { session: SessionId(1), retry_after: Some(Micros(500 * MS)) }]);
 }
 
 // 2. No set-up happens twice.
@@ -56,7 +56,7 @@
 #[test]
 fn a_once_class_is_not_sent_again_or_refused_after_it_may_have_run() {
     for outcome in [Outcome::Timeout, Outcome::Error, Outcome::Reset] {
-        let mut f = Front::new(Settings { classes: vec![class(Effect::Once)], ..settings() });
+        let mut f = Front::new(Settings { classes: vec![class(Idempotency::AtMostOnce)], ..settings() });
         let (server, _) = set_up(&f.ask(1)).expect("sent");
         let actions = f.ended(1, server, outcome, false);
         assert!(set_up(&actions).is_none() && !refused(&actions) && failed(&actions), "{outcome:?}");
@@ -65,8 +65,8 @@
 
 #[test]
 fn a_once_class_is_sent_again_if_it_never_ran() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed] {
-        let mut f = Front::new(Settings { classes: vec![class(Effect::Once)], ..settings() });
+    for outcome in [Outcome::Overloaded, Outcome::ConnectFailed] {
+        let mut f = Front::new(Settings { classes: vec![class(Idempotency::AtMostOnce)], ..settings() });
         let (server, _) = set_up(&f.ask(1)).expect("sent");
         let (second, _) = set_up(&f.ended(1, server, outcome, false)).expect("sent again");
         assert_ne!(server, second);
@@ -75,9 +75,9 @@
 
 #[test]
 fn a_keyed_class_stays_in_its_group_and_window() {
-    let keyed = |group, window| class(Effect::Keyed { group, window: Micros(window) });
+    let keyed = |group, window| class(Idempotency::Deduplicated { scope: group, window: Micros(window) });
     for seed in 0..20 {
-        let mut f = Front::new(Settings { classes: vec![keyed(Group::Zone, 5 * S)], ..settings() });
+        let mut f = Front::new(Settings { classes: vec![keyed(DedupScope::Zone, 5 * S)], ..settings() });
         f.now += seed * 7 * MS;
         let (server, _) = set_up(&f.ask(1)).expect("sent");
         let actions = f.ended(1, server, Outcome::Error, false);
@@ -86,10 +86,10 @@
         let actions = f.ended(1, second, Outcome::Error, false);
         assert!(failed(&actions) && !refused(&actions), "no refusal outside the group of all");
     }
-    let mut f = Front::new(Settings { classes: vec![keyed(Group::Cell, 5 * S)], ..settings() });
+    let mut f = Front::new(Settings { classes: vec![keyed(DedupScope::Cell, 5 * S)], ..settings() });
     let (server, _) = set_up(&f.ask(1)).expect("sent");
     assert!(failed(&f.ended(1, server, Outcome::Error, false)), "no second server in the cell");
-    let mut f = Front::new(Settings { classes: vec![keyed(Group::All, 100 * MS)], ..settings() });
+    let mut f = Front::new(Settings { classes: vec![keyed(DedupScope::All, 100 * MS)], ..settings() });
     let (server, _) = set_up(&f.ask(1)).expect("sent");
     f.wait(200 * MS);
     assert!(refused(&f.ended(1, server, Outcome::Error, false)), "past the window, harmless to refuse");
@@ -101,7 +101,7 @@
     let mut repeats = 0;
     for window in [50 * MS, 100 * MS, 250 * MS, 500 * MS, 2 * S] {
         for failed_after in (0..700).step_by(10) {
-            let effect = Effect::Keyed { group: Group::All, window: Micros(window) };
+            let effect = Idempotency::Deduplicated { scope: DedupScope::All, window: Micros(window) };
             let mut f = Front::new(Settings { classes: vec![class(effect)], ..settings() });
             let first = f.now;
             let (server, _) = set_up(&f.ask(1)).expect("sent");
@@ -134,7 +134,10 @@
 fn a_withdrawn_request_is_cancelled_and_not_answered() {
     let mut f = Front::new(settings());
     let (server, _) = set_up(&f.ask(1)).expect("sent");
-    assert_eq!(f.send(Event::Withdrawn(SessionId(1))), [Action::Cancel(SessionId(1), Attempt(0))]);
+    assert_eq!(
+        f.send(Event::Withdrawn(SessionId(1))),
+        [Action::CancelAttempt { session: SessionId(1), attempt: Attempt(0) }]
+    );
     assert_eq!(f.ended(1, server, Outcome::Cancelled, true), []);
     assert_eq!(f.send(Event::Withdrawn(SessionId(1))), []);
 }
@@ -144,8 +147,8 @@
 #[test]
 fn nothing_new_goes_to_a_draining_or_gone_server() {
     let mut f = Front::new(settings());
-    f.list(0, ServerState::Draining, 0);
-    f.list(1, ServerState::Gone, 0);
+    f.list(0, EndpointState::Draining, 0);
+    f.list(1, EndpointState::Removed, 0);
     for id in 1..60 {
         f.wait(200 * MS);
         if let Some((server, _)) = set_up(&f.ask(id)) {
@@ -154,20 +157,20 @@
             f.ended(id, server, Outcome::Ok, true);
         }
     }
-    let full = vec![entry(2, ServerState::Ready, 0)];
-    f.send(Event::Servers(ListForm::Full, full));
+    let full = vec![entry(2, EndpointState::Ready, 0)];
+    f.send(Event::EndpointsUpdated { kind: UpdateKind::Full, endpoints: full });
     assert!(set_up(&f.ask(100)).is_some_and(|s| s.0 == 2), "absent from a full list is gone");
 }
 
 #[test]
 fn asked_discovery_is_subscribed_to_at_once_and_anew_after_a_failure() {
     let mut f = Front {
-        policy: beechloft::policy::Policy::new(Settings { discovery: Discovery::Ask, ..settings() }, 1),
+        policy: beechloft::policy::Policy::new(Settings { discovery: Discovery::Subscribe, ..settings() }, 1),
         now: S,
     };
-    let first = f.send(Event::Servers(ListForm::Cached, vec![]));
+    let first = f.send(Event::EndpointsUpdated { kind: UpdateKind::Cached, endpoints: vec![] });
     assert!(first.contains(&Action::Subscribe));
-    let mut again = f.send(Event::Servers(ListForm::Failed, vec![]));
+    let mut again = f.send(Event::EndpointsUpdated { kind: UpdateKind::Failed, endpoints: vec![] });
     for _ in 0..6 {
         f.wait(500 * MS);
         again.extend(f.tick());
@@ -199,7 +202,7 @@
 fn crowd_of_all_fronts(prepare: impl Fn(&mut Front)) -> f64 {
     (0..2)
         .map(|number| {
-            let mut f = Front::new(Settings { number, ..settings() });
+            let mut f = Front::new(Settings { slot: number, ..settings() });
             prepare(&mut f);
             crowd(&mut f) as f64
         })
@@ -210,7 +213,7 @@
 fn a_started_server_is_paced_over_all_fronts() {
     let sent = crowd_of_all_fronts(|f| {
         let now = f.now;
-        f.list(0, ServerState::Ready, now);
+        f.list(0, EndpointState::Ready, now);
     });
     assert!((1.0..=ALLOWED).contains(&sent), "{sent}");
 }
@@ -219,8 +222,8 @@
 #[test]
 fn a_front_that_starts_anew_sends_nothing_for_a_span_to_a_server_that_started_before_it() {
     let first = |started: u64| {
-        let list = vec![entry(0, ServerState::Ready, started)];
-        let mut f = Front::with_list(Settings { fronts: 1, ..settings() }, list);
+        let list = vec![entry(0, EndpointState::Ready, started)];
+        let mut f = Front::with_list(Settings { front_count: 1, ..settings() }, list);
         let begin = f.now;
         (1..400).find_map(|id| {
             f.wait(10 * MS);
@@ -236,10 +239,10 @@
 /// A set-up may wait for its connection: it counts until a span from when it came back, and while it is out.
 #[test]
 fn set_ups_that_are_out_for_long_count_with_those_of_the_next_span() {
-    let mut f = Front::new(Settings { fronts: 1, ..settings() });
+    let mut f = Front::new(Settings { front_count: 1, ..settings() });
     let now = f.now;
-    (1..4).for_each(|n| drop(f.list(n, ServerState::Gone, 0)));
-    f.list(0, ServerState::Ready, now);
+    (1..4).for_each(|n| drop(f.list(n, EndpointState::Removed, 0)));
+    f.list(0, EndpointState::Ready, now);
     let sent: Vec<u64> = (1..20).filter(|id| set_up(&f.ask(*id)).is_some()).collect();
     assert!(!sent.is_empty() && sent.len() as f64 <= ALLOWED, "{sent:?}");
     let all = sent.len();
@@ -280,7 +283,7 @@
 fn a_front_that_starts_anew_paces_every_server() {
     let sent: usize = (0..2)
         .map(|number| {
-            let mut f = Front::started_anew(Settings { number, ..settings() });
+            let mut f = Front::started_anew(Settings { slot: number, ..settings() });
             crowd(&mut f)
         })
         .sum();
@@ -291,9 +294,10 @@
 fn a_number_that_changes_while_running_paces_from_then_on_and_none_has_no_part() {
     let started = |f: &mut Front| {
         let now = f.now;
-        f.list(0, ServerState::Ready, now);
+        f.list(0, EndpointState::Ready, now);
     };
-    let numbered = |number, of| Event::Numbered(Numbered { number, of, fronts: 4 });
+    let numbered =
+        |number, of| Event::SlotAssigned(SlotAssignment { slot: number, slot_count: of, live_fronts: 4 });
     // Four fronts that were told another number of so many before.
     let sent: Vec<usize> = (0..4)
         .map(|number| {
@@ -329,34 +333,34 @@
 
 #[test]
 fn no_rung_under_the_floor_or_over_the_viewers_cap() {
-    let floored = Class { floor: Rung(1), ..class(Effect::Repeatable) };
+    let floored = Class { min_rung: Rung(1), ..class(Idempotency::Idempotent) };
     let mut f = Front::new(Settings { classes: vec![floored], ..settings() });
     let mut out = Vec::new();
     for id in 1..200 {
         f.wait(50 * MS);
-        let req = Request { top: Rung(1 + (id % 3) as u8), ..request(id, f.now) };
+        let req = Request { max_rung: Rung(1 + (id % 3) as u8), ..request(id, f.now) };
         let actions = f.send(Event::Request(req));
         if let Some((server, _)) = set_up(&actions) {
             f.started(id, server);
         }
         out.extend(actions);
-        f.note((id % 4) as u32, Note::LinkUse(if id % 40 < 20 { 1.3 } else { 0.2 }));
+        f.note((id % 4) as u32, Feedback::LinkUtilization(if id % 40 < 20 { 1.3 } else { 0.2 }));
         if id % 10 == 0 {
             out.extend(f.tick());
         }
     }
     for a in &out {
-        if let Action::SetRung(s, r) = a {
+        if let Action::SetRung { session: s, rung: r } = a {
             assert!(r.0 >= 1 && u64::from(r.0) <= 1 + s.0 % 3, "{a:?}");
         }
     }
-    let req = Request { top: Rung(0), ..request(900, f.now) };
+    let req = Request { max_rung: Rung(0), ..request(900, f.now) };
     assert!(refused(&f.send(Event::Request(req))), "a viewer who can't use the floor is refused");
 }
 
 #[test]
 fn seats_count_set_ups_and_sessions_handed_over() {
-    let seated = Class { seats: Some(2), ..class(Effect::Repeatable) };
+    let seated = Class { max_sessions_per_title: Some(2), ..class(Idempotency::Idempotent) };
     let mut f = Front::new(Settings { classes: vec![seated], ..settings() });
     f.hand_over(50, 3);
     let (server, _) = set_up(&f.ask(1)).expect("one seat is left");
@@ -373,8 +377,8 @@
 
 #[test]
 fn further_attempts_stay_within_the_budget_in_any_window() {
-    let budget = RetryBudget { free: 3.0, share: 0.1, window: Micros(10 * S) };
-    let mut f = Front::new(Settings { budget: Some(budget), ..settings() });
+    let budget = RetryBudget { min_retries: 3.0, retry_ratio: 0.1, window: Micros(10 * S) };
+    let mut f = Front::new(Settings { retry_budget: Some(budget), ..settings() });
     let (mut taken, mut extra) = (Vec::new(), Vec::new());
     for id in 1..600 {
         f.wait(50 * MS);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -12,8 +12,8 @@
 
 /// A front with 300 servers in 30 racks, all of which hold the title, and thousands of sessions.
 fn large(fronts: u32) -> Front {
-    let set = Settings { cells: SERVERS, racks: 30, fronts, all_links_kb: None, ..settings() };
-    let place = |n: u32| ServerEntry { cell: CellId(n as u16), ..entry(n, ServerState::Ready, 0) };
+    let set = Settings { cells: SERVERS, racks: 30, front_count: fronts, total_link_kb: None, ..settings() };
+    let place = |n: u32| Endpoint { cell: CellId(n as u16), ..entry(n, EndpointState::Ready, 0) };
     let mut front = Front::with_list(set, (0..SERVERS).map(place).collect());
     for id in 0..SESSIONS {
         front.hand_over(1_000_000 + id, id as u32 % SERVERS);
@@ -22,7 +22,7 @@
 }
 
 fn everywhere(id: u64, now: u64) -> Event {
-    Event::Request(Request { holders: SERVERS, ..request(id, now) })
+    Event::Request(Request { cell_count: SERVERS, ..request(id, now) })
 }
 
 /// Steps of work that something takes.
@@ -38,7 +38,7 @@
     for use_heard in [0.3, 2.0] {
         let mut f = large(250);
         for server in 0..SERVERS {
-            f.note(server, Note::LinkUse(use_heard));
+            f.note(server, Feedback::LinkUtilization(use_heard));
         }
         f.tick();
         for id in 0..50 {
@@ -56,14 +56,14 @@
 #[test]
 fn sessions_step_up_at_any_number_of_fronts() {
     for fronts in [2, 250] {
-        let mut f = Front::new(Settings { fronts, ..settings() });
+        let mut f = Front::new(Settings { front_count: fronts, ..settings() });
         f.hand_over(1, 0);
         let mut ups = 0;
         for _ in 0..60 {
             f.wait(500 * MS);
-            f.note(0, Note::LinkUse(0.2));
-            f.note(0, Note::UplinkUse(0.2));
-            ups += f.tick().iter().filter(|a| matches!(a, Action::SetRung(..))).count();
+            f.note(0, Feedback::LinkUtilization(0.2));
+            f.note(0, Feedback::UplinkUtilization(0.2));
+            ups += f.tick().iter().filter(|a| matches!(a, Action::SetRung { .. })).count();
         }
         assert!(ups > 0, "{fronts} fronts");
     }
@@ -73,23 +73,23 @@
 #[test]
 fn many_small_sessions_of_a_server_step_up_within_seconds() {
     let big = Settings {
-        kind_streams: vec![250],
-        link_unit_kb: Some(200_000.0),
-        all_links_kb: Some(800_000.0),
-        uplink_kb: Some(500_000.0),
-        fronts: 1,
+        max_streams_by_type: vec![250],
+        link_kb_per_weight: Some(200_000.0),
+        total_link_kb: Some(800_000.0),
+        mean_uplink_kb: Some(500_000.0),
+        front_count: 1,
         ..settings()
     };
     let mut f = Front::new(big);
     (1..=100).for_each(|id| f.hand_over(id, 0));
     f.wait(10 * S);
-    f.note(0, Note::LinkUse(0.1));
-    f.note(0, Note::UplinkUse(0.1));
+    f.note(0, Feedback::LinkUtilization(0.1));
+    f.note(0, Feedback::UplinkUtilization(0.1));
     let mut most = 0;
     let ups: usize = (0..20)
         .map(|_| {
             f.wait(500 * MS);
-            let ups = f.tick().iter().filter(|a| matches!(a, Action::SetRung(..))).count();
+            let ups = f.tick().iter().filter(|a| matches!(a, Action::SetRung { .. })).count();
             most = most.max(ups);
             ups
         })
@@ -103,11 +103,15 @@
 fn many_fronts_together_relieve_a_full_link_by_about_the_excess() {
     let mut steps = 0;
     for seed in 0..200 {
-        let mut f = Front::seeded(Settings { fronts: 200, ..settings() }, seed);
+        let mut f = Front::seeded(Settings { front_count: 200, ..settings() }, seed);
         f.hand_over(1, 0);
-        f.send(Event::Noted { session: SessionId(1), server: ServerId(0), note: Note::Rung(Rung(3)) });
-        f.note(0, Note::LinkUse(1.5));
-        steps += f.tick().iter().filter(|a| matches!(a, Action::SetRung(..))).count();
+        f.send(Event::FeedbackReceived {
+            session: SessionId(1),
+            server: ServerId(0),
+            feedback: Feedback::Rung(Rung(3)),
+        });
+        f.note(0, Feedback::LinkUtilization(1.5));
+        steps += f.tick().iter().filter(|a| matches!(a, Action::SetRung { .. })).count();
     }
     // Each has 2,000 of 15,000 kB a second and takes its part of 5,500 too many, in steps of 1,000 kB.
     assert!((60..=195).contains(&steps), "{steps} of 200 fronts stepped");
@@ -122,8 +126,8 @@
             f.ended(1_000_000 + id, id as u32 % SERVERS, Outcome::Ok, true);
         }
         for server in 0..60 {
-            f.note(server, Note::LinkUse(heard));
-            f.note(server, Note::UplinkUse(heard));
+            f.note(server, Feedback::LinkUtilization(heard));
+            f.note(server, Feedback::UplinkUtilization(heard));
         }
         f.tick();
         let event = everywhere(1, f.now);
@@ -137,24 +141,25 @@
 #[test]
 fn odd_lists_reports_and_fronts_are_taken_as_they_come() {
     for fronts in [0, 1, 250] {
-        let set = Settings { cells: 40, racks: 30, fronts, ..settings() };
+        let set = Settings { cells: 40, racks: 30, front_count: fronts, ..settings() };
         // Out of order, with gaps, and every third server named twice, the second time as gone.
         let mut list = Vec::new();
         for n in (0..900u32).rev().filter(|n| n % 5 != 0) {
-            list.push(ServerEntry { cell: CellId((n % 40) as u16), ..entry(n, ServerState::Ready, 0) });
+            list.push(Endpoint { cell: CellId((n % 40) as u16), ..entry(n, EndpointState::Ready, 0) });
             if n % 3 == 0 {
-                list.push(ServerEntry { cell: CellId((n % 40) as u16), ..entry(n, ServerState::Gone, 0) });
+                list.push(Endpoint { cell: CellId((n % 40) as u16), ..entry(n, EndpointState::Removed, 0) });
             }
         }
         let mut f = Front::with_list(set, list);
         f.wait(20 * S);
-        f.note(5, Note::LinkUse(0.9));
-        f.note(100_000, Note::UplinkUse(9e9));
+        f.note(5, Feedback::LinkUtilization(0.9));
+        f.note(100_000, Feedback::UplinkUtilization(9e9));
         for (id, holders, home) in [(1, 40, 7), (2, 0, 7), (3, 4_000_000, 3), (4, 3, u32::MAX)] {
             let now = f.now;
-            let actions = f.send(Event::Request(Request { holders, home, ..request(id, now) }));
+            let actions =
+                f.send(Event::Request(Request { cell_count: holders, first_cell: home, ..request(id, now) }));
             let answers =
-                actions.iter().filter(|a| matches!(a, Action::Refuse(..) | Action::Fail(_))).count();
+                actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))).count();
             assert_eq!(set_ups(&actions) + answers, 1, "holders {holders}, fronts {fronts}: {actions:?}");
             assert!(holders > 0 || answers == 1, "no server holds the title");
             if let Some((server, _)) = set_up(&actions) {
--- a/tests/shortage.rs
+++ b/tests/shortage.rs
@@ -10,17 +10,17 @@
 /// Sixty servers on twenty racks of which some play a session of this front's each; no report ever comes.
 fn silent() -> Front {
     let set = Settings {
-        reporting: Reporting::Silent,
+        load_reporting: LoadReporting::Disabled,
         cells: 1,
         racks: 20,
-        all_links_kb: None,
-        fronts: 300,
-        kind_streams: vec![200],
-        uplink_kb: Some(30_000.0),
+        total_link_kb: None,
+        front_count: 300,
+        max_streams_by_type: vec![200],
+        mean_uplink_kb: Some(30_000.0),
         ..settings()
     };
     let list =
-        (0..60).map(|n| ServerEntry { cell: CellId(n as u16), ..entry(n, ServerState::Ready, 0) }).collect();
+        (0..60).map(|n| Endpoint { cell: CellId(n as u16), ..entry(n, EndpointState::Ready, 0) }).collect();
     let mut f = Front::with_list(set, list);
     (0..12).for_each(|n| f.hand_over(1_000 + u64::from(n), n));
     f.tick();
@@ -45,7 +45,7 @@
     let mut f = silent();
     let before = served(&mut f, 1);
     for n in 0..12 {
-        f.note(n, Note::Delivered(0.4));
+        f.note(n, Feedback::DeliveredFraction(0.4));
     }
     f.tick();
     assert_eq!((before, served(&mut f, 100)), (40, 40));
@@ -56,13 +56,13 @@
 fn a_shortage_that_is_over_is_not_held_against_the_server() {
     let mut f = silent();
     for n in 1..60 {
-        f.list(n, ServerState::Gone, 0);
+        f.list(n, EndpointState::Removed, 0);
     }
     assert_eq!(served(&mut f, 1), 40);
-    f.note(0, Note::Delivered(0.4));
+    f.note(0, Feedback::DeliveredFraction(0.4));
     f.tick();
     assert_eq!(served(&mut f, 100), 0, "it falls short");
-    f.note(0, Note::Delivered(1.0));
+    f.note(0, Feedback::DeliveredFraction(1.0));
     f.tick();
     assert_eq!(served(&mut f, 200), 40);
 }
--- a/tests/support/customers.rs
+++ b/tests/support/customers.rs
@@ -48,44 +48,49 @@
     let deadline = Micros(odd.deadline_ms * MS);
     let one = |n: usize| {
         let effect = match n % 5 {
-            0 => Effect::Repeatable,
-            1 => Effect::Once,
-            2 => Effect::Keyed { group: Group::Zone, window },
-            3 => Effect::Keyed { group: Group::All, window },
-            _ => Effect::Keyed { group: Group::Cell, window },
+            0 => Idempotency::Idempotent,
+            1 => Idempotency::AtMostOnce,
+            2 => Idempotency::Deduplicated { scope: DedupScope::Zone, window },
+            3 => Idempotency::Deduplicated { scope: DedupScope::All, window },
+            _ => Idempotency::Deduplicated { scope: DedupScope::Cell, window },
         };
-        let mut class = Class { deadline, aim: Micros(deadline.0 / 5), ..class(effect) };
+        let mut class = Class { deadline, latency_objective: Micros(deadline.0 / 5), ..class(effect) };
         if n % 3 == 1 {
-            (class.floor, class.top, class.seats) = (Rung(1), Rung(2), odd.seats);
+            (class.min_rung, class.max_rung, class.max_sessions_per_title) = (Rung(1), Rung(2), odd.seats);
         }
         if n % 3 == 2 {
-            class.join = 0.2;
+            class.shared_rate_fraction = 0.2;
         }
         class
     };
     let mut s = Settings { classes: (0..odd.classes).map(one).collect(), cells: odd.cells, ..settings() };
-    s.budget = odd.budget.map(|(free, share, ms)| RetryBudget { free, share, window: Micros(ms * MS) });
-    s.limits.max_attempts = odd.attempts;
+    s.retry_budget = odd.budget.map(|(free, share, ms)| RetryBudget {
+        min_retries: free,
+        retry_ratio: share,
+        window: Micros(ms * MS),
+    });
+    s.capabilities.max_attempts = odd.attempts;
     if odd.ask {
-        s.discovery = Discovery::Ask;
+        s.discovery = Discovery::Subscribe;
     }
     match odd.kind % 4 {
         0 => {}
         1 => {
-            s.reporting = Reporting::InProbes;
-            s.limits = Limits { probes: true, cancel: false, retry_after: None, ..s.limits };
+            s.load_reporting = LoadReporting::InHealthChecks;
+            s.capabilities =
+                Capabilities { health_checks: true, cancel: false, max_retry_after: None, ..s.capabilities };
             s.tenants = vec![Tenant { quota_per_s: Some(0.5) }];
-            s.over_share_worth = 0.1;
+            s.over_quota_utility = 0.1;
         }
         2 => {
-            s.reporting = Reporting::Silent;
-            (s.all_links_kb, s.link_unit_kb, s.uplink_kb) = (None, None, None);
+            s.load_reporting = LoadReporting::Disabled;
+            (s.total_link_kb, s.link_kb_per_weight, s.mean_uplink_kb) = (None, None, None);
         }
         _ => {
-            s.ladder = Ladder { rates_kb: vec![], worth: vec![], change_cost_s: 0.0 };
-            s.kind_streams = vec![];
-            (s.racks, s.fronts) = (0, 0);
-            s.cold.warm_after = Micros(0);
+            s.ladder = BitrateLadder { rates_kb: vec![], utility: vec![], switch_cost_s: 0.0 };
+            s.max_streams_by_type = vec![];
+            (s.racks, s.front_count) = (0, 0);
+            s.slow_start.warm_up = Micros(0);
         }
     }
     s
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -9,60 +9,70 @@
 
 pub fn settings() -> Settings {
     Settings {
-        classes: vec![class(Effect::Repeatable)],
+        classes: vec![class(Idempotency::Idempotent)],
         tenants: vec![],
-        kind_streams: vec![20],
-        ladder: Ladder {
+        max_streams_by_type: vec![20],
+        ladder: BitrateLadder {
             rates_kb: vec![200.0, 450.0, 1_000.0, 2_000.0],
-            worth: vec![0.2, 0.5, 0.75, 1.0],
-            change_cost_s: 0.5,
+            utility: vec![0.2, 0.5, 0.75, 1.0],
+            switch_cost_s: 0.5,
         },
         cells: 4,
         racks: 2,
-        all_links_kb: Some(40_000.0),
-        link_unit_kb: Some(10_000.0),
-        uplink_kb: Some(18_000.0),
-        guard: Some(1.2),
-        note_delay: Micros(S),
-        fronts: 2,
-        number: 0,
+        total_link_kb: Some(40_000.0),
+        link_kb_per_weight: Some(10_000.0),
+        mean_uplink_kb: Some(18_000.0),
+        admission_limit: Some(1.2),
+        feedback_delay: Micros(S),
+        front_count: 2,
+        slot: 0,
         zone: ZoneId(0),
-        reporting: Reporting::InAnswers,
-        sizes: Sizes::Silent,
+        load_reporting: LoadReporting::InResponses,
+        weight_meaning: WeightMeaning::Unset,
         discovery: Discovery::Push,
-        limits: Limits { max_attempts: 4, probes: false, cancel: true, retry_after: Some(Micros(500 * MS)) },
-        budget: None,
-        cold: ColdRule { warm_after: Micros(12 * S), from: 0.4, multiple: 2.5, span: Micros(2 * S) },
-        probe_price: 0.01,
-        move_price: 0.1,
-        over_share_worth: 1.0,
+        capabilities: Capabilities {
+            max_attempts: 4,
+            health_checks: false,
+            cancel: true,
+            max_retry_after: Some(Micros(500 * MS)),
+        },
+        retry_budget: None,
+        slow_start: SlowStart {
+            warm_up: Micros(12 * S),
+            initial_fraction: 0.4,
+            overload_factor: 2.5,
+            overload_window: Micros(2 * S),
+        },
+        health_check_price: 0.01,
+        migration_price: 0.1,
+        over_quota_utility: 1.0,
     }
 }
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: Idempotency) -> Class {
     Class {
-        aim: Micros(800 * MS),
+        latency_objective: Micros(800 * MS),
         deadline: Micros(4 * S),
-        effect,
-        worth: 1.0,
-        scale: 1.0,
-        floor: Rung(0),
-        top: Rung(3),
-        seats: None,
-        join: 1.0,
+        idempotency: effect,
+        utility: 1.0,
+        rate_scale: 1.0,
+        min_rung: Rung(0),
+        max_rung: Rung(3),
+        max_sessions_per_title: None,
+        shared_rate_fraction: 1.0,
     }
 }
 
 /// Server `n` stands in cell `n` of four, zone `n` mod 2.
-pub fn entry(n: u32, state: ServerState, started: u64) -> ServerEntry {
-    ServerEntry {
+pub fn entry(n: u32, state: EndpointState, started: u64) -> Endpoint {
+    Endpoint {
         server: ServerId(n),
         state,
         cell: CellId((n % 4) as u16),
         zone: ZoneId((n % 2) as u16),
-        kind: KindId(0),
-        started: Micros(started),
-        size: 1.0,
+        server_type: ServerType(0),
+        started_at: Micros(started),
+        weight: 1.0,
     }
 }
 
@@ -70,9 +80,9 @@
     Request {
         session: SessionId(id),
         title: TitleId(7),
-        holders: 4,
-        top: Rung(3),
-        gives_up: Micros(now + 4 * S),
+        cell_count: 4,
+        max_rung: Rung(3),
+        deadline: Micros(now + 4 * S),
         ..Request::default()
     }
 }
@@ -98,25 +108,25 @@
 
     /// The same with another seed.
     pub fn seeded(settings: Settings, seed: u64) -> Self {
-        let all = (0..4).map(|n| entry(n, ServerState::Ready, 0)).collect();
+        let all = (0..4).map(|n| entry(n, EndpointState::Ready, 0)).collect();
         Front::from_start(Policy::new(settings, seed), all)
     }
 
     /// The same with another cached list.
-    pub fn with_list(settings: Settings, list: Vec<ServerEntry>) -> Self {
+    pub fn with_list(settings: Settings, list: Vec<Endpoint>) -> Self {
         Front::from_start(Policy::new(settings, 1), list)
     }
 
-    fn from_start(policy: Policy, list: Vec<ServerEntry>) -> Self {
+    fn from_start(policy: Policy, list: Vec<Endpoint>) -> Self {
         let mut front = Front { policy, now: 100 * S };
-        front.send(Event::Servers(ListForm::Cached, list));
+        front.send(Event::EndpointsUpdated { kind: UpdateKind::Cached, endpoints: list });
         front
     }
 
     /// Hands over a session that plays already.
     pub fn hand_over(&mut self, id: u64, server: u32) {
-        let req = Request { gives_up: Micros(0), ..request(id, 0) };
-        self.send(Event::HandedOver(req, ServerId(server)));
+        let req = Request { deadline: Micros(0), ..request(id, 0) };
+        self.send(Event::SessionAdopted { request: req, server: ServerId(server) });
     }
 
     pub fn send(&mut self, event: Event) -> Vec<Action> {
@@ -132,27 +142,34 @@
 
     pub fn started(&mut self, id: u64, server: u32) -> Vec<Action> {
         let (session, server) = (SessionId(id), ServerId(server));
-        self.send(Event::Started { session, attempt: Attempt(0), server, took: Micros(80 * MS) })
+        self.send(Event::Started { session, attempt: Attempt(0), server, elapsed: Micros(80 * MS) })
     }
 
     pub fn ended(&mut self, id: u64, server: u32, outcome: Outcome, closed: bool) -> Vec<Action> {
-        self.send(Event::Ended {
+        self.send(Event::AttemptEnded {
             session: SessionId(id),
             attempt: Attempt(0),
             server: ServerId(server),
             outcome,
-            closed,
-            took: Micros(10 * MS),
+            is_final: closed,
+            elapsed: Micros(10 * MS),
             report: LoadReport::default(),
         })
     }
 
-    pub fn list(&mut self, n: u32, state: ServerState, started: u64) -> Vec<Action> {
-        self.send(Event::Servers(ListForm::Delta, vec![entry(n, state, started)]))
+    pub fn list(&mut self, n: u32, state: EndpointState, started: u64) -> Vec<Action> {
+        self.send(Event::EndpointsUpdated {
+            kind: UpdateKind::Delta,
+            endpoints: vec![entry(n, state, started)],
+        })
     }
 
-    pub fn note(&mut self, server: u32, note: Note) {
-        self.send(Event::Noted { session: SessionId(0), server: ServerId(server), note });
+    pub fn note(&mut self, server: u32, note: Feedback) {
+        self.send(Event::FeedbackReceived {
+            session: SessionId(0),
+            server: ServerId(server),
+            feedback: note,
+        });
     }
 
     pub fn wait(&mut self, us: u64) {
@@ -167,17 +184,17 @@
 /// Where a set-up goes, and until when.
 pub fn set_up(actions: &[Action]) -> Option<(u32, u64)> {
     actions.iter().find_map(|a| match a {
-        Action::SetUp(_, server, until) => Some((server.0, until.0)),
+        Action::StartAttempt { server, deadline: until, .. } => Some((server.0, until.0)),
         _ => None,
     })
 }
 
 pub fn set_ups(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::SetUp(..))).count()
+    actions.iter().filter(|a| matches!(a, Action::StartAttempt { .. })).count()
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse(..)))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
@@ -186,7 +203,7 @@
 
 pub fn rung(actions: &[Action]) -> Option<u8> {
     actions.iter().rev().find_map(|a| match a {
-        Action::SetRung(_, r) => Some(r.0),
+        Action::SetRung { rung: r, .. } => Some(r.0),
         _ => None,
     })
 }
