--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -11,9 +11,9 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-use beechloft_config::reader;
+use beechloft_config_reader as config_reader;
 use beechloft_coordinator::FleetSettings;
-use beechloft_leases::{Name, Terms};
+use beechloft_leases::{LeaseSpec, Name};
 
 use self::hold::hold;
 use self::show::{list, members, status, watch};
@@ -25,7 +25,7 @@
 pub fn settings(file: &Path) -> Result<FleetSettings, ExitCode> {
     let text = std::fs::read_to_string(file).map_err(|e| fail(2, format_args!("{}: {e}", file.display())))?;
     // A front's file, with all that is in it, or one of the fleet's section alone.
-    let read = reader::read(&text, |top| match top.has("service") {
+    let read = config_reader::read(&text, |top| match top.has("service") {
         true => serve::read_sections(top).1,
         false => Some(FleetSettings::of(&top.section("fleet"), None)),
     });
@@ -68,7 +68,7 @@
                 Ok(name) => name,
                 Err(e) => return fail(2, e),
             };
-            let terms = Terms { name, places: *holders, ttl_ms: *ttl_ms };
+            let terms = LeaseSpec { name, slots: *holders, ttl_ms: *ttl_ms };
             if let Err(e) = terms.check(set.drift) {
                 return fail(2, e);
             }
--- /dev/null
+++ b/crates/testing/fleet-simulation/tests/machine_hash/canonical.rs
@@ -0,0 +1,260 @@
+//! A byte form of inputs and outputs that depends on no name of a type, so that renames leave the hash alone.
+
+use beechloft_front_node::{AttemptFailure, Input, Output};
+use beechloft_protocol::bus::{Status, Topology};
+use beechloft_protocol::server::{FromServer, Note, ServerMessage};
+use beechloft_protocol::viewer::{FromViewer, SetUp, SetUpError};
+
+/// Number of input kinds; their tags are `0..INPUT_KINDS`.
+pub const INPUT_KINDS: usize = 11;
+/// Number of output kinds; their tags are `0..OUTPUT_KINDS`.
+pub const OUTPUT_KINDS: usize = 11;
+
+/// Collects the bytes of one value.
+#[derive(Default)]
+pub struct Encoder {
+    pub bytes: Vec<u8>,
+}
+
+impl Encoder {
+    pub fn tag(&mut self, tag: u8) {
+        self.bytes.push(tag);
+    }
+
+    pub fn number(&mut self, number: u64) {
+        self.bytes.extend_from_slice(&number.to_le_bytes());
+    }
+
+    fn float(&mut self, value: f64) {
+        self.number(value.to_bits());
+    }
+
+    fn block(&mut self, bytes: &[u8]) {
+        self.number(bytes.len() as u64);
+        self.bytes.extend_from_slice(bytes);
+    }
+
+    fn text(&mut self, text: &str) {
+        self.block(text.as_bytes());
+    }
+
+    fn optional_text(&mut self, text: Option<&str>) {
+        self.tag(u8::from(text.is_some()));
+        self.text(text.unwrap_or_default());
+    }
+
+    /// An input: its tag, then its fields. Returns the tag.
+    pub fn input(&mut self, input: &Input) -> u8 {
+        let tag = input_tag(input);
+        self.tag(tag);
+        match input {
+            Input::InitialTopologies(topologies) => topologies.iter().for_each(|t| self.topology(t)),
+            Input::Topology(topology) => self.topology(topology),
+            Input::ViewerMessage(conn, message) => {
+                self.number(conn.0);
+                self.viewer_message(message);
+            }
+            Input::ViewerConnectionClosed(conn) => self.number(conn.0),
+            Input::AnswerUndelivered(id) => self.number(id.0),
+            Input::ServerMessage(server, line) => {
+                self.number(server.0.into());
+                self.line(line);
+            }
+            Input::AttemptFailed(server, id, failure) => {
+                self.number(server.0.into());
+                self.number(id.0);
+                self.tag(match failure {
+                    AttemptFailure::NoConnection => 0,
+                    AttemptFailure::NotSent => 1,
+                    AttemptFailure::ConnectionReset => 2,
+                });
+            }
+            Input::ServerDown(server) => self.number(server.0.into()),
+            Input::SlotAssigned(place) => {
+                self.number(place.slot.into());
+                self.number(place.slot_count.into());
+                self.number(place.live_fronts.into());
+            }
+            Input::Terminate | Input::Tick => {}
+        }
+        tag
+    }
+
+    /// An output: its tag, then its fields; for messages to viewers the bytes on the wire. Returns the tag.
+    pub fn output(&mut self, output: &Output) -> u8 {
+        let tag = output_tag(output);
+        self.tag(tag);
+        match output {
+            Output::SendToViewer(conn, message) => {
+                self.number(conn.0);
+                self.block(&message.encode().unwrap_or_default());
+            }
+            Output::CloseViewerConnection(conn) => self.number(conn.0),
+            Output::AddIncarnation(server, address) => {
+                self.number(server.0.into());
+                self.text(&address.to_string());
+            }
+            Output::RemoveIncarnation(server) | Output::CheckReachability(server) => {
+                self.number(server.0.into())
+            }
+            Output::KeepConnected(server, hold) => {
+                self.number(server.0.into());
+                self.tag(u8::from(*hold));
+            }
+            Output::SendSetUp { incarnation: lane, id, connection: conn, line, send_by } => {
+                self.number(lane.0.into());
+                self.number(id.0);
+                self.number(conn.0);
+                self.block(line);
+                self.number(send_by.0);
+            }
+            Output::DiscardUnsent(server, id) => {
+                self.number(server.0.into());
+                self.number(id.0);
+            }
+            Output::AbandonAttempt { incarnation: lane, id, line, timed_out: silent } => {
+                self.number(lane.0.into());
+                self.number(id.0);
+                self.block(line);
+                self.tag(u8::from(*silent));
+            }
+            Output::SendToServer(server, id, line) => {
+                self.number(server.0.into());
+                self.number(id.0);
+                self.block(line);
+            }
+            // The text of a log line is free to change.
+            Output::Log(_) => {}
+        }
+        tag
+    }
+
+    fn topology(&mut self, topology: &Topology) {
+        self.tag(u8::from(topology.snapshot));
+        self.number(topology.endpoints.len() as u64);
+        for endpoint in &topology.endpoints {
+            self.text(&endpoint.name);
+            self.text(&endpoint.address);
+            self.text(&endpoint.zone);
+            self.text(&endpoint.kind);
+            self.number(endpoint.group.into());
+            self.tag(match endpoint.status {
+                Status::Ready => 0,
+                Status::Terminating => 1,
+                Status::Gone => 2,
+            });
+            self.float(endpoint.weight);
+            self.number(endpoint.since_ms);
+        }
+    }
+
+    fn viewer_message(&mut self, message: &FromViewer) {
+        match message {
+            FromViewer::SetUp(id, Ok(setup)) => {
+                self.tag(0);
+                self.number(id.0);
+                self.set_up(setup);
+            }
+            FromViewer::SetUp(id, Err(error)) => {
+                self.tag(1);
+                self.number(id.0);
+                self.tag(u8::from(matches!(error, SetUpError::Missing(_))));
+            }
+            FromViewer::Release(id) => {
+                self.tag(2);
+                self.number(id.0);
+            }
+            FromViewer::Ignored(id) => {
+                self.tag(3);
+                self.number(id.0);
+            }
+            FromViewer::Test(id) => {
+                self.tag(4);
+                self.number(id.0);
+            }
+        }
+    }
+
+    fn set_up(&mut self, setup: &SetUp) {
+        self.text(&setup.class);
+        self.number(setup.left_ms);
+        self.text(&setup.title);
+        self.number(setup.title_id);
+        self.number(setup.figures.home.into());
+        self.number(setup.figures.copies.into());
+        self.number(setup.figures.top.into());
+        self.number(setup.figures.viewer);
+        self.tag(u8::from(setup.figures.again));
+        self.optional_text(setup.figures.at.as_deref());
+        self.text(&setup.description);
+    }
+
+    fn line(&mut self, line: &ServerMessage) {
+        match &line.message {
+            FromServer::Accept(id, description) => {
+                self.tag(0);
+                self.number(id.0);
+                self.text(description);
+            }
+            FromServer::End(id, cause) => {
+                self.tag(1);
+                self.number(id.0);
+                self.tag(cause.code());
+            }
+            FromServer::Note(id, note) => {
+                self.tag(2);
+                self.number(id.0);
+                let (kind, value) = match note {
+                    Note::KeptUp(value) => (0, value),
+                    Note::Tier(value) => (1, value),
+                    Note::Wire(value) => (2, value),
+                    Note::Trunk(value) => (3, value),
+                };
+                self.tag(kind);
+                self.float(*value);
+            }
+            FromServer::TestResult(id, passed) => {
+                self.tag(3);
+                self.number(id.0);
+                self.tag(u8::from(*passed));
+            }
+            FromServer::Ignored(id) => {
+                self.tag(4);
+                self.number(id.0);
+            }
+        }
+        self.optional_text(line.load.as_deref());
+    }
+}
+
+fn input_tag(input: &Input) -> u8 {
+    match input {
+        Input::InitialTopologies(_) => 0,
+        Input::Topology(_) => 1,
+        Input::ViewerMessage(..) => 2,
+        Input::ViewerConnectionClosed(_) => 3,
+        Input::AnswerUndelivered(_) => 4,
+        Input::ServerMessage(..) => 5,
+        Input::AttemptFailed(..) => 6,
+        Input::ServerDown(_) => 7,
+        Input::SlotAssigned(_) => 8,
+        Input::Terminate => 9,
+        Input::Tick => 10,
+    }
+}
+
+fn output_tag(output: &Output) -> u8 {
+    match output {
+        Output::SendToViewer(..) => 0,
+        Output::CloseViewerConnection(_) => 1,
+        Output::AddIncarnation(..) => 2,
+        Output::RemoveIncarnation(_) => 3,
+        Output::KeepConnected(..) => 4,
+        Output::CheckReachability(_) => 5,
+        Output::SendSetUp { .. } => 6,
+        Output::DiscardUnsent(..) => 7,
+        Output::AbandonAttempt { .. } => 8,
+        Output::SendToServer(..) => 9,
+        Output::Log(_) => 10,
+    }
+}
