--- a/crates/cli/src/among.rs
+++ b/crates/cli/src/among.rs
@@ -8,10 +8,10 @@
 
 use beechloft_coordinator::{Agent, FleetSettings, Keeping, Limiter, Peers, Verdicting};
 use beechloft_leases::SlotShare;
-use beechloft_membership::Kind;
+use beechloft_membership::MemberKind;
 use beechloft_quotas::Gate;
-use beechloft_server::observe::Observer;
-use beechloft_server::{Boxes, Hooks};
+use beechloft_server::evidence::Observer;
+use beechloft_server::{FleetHooks, MediaServers};
 use beechloft_session::api::SlotAssignment;
 
 use crate::witness::Witness;
@@ -45,7 +45,7 @@
     pub fn start(set: &FleetSettings, span: Duration) -> io::Result<Among> {
         let (peers, keeping) = if set.keeps() {
             let end = Arc::new(AtomicBool::new(false));
-            let keeping = Keeping::start_as(Kind::Front, set.clone(), Arc::clone(&end));
+            let keeping = Keeping::start_as(MemberKind::Front, set.clone(), Arc::clone(&end));
             let keeping = keeping.map_err(|e| io::Error::other(e.to_string()))?;
             let peers = keeping.members();
             let thread = thread::Builder::new().name("keeper".into()).spawn(move || keep(keeping))?;
@@ -73,7 +73,7 @@
             Some(listen) => io::Error::new(e.kind(), format!("fleet.listen {listen}: {e}")),
             None => e,
         };
-        let peers = Peers::start(set, Kind::Front).map_err(said)?;
+        let peers = Peers::start(set, MemberKind::Front).map_err(said)?;
         peers.answer().map_err(said)?;
         Ok(Some(Arc::new(peers)))
     }
@@ -93,10 +93,10 @@
     }
 
     /// What a front is told by its fleet, and tells it.
-    pub fn hooks(&self) -> Hooks {
+    pub fn hooks(&self) -> FleetHooks {
         let observer =
             self.verdicts.as_ref().map(|v| -> Box<dyn Observer> { Box::new(Witness::new(Arc::clone(v))) });
-        Hooks { numbers: Some(self.numbers()), observer, gate: self.gate() }
+        FleetHooks { slots: Some(self.numbers()), observer, gate: self.gate() }
     }
 
     /// It is told to end: it asks for its turn, if fronts restart in turn; how long it is to wait at most.
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     /// There is no thread.
-    pub fn survey(&self, boxes: Boxes) -> io::Result<()> {
+    pub fn survey(&self, boxes: MediaServers) -> io::Result<()> {
         self.limiter.as_ref().map_or(Ok(()), |l| l.survey(Box::new(move || boxes.tags())))
     }
 
@@ -140,14 +140,14 @@
     }
 
     /// The same, as a front node asks for it.
-    pub fn for_shell(&self) -> beechloft_event_loop::Fleet {
+    pub fn for_event_loop(&self) -> beechloft_event_loop::FleetHooks {
         let (wants, may) = (Arc::clone(&self.agent), Arc::clone(&self.agent));
         let waits = self.agent.restart().map(|r| r.wait);
-        beechloft_event_loop::Fleet {
+        beechloft_event_loop::FleetHooks {
             numbered: self.numbers(),
-            may_end: Box::new(move || may.may_end()),
-            wants_end: Box::new(move || wants.want_turn()),
-            waits,
+            may_stop: Box::new(move || may.may_end()),
+            request_stop: Box::new(move || wants.want_turn()),
+            max_stop_wait: waits,
         }
     }
 }
