--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -4,7 +4,8 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use beechloft_config::{FrontSettings, Section, reader};
+use beechloft_config::FrontSettings;
+use beechloft_config_reader::{self as config_reader, ConfigError, Section};
 use beechloft_coordinator::{FleetSettings, Known};
 use beechloft_quotas::bounds;
 use beechloft_server::Front;
@@ -31,7 +32,7 @@
             limits.tagged = front.sip.is_none();
         }
         if fleet.number.is_some() && front.numbered {
-            section.fault("number", "it comes by lease; front.number and front.of say something else");
+            section.report("number", "it comes by lease; front.number and front.of say something else");
         }
         fleet
     });
@@ -44,7 +45,7 @@
         Ok(text) => text,
         Err(e) => return fail(2, format_args!("{}: {e}", file.display())),
     };
-    let (settings, fleet) = match reader::read(&text, read_sections) {
+    let (settings, fleet) = match config_reader::read(&text, read_sections) {
         Ok(settings) => settings,
         Err(faults) => return faulty(file, &faults.0),
     };
@@ -55,20 +56,20 @@
         Err(e) => return fail(1, format_args!("no signals: {e}")),
     };
     let listen = settings.listen;
-    let span = Duration::from_micros(settings.settings.cold.span.0);
+    let span = Duration::from_micros(settings.settings.slow_start.overload_window.0);
     let mut among = match fleet.map(|set| Among::start(&set, span)).transpose() {
         Ok(among) => among,
         Err(e) => return fail(1, e),
     };
     let started = match &among {
-        Some(among) => Front::start_among(settings, among.hooks()),
+        Some(among) => Front::start_in_fleet(settings, among.hooks()),
         None => Front::start(settings, None),
     };
     let front = match started {
         Ok(front) => front,
         Err(e) => return fail(1, format_args!("{listen}: {e}")),
     };
-    if let Some(Err(e)) = among.as_ref().map(|a| a.survey(front.boxes())) {
+    if let Some(Err(e)) = among.as_ref().map(|a| a.survey(front.media_servers())) {
         return fail(1, e);
     }
     signals.forever().next();
@@ -106,7 +107,7 @@
     let read = if day {
         beechloft_scenario::parse(&text, 1).map(|_| None)
     } else {
-        reader::read(&text, read_sections).map(|(_, fleet)| fleet)
+        config_reader::read(&text, read_sections).map(|(_, fleet)| fleet)
     };
     match read {
         Err(faults) => faulty(file, &faults.0),
@@ -128,7 +129,7 @@
     }
 }
 
-fn faulty(file: &Path, faults: &[beechloft_config::Fault]) -> ExitCode {
+fn faulty(file: &Path, faults: &[ConfigError]) -> ExitCode {
     for fault in faults {
         eprintln!("{}:{fault}", file.display());
     }
--- a/crates/front/session/src/catalog/entries.rs
+++ b/crates/front/session/src/catalog/entries.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use beechloft::api::{CellId, ClassId, KindId, Micros, ServerEntry, ServerId, ServerState, TenantId, ZoneId};
+use beechloft::api::{
+    CellId, ClassId, Endpoint, EndpointState, Micros, ServerId, ServerType, TenantId, ZoneId,
+};
 
 /// What a client speaks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -29,13 +31,13 @@
     /// Where it takes SIP calls, if it does.
     pub sip: Option<Arc<str>>,
     /// Its state.
-    pub state: ServerState,
+    pub state: EndpointState,
     /// The rack it stands in.
     pub rack: u16,
     /// Its zone.
     pub zone: ZoneId,
     /// Its kind.
-    pub kind: KindId,
+    pub kind: ServerType,
     /// Latest start of its process; zero: long ago or unknown.
     pub started: Micros,
     /// Its size, as [`Sizes`](beechloft::api::Sizes) says.
@@ -52,15 +54,15 @@
     }
 
     /// The entry as the policy takes it. A rack is a cell there.
-    pub(super) fn for_policy(&self) -> ServerEntry {
-        ServerEntry {
+    pub(super) fn for_policy(&self) -> Endpoint {
+        Endpoint {
             server: self.id,
             state: self.state,
             cell: CellId(self.rack),
             zone: self.zone,
-            kind: self.kind,
-            started: self.started,
-            size: self.size,
+            server_type: self.kind,
+            started_at: self.started,
+            weight: self.size,
         }
     }
 }
--- a/crates/front/session/src/controller/closing.rs
+++ b/crates/front/session/src/controller/closing.rs
@@ -76,13 +76,13 @@
                 self.playing.remove(&playing.server);
             }
         }
-        self.events.push_back(Event::Ended {
+        self.events.push_back(Event::AttemptEnded {
             session: id,
             attempt: api::Attempt(playing.attempt_number),
             server: playing.server,
             outcome,
-            closed: true,
-            took: self.now - playing.started_at,
+            is_final: true,
+            elapsed: self.now - playing.started_at,
             report: LoadReport::default(),
         });
         out.push(Output::SessionEnded(id, reason));
--- a/crates/front/session/src/controller/mod.rs
+++ b/crates/front/session/src/controller/mod.rs
@@ -112,11 +112,11 @@
             }
             Input::MediaServer(server, event) => self.media_server_event(server, event, out),
             Input::Probed { server, outcome, load } => {
-                self.events.push_back(Event::Probed { server, outcome, report: load });
+                self.events.push_back(Event::HealthChecked { server, outcome, report: load });
             }
             Input::Released { id, gone } => self.releases.result(self.now, id, gone),
             Input::HolderFilter(change) => self.holder_filters.change(change),
-            Input::Numbered(numbered) => self.events.push_back(Event::Numbered(numbered)),
+            Input::Numbered(numbered) => self.events.push_back(Event::SlotAssigned(numbered)),
             Input::Tick => {}
             Input::Shutdown => self.shutting_down = true,
         }
--- a/crates/front/session/tests/controller.rs
+++ b/crates/front/session/tests/controller.rs
@@ -119,14 +119,14 @@
 fn nothing_goes_to_a_media_server_once_it_is_known_to_drain() {
     let mut front = Front::new(1);
     front.input(Input::Endpoints(change(vec![
-        media_server(1, ServerState::Draining),
-        media_server(3, ServerState::Gone),
+        media_server(1, EndpointState::Draining),
+        media_server(3, EndpointState::Removed),
     ])));
     assert!(matches!(replies(&front.request(1, "title-1"))[..], [Answer::Rejected(_)]));
     // Named twice, the least ready state holds.
     front.input(Input::Endpoints(change(vec![
-        media_server(3, ServerState::Ready),
-        media_server(3, ServerState::Draining),
+        media_server(3, EndpointState::Ready),
+        media_server(3, EndpointState::Draining),
     ])));
     assert!(matches!(replies(&front.request(2, "title-1"))[..], [Answer::Rejected(_)]));
 }
@@ -176,7 +176,7 @@
 fn a_removed_media_server_is_watched_until_its_last_session_is_over() {
     let mut front = Front::new(1);
     let server = front.play(1, "title-0");
-    let gone = change(vec![media_server(server.0, ServerState::Gone)]);
+    let gone = change(vec![media_server(server.0, EndpointState::Removed)]);
     assert!(!front.input(Input::Endpoints(gone)).contains(&Output::Unwatch(server)));
     let out =
         front.input(Input::MediaServer(server, MediaServerEvent::SessionEnded { resource: "/r/1-0".into() }));
--- a/crates/front/session/tests/holder_filter.rs
+++ b/crates/front/session/tests/holder_filter.rs
@@ -71,7 +71,7 @@
     front.input(exclude(vec![exclusion(1, 0), exclusion(3, 0)], 1_000));
     assert_eq!(media_servers_used(&mut front, 0, "title-1"), BTreeSet::from([3]));
     let mut front = Front::new(1);
-    front.input(Input::Endpoints(change(vec![media_server(3, ServerState::Draining)])));
+    front.input(Input::Endpoints(change(vec![media_server(3, EndpointState::Draining)])));
     front.input(exclude(vec![exclusion(1, 0)], 1_000));
     assert_eq!(
         media_servers_used(&mut front, 0, "title-1"),
@@ -79,7 +79,7 @@
         "the other one is not ready"
     );
     front.input(exclude(Vec::new(), 500));
-    front.input(Input::Endpoints(change(vec![media_server(3, ServerState::Ready)])));
+    front.input(Input::Endpoints(change(vec![media_server(3, EndpointState::Ready)])));
     assert_eq!(media_servers_used(&mut front, 100, "title-1"), BTreeSet::from([1, 3]));
 }
 
--- a/crates/front/sip/src/agent/boxes.rs
+++ b/crates/front/sip/src/agent/boxes.rs
@@ -50,7 +50,7 @@
             }
         });
         let Some(((request, address), offer)) = built.zip(offer) else {
-            let verdict = AttemptResult::Ended(Outcome::Moot);
+            let verdict = AttemptResult::Ended(Outcome::NotSent);
             let load = LoadReport::default();
             return self.tell(core_io::Input::AttemptEnded {
                 attempt,
@@ -266,7 +266,7 @@
 /// What a box's final status means: full, the caller's own fault, or an error.
 fn refusal(status: u16) -> AttemptResult {
     match status {
-        486 | 503 | 600 => AttemptResult::Ended(Outcome::Full),
+        486 | 503 | 600 => AttemptResult::Ended(Outcome::Overloaded),
         400 | 401 | 403 | 407 | 415 | 488 => AttemptResult::Declined(status),
         408 => AttemptResult::Ended(Outcome::Timeout),
         _ => AttemptResult::Ended(Outcome::Error),
--- a/crates/front/whep/src/news.rs
+++ b/crates/front/whep/src/news.rs
@@ -4,7 +4,7 @@
 //! hold a thousand streams, so the box offers one for all sessions of a front, with the event names below.
 
 use beechloft_http::sse::Event;
-use beechloft_session::api::{Micros, Note};
+use beechloft_session::api::{Feedback, Micros};
 use beechloft_session::io::MediaServerEvent;
 use serde::{Deserialize, Serialize};
 
@@ -35,9 +35,9 @@
     let share = data.share.filter(|s| s.is_finite() && *s >= 0.0);
     match event.name.as_str() {
         "hello" => Some(MediaServerEvent::Connected { boot: data.boot? }),
-        "delivered" => Some(MediaServerEvent::Note(Note::Delivered(share?))),
-        "link" => Some(MediaServerEvent::Note(Note::LinkUse(share?))),
-        "uplink" => Some(MediaServerEvent::Note(Note::UplinkUse(share?))),
+        "delivered" => Some(MediaServerEvent::Note(Feedback::DeliveredFraction(share?))),
+        "link" => Some(MediaServerEvent::Note(Feedback::LinkUtilization(share?))),
+        "uplink" => Some(MediaServerEvent::Note(Feedback::UplinkUtilization(share?))),
         "over" => Some(MediaServerEvent::SessionEnded { resource: data.resource? }),
         _ => None,
     }
@@ -47,15 +47,19 @@
 pub fn write(news: &MediaServerEvent) -> Option<Event> {
     let (name, data) = match news {
         MediaServerEvent::Connected { boot } => ("hello", Data { boot: Some(*boot), ..Data::default() }),
-        MediaServerEvent::Note(Note::Delivered(x)) => {
+        MediaServerEvent::Note(Feedback::DeliveredFraction(x)) => {
             ("delivered", Data { share: Some(*x), ..Data::default() })
         }
-        MediaServerEvent::Note(Note::LinkUse(x)) => ("link", Data { share: Some(*x), ..Data::default() }),
-        MediaServerEvent::Note(Note::UplinkUse(x)) => ("uplink", Data { share: Some(*x), ..Data::default() }),
+        MediaServerEvent::Note(Feedback::LinkUtilization(x)) => {
+            ("link", Data { share: Some(*x), ..Data::default() })
+        }
+        MediaServerEvent::Note(Feedback::UplinkUtilization(x)) => {
+            ("uplink", Data { share: Some(*x), ..Data::default() })
+        }
         MediaServerEvent::SessionEnded { resource } => {
             ("over", Data { resource: Some(resource.clone()), ..Data::default() })
         }
-        MediaServerEvent::Note(Note::Rung(_))
+        MediaServerEvent::Note(Feedback::Rung(_))
         | MediaServerEvent::Disconnected
         | MediaServerEvent::ConnectionRefused => return None,
     };
@@ -70,8 +74,8 @@
     fn news_is_read_as_written_and_the_rest_is_passed_over() {
         for news in [
             MediaServerEvent::Connected { boot: 7 },
-            MediaServerEvent::Note(Note::Delivered(0.9)),
-            MediaServerEvent::Note(Note::UplinkUse(1.2)),
+            MediaServerEvent::Note(Feedback::DeliveredFraction(0.9)),
+            MediaServerEvent::Note(Feedback::UplinkUtilization(1.2)),
             MediaServerEvent::SessionEnded { resource: "/r/1".into() },
         ] {
             assert_eq!(write(&news).as_ref().and_then(read), Some(news));
--- a/crates/platform/event-loop/tests/crossings/stage.rs
+++ b/crates/platform/event-loop/tests/crossings/stage.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 use beechloft::api::Micros;
-use beechloft_event_loop::{Control, Goes, Shell};
+use beechloft_event_loop::{EventLoop, LoopStatus, SignalHandle};
 use beechloft_protocol::CallId;
-use beechloft_protocol::binary::{Decoder, Frame};
-use beechloft_protocol::config::Stated;
+use beechloft_protocol::binary::{Frame, FrameDecoder};
+use beechloft_protocol::config::Environment;
 use serde_json::{Value, json};
 
 /// Long enough for anything that the kernel is to do.
@@ -104,9 +104,9 @@
 }
 
 pub struct Stage {
-    pub shell: Shell,
+    pub shell: EventLoop,
     pub addr: SocketAddr,
-    pub control: Control,
+    pub control: SignalHandle,
     pub now: Micros,
     pub media: Vec<Media>,
     pub ended: bool,
@@ -144,8 +144,9 @@
             "settings": terms.settings()
         });
         std::fs::write(&path, config.to_string()).expect("written");
-        let shell = Shell::start(&path, &Stated::default()).expect("it starts");
-        let (addr, control) = (shell.address().expect("an address"), shell.control().expect("a control"));
+        let shell = EventLoop::start(&path, &Environment::default()).expect("it starts");
+        let (addr, control) =
+            (shell.local_addr().expect("an address"), shell.signal_handle().expect("a control"));
         let mut stage = Stage {
             shell,
             addr,
@@ -187,7 +188,7 @@
     pub fn turn(&mut self) {
         if !self.ended {
             self.shell.set_time(self.now);
-            self.ended = self.shell.turn(Some(Duration::ZERO)).expect("no error") == Goes::Ended;
+            self.ended = self.shell.run_turn(Some(Duration::ZERO)).expect("no error") == LoopStatus::Stopped;
         }
     }
 
@@ -429,7 +430,7 @@
 /// A viewer's client.
 pub struct Client {
     pub stream: TcpStream,
-    decoder: Decoder,
+    decoder: FrameDecoder,
     own: SocketAddr,
     front: SocketAddr,
 }
@@ -460,7 +461,7 @@
         let stream = TcpStream::connect(front).expect("a connection");
         stream.set_nonblocking(true).expect("set");
         let own = stream.local_addr().expect("an address");
-        Client { stream, decoder: Decoder::default(), own, front }
+        Client { stream, decoder: FrameDecoder::default(), own, front }
     }
 
     pub fn held(&self) -> Held {
--- a/crates/testing/scenario/src/script/mod.rs
+++ b/crates/testing/scenario/src/script/mod.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use beechloft_checker::Rules;
-use beechloft_config::reader::{self, Faults, Section};
 use beechloft_config::{Service, service};
+use beechloft_config_reader::{self as config_reader, ConfigErrors, Section};
 use beechloft_fakes::boxes::Warming;
 use beechloft_fakes::dice::Dice;
 use beechloft_fakes::fleet::FleetSpec;
@@ -54,8 +54,8 @@
 }
 
 /// Reads a script; what a seed draws in it (which boxes hold which title) follows from the seed.
-pub fn parse(text: &str, seed: u64) -> Result<Day, Faults> {
-    reader::read(text, |top| day(top, seed))
+pub fn parse(text: &str, seed: u64) -> Result<Day, ConfigErrors> {
+    config_reader::read(text, |top| day(top, seed))
 }
 
 fn seconds(s: &Section<'_>, key: &'static str, default: f64) -> Duration {
@@ -69,22 +69,22 @@
     let fleet_section = top.section("fleet");
     let boxes = boxes(&fleet_section, &service);
     let titles = titles(&top.sections("titles"), &service, boxes.len() as u32, &mut dice);
-    let cold = service.settings.cold;
-    let warming = (cold.multiple > 0.0).then(|| Warming {
-        after: Duration::from_micros(cold.warm_after.0),
-        from: cold.from,
-        multiple: cold.multiple,
-        span: Duration::from_micros(cold.span.0),
+    let cold = service.settings.slow_start;
+    let warming = (cold.overload_factor > 0.0).then(|| Warming {
+        after: Duration::from_micros(cold.warm_up.0),
+        from: cold.initial_fraction,
+        multiple: cold.overload_factor,
+        span: Duration::from_micros(cold.overload_window.0),
     });
     let uplinks_kb = fleet_section.numbers("uplinks_kb", 1.0..=1e12);
     let racks = service.settings.racks as usize;
     if uplinks_kb.len() != racks {
-        fleet_section.fault("uplinks_kb", format!("one uplink for each of the {racks} racks is expected"));
+        fleet_section.report("uplinks_kb", format!("one uplink for each of the {racks} racks is expected"));
     }
     let fleet = FleetSpec {
         uplinks_kb,
         set_up: fleet_section.millis("set_up_ms", 0..=60_000).unwrap_or(Duration::from_millis(10)),
-        guard: service.settings.guard.unwrap_or(0.0),
+        guard: service.settings.admission_limit.unwrap_or(0.0),
         warming,
         seed,
         boxes,
@@ -95,11 +95,11 @@
         .iter()
         .map(|f| {
             f.index("zone", &service.zones, "zone");
-            FrontSpec { zone: f.needed_text("zone") }
+            FrontSpec { zone: f.required_text("zone") }
         })
         .collect();
     if fronts.is_empty() || fronts.len() > 64 {
-        top.fault("fronts", "1 to 64 fronts are needed");
+        top.report("fronts", "1 to 64 fronts are needed");
     }
     let keepers = top.has("keepers").then(|| KeepersSpec::of(&top.section("keepers")));
     let load = load(&top.section("load"));
