--- a/crates/front/server/src/admission.rs
+++ b/crates/front/server/src/admission.rs
@@ -130,7 +130,7 @@
         let never_ran = Input::AttemptEnded {
             attempt,
             server,
-            result: AttemptResult::Ended(Outcome::Moot),
+            result: AttemptResult::Ended(Outcome::NotSent),
             sent_at: now,
             load: LoadReport::default(),
         };
--- a/crates/front/server/src/attempt.rs
+++ b/crates/front/server/src/attempt.rs
@@ -45,7 +45,7 @@
     on_disconnect: impl FnOnce(),
 ) -> AttemptEnd {
     let deadline = shared.clock.instant(set_up.deadline);
-    let Some(address) = set_up.address else { return ended(Outcome::Moot) };
+    let Some(address) = set_up.address else { return ended(Outcome::NotSent) };
     let mut exchange = match send(shared, address, request, deadline) {
         Ok(exchange) => exchange,
         Err(error) => return ended(outcome_of(shared, set_up, &error)),
--- a/crates/front/server/src/engine/event_loop.rs
+++ b/crates/front/server/src/engine/event_loop.rs
@@ -5,7 +5,7 @@
 
 use beechloft_quotas::Key;
 use beechloft_session::SessionController;
-use beechloft_session::api::{Numbered, ServerId, SessionId};
+use beechloft_session::api::{ServerId, SessionId, SlotAssignment};
 use beechloft_session::io::{Answer, Input, Output, RequestId, SessionRequest};
 use beechloft_sip::agent;
 use beechloft_whep::events::PlayerEvent;
@@ -35,7 +35,7 @@
     pub(super) recording: Option<Recording>,
     pub(super) sip: Option<Sender<agent::Input>>,
     pub(super) slots: Option<SlotSource>,
-    pub(super) slot: Option<Numbered>,
+    pub(super) slot: Option<SlotAssignment>,
     pub(super) evidence: Option<EvidenceCollector>,
     pub(super) admission: Option<Admission>,
     /// What became of attempts that were not admitted, for the controller.
@@ -153,7 +153,7 @@
     fn update_slot(&mut self) {
         let now = self.slots.as_ref().and_then(|slots| slots());
         if let Some(slot) = now.filter(|slot| Some(*slot) != self.slot) {
-            info!(target: "core", number = slot.number, of = slot.of, fronts = slot.fronts, "numbered");
+            info!(target: "core", number = slot.slot, of = slot.slot_count, fronts = slot.live_fronts, "numbered");
             self.slot = Some(slot);
             self.handle(Input::Numbered(slot));
         }
--- a/crates/front/session/src/controller/media_servers.rs
+++ b/crates/front/session/src/controller/media_servers.rs
@@ -59,7 +59,7 @@
             MediaServerEvent::Note(note) => {
                 let playing = self.playing.get(&server).and_then(|playing| playing.values().next());
                 let session = playing.copied().unwrap_or_default();
-                self.events.push_back(Event::Noted { session, server, note });
+                self.events.push_back(Event::FeedbackReceived { session, server, feedback: note });
             }
             MediaServerEvent::SessionEnded { resource } => {
                 let session = self.playing.get(&server).and_then(|playing| playing.get(&resource)).copied();
