--- a/crates/front/server/src/messages.rs
+++ b/crates/front/server/src/messages.rs
@@ -4,7 +4,7 @@
 
 use beechloft_quotas::{Gate, Key, No};
 use beechloft_session::Exchange;
-use beechloft_session::api::{Micros, Numbered, ServerId, SessionId};
+use beechloft_session::api::{Micros, ServerId, SessionId, SlotAssignment};
 use beechloft_session::io::{Answer, AttemptId, Input, Output, RequestId, Secret, SessionRequest};
 use beechloft_sip::agent;
 use beechloft_whep::events::PlayerEvent;
@@ -87,7 +87,7 @@
 }
 
 /// A front's slot among others, now; none: as its settings say. It is called before each input and must not block.
-pub type SlotSource = Box<dyn Fn() -> Option<Numbered> + Send>;
+pub type SlotSource = Box<dyn Fn() -> Option<SlotAssignment> + Send>;
 
 /// What connects a front with its fleet.
 #[derive(Default)]
--- a/crates/front/session/src/controller/requests.rs
+++ b/crates/front/session/src/controller/requests.rs
@@ -1,6 +1,6 @@
 //! What clients request: a session, its end, and where it is.
 
-use beechloft::api::{Class, Event, Request, Rung, ServerState, SessionId};
+use beechloft::api::{Class, EndpointState, Event, Request, Rung, SessionId};
 
 use super::SessionController;
 use crate::catalog::Title;
@@ -17,7 +17,7 @@
             return out.push(Output::Reply(request.request, answer));
         }
         if !self.accepts(&request) {
-            let retry_after = self.settings.limits.retry_after;
+            let retry_after = self.settings.capabilities.max_retry_after;
             return out.push(Output::Reply(request.request, Answer::Rejected(retry_after)));
         }
         let Some(title) = self.catalog.title(&request.title).cloned() else {
@@ -32,9 +32,9 @@
             session: request.session,
             class: title.class,
             title: title.id,
-            top,
-            gives_up,
-            hint: title.length,
+            max_rung: top,
+            deadline: gives_up,
+            expected_duration: title.length,
             tenant: title.tenant,
             ..Request::default()
         };
@@ -68,7 +68,7 @@
         out: &mut Vec<Output>,
     ) {
         let holders = self.catalog.holders(title, request.protocol);
-        let ready = |id| self.catalog.server(id).is_some_and(|entry| entry.state == ServerState::Ready);
+        let ready = |id| self.catalog.server(id).is_some_and(|entry| entry.state == EndpointState::Ready);
         let filtered = FilteredTitle { name: &request.title, id: title.id };
         let offered = self.holder_filters.offered(filtered, request.session, holders, ready);
         out.extend(offered.warning.map(Output::Log));
@@ -84,14 +84,15 @@
         };
         self.sessions.insert(request.session, session);
         self.by_idempotency_key.extend(request.idempotency_key.map(|key| (key, request.session)));
-        self.events.push_back(Event::Request(Request { on: Some(offered.holders), ..policy_request }));
+        self.events
+            .push_back(Event::Request(Request { eligible_servers: Some(offered.holders), ..policy_request }));
     }
 
     /// The highest rung whose rate a client can use; the lowest, if it can't use any.
     pub(super) fn top_rung(&self, class: &Class, max_rate_kb: Option<f64>) -> Rung {
         let Some(max) = max_rate_kb else { return Rung(u8::MAX) };
         let rates = &self.settings.ladder.rates_kb;
-        let usable = rates.iter().take_while(|rate| class.scale * **rate <= max).count();
+        let usable = rates.iter().take_while(|rate| class.rate_scale * **rate <= max).count();
         Rung(u8::try_from(usable.saturating_sub(1)).unwrap_or(u8::MAX))
     }
 
