--- a/crates/front/session/src/catalog/mod.rs
+++ b/crates/front/session/src/catalog/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use beechloft::api::{ClassId, Event, ListForm, Micros, ServerId, ServerState, TenantId, TitleId};
+use beechloft::api::{ClassId, EndpointState, Event, Micros, ServerId, TenantId, TitleId, UpdateKind};
 
 pub use entries::{EndpointUpdate, MediaServerEntry, Protocol, TitleEntry};
 
@@ -49,7 +49,7 @@
 impl UpdateEffects {
     /// The list stays as it is, and the policy is told that a call failed.
     fn failed(faults: Vec<String>) -> Self {
-        let event = Some(Event::Servers(ListForm::Failed, Vec::new()));
+        let event = Some(Event::EndpointsUpdated { kind: UpdateKind::Failed, endpoints: Vec::new() });
         UpdateEffects { event, faults, ..UpdateEffects::default() }
     }
 
@@ -69,11 +69,11 @@
 }
 
 /// A rank of states: the lower, the less may be sent there.
-fn readiness(state: ServerState) -> u8 {
+fn readiness(state: EndpointState) -> u8 {
     match state {
-        ServerState::Gone => 0,
-        ServerState::Draining => 1,
-        ServerState::Ready => 2,
+        EndpointState::Removed => 0,
+        EndpointState::Draining => 1,
+        EndpointState::Ready => 2,
     }
 }
 
@@ -87,11 +87,11 @@
                 return UpdateEffects::failed(vec![fault.into()]);
             }
             EndpointUpdate::Snapshot { cached, servers, titles } => {
-                let form = if cached { ListForm::Cached } else { ListForm::Full };
+                let form = if cached { UpdateKind::Cached } else { UpdateKind::Full };
                 (form, servers, titles, Vec::new())
             }
             EndpointUpdate::Change { servers, titles, removed } => {
-                (ListForm::Delta, servers, titles, removed)
+                (UpdateKind::Delta, servers, titles, removed)
             }
         };
         let (server_count, title_count) = (servers.len(), titles.len());
@@ -103,22 +103,27 @@
         self.known = true;
         let mut effects = UpdateEffects::default();
         self.apply_servers(form, servers, &mut effects);
-        let is_complete = form != ListForm::Delta;
+        let is_complete = form != UpdateKind::Delta;
         self.apply_titles(is_complete, titles, &removed_titles, &mut effects.faults);
         effects
     }
 
-    fn apply_servers(&mut self, form: ListForm, entries: Vec<MediaServerEntry>, effects: &mut UpdateEffects) {
+    fn apply_servers(
+        &mut self,
+        form: UpdateKind,
+        entries: Vec<MediaServerEntry>,
+        effects: &mut UpdateEffects,
+    ) {
         let servers = merge_duplicates(entries, &mut effects.faults);
-        if form != ListForm::Delta {
+        if form != UpdateKind::Delta {
             effects.removed.extend(self.servers.keys().filter(|id| !servers.contains_key(id)));
         }
-        let removed = servers.values().filter(|entry| entry.state == ServerState::Gone);
+        let removed = servers.values().filter(|entry| entry.state == EndpointState::Removed);
         effects.removed.extend(removed.map(|entry| entry.id));
         let readdressed = servers.values().filter(|entry| self.is_new_address(entry));
         effects.readdressed.extend(readdressed.map(|entry| entry.id));
         let for_policy = servers.values().map(MediaServerEntry::for_policy).collect();
-        effects.event = Some(Event::Servers(form, for_policy));
+        effects.event = Some(Event::EndpointsUpdated { kind: form, endpoints: for_policy });
         self.servers.extend(servers);
         for id in &effects.removed {
             self.servers.remove(id);
@@ -127,7 +132,7 @@
 
     fn is_new_address(&self, entry: &MediaServerEntry) -> bool {
         let known = self.servers.get(&entry.id);
-        entry.state != ServerState::Gone && known.is_none_or(|known| known.url != entry.url)
+        entry.state != EndpointState::Removed && known.is_none_or(|known| known.url != entry.url)
     }
 
     fn apply_titles(
--- a/crates/front/session/src/controller/attempts.rs
+++ b/crates/front/session/src/controller/attempts.rs
@@ -83,8 +83,8 @@
         self.retained_replies.push_back((self.now + REPLY_RETENTION, id.session));
         self.playing.entry(server).or_default().insert(resource, id.session);
         let number = api::Attempt(id.number);
-        self.events.push_back(Event::Started { session: id.session, attempt: number, server, took });
-        self.events.push_back(Event::Probed { server, outcome: Outcome::Ok, report: load });
+        self.events.push_back(Event::Started { session: id.session, attempt: number, server, elapsed: took });
+        self.events.push_back(Event::HealthChecked { server, outcome: Outcome::Ok, report: load });
     }
 
     /// A result that was reported twice, or of a session that was forgotten. A session that nobody owns must not stay
@@ -113,20 +113,20 @@
             self.forget(id.session);
             true
         };
-        self.events.push_back(Event::Ended {
+        self.events.push_back(Event::AttemptEnded {
             session: id.session,
             attempt: api::Attempt(id.number),
             server,
             outcome,
-            closed,
-            took,
+            is_final: closed,
+            elapsed: took,
             report: load,
         });
     }
 
     /// The rate of a rung of a class, kB a second.
     pub(super) fn rate_kb(&self, class: ClassId, rung: Rung) -> f64 {
-        let scale = self.settings.classes.get(usize::from(class.0)).map_or(1.0, |class| class.scale);
+        let scale = self.settings.classes.get(usize::from(class.0)).map_or(1.0, |class| class.rate_scale);
         scale * self.settings.ladder.rates_kb.get(usize::from(rung.0)).copied().unwrap_or(0.0)
     }
 
@@ -161,13 +161,13 @@
             // never ran.
             (state, _) => {
                 let closed = !matches!(state, SessionState::AwaitingAnswer(..));
-                self.events.push_back(Event::Ended {
+                self.events.push_back(Event::AttemptEnded {
                     session: id,
                     attempt: api::Attempt(number),
                     server,
-                    outcome: Outcome::Moot,
-                    closed,
-                    took: Micros(0),
+                    outcome: Outcome::NotSent,
+                    is_final: closed,
+                    elapsed: Micros(0),
                     report: LoadReport::default(),
                 });
             }
--- a/crates/platform/event-loop/src/fleet.rs
+++ b/crates/platform/event-loop/src/fleet.rs
@@ -3,14 +3,14 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use beechloft::api::{Micros, Numbered};
+use beechloft::api::{Micros, SlotAssignment};
 use beechloft_front_node::{Input, Node};
 use tracing::{info, warn};
 
 /// What a front node asks its fleet. The loop calls these at any time; none of them may block.
 pub struct FleetHooks {
     /// The front node's number in the fleet now; `None`: as the configuration says.
-    pub numbered: Box<dyn Fn() -> Option<Numbered> + Send>,
+    pub numbered: Box<dyn Fn() -> Option<SlotAssignment> + Send>,
     /// Whether the front node may stop now, after it requested to.
     pub may_stop: Box<dyn Fn() -> bool + Send>,
     /// Requests the front node's turn to stop.
@@ -23,7 +23,7 @@
 #[derive(Default)]
 pub(crate) struct FleetMembership {
     hooks: Option<FleetHooks>,
-    numbered: Option<Numbered>,
+    numbered: Option<SlotAssignment>,
     /// The front node waits for its turn to stop, at most until then.
     stop_wait_until: Option<Micros>,
 }
@@ -64,11 +64,11 @@
     }
 
     /// The front node's number, if it has changed since the last call.
-    pub fn take_number_change(&mut self) -> Option<Numbered> {
+    pub fn take_number_change(&mut self) -> Option<SlotAssignment> {
         let current = self.hooks.as_ref().and_then(|hooks| (hooks.numbered)());
         let changed = current.filter(|_| current != self.numbered)?;
         self.numbered = current;
-        info!(number = changed.number, of = changed.of, fronts = changed.fronts, "numbered");
+        info!(number = changed.slot, of = changed.slot_count, fronts = changed.live_fronts, "numbered");
         Some(changed)
     }
 }
