--- a/crates/front/session/src/controller/actions.rs
+++ b/crates/front/session/src/controller/actions.rs
@@ -24,20 +24,22 @@
 
     fn carry_out(&mut self, action: Action, out: &mut Vec<Output>) {
         match action {
-            Action::SetUp(id, server, deadline) => self.set_up(id, server, deadline, out),
-            Action::SetRung(id, rung) => self.set_rung(id, rung, out),
-            Action::Refuse(id, retry_after) => self.answer_pending(id, Answer::Rejected(retry_after), out),
+            Action::StartAttempt { session: id, server, deadline } => self.set_up(id, server, deadline, out),
+            Action::SetRung { session: id, rung } => self.set_rung(id, rung, out),
+            Action::Reject { session: id, retry_after } => {
+                self.answer_pending(id, Answer::Rejected(retry_after), out)
+            }
             Action::Fail(id) => self.answer_pending(id, Answer::Failed, out),
-            Action::Cancel(session, number) => {
+            Action::CancelAttempt { session, attempt: number } => {
                 let id = AttemptId { session, number: number.0 };
                 if self.sessions.get(&session).is_some_and(|session| session.is_in_flight(id)) {
                     out.push(Output::Cancel(id));
                 }
             }
-            Action::Move(id) => self.end_and_release(id, EndReason::Migrated, out),
-            Action::Probe(server) => out.push(Output::Probe(server)),
+            Action::Migrate(id) => self.end_and_release(id, EndReason::Migrated, out),
+            Action::HealthCheck(server) => out.push(Output::Probe(server)),
             Action::Subscribe => out.push(Output::Subscribe),
-            Action::SetTimer(delay, token) => {
+            Action::SetTimer { delay, token } => {
                 self.timers.insert((self.now + delay, token));
             }
             Action::Log(line) => out.push(Output::Log(line)),
--- a/crates/testing/fleet-simulation/tests/machine_hash/canonical.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/canonical.rs
@@ -71,9 +71,9 @@
             }
             Input::ServerDown(server) => self.number(server.0.into()),
             Input::SlotAssigned(place) => {
-                self.number(place.number.into());
-                self.number(place.of.into());
-                self.number(place.fronts.into());
+                self.number(place.slot.into());
+                self.number(place.slot_count.into());
+                self.number(place.live_fronts.into());
             }
             Input::Terminate | Input::Tick => {}
         }
