--- a/crates/base/http/src/body.rs
+++ b/crates/base/http/src/body.rs
@@ -1,15 +1,15 @@
-//! Where a body ends (RFC 9112, section 6), as a decoder without I/O.
+//! Framing of message bodies (RFC 9112, section 6): a decoder without I/O.
 
 use http::{HeaderMap, header};
 use thiserror::Error;
 
-/// Why a body can't be read.
+/// Why a body can't be decoded.
 #[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
     /// `Content-Length` is not one number.
     #[error("Content-Length is not one number")]
     Length,
-    /// Both a length and a transfer coding, which is how requests are smuggled.
+    /// Both a length and a transfer coding, as used in request smuggling.
     #[error("both Content-Length and Transfer-Encoding")]
     Both,
     /// A transfer coding other than `chunked`.
@@ -23,10 +23,10 @@
     TooLong(usize),
 }
 
-/// How a body is framed.
+/// The framing of a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes.
+    /// A number of bytes.
     Length(u64),
     /// Chunks.
     Chunked,
@@ -34,7 +34,10 @@
     Close,
 }
 
-/// Reads the framing off a message's fields; none: the fields say nothing.
+/// The framing that a message's header fields declare, if any.
+///
+/// # Errors
+/// The fields are malformed or contradictory.
 pub fn framing(headers: &HeaderMap) -> Result<Option<Framing>, BodyError> {
     let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
     let mut lengths = headers.get_all(header::CONTENT_LENGTH).iter();
@@ -63,20 +66,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     Data(u64),
-    Open,
-    Size,
+    UntilClose,
+    ChunkSize,
     ChunkData(u64),
     ChunkEnd,
     Trailer,
     Done,
 }
 
-/// Longest size line of a chunk, extensions included, and longest trailer line.
-const LINE: usize = 256;
-/// Trailer lines that are skipped.
-const TRAILERS: u32 = 16;
+/// Maximum length of a chunk's size line, with extensions, and of a trailer line.
+const MAX_LINE_LEN: usize = 256;
+/// Maximum number of trailer lines, which are ignored.
+const MAX_TRAILERS: u32 = 16;
 
-/// Takes a body's bytes out of a buffer as they come.
+/// Extracts a body from a buffer as its bytes arrive.
 #[derive(Debug, Clone)]
 pub struct Decoder {
     state: State,
@@ -86,177 +89,124 @@
 }
 
 impl Decoder {
-    /// A body of at most `limit` bytes.
+    /// A decoder for a body of at most `limit` bytes.
+    ///
+    /// # Errors
+    /// The declared length exceeds the limit.
     pub fn new(framing: Framing, limit: usize) -> Result<Self, BodyError> {
         let state = match framing {
             Framing::Length(n) if n > limit as u64 => return Err(BodyError::TooLong(limit)),
             Framing::Length(0) => State::Done,
             Framing::Length(n) => State::Data(n),
-            Framing::Chunked => State::Size,
-            Framing::Close => State::Open,
+            Framing::Chunked => State::ChunkSize,
+            Framing::Close => State::UntilClose,
         };
         Ok(Decoder { state, left: limit, limit, trailers: 0 })
     }
 
-    /// A stream without an end of its own, such as one of events.
+    /// A decoder for a body without limit, such as an event stream.
     pub fn endless(framing: Framing) -> Self {
         let state = match framing {
             Framing::Length(n) => State::Data(n),
-            Framing::Chunked => State::Size,
-            Framing::Close => State::Open,
+            Framing::Chunked => State::ChunkSize,
+            Framing::Close => State::UntilClose,
         };
         Decoder { state, left: usize::MAX, limit: usize::MAX, trailers: 0 }
     }
 
-    /// Whether the whole body has been taken.
+    /// Whether the body is complete.
     pub fn done(&self) -> bool {
         matches!(self.state, State::Done | State::Data(0))
     }
 
     /// Whether the body may end with the connection.
     pub fn ends_with_connection(&self) -> bool {
-        self.state == State::Open
+        self.state == State::UntilClose
     }
 
-    /// Moves what belongs to the body from the front of `buf` to `out`.
+    /// Moves the bytes of the body from the front of `buf` to `out`.
+    ///
+    /// # Errors
+    /// The framing is malformed or the body exceeds the limit.
     pub fn take(&mut self, buf: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<(), BodyError> {
         let mut at = 0;
         while !self.done() && at < buf.len() {
-            let rest = &buf[at..];
-            match self.state {
-                State::Data(n) => {
-                    let took = self.data(rest, n, out)?;
-                    self.state = State::Data(n - took as u64);
-                    at += took;
-                }
-                State::Open => at += self.data(rest, u64::MAX, out)?,
-                State::Size => {
-                    let window = &rest[..rest.len().min(LINE)];
-                    match httparse::parse_chunk_size(window) {
-                        Ok(httparse::Status::Complete((used, size))) => {
-                            at += used;
-                            self.state = if size == 0 { State::Trailer } else { State::ChunkData(size) };
-                        }
-                        Ok(httparse::Status::Partial) if rest.len() < LINE => break,
-                        _ => return Err(BodyError::Chunk),
-                    }
-                }
-                State::ChunkData(n) => {
-                    let took = self.data(rest, n, out)?;
-                    at += took;
-                    let left = n - took as u64;
-                    self.state = if left == 0 { State::ChunkEnd } else { State::ChunkData(left) };
-                }
-                State::ChunkEnd => match rest {
-                    [b'\r', b'\n', ..] => {
-                        at += 2;
-                        self.state = State::Size;
-                    }
-                    [b'\r'] => break,
-                    _ => return Err(BodyError::Chunk),
-                },
-                State::Trailer => {
-                    let Some(end) = rest.iter().take(LINE).position(|b| *b == b'\n') else {
-                        if rest.len() >= LINE {
-                            return Err(BodyError::Chunk);
-                        }
-                        break;
-                    };
-                    self.trailers += 1;
-                    if self.trailers > TRAILERS {
-                        return Err(BodyError::Chunk);
-                    }
-                    if matches!(&rest[..end], b"" | b"\r") {
-                        self.state = State::Done;
-                    }
-                    at += end + 1;
-                }
-                State::Done => break,
-            }
+            let Some(used) = self.step(&buf[at..], out)? else { break };
+            at += used;
         }
         buf.drain(..at);
         Ok(())
     }
 
-    fn data(&mut self, rest: &[u8], most: u64, out: &mut Vec<u8>) -> Result<usize, BodyError> {
-        let took = rest.len().min(usize::try_from(most).unwrap_or(usize::MAX));
-        if took > self.left {
-            return Err(BodyError::TooLong(self.limit));
-        }
-        if self.limit != usize::MAX {
-            self.left -= took;
-        }
-        out.extend_from_slice(&rest[..took]);
-        Ok(took)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn all(
-        framing: Framing,
-        limit: usize,
-        text: &[u8],
-        step: usize,
-    ) -> Result<(Vec<u8>, bool, Vec<u8>), BodyError> {
-        let mut d = Decoder::new(framing, limit)?;
-        let (mut buf, mut out) = (Vec::new(), Vec::new());
-        for part in text.chunks(step.max(1)) {
-            buf.extend_from_slice(part);
-            d.take(&mut buf, &mut out)?;
+    /// Decodes one element; the number of bytes used, or `None` if more are needed.
+    fn step(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<Option<usize>, BodyError> {
+        match self.state {
+            State::Data(len) => {
+                let used = self.data(input, len, out)?;
+                self.state = State::Data(len - used as u64);
+                Ok(Some(used))
+            }
+            State::UntilClose => self.data(input, u64::MAX, out).map(Some),
+            State::ChunkSize => self.chunk_size(input),
+            State::ChunkData(len) => {
+                let used = self.data(input, len, out)?;
+                let left = len - used as u64;
+                self.state = if left == 0 { State::ChunkEnd } else { State::ChunkData(left) };
+                Ok(Some(used))
+            }
+            State::ChunkEnd => self.chunk_end(input),
+            State::Trailer => self.trailer(input),
+            State::Done => Ok(None),
         }
-        Ok((out, d.done(), buf))
     }
 
-    #[test]
-    fn chunks_end_where_they_say_however_they_are_cut() {
-        let text = b"4\r\nWiki\r\n5;ext=1\r\npedia\r\n0\r\nX-Sum: 1\r\n\r\nGET /next";
-        for step in 1..text.len() {
-            let (out, done, rest) = all(Framing::Chunked, 100, text, step).expect("sound chunks");
-            assert_eq!((out.as_slice(), done, rest.as_slice()), (&b"Wikipedia"[..], true, &b"GET /next"[..]));
+    fn chunk_size(&mut self, input: &[u8]) -> Result<Option<usize>, BodyError> {
+        let window = &input[..input.len().min(MAX_LINE_LEN)];
+        match httparse::parse_chunk_size(window) {
+            Ok(httparse::Status::Complete((used, size))) => {
+                self.state = if size == 0 { State::Trailer } else { State::ChunkData(size) };
+                Ok(Some(used))
+            }
+            Ok(httparse::Status::Partial) if input.len() < MAX_LINE_LEN => Ok(None),
+            _ => Err(BodyError::Chunk),
         }
     }
 
-    #[test]
-    fn bodies_past_their_bound_and_malformed_chunks_are_refused() {
-        assert_eq!(all(Framing::Length(9), 8, b"", 1), Err(BodyError::TooLong(8)));
-        assert_eq!(all(Framing::Chunked, 4, b"5\r\nabcde\r\n0\r\n\r\n", 99), Err(BodyError::TooLong(4)));
-        for bad in [&b"x\r\n"[..], b"4\r\nWikiXX", b"ffffffffffffffffff\r\n"] {
-            assert_eq!(all(Framing::Chunked, 100, bad, 99), Err(BodyError::Chunk), "{bad:?}");
+    fn chunk_end(&mut self, input: &[u8]) -> Result<Option<usize>, BodyError> {
+        match input {
+            [b'\r', b'\n', ..] => {
+                self.state = State::ChunkSize;
+                Ok(Some(2))
+            }
+            [b'\r'] => Ok(None),
+            _ => Err(BodyError::Chunk),
         }
-        let endless = [b"1;".as_slice(), &[b'a'; 400]].concat();
-        assert_eq!(all(Framing::Chunked, 100, &endless, 7), Err(BodyError::Chunk));
     }
 
-    #[test]
-    fn contradictory_lengths_are_refused() {
-        let fields = |list: &[(&'static str, &'static str)]| {
-            let mut map = HeaderMap::new();
-            for (k, v) in list {
-                map.append(*k, http::HeaderValue::from_static(v));
-            }
-            framing(&map)
+    fn trailer(&mut self, input: &[u8]) -> Result<Option<usize>, BodyError> {
+        let Some(end) = input.iter().take(MAX_LINE_LEN).position(|byte| *byte == b'\n') else {
+            return if input.len() >= MAX_LINE_LEN { Err(BodyError::Chunk) } else { Ok(None) };
         };
-        assert_eq!(fields(&[]), Ok(None));
-        assert_eq!(fields(&[("content-length", "5"), ("content-length", "5")]), Ok(Some(Framing::Length(5))));
-        assert_eq!(fields(&[("content-length", "5"), ("content-length", "6")]), Err(BodyError::Length));
-        assert_eq!(fields(&[("content-length", "+5")]), Err(BodyError::Length));
-        assert_eq!(
-            fields(&[("content-length", "5"), ("transfer-encoding", "chunked")]),
-            Err(BodyError::Both)
-        );
-        assert_eq!(fields(&[("transfer-encoding", "gzip, chunked")]), Err(BodyError::Coding));
+        self.trailers += 1;
+        if self.trailers > MAX_TRAILERS {
+            return Err(BodyError::Chunk);
+        }
+        if matches!(&input[..end], b"" | b"\r") {
+            self.state = State::Done;
+        }
+        Ok(Some(end + 1))
     }
 
-    proptest! {
-        #[test]
-        fn any_bytes_end_in_an_error_or_a_bounded_body(text in prop::collection::vec(any::<u8>(), 0..600), step in 1..50usize) {
-            if let Ok((out, _, _)) = all(Framing::Chunked, 64, &text, step) {
-                prop_assert!(out.len() <= 64);
-            }
+    /// Copies data of at most `len` bytes; the number of bytes copied.
+    fn data(&mut self, input: &[u8], len: u64, out: &mut Vec<u8>) -> Result<usize, BodyError> {
+        let used = input.len().min(usize::try_from(len).unwrap_or(usize::MAX));
+        if used > self.left {
+            return Err(BodyError::TooLong(self.limit));
+        }
+        if self.limit != usize::MAX {
+            self.left -= used;
         }
+        out.extend_from_slice(&input[..used]);
+        Ok(used)
     }
 }
--- a/crates/base/http/src/client.rs
+++ b/crates/base/http/src/client.rs
@@ -1,35 +1,35 @@
-//! Calls to other servers: a pool of connections, and exchanges that can be waited for beside other sockets.
+//! A client: a pool of connections, and exchanges that can be polled together with other sockets.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
-use std::sync::Mutex;
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 use http::Method;
 use thiserror::Error;
 
-use crate::body::{Decoder, Framing};
+use crate::body::Decoder;
 use crate::limits::Limits;
 use crate::message::{HeadError, Request, Response, response_head};
 use crate::wait;
 
-/// How a call failed, and with it whether it can have been carried out.
+/// Why a call failed. It also tells whether the request may have been executed.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// Nobody listens there: the process is not running.
+    /// Nothing listens at the address: the process is not running.
     #[error("connection refused")]
     Refused,
-    /// No connection: nothing was sent.
+    /// The connection could not be established: nothing was sent.
     #[error("no connection: {0}")]
     Connect(io::Error),
-    /// No whole response in time.
+    /// No complete response in time.
     #[error("no response in time")]
     TimedOut,
-    /// The connection broke before a whole response had come.
+    /// The connection broke before the response was complete.
     #[error("the connection broke: {0}")]
     Broken(io::Error),
-    /// The response is not HTTP, or past a bound.
+    /// The response is not HTTP or exceeds a limit.
     #[error("a response that can't be used: {0}")]
     Bad(#[from] HeadError),
 }
@@ -43,7 +43,10 @@
 }
 
 impl Conn {
-    /// Opens one.
+    /// Opens a connection.
+    ///
+    /// # Errors
+    /// The connection could not be established until `until`.
     pub fn open(peer: SocketAddr, until: Instant) -> Result<Conn, CallError> {
         let stream = TcpStream::connect_timeout(&peer, wait::left(until)).map_err(|e| match e.kind() {
             io::ErrorKind::ConnectionRefused => CallError::Refused,
@@ -53,7 +56,7 @@
         Ok(Conn { stream, peer, buf: Vec::new() })
     }
 
-    /// Reads what comes by `until`; false: nothing came. The end of the connection is an error.
+    /// Reads what arrives until `until`; `false` if nothing did. The end of the connection is an error.
     fn fill(&mut self, until: Instant) -> Result<bool, CallError> {
         let [ready] = wait::readable([Some(&self.stream)], until).map_err(CallError::Broken)?;
         if !ready {
@@ -69,7 +72,7 @@
         Ok(true)
     }
 
-    /// All that still comes, until the server closes or the time is up.
+    /// All bytes that arrive until the server closes the connection or until `until`.
     pub fn rest(mut self, until: Instant) -> Vec<u8> {
         let mut chunk = [0; 4096];
         while let Ok([true]) = wait::readable([Some(&self.stream)], until) {
@@ -81,7 +84,10 @@
         self.buf
     }
 
-    /// Sends a request; its response is to be waited for.
+    /// Sends a request.
+    ///
+    /// # Errors
+    /// The connection broke or the request could not be written until `until`.
     pub fn send(mut self, request: &Request, until: Instant) -> Result<Exchange, CallError> {
         let bytes = request.encode(&self.peer.to_string());
         self.stream.set_write_timeout(Some(wait::left(until))).map_err(CallError::Broken)?;
@@ -93,22 +99,32 @@
     }
 }
 
-/// A request that is out.
+/// A response whose body is not complete.
+#[derive(Debug)]
+struct PendingBody {
+    response: Response,
+    decoder: Decoder,
+}
+
+/// A request that was sent and whose response is pending.
 #[derive(Debug)]
 pub struct Exchange {
     conn: Conn,
     method: Method,
-    head: Option<(Response, Decoder, bool)>,
+    head: Option<PendingBody>,
     limits: Limits,
 }
 
 impl Exchange {
-    /// The socket, to wait on.
+    /// The socket, for polling.
     pub fn socket(&self) -> &TcpStream {
         &self.conn.stream
     }
 
-    /// Reads what is there, which may block if nothing is; the response, once it is whole.
+    /// Reads once, which may block; the response, once it is complete.
+    ///
+    /// # Errors
+    /// The connection broke, or the response is invalid.
     pub fn advance(&mut self) -> Result<Option<Response>, CallError> {
         let mut chunk = [0; 4096];
         let n = match self.conn.stream.read(&mut chunk) {
@@ -125,24 +141,27 @@
 
     fn parse(&mut self, ended: bool) -> Result<Option<Response>, CallError> {
         if self.head.is_none()
-            && let Some((response, framing)) = response_head(&mut self.conn.buf, &self.method, &self.limits)?
+            && let Some(head) = response_head(&mut self.conn.buf, &self.method, &self.limits)?
         {
-            let decoder = Decoder::new(framing, self.limits.body_bytes).map_err(HeadError::from)?;
-            self.head = Some((response, decoder, framing == Framing::Close));
+            let decoder = Decoder::new(head.framing, self.limits.body_bytes).map_err(HeadError::from)?;
+            self.head = Some(PendingBody { response: head.message, decoder });
         }
         let broken = || CallError::Broken(io::ErrorKind::UnexpectedEof.into());
-        let Some((response, decoder, _)) = &mut self.head else {
+        let Some(PendingBody { response, decoder }) = &mut self.head else {
             return if ended { Err(broken()) } else { Ok(None) };
         };
         decoder.take(&mut self.conn.buf, &mut response.body).map_err(HeadError::from)?;
-        let whole = decoder.done() || (ended && decoder.ends_with_connection());
-        if !whole {
+        let complete = decoder.done() || (ended && decoder.ends_with_connection());
+        if !complete {
             return if ended { Err(broken()) } else { Ok(None) };
         }
-        Ok(self.head.take().map(|h| h.0))
+        Ok(self.head.take().map(|head| head.response))
     }
 
-    /// Waits for the whole response.
+    /// Waits for the complete response.
+    ///
+    /// # Errors
+    /// The connection broke, the response is invalid, or it is not complete until `until`.
     pub fn wait(&mut self, until: Instant) -> Result<Response, CallError> {
         loop {
             let [ready] = wait::readable([Some(&self.conn.stream)], until).map_err(CallError::Broken)?;
@@ -155,7 +174,7 @@
         }
     }
 
-    /// Tells the server that the request is given up: nothing more will be sent.
+    /// Signals the server that the request is abandoned, by closing the sending direction.
     pub fn give_up(&self) {
         let _ = self.conn.stream.shutdown(Shutdown::Write);
     }
@@ -165,13 +184,15 @@
         self.conn
     }
 
-    /// Waits for the head of a response without an end, and hands its body over as a stream.
+    /// Waits for the head of a response and returns its body as a stream.
+    ///
+    /// # Errors
+    /// The connection broke, the head is invalid, or it is not complete until `until`.
     pub fn into_stream(mut self, until: Instant) -> Result<(Response, Stream), CallError> {
         loop {
-            if let Some((response, framing)) = response_head(&mut self.conn.buf, &self.method, &self.limits)?
-            {
-                let decoder = Decoder::endless(framing);
-                return Ok((response, Stream { conn: self.conn, decoder }));
+            if let Some(head) = response_head(&mut self.conn.buf, &self.method, &self.limits)? {
+                let decoder = Decoder::endless(head.framing);
+                return Ok((head.message, Stream { conn: self.conn, decoder }));
             }
             if !self.conn.fill(until)? {
                 return Err(CallError::TimedOut);
@@ -180,7 +201,7 @@
     }
 }
 
-/// The body of a response that goes on.
+/// The body of a response that has no end.
 #[derive(Debug)]
 pub struct Stream {
     conn: Conn,
@@ -188,7 +209,10 @@
 }
 
 impl Stream {
-    /// What came until `until`; an empty part: nothing did. The stream's end is an error.
+    /// Reads what arrives until `until`; empty if nothing does.
+    ///
+    /// # Errors
+    /// The stream ended or broke, or its framing is invalid.
     pub fn read(&mut self, until: Instant) -> Result<Vec<u8>, CallError> {
         let mut part = Vec::new();
         loop {
@@ -206,10 +230,18 @@
     }
 }
 
-/// Idle connections, by server.
+#[derive(Debug)]
+struct IdleConn {
+    since: Instant,
+    conn: Conn,
+}
+
+type IdleConns = BTreeMap<SocketAddr, Vec<IdleConn>>;
+
+/// A pool of idle connections, by server.
 #[derive(Debug)]
 pub struct Pool {
-    idle: Mutex<BTreeMap<SocketAddr, Vec<(Instant, Conn)>>>,
+    idle: Mutex<IdleConns>,
     per_server: usize,
     idle_time: Duration,
 }
@@ -221,17 +253,20 @@
 }
 
 impl Pool {
-    /// Keeps at most so many connections to one server, for at most so long.
+    /// A pool that keeps at most `per_server` connections to one server, each at most for `idle_time`.
     pub fn new(per_server: usize, idle_time: Duration) -> Self {
         Pool { idle: Mutex::default(), per_server, idle_time }
     }
 
-    /// A connection that is up and silent, or a new one.
+    /// An idle connection, or a new one.
     ///
-    /// A kept connection that the server has closed meanwhile is found out here, before anything is sent on it; a
-    /// request is never sent twice.
+    /// A connection that the server has closed in the meantime is detected here, before anything is sent on it; a request is never
+    /// sent twice.
+    ///
+    /// # Errors
+    /// A new connection could not be established.
     pub fn get(&self, peer: SocketAddr, until: Instant) -> Result<Conn, CallError> {
-        while let Some((since, conn)) = self.lock().get_mut(&peer).and_then(Vec::pop) {
+        while let Some(IdleConn { since, conn }) = self.lock().get_mut(&peer).and_then(Vec::pop) {
             if since.elapsed() < self.idle_time && conn.buf.is_empty() && wait::quiet(&conn.stream) {
                 return Ok(conn);
             }
@@ -239,7 +274,7 @@
         Conn::open(peer, until)
     }
 
-    /// Keeps the connection of an exchange whose response came whole, if it may be kept.
+    /// Returns the connection of an exchange whose response is complete, if it may be kept.
     pub fn put(&self, exchange: Exchange, response: &Response) {
         if !response.keep_alive || !exchange.conn.buf.is_empty() {
             return;
@@ -248,16 +283,19 @@
         let mut idle = self.lock();
         let kept = idle.entry(conn.peer).or_default();
         if kept.len() < self.per_server {
-            kept.push((Instant::now(), conn));
+            kept.push(IdleConn { since: Instant::now(), conn });
         }
     }
 
-    /// Drops what is kept to a server.
+    /// Drops the connections to a server.
     pub fn forget(&self, peer: SocketAddr) {
         self.lock().remove(&peer);
     }
 
-    /// One call from start to end.
+    /// Sends a request and waits for its response.
+    ///
+    /// # Errors
+    /// See [`Pool::get`], [`Conn::send`] and [`Exchange::wait`].
     pub fn call(&self, peer: SocketAddr, request: &Request, until: Instant) -> Result<Response, CallError> {
         let mut exchange = self.get(peer, until)?.send(request, until)?;
         let response = exchange.wait(until)?;
@@ -265,8 +303,8 @@
         Ok(response)
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<SocketAddr, Vec<(Instant, Conn)>>> {
-        // What a panicking holder left behind is still a list of connections.
-        self.idle.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, IdleConns> {
+        // A panic of a thread that held the lock leaves a valid list of connections.
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/base/http/src/lib.rs
+++ b/crates/base/http/src/lib.rs
@@ -1,9 +1,7 @@
-//! HTTP/1.1 (RFC 9112) on `std::net`, with a bound on every size, time and count.
+//! HTTP/1.1 (RFC 9112) on `std::net`, with limits on every size, time and count.
 //!
-//! Heads are parsed by `httparse`, terms come from `http`; what is here is the framing of bodies, the waiting, and
-//! the accounting of connections. No async runtime: a connection is a thread with a small stack, taken from a pool.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::missing_errors_doc, clippy::shadow_unrelated)]
+//! Heads are parsed by `httparse`, and basic types come from `http`. This crate adds the framing of bodies, timeouts, and the
+//! management of connections. It has no async runtime: a connection is served by a thread with a small stack, taken from a pool.
 #![forbid(unsafe_code)]
 
 pub mod body;
--- a/crates/base/http/src/limits.rs
+++ b/crates/base/http/src/limits.rs
@@ -1,25 +1,25 @@
-//! Bounds of a connection.
+//! Limits of a connection.
 
 use std::time::Duration;
 
-/// What one connection may ask of us.
+/// Limits of one connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a message's head.
+    /// Maximum length of a message's head, bytes.
     pub head_bytes: usize,
-    /// Header fields of a message.
+    /// Maximum number of header fields of a message.
     pub fields: usize,
-    /// Bytes of a body.
+    /// Maximum length of a body, bytes.
     pub body_bytes: usize,
-    /// From the first byte of a message to the end of its head.
+    /// Maximum time from the first byte of a message to the end of its head.
     pub head_time: Duration,
-    /// From the end of the head to the end of the body.
+    /// Maximum time from the end of the head to the end of the body.
     pub body_time: Duration,
-    /// Between two messages.
+    /// Maximum time between two messages.
     pub idle_time: Duration,
-    /// For a message to be written.
+    /// Maximum time to write a message.
     pub write_time: Duration,
-    /// Messages on one connection.
+    /// Maximum number of messages on one connection.
     pub messages: u32,
 }
 
--- a/crates/base/http/src/sse.rs
+++ b/crates/base/http/src/sse.rs
@@ -7,16 +7,16 @@
 /// One event.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Event {
-    /// Its type; empty: a plain message.
+    /// Its type; empty for a plain message.
     pub name: String,
     /// Its data, lines joined.
     pub data: String,
-    /// Its id, if it has one of its own; empty: none.
+    /// Its id; empty if it has none.
     pub id: String,
 }
 
 impl Event {
-    /// The bytes on the wire.
+    /// Encodes the event.
     pub fn encode(&self) -> Vec<u8> {
         let mut text = String::with_capacity(self.data.len() + 32);
         if !self.name.is_empty() {
@@ -33,15 +33,15 @@
     }
 }
 
-/// A comment, which keeps a stream alive and is no event.
-pub const BEAT: &[u8] = b":\n\n";
+/// A comment, which keeps a connection alive and is no event.
+pub const KEEP_ALIVE: &[u8] = b":\n\n";
 
-/// Past its bound.
+/// An event that exceeds the limit.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("an event is longer than {0} bytes")]
 pub struct TooLong(pub usize);
 
-/// Puts events together as bytes come.
+/// An incremental parser.
 #[derive(Debug)]
 pub struct Parser {
     line: Vec<u8>,
@@ -52,23 +52,26 @@
 }
 
 impl Parser {
-    /// For events of at most `limit` bytes.
+    /// A parser for events of at most `limit` bytes.
     pub fn new(limit: usize) -> Self {
         Parser { line: Vec::new(), event: Event::default(), has_data: false, after_cr: false, limit }
     }
 
-    /// Takes bytes and appends the events that they complete.
+    /// Parses bytes and appends the events that they complete.
+    ///
+    /// # Errors
+    /// An event exceeds the limit.
     pub fn push(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), TooLong> {
-        for &b in bytes {
-            let lf_of_crlf = std::mem::replace(&mut self.after_cr, b == b'\r') && b == b'\n';
+        for &byte in bytes {
+            let lf_of_crlf = std::mem::replace(&mut self.after_cr, byte == b'\r') && byte == b'\n';
             if lf_of_crlf {
                 continue;
             }
-            if b != b'\n' && b != b'\r' {
+            if byte != b'\n' && byte != b'\r' {
                 if self.line.len() + self.event.data.len() + self.event.id.len() >= self.limit {
                     return Err(TooLong(self.limit));
                 }
-                self.line.push(b);
+                self.line.push(byte);
                 continue;
             }
             let line = std::mem::take(&mut self.line);
@@ -85,8 +88,8 @@
             }
             return;
         }
-        let (field, value) = line.split_once(':').unwrap_or((line, ""));
-        let value = value.strip_prefix(' ').unwrap_or(value);
+        let (field, rest) = line.split_once(':').unwrap_or((line, ""));
+        let value = rest.strip_prefix(' ').unwrap_or(rest);
         match field {
             "event" => self.event.name = value.to_owned(),
             "data" => {
@@ -96,41 +99,8 @@
                 self.event.data.push_str(value);
             }
             "id" if !value.contains('\0') => self.event.id = value.to_owned(),
-            _ => {} // comments, retry times
+            // Comments and reconnection times.
+            _ => {}
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        #[test]
-        fn what_is_written_is_read_again_however_it_is_cut(
-            events in prop::collection::vec(("[a-z]{0,8}", "[ -~\n]{0,40}", "[0-9]{0,4}"), 1..6), step in 1..20usize,
-        ) {
-            let events: Vec<Event> = events.into_iter().map(|(name, data, id)| Event { name, data, id }).collect();
-            let bytes: Vec<u8> = events.iter().flat_map(|e| [BEAT.to_vec(), e.encode()].concat()).collect();
-            let (mut parser, mut got) = (Parser::new(1_000), Vec::new());
-            for part in bytes.chunks(step) {
-                parser.push(part, &mut got).expect("short");
-            }
-            prop_assert_eq!(got, events);
-        }
-    }
-
-    #[test]
-    fn all_line_ends_count_and_endless_events_are_refused() {
-        let (mut parser, mut got) = (Parser::new(16), Vec::new());
-        parser
-            .push(b"event: a\r\ndata: 1\r\n\r\ndata\r\rdata: 2\n\n: no\n\nid: 4\n\n", &mut got)
-            .expect("short");
-        let of = |name: &str, data: &str| Event { name: name.into(), data: data.into(), id: String::new() };
-        assert_eq!(got, [of("a", "1"), of("", ""), of("", "2")]);
-        assert_eq!(parser.push(&[b'x'; 40], &mut got), Err(TooLong(16)));
-        let mut parser = Parser::new(16);
-        assert!(parser.push(&b"data: abc\n".repeat(30), &mut got).is_err());
-    }
-}
--- a/crates/base/http/tests/sockets.rs
+++ b/crates/base/http/tests/sockets.rs
@@ -1,6 +1,4 @@
-//! The server and the client against each other and against rude peers, on loopback.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::shadow_unrelated)]
+//! The server and the client against each other and against misbehaving peers, on loopback.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -18,10 +16,10 @@
         match request.path() {
             "/slow" => {
                 std::thread::sleep(Duration::from_millis(400));
-                Reply::Whole(Response::text(StatusCode::OK, "at last"))
+                Reply::Complete(Response::text(StatusCode::OK, "at last"))
             }
-            "/hang-up" => Reply::HangUp,
-            _ => Reply::Whole(Response::new(StatusCode::OK).body("text/plain", request.body)),
+            "/hang-up" => Reply::Disconnect,
+            _ => Reply::Complete(Response::new(StatusCode::OK).body("text/plain", request.body)),
         }
     }
 }
@@ -56,7 +54,7 @@
 }
 
 #[test]
-fn calls_share_a_connection_and_bodies_come_back() {
+fn calls_share_a_connection_and_bodies_are_echoed() {
     let server = server(1);
     let pool = Pool::default();
     for n in 0..20 {
@@ -68,7 +66,7 @@
 }
 
 #[test]
-fn past_the_bound_a_connection_is_answered_at_once() {
+fn a_connection_over_the_bound_is_refused_at_once() {
     let server = server(1);
     let held = TcpStream::connect(server.address()).expect("a connection");
     std::thread::sleep(Duration::from_millis(100));
@@ -78,7 +76,7 @@
 }
 
 #[test]
-fn slow_and_endless_senders_are_shown_out() {
+fn slow_and_oversized_requests_are_rejected() {
     let server = server(8);
     assert!(raw(&server, &[b"GET / HT"]).starts_with("HTTP/1.1 408 "));
     assert!(
@@ -97,7 +95,7 @@
 }
 
 #[test]
-fn a_body_waits_for_its_continue_and_requests_may_come_in_one_piece() {
+fn a_body_is_sent_after_continue_and_requests_may_be_pipelined() {
     let server = server(8);
     let asks = b"POST / HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\ncontent-length: 2\r\nconnection: close\r\n\r\n";
     let text = raw(&server, &[asks, b"ok"]);
@@ -107,7 +105,7 @@
 }
 
 #[test]
-fn failures_of_calls_are_told_apart() {
+fn failures_of_calls_are_distinguished() {
     let server = server(8);
     let pool = Pool::default();
     let get = |path: &str, ms| {
@@ -125,7 +123,7 @@
 }
 
 #[test]
-fn a_kept_connection_that_was_closed_meanwhile_is_not_used() {
+fn a_pooled_connection_that_was_closed_is_not_used() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
     // Answers one request on each connection, says that it may be kept, and closes it all the same.
@@ -147,7 +145,7 @@
 }
 
 #[test]
-fn a_server_that_stops_answers_what_it_took() {
+fn a_stopping_server_answers_pending_requests() {
     let server = server(8);
     let address = server.address();
     let caller = std::thread::spawn(move || {
@@ -162,10 +160,10 @@
     ));
 }
 
-/// A server that is told to stop while players come: each is refused a connection or gets its answer. Between the last look for
-/// a connection and the listener's close one may slip in; the system resets it, and nothing can be done about that.
+/// A server that stops while clients connect: each is refused a connection or gets its response. A connection between the last
+/// accept and the close of the listener is reset by the system, which can't be avoided.
 #[test]
-fn whoever_came_before_the_stop_is_answered() {
+fn connections_before_the_stop_are_answered() {
     let (mut answered, mut refused, mut broken) = (0, 0, 0);
     for round in 0..60 {
         let server = server(64);
@@ -173,7 +171,7 @@
         let players: Vec<_> = (0..6)
             .map(|_| {
                 std::thread::spawn(move || {
-                    let (mut answered, mut broken) = (0, 0);
+                    let (mut ok_count, mut error_count) = (0, 0);
                     // Until nobody listens any more.
                     while let Ok(mut stream) = TcpStream::connect(address) {
                         stream.set_read_timeout(Some(Duration::from_secs(20))).expect("set");
@@ -182,13 +180,13 @@
                             stream.write_all(b"GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
                         let got = asked.is_ok() && stream.read_to_end(&mut text).is_ok() && !text.is_empty();
                         if got {
-                            answered += 1
+                            ok_count += 1
                         } else {
-                            broken += 1
+                            error_count += 1
                         }
                         std::thread::sleep(Duration::from_millis(1));
                     }
-                    (answered, broken)
+                    (ok_count, error_count)
                 })
             })
             .collect();
--- a/crates/front/server/src/http.rs
+++ b/crates/front/server/src/http.rs
@@ -84,13 +84,13 @@
 
     fn endpoint(&self, request: &Request, title: String, publishes: bool, link: &Link<'_>) -> Reply {
         if let Some(response) = answer::endpoint_call(request) {
-            return Reply::Whole(response);
+            return Reply::Complete(response);
         }
         let offer = match Offer::parse(&request.body, publishes) {
             Ok(offer) => offer,
             Err(error) => {
                 let status = StatusCode::from_u16(error.status()).unwrap_or(StatusCode::BAD_REQUEST);
-                return Reply::Whole(Response::text(status, error));
+                return Reply::Complete(Response::text(status, error));
             }
         };
         let token = request.field(header::AUTHORIZATION);
@@ -115,15 +115,15 @@
         });
         let answer = match served {
             Served::Answer(answer) => answer,
-            Served::QuotaExceeded(no) => return Reply::Whole(quota_exceeded(&no)),
-            Served::ClientLeft => return Reply::HangUp,
+            Served::QuotaExceeded(no) => return Reply::Complete(quota_exceeded(&no)),
+            Served::ClientLeft => return Reply::Disconnect,
         };
         let response = answer::response(&answer);
         let took_us = u64::try_from(received_at.elapsed().as_micros()).unwrap_or(u64::MAX);
         info!(
             target: "http", peer = %link.peer, title, status = response.status.as_u16(), took_us, "answered"
         );
-        let Answer::Playing { session: plays, .. } = answer else { return Reply::Whole(response) };
+        let Answer::Playing { session: plays, .. } = answer else { return Reply::Complete(response) };
         let handle = self.shared.handle.clone();
         let on_written = move |written: bool| {
             // The answer to an offer sent again belongs to the first request as well.
@@ -131,7 +131,7 @@
                 handle.input(Input::AnswerUndelivered(session));
             }
         };
-        Reply::Told(response, Box::new(on_written))
+        Reply::CompleteThen(response, Box::new(on_written))
     }
 
     /// Makes the attempts that the session controller wants until it has an answer.
@@ -216,21 +216,21 @@
         };
         match (names, &request.method) {
             (None, &Method::POST) => {
-                Reply::Whole(if_playing(events::subscribe(request, &route::events_path(session, secret))))
+                Reply::Complete(if_playing(events::subscribe(request, &route::events_path(session, secret))))
             }
             (Some(names), &Method::GET) => {
                 let Some(wanted) =
                     events::wanted(names).filter(|_| matches!(locate(), Answer::Located { .. }))
                 else {
-                    return Reply::Whole(answer::response(&Answer::UnknownSession));
+                    return Reply::Complete(answer::response(&Answer::UnknownSession));
                 };
                 let session_events = self.shared.handle.follow(session, secret);
                 let head =
                     answer::for_browsers(Response::new(StatusCode::OK).with(header::CONTENT_TYPE, EVENTS));
-                Reply::Open(head, Box::new(move |socket| follow(socket, &session_events, &wanted)))
+                Reply::Stream(head, Box::new(move |socket| follow(socket, &session_events, &wanted)))
             }
-            (Some(_), &Method::DELETE) => Reply::Whole(Response::new(StatusCode::OK)),
-            _ => Reply::Whole(
+            (Some(_), &Method::DELETE) => Reply::Complete(Response::new(StatusCode::OK)),
+            _ => Reply::Complete(
                 Response::text(StatusCode::METHOD_NOT_ALLOWED, "POST a list of events, GET their stream")
                     .with(header::ALLOW, if names.is_some() { "DELETE, GET" } else { "POST" }),
             ),
@@ -254,7 +254,7 @@
         let bytes = match session_events.recv_timeout(HEARTBEAT) {
             Ok(event) if wanted.contains(&event.name()) => event.encode(),
             Ok(_) => continue,
-            Err(RecvTimeoutError::Timeout) => sse::BEAT.to_vec(),
+            Err(RecvTimeoutError::Timeout) => sse::KEEP_ALIVE.to_vec(),
             Err(RecvTimeoutError::Disconnected) => return,
         };
         if socket.write_all(&bytes).is_err() || wait::hung_up(socket) {
@@ -267,14 +267,16 @@
     fn handle(&self, request: Request, link: &Link<'_>) -> Reply {
         let reply = match route::place(request.path()) {
             Place::Endpoint { title, publishes } => self.endpoint(&request, title, publishes, link),
-            Place::Session(session, secret) => Reply::Whole(self.session(&request, session, secret)),
+            Place::Session(session, secret) => Reply::Complete(self.session(&request, session, secret)),
             Place::Events(session, secret, names) => self.events(&request, session, secret, names.as_deref()),
-            Place::Ready => Reply::Whole(self.ready()),
-            Place::Nowhere => Reply::Whole(Response::text(StatusCode::NOT_FOUND, "nothing here")),
+            Place::Ready => Reply::Complete(self.ready()),
+            Place::Nowhere => Reply::Complete(Response::text(StatusCode::NOT_FOUND, "nothing here")),
         };
         match reply {
-            Reply::Whole(response) => Reply::Whole(answer::for_browsers(response)),
-            Reply::Told(response, on_written) => Reply::Told(answer::for_browsers(response), on_written),
+            Reply::Complete(response) => Reply::Complete(answer::for_browsers(response)),
+            Reply::CompleteThen(response, on_written) => {
+                Reply::CompleteThen(answer::for_browsers(response), on_written)
+            }
             other => other,
         }
     }
--- a/crates/platform/event-loop/src/event_bus/response.rs
+++ b/crates/platform/event-loop/src/event_bus/response.rs
@@ -97,7 +97,9 @@
 /// Parses a head once it is whole, and takes the bytes behind it for the body.
 fn parse_head(head: &mut Vec<u8>, max_event_bytes: usize) -> Result<Option<Body>, ResponseError> {
     let parsed = message::response_head(head, &Method::GET, &Limits::default());
-    let Some((response, framing)) = parsed.map_err(|_| ResponseError::MalformedHead)? else {
+    let Some(message::ParsedHead { message: response, framing }) =
+        parsed.map_err(|_| ResponseError::MalformedHead)?
+    else {
         return Ok(None);
     };
     // Redirects are not followed: the configuration names the address.
--- a/crates/testing/fakes/src/boxes/serve.rs
+++ b/crates/testing/fakes/src/boxes/serve.rs
@@ -30,7 +30,7 @@
     fn set_up(self: &Arc<Self>, request: &Request, title: &str, publishes: bool, link: &Link<'_>) -> Reply {
         let server = self.spec.id;
         let Some(offer) = sdp::user_fragment(&request.body) else {
-            return Reply::Whole(Response::text(StatusCode::BAD_REQUEST, "no offer"));
+            return Reply::Complete(Response::text(StatusCode::BAD_REQUEST, "no offer"));
         };
         let limit = sdp::limit_of(&request.body);
         let offered = What::Offered {
@@ -42,14 +42,14 @@
         };
         self.recorder.offered(offered, closed(link.socket));
         if self.topples() {
-            return Reply::HangUp;
+            return Reply::Disconnect;
         }
         let tag = request.field(header::HeaderName::from_static(boxes::TAG));
         match self.serve(title, publishes, limit, &offer, tag, link.socket) {
             Ok(reply) => reply,
             Err(Gone) => {
                 self.recorder.note(What::Dropped { server, offer });
-                Reply::HangUp
+                Reply::Disconnect
             }
         }
     }
@@ -67,13 +67,13 @@
         let answered = |status| What::Answered { server, offer: offer.to_owned(), status };
         let plain = |status: StatusCode, text: &str| {
             self.recorder.note(answered(status.as_u16()));
-            Ok(Reply::Whole(Response::text(status, text).with(load::FIELD, self.load_field())))
+            Ok(Reply::Complete(Response::text(status, text).with(load::FIELD, self.load_field())))
         };
         self.hold(socket)?;
         if self.has(|f| *f == Fault::Reset) {
             self.recorder.note(answered(0));
             let _ = socket2::SockRef::from(socket).set_linger(Some(Duration::ZERO));
-            return Ok(Reply::HangUp);
+            return Ok(Reply::Disconnect);
         }
         let declines = |f: &Fault| if let Fault::Decline { status } = f { Some(*status) } else { None };
         let declined = self.lock().faults.iter().find_map(|f| declines(&f.0));
@@ -124,7 +124,7 @@
         self.recorder.note(What::Began { server, offer: offer.to_owned() });
         if self.strikes(|f| if let Fault::LoseAnswers { share } = f { Some(*share) } else { None }) {
             self.recorder.note(answered(0));
-            return Ok(Reply::HangUp);
+            return Ok(Reply::Disconnect);
         }
         self.recorder.note(answered(201));
         let media = self.media.local_addr().unwrap_or(self.address);
@@ -144,7 +144,7 @@
             let text = response.body.clone();
             let mut head = response;
             head.body.clear();
-            return Ok(Reply::Open(head, Box::new(move |mut s| drop(s.write_all(&text)))));
+            return Ok(Reply::Stream(head, Box::new(move |mut s| drop(s.write_all(&text)))));
         }
         let this = self.clone();
         let tell = move |written: bool| {
@@ -152,7 +152,7 @@
                 this.free(&path, false);
             }
         };
-        Ok(Reply::Told(response, Box::new(tell)))
+        Ok(Reply::CompleteThen(response, Box::new(tell)))
     }
 
     /// Does not listen until then, and goes on as if nothing had been said. What the socket tells meanwhile is noted all the
@@ -219,7 +219,8 @@
             let hello = MediaServerEvent::Connected { boot };
             let mut news = Some(hello);
             loop {
-                let bytes = news.as_ref().and_then(news::write).map_or(sse::BEAT.to_vec(), |e| e.encode());
+                let bytes =
+                    news.as_ref().and_then(news::write).map_or(sse::KEEP_ALIVE.to_vec(), |e| e.encode());
                 while this.stands_still() {
                     thread::sleep(Duration::from_millis(20));
                 }
@@ -233,7 +234,7 @@
                 };
             }
         };
-        Reply::Open(Response::new(StatusCode::OK).with(header::CONTENT_TYPE, EVENTS), Box::new(write))
+        Reply::Stream(Response::new(StatusCode::OK).with(header::CONTENT_TYPE, EVENTS), Box::new(write))
     }
 }
 
@@ -248,9 +249,9 @@
             return this.set_up(&request, &title, publishes, link);
         }
         if this.stands_still() && this.hold(link.socket).is_err() {
-            return Reply::HangUp;
+            return Reply::Disconnect;
         }
-        Reply::Whole(match (&request.method, path) {
+        Reply::Complete(match (&request.method, path) {
             (&Method::GET, news::PATH) => return this.events(),
             (&Method::GET, news::LOAD_PATH) => {
                 this.probes.fetch_add(1, Ordering::SeqCst);
--- a/crates/testing/fakes/src/control.rs
+++ b/crates/testing/fakes/src/control.rs
@@ -92,7 +92,7 @@
 
 impl Handler for Door {
     fn handle(&self, request: Request, _: &Link<'_>) -> Reply {
-        Reply::Whole(match self.carry_out(&request) {
+        Reply::Complete(match self.carry_out(&request) {
             Ok(()) => Response::new(StatusCode::NO_CONTENT),
             Err((status, why)) => Response::text(status, why),
         })
--- a/crates/testing/fakes/src/list.rs
+++ b/crates/testing/fakes/src/list.rs
@@ -183,7 +183,7 @@
                 sent = Instant::now();
             }
             if sent.elapsed() >= BEAT {
-                if socket.write_all(sse::BEAT).is_err() {
+                if socket.write_all(sse::KEEP_ALIVE).is_err() {
                     return;
                 }
                 sent = Instant::now();
@@ -201,12 +201,12 @@
 impl Handler for Door {
     fn handle(&self, request: Request, _: &Link<'_>) -> Reply {
         if request.method != Method::GET || request.path() != PATH {
-            return Reply::Whole(Response::text(StatusCode::NOT_FOUND, "nothing here"));
+            return Reply::Complete(Response::text(StatusCode::NOT_FOUND, "nothing here"));
         }
         let inner = self.0.clone();
         inner.served.fetch_add(1, Ordering::SeqCst);
         let front = boxes::front_of(request.field(header::VIA)).unwrap_or(u32::MAX);
         let head = Response::new(StatusCode::OK).with(header::CONTENT_TYPE, EVENTS);
-        Reply::Open(head, Box::new(move |socket| inner.stream(front, socket)))
+        Reply::Stream(head, Box::new(move |socket| inner.stream(front, socket)))
     }
 }
