--- a/crates/cli/src/fleet/keep.rs
+++ b/crates/cli/src/fleet/coordinator.rs
@@ -6,16 +6,16 @@
 
 use beechloft_config::front::LogSettings;
 use beechloft_consensus::MemberId;
-use beechloft_coordinator::Keeping;
+use beechloft_coordinator::CoordinatorServer;
 use beechloft_coordinator::client::{self};
-use beechloft_coordinator::wire::StatusLine;
+use beechloft_coordinator::wire::ReplicaStatus;
 
 use super::args::{Keeper, KeeperCommand};
 use super::{settings, told_to_end};
 use crate::{fail, log};
 
 /// Keeps, or changes who does.
-pub fn keeper(args: &Keeper) -> ExitCode {
+pub fn run_coordinator(args: &Keeper) -> ExitCode {
     match (&args.command, &args.file) {
         (Some(KeeperCommand::Replace { file, old, new }), _) => replace(file, old, new),
         (None, Some(file)) => keep(file),
@@ -40,7 +40,7 @@
     let until = std::time::Instant::now() + Duration::from_secs(10);
     while std::time::Instant::now() < until {
         let all = set.keepers.iter().filter_map(|k| client::status(&set, *k, Duration::from_millis(500)));
-        let votes = |s: &StatusLine| s.members.iter().any(|m| m.id == new && m.voter);
+        let votes = |s: &ReplicaStatus| s.members.iter().any(|m| m.id == new && m.voter);
         if all.filter(votes).count() * 2 > set.keepers.len() {
             println!("{new} is a keeper in place of {old}");
             return ExitCode::SUCCESS;
@@ -57,7 +57,7 @@
         Err(code) => return code,
     };
     log::start(&LogSettings::default());
-    match Keeping::start(set, told_to_end()) {
+    match CoordinatorServer::start(set, told_to_end()) {
         Ok(mut keeping) => match keeping.run() {
             Ok(()) => ExitCode::SUCCESS,
             Err(e) => fail(1, e),
--- a/crates/cli/src/fleet/hold.rs
+++ b/crates/cli/src/fleet/lease_hold.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use beechloft_coordinator::FleetSettings;
-use beechloft_coordinator::client::Way;
+use beechloft_coordinator::client::LeaderConnection;
 use beechloft_leases::{Holder, HolderId, HolderInput, HolderOutput, Name, Permit, Terms, Token};
 use rustix::process::{Pid, Signal, kill_process};
 
@@ -66,7 +66,7 @@
     let (tell_at, end_at) = (ttl / 4, (ttl / 10).max(Duration::from_millis(50)));
     let clock = set.clock();
     let mut holder = Holder::new(HolderId(rand::random()), terms.clone(), set.drift, rand::random());
-    let mut way = Way::new(set);
+    let mut way = LeaderConnection::new(set);
     let began = clock();
     let mut running: Option<Running> = None;
     let mut inputs = vec![HolderInput::Want];
@@ -120,7 +120,7 @@
 }
 
 /// Gives it back, as far as a keeper can be reached soon; otherwise it runs out.
-fn release(holder: &mut Holder, way: &mut Way, clock: &impl Fn() -> Duration) {
+fn release(holder: &mut Holder, way: &mut LeaderConnection, clock: &impl Fn() -> Duration) {
     let until = clock() + Duration::from_millis(500);
     let mut input = HolderInput::GiveBack;
     while clock() < until {
--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -1,9 +1,10 @@
 //! `keeper`, `lease` and `fleet`: the keepers of the fleet's leases, and those who ask for them.
 
 mod args;
-mod hold;
-mod keep;
-mod show;
+mod coordinator;
+mod lease_hold;
+mod reports;
+mod token_probe;
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -15,12 +16,12 @@
 use beechloft_coordinator::FleetSettings;
 use beechloft_leases::{Name, Terms};
 
-use self::hold::hold;
-use self::show::{list, members, status, watch};
+use self::lease_hold::hold;
+use self::reports::{list, members, status, watch};
 use crate::{fail, serve};
 
 pub use args::{Fleet, Keeper, Lease};
-pub use keep::keeper;
+pub use coordinator::run_coordinator;
 
 pub fn settings(file: &Path) -> Result<FleetSettings, ExitCode> {
     let text = std::fs::read_to_string(file).map_err(|e| fail(2, format_args!("{}: {e}", file.display())))?;
@@ -57,7 +58,9 @@
 pub fn lease(command: &Lease) -> ExitCode {
     match command {
         Lease::List { file, json } => list(file, *json),
-        Lease::Act { at, holder, every_ms } => crate::act::act(*at, holder, Duration::from_millis(*every_ms)),
+        Lease::Act { at, holder, every_ms } => {
+            token_probe::run(*at, holder, Duration::from_millis(*every_ms))
+        }
         Lease::Watch { file, name, json } => watch(file, name.as_deref(), *json),
         Lease::Hold { file, name, holders, ttl_ms, wait_ms, command } => {
             let set = match settings(file) {
--- a/crates/cli/src/fleet/show.rs
+++ b/crates/cli/src/fleet/reports.rs
@@ -5,8 +5,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use beechloft_coordinator::client::{self, Watched};
-use beechloft_coordinator::wire::{LeaseLine, StatusLine};
+use beechloft_coordinator::client::{self, WatchEvent};
+use beechloft_coordinator::wire::{LeaseInfo, ReplicaStatus};
 use beechloft_leases::Name;
 
 use super::settings;
@@ -29,13 +29,13 @@
             println!("{}", serde_json::to_string(&l).unwrap_or_default());
         } else {
             let zone = if l.zone.is_empty() { "-" } else { &l.zone };
-            let mark = if l.asked { "  (asked)" } else { "" };
+            let mark = if l.is_reporter { "  (asked)" } else { "" };
             println!(
                 "{}  {}  {}  {zone}  {} for {} s{mark}",
                 l.id,
                 l.address,
                 l.kind,
-                l.life,
+                l.state,
                 l.since_ms / 1_000
             );
         }
@@ -64,7 +64,7 @@
     if reached * 2 > set.keepers.len() { ExitCode::SUCCESS } else { ExitCode::from(1) }
 }
 
-fn print_status(keeper: &std::net::SocketAddr, s: &StatusLine) {
+fn print_status(keeper: &std::net::SocketAddr, s: &ReplicaStatus) {
     let voters = s.members.iter().filter(|m| m.voter).count();
     println!(
         "{keeper}  {}  {}  term {}  committed {} of {}  voters {voters} of {}",
@@ -78,7 +78,7 @@
     for t in &s.topics {
         println!(
             "    topic {}  head {}  horizon {}  keys {}  bytes {} (held {})  subscribers {}  behind {} ms at most",
-            t.name, t.head, t.horizon, t.keys, t.bytes, t.held_bytes, t.subscribers, s.silent_ms
+            t.name, t.head, t.horizon, t.keys, t.bytes, t.memory_bytes, t.subscribers, s.silent_ms
         );
     }
 }
@@ -97,7 +97,7 @@
         } else {
             println!(
                 "{}  place {} of {}  token {}  holder {:016x}  {} ms  renewed {}",
-                l.name, l.place, l.places, l.token, l.holder, l.ttl_ms, l.renewals
+                l.name, l.slot, l.slots, l.token, l.holder, l.ttl_ms, l.renewals
             );
         }
     }
@@ -116,15 +116,15 @@
     let mut out = std::io::stdout();
     client::watch(&set, name.as_ref(), |watched| {
         let text = match (json, watched) {
-            (true, Watched::Stands(lines)) => serde_json::json!({ "stands": lines }).to_string(),
-            (true, Watched::Changed(line)) => serde_json::json!({ "changed": line }).to_string(),
-            (false, Watched::Stands(lines)) => {
-                let one = |l: &LeaseLine| {
-                    format!("{}  place {} of {}  token {}  stands", l.name, l.place, l.places, l.token)
+            (true, WatchEvent::Snapshot(lines)) => serde_json::json!({ "stands": lines }).to_string(),
+            (true, WatchEvent::Changed(line)) => serde_json::json!({ "changed": line }).to_string(),
+            (false, WatchEvent::Snapshot(lines)) => {
+                let one = |l: &LeaseInfo| {
+                    format!("{}  place {} of {}  token {}  stands", l.name, l.slot, l.slots, l.token)
                 };
                 lines.iter().map(one).collect::<Vec<_>>().join("\n")
             }
-            (false, Watched::Changed(l)) => format!("{}  token {}  {}", l.name, l.token, l.what),
+            (false, WatchEvent::Changed(l)) => format!("{}  token {}  {}", l.name, l.token, l.what),
         };
         // Whoever read it is gone.
         (text.is_empty() || writeln!(out, "{text}").is_ok()) && out.flush().is_ok()
--- a/crates/cli/src/act.rs
+++ b/crates/cli/src/fleet/token_probe.rs
@@ -13,7 +13,7 @@
 const STALE: u8 = 3;
 
 /// Acts until it is ended, or told that its token is an old one.
-pub fn act(at: SocketAddr, holder: &str, every: Duration) -> ExitCode {
+pub fn run(at: SocketAddr, holder: &str, every: Duration) -> ExitCode {
     let Some(token) = std::env::var("BEECHLOFT_FENCE").ok().and_then(|t| t.parse::<u64>().ok()) else {
         return fail(2, "BEECHLOFT_FENCE is no token: run it by `lease hold`");
     };
--- a/crates/cli/src/among.rs
+++ b/crates/cli/src/fleet_membership.rs
@@ -6,7 +6,9 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-use beechloft_coordinator::{Agent, FleetSettings, Keeping, Limiter, Peers, Verdicting};
+use beechloft_coordinator::{
+    CoordinatorServer, FleetSettings, FrontLeases, MembershipService, OutlierDetector, QuotaClient,
+};
 use beechloft_leases::Part;
 use beechloft_membership::Kind;
 use beechloft_quotas::Gate;
@@ -14,58 +16,64 @@
 use beechloft_server::{Boxes, Hooks};
 use beechloft_session::api::Numbered;
 
-use crate::witness::Witness;
+use crate::outlier_observer::OutlierObserver;
 
 /// How long a front waits until what it leaves playing is in the keepers' log; after that its whole share stays counted for it.
 const CLOSE_WITHIN: Duration = Duration::from_secs(1);
 
 /// What a front has of its fleet.
-pub struct Among {
-    agent: Arc<Agent>,
-    peers: Option<Arc<Peers>>,
+pub struct FleetMembership {
+    agent: Arc<FrontLeases>,
+    peers: Option<Arc<MembershipService>>,
     /// Limits that hold for all fronts, if its settings ask for any.
-    limiter: Option<Limiter>,
-    verdicts: Option<Arc<Verdicting>>,
+    limiter: Option<QuotaClient>,
+    verdicts: Option<Arc<OutlierDetector>>,
     /// A front may be a keeper besides, on a thread of its own.
     keeping: Option<(Arc<AtomicBool>, JoinHandle<()>)>,
 }
 
 /// A keeper within this process. If its disk fails it stops for good, and the front goes on: others keep.
-fn keep(mut keeping: Keeping) {
+fn keep(mut keeping: CoordinatorServer) {
     if let Err(e) = keeping.run() {
         tracing::error!("this front keeps no more, and serves on: {e}");
     }
 }
 
-impl Among {
+impl FleetMembership {
     /// Joins. `span` is that of the pace which goes by the number.
     ///
     /// # Errors
     /// The fleet's address can't be listened on, or there is no thread.
-    pub fn start(set: &FleetSettings, span: Duration) -> io::Result<Among> {
+    pub fn start(set: &FleetSettings, span: Duration) -> io::Result<FleetMembership> {
         let (peers, keeping) = if set.keeps() {
             let end = Arc::new(AtomicBool::new(false));
-            let keeping = Keeping::start_as(Kind::Front, set.clone(), Arc::clone(&end));
+            let keeping = CoordinatorServer::start_as(Kind::Front, set.clone(), Arc::clone(&end));
             let keeping = keeping.map_err(|e| io::Error::other(e.to_string()))?;
             let peers = keeping.members();
             let thread = thread::Builder::new().name("keeper".into()).spawn(move || keep(keeping))?;
             (peers, Some((end, thread)))
         } else {
-            (Among::member(set)?, None)
+            (FleetMembership::member(set)?, None)
         };
         let limits = set.limits.as_ref();
-        let limiter = limits.map(|limits| Limiter::start(set, limits, peers.clone())).transpose()?;
+        let limiter = limits.map(|limits| QuotaClient::start(set, limits, peers.clone())).transpose()?;
         let verdicts = match (set.verdicts, &peers) {
             (Some(verdicts), Some(peers)) => {
-                Some(Arc::new(Verdicting::start(set, verdicts, Arc::clone(peers))?))
+                Some(Arc::new(OutlierDetector::start(set, verdicts, Arc::clone(peers))?))
             }
             _ => None,
         };
-        Ok(Among { agent: Arc::new(Agent::start(set, span)?), peers, limiter, verdicts, keeping })
+        Ok(FleetMembership {
+            agent: Arc::new(FrontLeases::start(set, span)?),
+            peers,
+            limiter,
+            verdicts,
+            keeping,
+        })
     }
 
     /// As a member, if its settings name seeds.
-    fn member(set: &FleetSettings) -> io::Result<Option<Arc<Peers>>> {
+    fn member(set: &FleetSettings) -> io::Result<Option<Arc<MembershipService>>> {
         if set.seeds.is_empty() {
             return Ok(None);
         }
@@ -73,7 +81,7 @@
             Some(listen) => io::Error::new(e.kind(), format!("fleet.listen {listen}: {e}")),
             None => e,
         };
-        let peers = Peers::start(set, Kind::Front).map_err(said)?;
+        let peers = MembershipService::start(set, Kind::Front).map_err(said)?;
         peers.answer().map_err(said)?;
         Ok(Some(Arc::new(peers)))
     }
@@ -94,8 +102,10 @@
 
     /// What a front is told by its fleet, and tells it.
     pub fn hooks(&self) -> Hooks {
-        let observer =
-            self.verdicts.as_ref().map(|v| -> Box<dyn Observer> { Box::new(Witness::new(Arc::clone(v))) });
+        let observer = self
+            .verdicts
+            .as_ref()
+            .map(|v| -> Box<dyn Observer> { Box::new(OutlierObserver::new(Arc::clone(v))) });
         Hooks { numbers: Some(self.numbers()), observer, gate: self.gate() }
     }
 
@@ -113,7 +123,7 @@
 
     /// What admits by limits that hold for all fronts, if there are any.
     pub fn gate(&self) -> Option<Gate> {
-        self.limiter.as_ref().map(Limiter::gate)
+        self.limiter.as_ref().map(QuotaClient::gate)
     }
 
     /// Has the boxes asked now and then what lost fronts left there.
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -3,17 +3,16 @@
 #![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
-mod act;
-mod among;
 mod bench;
 mod day;
 mod demo;
 mod fleet;
+mod fleet_membership;
 mod log;
 mod node;
+mod outlier_observer;
 mod serve;
 mod store;
-mod witness;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -125,7 +124,7 @@
         Command::Day { file, seed, json, keep } => day::day(&file, seed, json, keep.as_deref()),
         Command::Bench { rate, seconds, clients, playing } => bench::bench(rate, seconds, clients, playing),
         Command::Store { command } => store::store(&command),
-        Command::Keeper(args) => fleet::keeper(&args),
+        Command::Keeper(args) => fleet::run_coordinator(&args),
         Command::Lease { command } => fleet::lease(&command),
         Command::Fleet { command } => fleet::fleet(&command),
         Command::Overload { rate, times, seconds } => bench::overload::overload(rate, times, seconds),
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -7,7 +7,7 @@
 use beechloft_event_loop::Shell;
 use beechloft_protocol::config::Stated;
 
-use crate::among::Among;
+use crate::fleet_membership::FleetMembership;
 use crate::{fail, fleet, log};
 
 /// The variable that names the configuration's file.
@@ -30,7 +30,7 @@
         Ok(shell) => shell,
         Err(e) => return fail(2, e),
     };
-    let mut among = match set.map(|set| Among::start(&set, shell.pace_span())).transpose() {
+    let mut among = match set.map(|set| FleetMembership::start(&set, shell.pace_span())).transpose() {
         Ok(among) => among,
         Err(e) => return fail(2, e),
     };
--- a/crates/cli/src/witness.rs
+++ b/crates/cli/src/outlier_observer.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechloft_coordinator::{Noted, Verdicting};
+use beechloft_coordinator::{Noted, OutlierDetector};
 use beechloft_outlier_detection::{Outcome, Place, title_key};
 use beechloft_server::observe::{Observer, Showed, Tried};
 use beechloft_session::api::{Micros, ServerId, ServerState};
@@ -13,19 +13,19 @@
 use beechloft_session::holder_filter::{Exclusion, Exclusions, HolderFilter};
 
 /// Between a front's core and the fleet's evidence.
-pub struct Witness {
-    verdicts: Arc<Verdicting>,
+pub struct OutlierObserver {
+    verdicts: Arc<OutlierDetector>,
     seen: u64,
     titles: BTreeMap<u32, Arc<str>>,
 }
 
-impl Witness {
-    pub fn new(verdicts: Arc<Verdicting>) -> Witness {
-        Witness { verdicts, seen: 0, titles: BTreeMap::new() }
+impl OutlierObserver {
+    pub fn new(verdicts: Arc<OutlierDetector>) -> OutlierObserver {
+        OutlierObserver { verdicts, seen: 0, titles: BTreeMap::new() }
     }
 }
 
-impl Observer for Witness {
+impl Observer for OutlierObserver {
     fn list(&mut self, catalog: &Catalog) {
         let listed = catalog.servers().filter(|b| b.state != ServerState::Gone);
         let place = |zone, size: f64| Place { zone, size: if size > 0.0 { size } else { 1.0 } };
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -6,13 +6,13 @@
 
 use beechloft_config::FrontSettings;
 use beechloft_config_reader::{self as config_reader, ConfigError, Section};
-use beechloft_coordinator::{FleetSettings, Known};
+use beechloft_coordinator::{FleetSettings, KnownNames};
 use beechloft_quotas::bounds;
 use beechloft_server::Front;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-use crate::among::Among;
+use crate::fleet_membership::FleetMembership;
 use crate::{fail, log};
 
 /// How long a front may take to answer what it took, once it is told to stop.
@@ -25,7 +25,7 @@
     let front = FrontSettings::of(top);
     let fleet = top.has("fleet").then(|| {
         let section = top.section("fleet");
-        let known = Known { customers: &front.service.tenants, classes: &front.service.classes };
+        let known = KnownNames { customers: &front.service.tenants, classes: &front.service.classes };
         let mut fleet = FleetSettings::among(&section, &front.service.zones, known);
         if let Some(limits) = &mut fleet.limits {
             // Calls carry no tag: what a lost front of calls left can't be asked of boxes.
@@ -57,7 +57,7 @@
     };
     let listen = settings.listen;
     let span = Duration::from_micros(settings.settings.cold.span.0);
-    let mut among = match fleet.map(|set| Among::start(&set, span)).transpose() {
+    let mut among = match fleet.map(|set| FleetMembership::start(&set, span)).transpose() {
         Ok(among) => among,
         Err(e) => return fail(1, e),
     };
@@ -84,7 +84,7 @@
 }
 
 /// Goes on serving until it is this front's turn to restart, or it was waited for long enough, or it is told again.
-fn wait_for_turn(among: &Among, signals: &mut Signals) {
+fn wait_for_turn(among: &FleetMembership, signals: &mut Signals) {
     let Some(waits) = among.wants_end() else { return };
     let until = Instant::now() + waits;
     while !among.may_end() {
--- a/crates/cli/tests/figures.rs
+++ b/crates/cli/tests/figures.rs
@@ -10,9 +10,9 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use beechloft_coordinator::client::Way as ToKeepers;
-use beechloft_coordinator::wire::{self, Word};
-use beechloft_coordinator::{Agent, FleetSettings};
+use beechloft_coordinator::client::LeaderConnection as ToKeepers;
+use beechloft_coordinator::wire::{self, Message};
+use beechloft_coordinator::{FleetSettings, FrontLeases};
 use beechloft_leases::{
     Answer, Heard, Holder, HolderId, HolderInput, HolderOutput, Name, Op, Request, Terms, Token,
 };
@@ -85,12 +85,13 @@
     let holder = HolderId(holder);
     let task = name(&format!("task-{}", holder.0));
     let say = |stream: &mut TcpStream, seq, op| {
-        let bytes = wire::encode(set.number(), &Word::Ask(Request { holder, seq, op })).expect("short");
+        let bytes =
+            wire::encode(set.number(), &Message::LeaseRequest(Request { holder, seq, op })).expect("short");
         stream.write_all(&bytes).expect("written");
     };
     say(&mut stream, 1, Op::Acquire { name: task.clone(), places: 1, ttl_ms: 60_000 });
     let token: Token = match wire::read(set.number(), &mut stream).expect("an answer") {
-        Word::Heard(Heard::Answer { answer: Answer::Granted(token, _), .. }) => token,
+        Message::LeaseResponse(Heard::Answer { answer: Answer::Granted(token, _), .. }) => token,
         other => panic!("{other:?}"),
     };
     let mut seq = 1;
@@ -102,7 +103,7 @@
         for _ in 0..at_once {
             let heard = wire::read(set.number(), &mut stream).expect("an answer");
             assert!(
-                matches!(heard, Word::Heard(Heard::Answer { answer: Answer::Renewed(..), .. })),
+                matches!(heard, Message::LeaseResponse(Heard::Answer { answer: Answer::Renewed(..), .. })),
                 "{heard:?}"
             );
         }
@@ -219,7 +220,7 @@
     fleet.leader(3);
     let mut set = settings(&fleet);
     set.number = Some(Terms { name: name("front/number"), places: 64, ttl_ms: 2_000 });
-    let agent = Agent::start(&set, Duration::from_millis(500)).expect("it starts");
+    let agent = FrontLeases::start(&set, Duration::from_millis(500)).expect("it starts");
     std::thread::sleep(Duration::from_secs(4));
     let (count, began) = (1_000_000u32, Instant::now());
     let mut held = 0;
@@ -284,8 +285,8 @@
     /// How many a member sees, and what it has sent: datagrams and bytes.
     fn look(&self, at: SocketAddr) -> Option<(usize, u64, u64)> {
         let lines = beechloft_coordinator::client::members(&self.set, at, Duration::from_secs(5))?;
-        let there = lines.iter().filter(|l| l.life == "alive" || l.life == "suspected").count();
-        lines.iter().find(|l| l.asked).map(|l| (there, l.sent, l.sent_bytes))
+        let there = lines.iter().filter(|l| l.state == "alive" || l.state == "suspected").count();
+        lines.iter().find(|l| l.is_reporter).map(|l| (there, l.sent, l.sent_bytes))
     }
 
     /// Datagrams and bytes a second, each, as a mean over this span.
--- a/crates/cli/tests/topic_figures.rs
+++ b/crates/cli/tests/topic_figures.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use beechloft_coordinator::FleetSettings;
-use beechloft_coordinator::topics::{Followed, Follower, Publisher, Right};
+use beechloft_coordinator::topics::{Follower, FollowerEvent, Publisher, WriteMode};
 use beechloft_topic::{Expect, Key, Name, Outcome, PublisherSettings, Record, SubscriberSettings, Value};
 use support::keepers::Fleet;
 
@@ -36,7 +36,7 @@
 }
 
 fn publisher(set: &FleetSettings) -> Publisher {
-    Publisher::start(set, name(), Right::OneOfMany, PublisherSettings::default()).expect("it starts")
+    Publisher::start(set, name(), WriteMode::Shared, PublisherSettings::default()).expect("it starts")
 }
 
 fn quantiles(mut all: Vec<Duration>) -> String {
@@ -78,7 +78,7 @@
     let (caught, waits) = mpsc::channel();
     let began = Instant::now();
     let hear = move |followed| {
-        if matches!(followed, Followed::CaughtUp(_)) {
+        if matches!(followed, FollowerEvent::CaughtUp(_)) {
             let _ = caught.send(began.elapsed());
         }
     };
--- a/crates/fleet/coordinator/src/client.rs
+++ b/crates/fleet/coordinator/src/client.rs
@@ -11,29 +11,29 @@
 
 use crate::history::Book;
 use crate::settings::FleetSettings;
-use crate::wire::{self, StatusLine, Word};
+use crate::wire::{self, Message, ReplicaStatus};
 
 const CONNECT: Duration = Duration::from_millis(200);
 const WRITE: Duration = Duration::from_millis(200);
 
 /// Asks one keeper how it stands.
-pub fn status(set: &FleetSettings, keeper: SocketAddr, within: Duration) -> Option<StatusLine> {
-    match call(set, keeper, &Word::Status, within)? {
-        Word::StatusIs(status) => Some(status),
+pub fn status(set: &FleetSettings, keeper: SocketAddr, within: Duration) -> Option<ReplicaStatus> {
+    match call(set, keeper, &Message::GetStatus, within)? {
+        Message::Status(status) => Some(status),
         _ => None,
     }
 }
 
 /// Asks a process of the fleet whom it sees; none: it does not answer, or is no member.
-pub fn members(set: &FleetSettings, of: SocketAddr, within: Duration) -> Option<Vec<wire::SeenLine>> {
-    match call(set, of, &Word::Members, within)? {
-        Word::MembersAre(seen) => seen,
+pub fn members(set: &FleetSettings, of: SocketAddr, within: Duration) -> Option<Vec<wire::MemberInfo>> {
+    match call(set, of, &Message::GetMembers, within)? {
+        Message::Members(seen) => seen,
         _ => None,
     }
 }
 
 /// Asks a keeper, and hears what it says first.
-pub fn call(set: &FleetSettings, keeper: SocketAddr, word: &Word, within: Duration) -> Option<Word> {
+pub fn call(set: &FleetSettings, keeper: SocketAddr, word: &Message, within: Duration) -> Option<Message> {
     let mut stream = TcpStream::connect_timeout(&set.reach(keeper), within).ok()?;
     stream.set_read_timeout(Some(within)).ok()?;
     stream.set_write_timeout(Some(within)).ok()?;
@@ -42,43 +42,43 @@
 }
 
 /// All grants, from the keeper that leads.
-pub fn list(set: &FleetSettings, within: Duration) -> Option<Vec<wire::LeaseLine>> {
-    match ask_leader(set, &Word::List, within)? {
-        Word::Listed(lines) => Some(lines),
+pub fn list(set: &FleetSettings, within: Duration) -> Option<Vec<wire::LeaseInfo>> {
+    match ask_leader(set, &Message::ListLeases, within)? {
+        Message::Leases(lines) => Some(lines),
         _ => None,
     }
 }
 
 /// What one who watches hears.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Watched {
+pub enum WatchEvent {
     /// How things stand; again after each connection that was lost, as something may have been missed.
-    Stands(Vec<wire::LeaseLine>),
+    Snapshot(Vec<wire::LeaseInfo>),
     /// A grant was made or has ended.
-    Changed(wire::ChangeLine),
+    Changed(wire::LeaseChange),
 }
 
 /// Watches a task's grants, or all, by whichever keeper leads, until `hear` wants no more.
-pub fn watch(set: &FleetSettings, name: Option<&Name>, mut hear: impl FnMut(Watched) -> bool) {
+pub fn watch(set: &FleetSettings, name: Option<&Name>, mut hear: impl FnMut(WatchEvent) -> bool) {
     let mut route = Route::new(set.keepers.len(), 0);
     loop {
         let keeper = set.keepers[route.take()];
         if let Some(mut stream) = open_watch(set, keeper, name) {
             loop {
                 match wire::read(set.number(), &mut stream) {
-                    Ok(Word::Listed(mut lines)) => {
+                    Ok(Message::Leases(mut lines)) => {
                         route.answered();
                         lines.retain(|l| name.is_none_or(|n| n.to_string() == l.name));
-                        if !hear(Watched::Stands(lines)) {
+                        if !hear(WatchEvent::Snapshot(lines)) {
                             return;
                         }
                     }
-                    Ok(Word::Changed(line)) => {
-                        if !hear(Watched::Changed(line)) {
+                    Ok(Message::LeaseChanged(line)) => {
+                        if !hear(WatchEvent::Changed(line)) {
                             return;
                         }
                     }
-                    Ok(Word::NotLeader(leader)) => {
+                    Ok(Message::NotLeader(leader)) => {
                         route.not_leader(place(set, leader.as_deref()));
                         break;
                     }
@@ -98,7 +98,7 @@
     let mut stream = TcpStream::connect_timeout(&set.reach(keeper), CONNECT).ok()?;
     stream.set_read_timeout(Some(SILENT)).ok()?;
     stream.set_write_timeout(Some(WRITE)).ok()?;
-    stream.write_all(&wire::encode(set.number(), &Word::Watch(name.cloned()))?).ok()?;
+    stream.write_all(&wire::encode(set.number(), &Message::WatchLeases(name.cloned()))?).ok()?;
     Some(stream)
 }
 
@@ -109,21 +109,21 @@
     new: MemberId,
     within: Duration,
 ) -> Option<Result<(), String>> {
-    match ask_leader(set, &Word::Replace { old, new }, within)? {
-        Word::Replacing(taken) => Some(taken),
+    match ask_leader(set, &Message::ReplaceReplica { old, new }, within)? {
+        Message::ReplaceResult(taken) => Some(taken),
         _ => None,
     }
 }
 
 /// Asks whichever keeper leads, until one answers.
-fn ask_leader(set: &FleetSettings, word: &Word, within: Duration) -> Option<Word> {
+fn ask_leader(set: &FleetSettings, word: &Message, within: Duration) -> Option<Message> {
     let until = Instant::now() + within;
     let mut route = Route::new(set.keepers.len(), 0);
     while Instant::now() < until {
         let keeper = set.keepers[route.take()];
         match call(set, keeper, word, Duration::from_millis(500)) {
-            Some(Word::NotLeader(leader)) => route.not_leader(place(set, leader.as_deref())),
-            None | Some(Word::Heard(_)) => {}
+            Some(Message::NotLeader(leader)) => route.not_leader(place(set, leader.as_deref())),
+            None | Some(Message::LeaseResponse(_)) => {}
             Some(answer) => return Some(answer),
         }
         thread::sleep(Duration::from_millis(50));
@@ -137,36 +137,36 @@
 }
 
 /// A holder's connection to whichever keeper leads.
-pub struct Way {
+pub struct LeaderConnection {
     set: FleetSettings,
     route: Route,
     conn: Option<(usize, TcpStream)>,
-    hears: Sender<Word>,
-    heard: Receiver<Word>,
+    hears: Sender<Message>,
+    heard: Receiver<Message>,
     book: Book,
 }
 
-impl Way {
+impl LeaderConnection {
     /// A way that begins at any keeper.
-    pub fn new(set: FleetSettings) -> Way {
+    pub fn new(set: FleetSettings) -> LeaderConnection {
         let route = Route::new(set.keepers.len(), rand::random_range(0..set.keepers.len().max(1)));
         let (hears, heard) = bounded(64);
         let book = Book::open(set.test_history.as_deref());
-        Way { set, route, conn: None, hears, heard, book }
+        LeaderConnection { set, route, conn: None, hears, heard, book }
     }
 
     /// Sends a request; what can't be sent is lost, as on any network.
     pub fn send(&mut self, request: Request) {
-        self.say(&Word::Ask(request));
+        self.say(&Message::LeaseRequest(request));
     }
 
     /// Says a word to the keeper that leads, as far as is known; what can't be sent is lost, as on any network.
-    pub fn say(&mut self, word: &Word) {
+    pub fn say(&mut self, word: &Message) {
         let at = self.route.take();
         if self.conn.as_ref().is_none_or(|c| c.0 != at) {
             self.conn = self.open(at);
         }
-        if let Word::Ask(request) = word {
+        if let Message::LeaseRequest(request) = word {
             self.book.asks(request);
         }
         let bytes = wire::encode(self.set.number(), word);
@@ -202,20 +202,20 @@
     /// What a keeper has said to a holder, if one says something by then.
     pub fn hear(&mut self, within: Duration) -> Option<HolderInput> {
         match self.hear_word(within)? {
-            Word::Heard(heard) => {
+            Message::LeaseResponse(heard) => {
                 self.book.hears(&heard);
                 Some(HolderInput::Heard(heard))
             }
-            Word::NotLeader(_) => Some(HolderInput::Heard(Heard::NotLeader(None))),
+            Message::NotLeader(_) => Some(HolderInput::Heard(Heard::NotLeader(None))),
             _ => None,
         }
     }
 
     /// What a keeper has said, if one says something by then.
-    pub fn hear_word(&mut self, within: Duration) -> Option<Word> {
+    pub fn hear_word(&mut self, within: Duration) -> Option<Message> {
         let word = self.heard.recv_timeout(within).ok()?;
         match &word {
-            Word::NotLeader(leader) => self.route.not_leader(place(&self.set, leader.as_deref())),
+            Message::NotLeader(leader) => self.route.not_leader(place(&self.set, leader.as_deref())),
             _ => self.route.answered(),
         }
         Some(word)
--- a/crates/fleet/coordinator/src/links.rs
+++ b/crates/fleet/coordinator/src/connections.rs
@@ -11,7 +11,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
 use tracing::{debug, warn};
 
-use crate::wire::{self, Word};
+use crate::wire::{self, Message};
 
 /// Connections that come in, at most.
 const MOST_CONNS: usize = 1024;
@@ -30,12 +30,12 @@
 
 /// A connection that came in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct ConnId(pub u64);
+pub(crate) struct ConnectionId(pub u64);
 
 /// What comes from the sockets.
-pub(crate) enum Came {
-    Word(ConnId, Word),
-    Closed(ConnId),
+pub(crate) enum Inbound {
+    Message(ConnectionId, Message),
+    Closed(ConnectionId),
 }
 
 /// Of each connection, what waits to be written, and its socket.
@@ -43,19 +43,19 @@
 
 /// All connections that came in.
 #[derive(Clone, Default)]
-pub(crate) struct Conns {
+pub(crate) struct Connections {
     queues: Arc<Mutex<Queues>>,
     made: Arc<AtomicU64>,
     pub refused: Arc<AtomicU64>,
 }
 
-impl Conns {
+impl Connections {
     fn queues(&self) -> std::sync::MutexGuard<'_, Queues> {
         self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Queues a word; a reader that does not read loses its connection.
-    pub fn say(&self, to: ConnId, bytes: Vec<u8>) {
+    pub fn say(&self, to: ConnectionId, bytes: Vec<u8>) {
         let mut queues = self.queues();
         if let Some((queue, stream)) = queues.get(&to.0)
             && let Err(TrySendError::Full(_)) = queue.try_send(bytes)
@@ -66,12 +66,12 @@
     }
 
     /// Whether fewer words than this wait for a connection.
-    pub fn has_room(&self, conn: ConnId, words: usize) -> bool {
+    pub fn has_room(&self, conn: ConnectionId, words: usize) -> bool {
         self.queues().get(&conn.0).is_some_and(|(queue, _)| queue.len() < words)
     }
 
     /// Closes a connection once what is queued for it has gone out, or its time to be written is over.
-    pub fn close(&self, conn: ConnId) {
+    pub fn close(&self, conn: ConnectionId) {
         if let Some((_, stream)) = self.queues().remove(&conn.0) {
             // Its reader ends; its writer goes on until the queue, whose other end is gone, is empty.
             let _ = stream.shutdown(Shutdown::Read);
@@ -79,7 +79,7 @@
     }
 
     /// Takes connections until the process ends.
-    pub fn accept(&self, listener: TcpListener, fleet: u64, came: Sender<Came>) -> std::io::Result<()> {
+    pub fn accept(&self, listener: TcpListener, fleet: u64, came: Sender<Inbound>) -> std::io::Result<()> {
         let this = self.clone();
         thread::Builder::new().name("accept".into()).stack_size(STACK).spawn(move || {
             for stream in listener.incoming() {
@@ -98,7 +98,7 @@
         Ok(())
     }
 
-    fn take(&self, stream: TcpStream, fleet: u64, came: Sender<Came>) -> std::io::Result<()> {
+    fn take(&self, stream: TcpStream, fleet: u64, came: Sender<Inbound>) -> std::io::Result<()> {
         let _ = stream.set_nodelay(true);
         stream.set_read_timeout(Some(IDLE))?;
         stream.set_write_timeout(Some(WRITE))?;
@@ -111,12 +111,12 @@
             loop {
                 match wire::read(fleet, &mut reads) {
                     Ok(word) => {
-                        if came.send(Came::Word(ConnId(id), word)).is_err() {
+                        if came.send(Inbound::Message(ConnectionId(id), word)).is_err() {
                             break;
                         }
                     }
                     Err(why) => {
-                        if why.refused() {
+                        if why.is_rejection() {
                             this.refused.fetch_add(1, Ordering::Relaxed);
                             warn!("{why}; its connection is dropped");
                         }
@@ -126,7 +126,7 @@
             }
             let _ = reads.shutdown(Shutdown::Both);
             this.queues().remove(&id);
-            let _ = came.send(Came::Closed(ConnId(id)));
+            let _ = came.send(Inbound::Closed(ConnectionId(id)));
         })?;
         thread::Builder::new().name("writes".into()).stack_size(STACK).spawn(move || {
             for bytes in words {
--- a/crates/fleet/coordinator/src/agent.rs
+++ b/crates/fleet/coordinator/src/front_leases.rs
@@ -10,8 +10,8 @@
 use beechloft_leases::{Holder, HolderId, HolderInput, HolderOutput, Name, Numbering, Part, Request, Terms};
 use tracing::{error, info};
 
-use crate::client::Way;
-use crate::settings::{FleetSettings, Restart};
+use crate::client::LeaderConnection;
+use crate::settings::{FleetSettings, RollingRestart};
 
 /// The longest that the thread listens before it looks at the clock.
 const LOOK: Duration = Duration::from_millis(20);
@@ -137,17 +137,17 @@
 }
 
 /// A front's part in the fleet. It ends when it is dropped; what it holds runs out.
-pub struct Agent {
+pub struct FrontLeases {
     shared: Arc<Shared>,
-    restart: Option<Restart>,
+    restart: Option<RollingRestart>,
 }
 
-impl Agent {
+impl FrontLeases {
     /// Begins to ask for a number, if the settings want one. `span` is that of the pace which goes by it.
     ///
     /// # Errors
     /// There is no thread.
-    pub fn start(set: &FleetSettings, span: Duration) -> io::Result<Agent> {
+    pub fn start(set: &FleetSettings, span: Duration) -> io::Result<FrontLeases> {
         let seat = set.seat.as_ref();
         let number = set.number.clone().map(|terms| Task::new(terms, seat, set));
         let turn = set.restart.as_ref().map(|r| Task::new(r.terms.clone(), None, set));
@@ -159,9 +159,9 @@
         let state = State { number, numbering, keep_ms, ending: Ending::Not, turn, requests: Vec::new() };
         let state = Mutex::new(state);
         let shared = Arc::new(Shared { state, clock: Box::new(set.clock()), end: AtomicBool::new(false) });
-        let (its, way) = (Arc::clone(&shared), Way::new(set.clone()));
+        let (its, way) = (Arc::clone(&shared), LeaderConnection::new(set.clone()));
         thread::Builder::new().name("agent".into()).stack_size(256 << 10).spawn(move || its.run(way))?;
-        Ok(Agent { shared, restart: set.restart.clone() })
+        Ok(FrontLeases { shared, restart: set.restart.clone() })
     }
 
     /// This front's part, now, and how far numbers reach; nothing if its settings ask for no number.
@@ -178,7 +178,7 @@
     }
 
     /// How turns are taken, if they are.
-    pub fn restart(&self) -> Option<&Restart> {
+    pub fn restart(&self) -> Option<&RollingRestart> {
         self.restart.as_ref()
     }
 
@@ -207,14 +207,14 @@
     }
 }
 
-impl Drop for Agent {
+impl Drop for FrontLeases {
     fn drop(&mut self) {
         self.shared.end.store(true, Ordering::Relaxed);
     }
 }
 
 impl Shared {
-    fn run(&self, mut way: Way) {
+    fn run(&self, mut way: LeaderConnection) {
         self.state().want((self.clock)(), |s| s.number.as_mut());
         while !self.end.load(Ordering::Relaxed) {
             let due = self.state().tasks().filter_map(|t| t.holder.next_due()).min().unwrap_or(Duration::MAX);
--- a/crates/fleet/coordinator/src/lib.rs
+++ b/crates/fleet/coordinator/src/lib.rs
@@ -5,38 +5,38 @@
 //! queue between: a peer that does not read costs its own messages and nobody else's time. What can't be queued is dropped;
 //! the machine sends it again.
 //!
-//! [`Peers`] is this process as a member of the fleet: one thread with a UDP socket around `beechloft_membership::Swim`, on the
+//! [`MembershipService`] is this process as a member of the fleet: one thread with a UDP socket around `beechloft_membership::Swim`, on the
 //! address that keepers have for TCP.
 //!
-//! [`Agent`] is what a front asks of the fleet: its number, and its turn to restart.
+//! [`FrontLeases`] is what a front asks of the fleet: its number, and its turn to restart.
 //!
 //! [`topics`] has what processes publish and follow topics by; a keeper serves them from what it has applied.
 //!
-//! Peers listen on an address of their own, meant for a private network: there is no sign-in. A word for another fleet, of
+//! MembershipService listen on an address of their own, meant for a private network: there is no sign-in. A word for another fleet, of
 //! another version, too long or with a wrong checksum costs its connection, and is counted.
 // Not reworked yet, see docs/ROADMAP.md.
 #![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
-mod agent;
 pub mod client;
-mod engine;
+mod connections;
+mod front_leases;
 pub mod history;
-mod limiter;
-mod links;
-mod peers;
-mod rows;
+mod membership;
+mod outlier_detector;
+mod quota_client;
+mod server;
 mod settings;
 mod store;
 pub mod topics;
-mod verdicts;
 pub mod wire;
 
-pub use agent::Agent;
-pub use engine::{Keeping, StartError};
-pub use limiter::Limiter;
-pub use peers::Peers;
-pub use rows::RowSeen;
-pub use settings::{FleetSettings, Known, LimitsSettings, Restart, TopicSpec, VerdictSettings};
+pub use front_leases::FrontLeases;
+pub use membership::{GossipRow, MembershipService};
+pub use outlier_detector::{Noted, OutlierDetector};
+pub use quota_client::QuotaClient;
+pub use server::{CoordinatorServer, ServerError};
+pub use settings::{
+    FleetSettings, KnownNames, OutlierDetectionSettings, QuotaSettings, RollingRestart, TopicSpec,
+};
 pub use store::{LogStore, OpenError};
-pub use verdicts::{Noted, Verdicting};
--- a/crates/fleet/coordinator/src/rows/mod.rs
+++ b/crates/fleet/coordinator/src/membership/gossip/mod.rs
@@ -1,4 +1,4 @@
-//! Rows of `beechloft_gossip` on the members' socket: their own kind of datagram, and the way to them for whoever writes and reads.
+//! GossipTable of `beechloft_gossip` on the members' socket: their own kind of datagram, and the way to them for whoever writes and reads.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -14,7 +14,7 @@
 
 /// The bytes of a packet of rows; none: past the bound, which no machine's packet is.
 pub fn datagram(fleet: u64, packet: &Packet) -> Option<Vec<u8>> {
-    wire::framed(MAGIC, fleet, packet, wire::MOST_DATAGRAM - wire::HEAD)
+    wire::write_frame(MAGIC, fleet, packet, wire::MAX_DATAGRAM_BYTES - wire::HEADER_BYTES)
 }
 
 /// Reads a packet of rows, which is all of a datagram.
@@ -22,13 +22,13 @@
 /// # Errors
 /// Whatever is said in [`WireError`]; it is dropped then.
 pub fn read_datagram(fleet: u64, mut bytes: &[u8]) -> Result<Packet, WireError> {
-    let packet = wire::unframed(MAGIC, fleet, &mut bytes)?;
-    if bytes.is_empty() { Ok(packet) } else { Err(WireError::Nonsense) }
+    let packet = wire::read_frame(MAGIC, fleet, &mut bytes)?;
+    if bytes.is_empty() { Ok(packet) } else { Err(WireError::Malformed) }
 }
 
 /// A row, for whoever reads it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RowSeen {
+pub struct GossipRow {
     /// Whose.
     pub life: MemberId,
     /// Its number among the fronts, as it says.
@@ -44,14 +44,14 @@
 }
 
 /// The rows of this process.
-pub(crate) struct Rows {
+pub(crate) struct GossipTable {
     spread: Mutex<Spread>,
     zone: String,
 }
 
-impl Rows {
-    pub(crate) fn new(id: MemberId, zone: String, set: Settings, now: Duration) -> Rows {
-        Rows { spread: Mutex::new(Spread::new(id, set, rand::random(), now)), zone }
+impl GossipTable {
+    pub(crate) fn new(id: MemberId, zone: String, set: Settings, now: Duration) -> GossipTable {
+        GossipTable { spread: Mutex::new(Spread::new(id, set, rand::random(), now)), zone }
     }
 
     fn spread(&self) -> MutexGuard<'_, Spread> {
@@ -87,7 +87,7 @@
         self.spread().number(now, number);
     }
 
-    pub(crate) fn seen(&self, now: Duration, kind: Kind) -> Vec<RowSeen> {
+    pub(crate) fn seen(&self, now: Duration, kind: Kind) -> Vec<GossipRow> {
         let spread = self.spread();
         let zone = |life| {
             if life == spread.id() {
@@ -98,7 +98,7 @@
         let rows = spread.rows(now).filter_map(|r| {
             let bytes = r.section(kind)?.to_vec();
             let (life, number, version, age) = (r.life, r.number, r.version, r.age);
-            Some(RowSeen { life, number, zone: zone(life), version, age, bytes })
+            Some(GossipRow { life, number, zone: zone(life), version, age, bytes })
         });
         rows.collect()
     }
--- a/crates/fleet/coordinator/src/rows/tests.rs
+++ b/crates/fleet/coordinator/src/membership/gossip/tests.rs
@@ -10,7 +10,7 @@
     assert_eq!(read_datagram(9, &bytes).expect("sound"), packet);
     assert!(matches!(read_datagram(8, &bytes), Err(WireError::Fleet)));
     // It is no packet of members, nor is one of theirs a packet of rows.
-    assert!(matches!(wire::read_datagram(9, &bytes), Err(WireError::Version)));
+    assert!(matches!(wire::decode_datagram(9, &bytes), Err(WireError::Version)));
     for bit in 0..bytes.len() * 8 {
         let mut bad = bytes.clone();
         bad[bit / 8] ^= 1 << (bit % 8);
@@ -22,7 +22,7 @@
 }
 
 const FLEET: u64 = 0x0102_0304_0506_0708;
-const FIXTURE: &str = include_str!("../../tests/fixtures/gossip_datagrams.txt");
+const FIXTURE: &str = include_str!("../../../tests/fixtures/gossip_datagrams.txt");
 
 fn packets() -> Vec<(&'static str, Packet)> {
     let packet = |said| Packet { from: MemberId(300), to: MemberId(301), said };
--- a/crates/fleet/coordinator/src/peers.rs
+++ b/crates/fleet/coordinator/src/membership/mod.rs
@@ -1,5 +1,7 @@
 //! This process as a member of the fleet: one UDP socket and one thread around the machine.
 
+mod gossip;
+
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -11,10 +13,12 @@
 use crossbeam_channel::bounded;
 use tracing::{debug, info};
 
-use crate::links::{Came, Conns};
-use crate::rows::{self, RowSeen, Rows};
+use crate::connections::{Connections, Inbound};
+
+pub use self::gossip::GossipRow;
+use self::gossip::GossipTable;
 use crate::settings::FleetSettings;
-use crate::wire::{self, SeenLine, Word};
+use crate::wire::{self, MemberInfo, Message};
 
 /// The longest that the thread waits for a packet before it looks whether it is over.
 const LOOK: Duration = Duration::from_millis(100);
@@ -25,8 +29,8 @@
 
 struct Shared {
     swim: Mutex<Swim>,
-    /// Rows that fronts spread, if anything asks for them.
-    rows: Option<Rows>,
+    /// GossipTable that fronts spread, if anything asks for them.
+    rows: Option<GossipTable>,
     socket: UdpSocket,
     set: FleetSettings,
     clock: Box<dyn Fn() -> Duration + Send + Sync>,
@@ -38,16 +42,16 @@
 }
 
 /// A member that runs until it is dropped.
-pub struct Peers {
+pub struct MembershipService {
     shared: Arc<Shared>,
 }
 
-impl Peers {
+impl MembershipService {
     /// Listens on the fleet's address, and looks for others.
     ///
     /// # Errors
     /// `fleet.listen` is missing or can't be listened on, or there is no thread.
-    pub fn start(set: &FleetSettings, kind: Kind) -> io::Result<Peers> {
+    pub fn start(set: &FleetSettings, kind: Kind) -> io::Result<MembershipService> {
         let missing = || io::Error::new(io::ErrorKind::InvalidInput, "fleet.listen: missing");
         let address = set.listen.ok_or_else(missing)?;
         let socket = UdpSocket::bind(address)?;
@@ -55,7 +59,7 @@
         let about = About { address, zone: set.zone.clone(), kind };
         let id = MemberId(rand::random());
         let rows = set.spread.filter(|_| kind == Kind::Front);
-        let rows = rows.map(|spread| Rows::new(id, set.zone.to_string(), spread, clock()));
+        let rows = rows.map(|spread| GossipTable::new(id, set.zone.to_string(), spread, clock()));
         let swim = Mutex::new(Swim::new(id, about, set.seeds.clone(), rand::random(), clock()));
         info!(%id, %address, zone = %set.zone, "member is up");
         let (end, refused, sent) = (AtomicBool::new(false), AtomicU64::new(0), Default::default());
@@ -64,7 +68,7 @@
             Arc::new(Shared { swim, rows, socket, set: set.clone(), clock, end, refused, sent, fronts });
         let its = Arc::clone(&shared);
         thread::Builder::new().name("members".into()).stack_size(256 << 10).spawn(move || its.run())?;
-        Ok(Peers { shared })
+        Ok(MembershipService { shared })
     }
 
     /// Answers those who ask whom it sees, for a process that is no keeper: a keeper's connections do so.
@@ -75,13 +79,13 @@
         let shared = Arc::clone(&self.shared);
         let missing = || io::Error::new(io::ErrorKind::InvalidInput, "fleet.listen: missing");
         let listener = TcpListener::bind(shared.set.listen.ok_or_else(missing)?)?;
-        let (conns, number) = (Conns::default(), shared.set.number());
+        let (conns, number) = (Connections::default(), shared.set.number());
         let (queue, came) = bounded(QUEUE);
         conns.accept(listener, number, queue)?;
         thread::Builder::new().name("answers".into()).stack_size(256 << 10).spawn(move || {
             for came in came {
-                if let Came::Word(conn, Word::Members) = came
-                    && let Some(bytes) = wire::encode(number, &Word::MembersAre(Some(shared.seen())))
+                if let Inbound::Message(conn, Message::GetMembers) = came
+                    && let Some(bytes) = wire::encode(number, &Message::Members(Some(shared.seen())))
                 {
                     conns.say(conn, bytes);
                 }
@@ -91,7 +95,7 @@
     }
 
     /// Whom it sees.
-    pub fn seen(&self) -> Vec<SeenLine> {
+    pub fn seen(&self) -> Vec<MemberInfo> {
         self.shared.seen()
     }
 
@@ -130,13 +134,13 @@
     }
 
     /// What all rows that are known say of a matter, this front's own among them.
-    pub fn rows(&self, kind: beechloft_gossip::Kind) -> Vec<RowSeen> {
+    pub fn rows(&self, kind: beechloft_gossip::Kind) -> Vec<GossipRow> {
         self.shared.rows.as_ref().map(|r| r.seen((self.shared.clock)(), kind)).unwrap_or_default()
     }
 
     /// What happened to rows so far.
     pub fn row_counts(&self) -> Option<beechloft_gossip::Counts> {
-        self.shared.rows.as_ref().map(Rows::counts)
+        self.shared.rows.as_ref().map(GossipTable::counts)
     }
 
     /// Tells some others that this process ends.
@@ -145,7 +149,7 @@
     }
 }
 
-impl Drop for Peers {
+impl Drop for MembershipService {
     fn drop(&mut self) {
         self.shared.end.store(true, Ordering::Relaxed);
     }
@@ -157,9 +161,10 @@
     }
 
     fn run(&self) {
-        let mut buffer = [0; 2 * wire::MOST_DATAGRAM];
+        let mut buffer = [0; 2 * wire::MAX_DATAGRAM_BYTES];
         while !self.end.load(Ordering::Relaxed) {
-            let due = self.rows.as_ref().map_or(Duration::MAX, Rows::next_due).min(self.swim().next_due());
+            let due =
+                self.rows.as_ref().map_or(Duration::MAX, GossipTable::next_due).min(self.swim().next_due());
             let due = due.saturating_sub((self.clock)());
             // A time-out of nought would mean none at all.
             let wait = due.clamp(Duration::from_millis(1), LOOK);
@@ -185,15 +190,15 @@
 
     fn send_rows(&self, out: Vec<(SocketAddr, beechloft_gossip::Packet)>) {
         for (to, packet) in out {
-            if let Some(bytes) = rows::datagram(self.set.number(), &packet) {
+            if let Some(bytes) = gossip::datagram(self.set.number(), &packet) {
                 let _ = self.socket.send_to(&bytes, self.set.reach_member(to));
             }
         }
     }
 
     fn take(&self, bytes: &[u8], from: SocketAddr) {
-        if let Some(rows) = self.rows.as_ref().filter(|_| bytes.starts_with(&rows::MAGIC)) {
-            match rows::read_datagram(self.set.number(), bytes) {
+        if let Some(rows) = self.rows.as_ref().filter(|_| bytes.starts_with(&gossip::MAGIC)) {
+            match gossip::read_datagram(self.set.number(), bytes) {
                 Ok(packet) => {
                     let heard = beechloft_gossip::Input::Heard(self.set.behind(from), packet);
                     self.send_rows(rows.handle((self.clock)(), heard));
@@ -205,7 +210,7 @@
             }
             return;
         }
-        match wire::read_datagram(self.set.number(), bytes) {
+        match wire::decode_datagram(self.set.number(), bytes) {
             Ok(packet) => self.handle(Input::Heard(self.set.behind(from), packet)),
             Err(why) => {
                 self.refused.fetch_add(1, Ordering::Relaxed);
@@ -240,7 +245,7 @@
     }
 
     fn send(&self, to: SocketAddr, packet: &Packet) {
-        if let Some(bytes) = wire::datagram(self.set.number(), packet) {
+        if let Some(bytes) = wire::encode_datagram(self.set.number(), packet) {
             self.sent.0.fetch_add(1, Ordering::Relaxed);
             self.sent.1.fetch_add(bytes.len() as u64 + HEADS, Ordering::Relaxed);
             // What can't be sent is lost, as on any network.
@@ -248,10 +253,10 @@
         }
     }
 
-    fn seen(&self) -> Vec<SeenLine> {
+    fn seen(&self) -> Vec<MemberInfo> {
         let (swim, now) = (self.swim(), (self.clock)());
         let millis = |since: Duration| now.saturating_sub(since).as_millis() as u64;
-        let line = |(id, m): (MemberId, &Member)| SeenLine {
+        let line = |(id, m): (MemberId, &Member)| MemberInfo {
             id: id.to_string(),
             address: m.about.address.to_string(),
             zone: m.about.zone.to_string(),
@@ -259,7 +264,7 @@
                 Kind::Front => "front".into(),
                 Kind::Keeper => "keeper".into(),
             },
-            life: match m.life {
+            state: match m.life {
                 Life::Alive => "alive".into(),
                 Life::Suspected => "suspected".into(),
                 Life::Gone => "gone".into(),
@@ -268,7 +273,7 @@
             since_ms: millis(m.since),
             known_ms: millis(m.known_since),
             incarnation: m.incarnation.0,
-            asked: id == swim.id(),
+            is_reporter: id == swim.id(),
             sent: if id == swim.id() { self.sent.0.load(Ordering::Relaxed) } else { 0 },
             sent_bytes: if id == swim.id() { self.sent.1.load(Ordering::Relaxed) } else { 0 },
         };
--- a/crates/fleet/coordinator/src/verdicts.rs
+++ b/crates/fleet/coordinator/src/outlier_detector.rs
@@ -16,9 +16,9 @@
 };
 use tracing::{info, warn};
 
-use crate::client::Way;
-use crate::peers::Peers;
-use crate::settings::{FleetSettings, VerdictSettings};
+use crate::client::LeaderConnection;
+use crate::membership::MembershipService;
+use crate::settings::{FleetSettings, OutlierDetectionSettings};
 
 /// The longest that the thread listens before it looks at the clock.
 const LISTEN: Duration = Duration::from_millis(20);
@@ -52,29 +52,29 @@
 }
 
 struct Shared {
-    set: VerdictSettings,
+    set: OutlierDetectionSettings,
     zones: Vec<String>,
-    peers: Arc<Peers>,
+    peers: Arc<MembershipService>,
     state: Mutex<State>,
     version: AtomicU64,
     end: AtomicBool,
 }
 
 /// A front's part in verdicts. It ends when it is dropped.
-pub struct Verdicting {
+pub struct OutlierDetector {
     shared: Arc<Shared>,
 }
 
-impl Verdicting {
+impl OutlierDetector {
     /// Begins to judge.
     ///
     /// # Errors
     /// There is no thread.
     pub fn start(
         set: &FleetSettings,
-        verdicts: VerdictSettings,
-        peers: Arc<Peers>,
-    ) -> io::Result<Verdicting> {
+        verdicts: OutlierDetectionSettings,
+        peers: Arc<MembershipService>,
+    ) -> io::Result<OutlierDetector> {
         let own = set.zone.to_string();
         let zone = set.zones.iter().position(|z| *z == own).map_or(ELSEWHERE, |n| n as u16);
         let state = State {
@@ -97,12 +97,12 @@
         let name = Name::try_from("verdict/trial".to_owned()).map_err(io::Error::other)?;
         let terms = Terms { name, places: 1, ttl_ms: verdicts.trial_ttl_ms };
         let holder = Holder::new(HolderId(rand::random()), terms, set.drift, rand::random());
-        let (its, way) = (Arc::clone(&shared), Way::new(set.clone()));
+        let (its, way) = (Arc::clone(&shared), LeaderConnection::new(set.clone()));
         thread::Builder::new()
             .name("verdicts".into())
             .stack_size(256 << 10)
             .spawn(move || its.run(holder, way))?;
-        Ok(Verdicting { shared })
+        Ok(OutlierDetector { shared })
     }
 
     /// The boxes of the list.
@@ -164,7 +164,7 @@
     }
 }
 
-impl Drop for Verdicting {
+impl Drop for OutlierDetector {
     fn drop(&mut self) {
         self.shared.end.store(true, Ordering::Relaxed);
     }
@@ -190,7 +190,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn run(&self, mut holder: Holder, mut way: Way) {
+    fn run(&self, mut holder: Holder, mut way: LeaderConnection) {
         let mut judge_at = Duration::ZERO;
         while !self.end.load(Ordering::Relaxed) {
             let input = way.hear(LISTEN).unwrap_or(HolderInput::Tick);
--- a/crates/fleet/coordinator/src/limiter.rs
+++ b/crates/fleet/coordinator/src/quota_client.rs
@@ -15,10 +15,10 @@
 };
 use tracing::{debug, info, warn};
 
-use crate::client::Way;
-use crate::peers::Peers;
-use crate::settings::{FleetSettings, LimitsSettings};
-use crate::wire::Word;
+use crate::client::LeaderConnection;
+use crate::membership::MembershipService;
+use crate::settings::{FleetSettings, QuotaSettings};
+use crate::wire::Message;
 
 /// The longest that the thread listens before it looks at the clock: what is urgent waits no longer.
 const LOOK: Duration = Duration::from_millis(10);
@@ -41,22 +41,22 @@
 }
 
 /// A front's limits. Its threads end when it is dropped.
-pub struct Limiter {
+pub struct QuotaClient {
     shared: Arc<Shared>,
     set: FleetSettings,
     fronts: u32,
 }
 
-impl Limiter {
+impl QuotaClient {
     /// Begins to ask for an account. `peers` spread its rows, if there are soft limits.
     ///
     /// # Errors
     /// There is no thread.
     pub fn start(
         set: &FleetSettings,
-        limits: &LimitsSettings,
-        peers: Option<Arc<Peers>>,
-    ) -> io::Result<Limiter> {
+        limits: &QuotaSettings,
+        peers: Option<Arc<MembershipService>>,
+    ) -> io::Result<QuotaClient> {
         let clock = set.clock();
         let id = peers.as_ref().map_or_else(rand::random, |p| p.id().0);
         let of = FrontSettings {
@@ -71,12 +71,12 @@
         }
         let gate = Gate::new(front, clock);
         let shared = Arc::new(Shared { gate, end: AtomicBool::new(false), closed: AtomicBool::new(false) });
-        let (its, way) = (Arc::clone(&shared), Way::new(set.clone()));
+        let (its, way) = (Arc::clone(&shared), LeaderConnection::new(set.clone()));
         thread::Builder::new()
             .name("limits".into())
             .stack_size(256 << 10)
             .spawn(move || its.run(way, peers))?;
-        Ok(Limiter { shared, set: set.clone(), fronts: limits.rules.fronts })
+        Ok(QuotaClient { shared, set: set.clone(), fronts: limits.rules.fronts })
     }
 
     /// What admits.
@@ -89,7 +89,8 @@
     /// # Errors
     /// There is no thread.
     pub fn survey(&self, tags: Tags) -> io::Result<()> {
-        let (its, way, fronts) = (Arc::clone(&self.shared), Way::new(self.set.clone()), self.fronts);
+        let (its, way, fronts) =
+            (Arc::clone(&self.shared), LeaderConnection::new(self.set.clone()), self.fronts);
         let every = (SURVEY * fronts).max(SURVEY_LEAST);
         thread::Builder::new()
             .name("survey".into())
@@ -103,10 +104,10 @@
         let until = Instant::now() + within;
         let now = self.shared.gate.now();
         let outputs = self.shared.gate.front().handle(now, FrontInput::Close);
-        let mut way = Way::new(self.set.clone());
+        let mut way = LeaderConnection::new(self.set.clone());
         for output in outputs {
             match output {
-                FrontOutput::Send(request) => way.say(&Word::Limit(request)),
+                FrontOutput::Send(request) => way.say(&Message::QuotaRequest(request)),
                 FrontOutput::Closed => self.shared.closed.store(true, Ordering::Relaxed),
                 _ => {}
             }
@@ -117,14 +118,14 @@
     }
 }
 
-impl Drop for Limiter {
+impl Drop for QuotaClient {
     fn drop(&mut self) {
         self.shared.end.store(true, Ordering::Relaxed);
     }
 }
 
 impl Shared {
-    fn run(&self, mut way: Way, peers: Option<Arc<Peers>>) {
+    fn run(&self, mut way: LeaderConnection, peers: Option<Arc<MembershipService>>) {
         let (mut input, mut rows_at) = (FrontInput::Start, Duration::ZERO);
         while !self.end.load(Ordering::Relaxed) {
             let now = self.gate.now();
@@ -140,15 +141,15 @@
             let due = self.gate.front().next_due().unwrap_or(Duration::MAX);
             let wait = due.saturating_sub(self.gate.now()).min(LOOK);
             input = match way.hear_word(wait) {
-                Some(Word::LimitHeard(heard)) => FrontInput::Heard(heard),
+                Some(Message::QuotaResponse(heard)) => FrontInput::Heard(heard),
                 _ => FrontInput::Tick,
             };
         }
     }
 
-    fn put_out(&self, output: FrontOutput, way: &mut Way, peers: Option<&Peers>) {
+    fn put_out(&self, output: FrontOutput, way: &mut LeaderConnection, peers: Option<&MembershipService>) {
         match output {
-            FrontOutput::Send(request) => way.say(&Word::Limit(request)),
+            FrontOutput::Send(request) => way.say(&Message::QuotaRequest(request)),
             FrontOutput::Opened(account) => info!(account = account.0, "an account of the fleet's limits"),
             FrontOutput::Lost(account) => {
                 warn!(account = account.0, "no account of the fleet's limits; hard ones admit nobody here")
@@ -164,7 +165,7 @@
     }
 
     /// Takes the other fronts' parts.
-    fn rows(&self, now: Duration, peers: &Peers) {
+    fn rows(&self, now: Duration, peers: &MembershipService) {
         let own = self.gate.front().id();
         for row in peers.rows(Kind::SOFT_LIMITS) {
             let from = FrontId(row.life.0);
@@ -176,7 +177,7 @@
         }
     }
 
-    fn surveys(&self, mut way: Way, every: Duration, tags: &Tags) {
+    fn surveys(&self, mut way: LeaderConnection, every: Duration, tags: &Tags) {
         let (me, mut seq) = (FrontId(rand::random()), 0);
         while !self.end.load(Ordering::Relaxed) {
             let rest = Instant::now() + every.mul_f64(rand::random_range(0.5..1.5));
@@ -209,7 +210,7 @@
         }
     }
 
-    fn counted(&self, way: &mut Way, request: Request, orphan: OrphanId, left: &[(Claim, u64)]) {
+    fn counted(&self, way: &mut LeaderConnection, request: Request, orphan: OrphanId, left: &[(Claim, u64)]) {
         if let Some(Answer::Counted) = ask(way, request) {
             let left: Vec<String> = left.iter().map(|(claim, units)| format!("{claim}: {units}")).collect();
             info!(orphan = orphan.0, ?left, "boxes said what a lost front left");
@@ -226,16 +227,18 @@
 }
 
 /// Asks once, and hears the answer to that if one comes in time. A survey that is lost is made anew.
-fn ask(way: &mut Way, request: Request) -> Option<Answer> {
+fn ask(way: &mut LeaderConnection, request: Request) -> Option<Answer> {
     let (front, seq) = (request.front, request.seq);
-    way.say(&Word::Limit(request));
+    way.say(&Message::QuotaRequest(request));
     let until = Instant::now() + ANSWER;
     while Instant::now() < until {
         match way.hear_word(until.saturating_duration_since(Instant::now())) {
-            Some(Word::LimitHeard(Heard::Answer { front: f, seq: s, answer })) if (f, s) == (front, seq) => {
+            Some(Message::QuotaResponse(Heard::Answer { front: f, seq: s, answer }))
+                if (f, s) == (front, seq) =>
+            {
                 return Some(answer);
             }
-            Some(Word::LimitHeard(_)) => {}
+            Some(Message::QuotaResponse(_)) => {}
             _ => return None,
         }
     }
--- a/crates/fleet/coordinator/src/engine/forming.rs
+++ b/crates/fleet/coordinator/src/server/bootstrap.rs
@@ -11,21 +11,21 @@
 use beechloft_topic::Topic;
 use tracing::info;
 
-use super::{Keeping, StartError};
-use crate::links::ConnId;
+use super::{CoordinatorServer, ServerError};
+use crate::connections::ConnectionId;
 use crate::settings::TopicSpec;
-use crate::wire::Word;
+use crate::wire::Message;
 
-impl Keeping {
+impl CoordinatorServer {
     /// Removes a member that was lost with its disk, if the one that came up in its place has been met there. That one is let
     /// in as a new keeper then, as it learns and votes.
-    pub(super) fn replace(&mut self, conn: ConnId, old: MemberId, new: MemberId, out: &mut Outputs) {
+    pub(super) fn replace(&mut self, conn: ConnectionId, old: MemberId, new: MemberId, out: &mut Outputs) {
         let status = self.keeper.status();
         if status.leader != Some(self.id) {
             let address = status.leader.and_then(|l| self.address_of(l)).map(|a| a.to_string());
-            return self.say(conn, &Word::NotLeader(address));
+            return self.say(conn, &Message::NotLeader(address));
         }
-        let no = |why: String| Word::Replacing(Err(why));
+        let no = |why: String| Message::ReplaceResult(Err(why));
         let Some(member) = status.members.get(old) else {
             return self.say(conn, &no(format!("{old} is no member")));
         };
@@ -53,7 +53,7 @@
     }
 
     /// Looks at who belongs to the group: founds it, once, and has new keepers learn and then vote.
-    pub(super) fn look(&mut self, now: Duration, out: &mut Outputs) -> Result<(), StartError> {
+    pub(super) fn look(&mut self, now: Duration, out: &mut Outputs) -> Result<(), ServerError> {
         let status = self.keeper.status();
         if status.members.iter().next().is_none() {
             return self.found(now);
@@ -97,7 +97,7 @@
 
     /// The first of the listed keepers founds the group, alone, when all others have said that they are new: one founder, so
     /// that there are never two groups. If any other has been a member before, this one has lost its disk and must wait.
-    fn found(&mut self, now: Duration) -> Result<(), StartError> {
+    fn found(&mut self, now: Duration) -> Result<(), ServerError> {
         let first = self.set.keepers.iter().min() == Some(&self.address);
         let others = self.set.keepers.iter().filter(|a| **a != self.address);
         let all_new = others.into_iter().all(|a| self.met.get(a).is_some_and(|m| !m.formed));
--- a/crates/fleet/coordinator/src/engine/words.rs
+++ b/crates/fleet/coordinator/src/server/dispatch.rs
@@ -9,76 +9,78 @@
 use beechloft_topic::TopicEvent;
 use tracing::{info, warn};
 
-use super::{Keeping, Met, lines};
-use crate::links::{Came, ConnId};
-use crate::wire::{self, Word};
+use super::{CoordinatorServer, Met, reports};
+use crate::connections::{ConnectionId, Inbound};
+use crate::wire::{self, Message};
 
-impl Keeping {
-    pub(super) fn take(&mut self, came: Came, out: &mut Outputs) {
+impl CoordinatorServer {
+    pub(super) fn take(&mut self, came: Inbound, out: &mut Outputs) {
         let now = (self.clock)();
         let (conn, word) = match came {
-            Came::Word(conn, word) => (conn, word),
-            Came::Closed(conn) => {
+            Inbound::Message(conn, word) => (conn, word),
+            Inbound::Closed(conn) => {
                 self.serving.closed(conn);
                 return self.keeper.handle(now, Asked::Closed(ClientId(conn.0)), out);
             }
         };
         let client = ClientId(conn.0);
         match word {
-            Word::Hello { id, listen, formed } => {
+            Message::Hello { id, listen, formed } => {
                 if let Some(address) = listen.parse().ok().filter(|a| self.set.keepers.contains(a)) {
                     self.met.insert(address, Met { id, formed });
                 }
             }
-            Word::Peer(message) => self.keeper.handle(now, Asked::Peer(message), out),
-            Word::Ask(request) if self.serves() => {
+            Message::Consensus(message) => self.keeper.handle(now, Asked::Peer(message), out),
+            Message::LeaseRequest(request) if self.serves() => {
                 self.keeper.handle(now, Asked::Request(client, request), out)
             }
-            Word::List if self.serves() => self.keeper.handle(now, Asked::List(client), out),
-            Word::Watch(name) if self.serves() => self.keeper.handle(now, Asked::Watch(client, name), out),
-            Word::Publish(request) if self.serves() => {
+            Message::ListLeases if self.serves() => self.keeper.handle(now, Asked::List(client), out),
+            Message::WatchLeases(name) if self.serves() => {
+                self.keeper.handle(now, Asked::Watch(client, name), out)
+            }
+            Message::Publish(request) if self.serves() => {
                 self.keeper.handle(now, Asked::Publish(client, request), out)
             }
-            Word::Subscribe { feed, topic, from, allow } if self.serves() => {
+            Message::Subscribe { feed, topic, from, allow } if self.serves() => {
                 if let Err(busy) = self.serving.subscribe(conn, (feed, topic), from, allow, now) {
-                    self.say(conn, &Word::Heard(busy));
+                    self.say(conn, &Message::LeaseResponse(busy));
                 }
             }
-            Word::Allow { feed, total } => self.serving.allow(conn, feed, total, now),
-            Word::Limit(request) if self.serves() => {
+            Message::Credit { feed, total } => self.serving.allow(conn, feed, total, now),
+            Message::QuotaRequest(request) if self.serves() => {
                 self.keeper.handle(now, Asked::Limit(client, request), out)
             }
-            Word::Place { number, command } if self.serves() => {
+            Message::PlacementRequest { number, command } if self.serves() => {
                 self.keeper.handle(now, Asked::Place(client, number, command), out)
             }
-            Word::Ask(_)
-            | Word::List
-            | Word::Watch(_)
-            | Word::Publish(_)
-            | Word::Subscribe { .. }
-            | Word::Limit(_)
-            | Word::Place { .. } => self.say(conn, &Word::Heard(Heard::Busy)),
-            Word::Status => self.say(conn, &Word::StatusIs(self.status())),
-            Word::Replace { old, new } => self.replace(conn, old, new, out),
-            Word::Members => {
+            Message::LeaseRequest(_)
+            | Message::ListLeases
+            | Message::WatchLeases(_)
+            | Message::Publish(_)
+            | Message::Subscribe { .. }
+            | Message::QuotaRequest(_)
+            | Message::PlacementRequest { .. } => self.say(conn, &Message::LeaseResponse(Heard::Busy)),
+            Message::GetStatus => self.say(conn, &Message::Status(self.status())),
+            Message::ReplaceReplica { old, new } => self.replace(conn, old, new, out),
+            Message::GetMembers => {
                 let seen = self.members.as_ref().map(|m| m.seen());
-                self.say(conn, &Word::MembersAre(seen));
-            }
-            Word::MembersAre(_)
-            | Word::Changed(_)
-            | Word::Heard(_)
-            | Word::NotLeader(_)
-            | Word::Listed(_)
-            | Word::StatusIs(_)
-            | Word::TopicHeard(_)
-            | Word::LimitHeard(_)
-            | Word::Told(_)
-            | Word::Placed { .. }
-            | Word::Replacing(_) => {}
+                self.say(conn, &Message::Members(seen));
+            }
+            Message::Members(_)
+            | Message::LeaseChanged(_)
+            | Message::LeaseResponse(_)
+            | Message::NotLeader(_)
+            | Message::Leases(_)
+            | Message::Status(_)
+            | Message::PublishResponse(_)
+            | Message::QuotaResponse(_)
+            | Message::Delivery(_)
+            | Message::PlacementResponse { .. }
+            | Message::ReplaceResult(_) => {}
         }
     }
 
-    pub(super) fn say(&self, to: ConnId, word: &Word) {
+    pub(super) fn say(&self, to: ConnectionId, word: &Message) {
         if let Some(bytes) = wire::encode(self.set.number(), word) {
             self.conns.say(to, bytes);
         }
@@ -95,40 +97,46 @@
             KeeperOutput::Peer(message) => {
                 let link = self.address_of(message.to).and_then(|a| self.peers.get(&a));
                 if let (Some(link), Some(bytes)) =
-                    (link, wire::encode(self.set.number(), &Word::Peer(message)))
+                    (link, wire::encode(self.set.number(), &Message::Consensus(message)))
                 {
                     link.say(bytes);
                 }
             }
             KeeperOutput::Heard(client, Heard::NotLeader(leader)) => {
                 let address = leader.and_then(|l| self.address_of(MemberId(l.0))).map(|a| a.to_string());
-                self.say(ConnId(client.0), &Word::NotLeader(address));
+                self.say(ConnectionId(client.0), &Message::NotLeader(address));
+            }
+            KeeperOutput::Heard(client, heard) => {
+                self.say(ConnectionId(client.0), &Message::LeaseResponse(heard))
             }
-            KeeperOutput::Heard(client, heard) => self.say(ConnId(client.0), &Word::Heard(heard)),
             KeeperOutput::Listed(client, table) => {
-                self.say(ConnId(client.0), &Word::Listed(lines::grants(&table)))
+                self.say(ConnectionId(client.0), &Message::Leases(reports::grants(&table)))
             }
             KeeperOutput::Told(client, event) => {
-                if let Some(line) = lines::change(&event) {
-                    self.say(ConnId(client.0), &Word::Changed(line));
+                if let Some(line) = reports::change(&event) {
+                    self.say(ConnectionId(client.0), &Message::LeaseChanged(line));
                 }
             }
-            KeeperOutput::LimitHeard(client, heard) => self.say(ConnId(client.0), &Word::LimitHeard(heard)),
+            KeeperOutput::LimitHeard(client, heard) => {
+                self.say(ConnectionId(client.0), &Message::QuotaResponse(heard))
+            }
             KeeperOutput::LimitEvent(
                 beechloft_quotas::Event::Renewed(_) | beechloft_quotas::Event::Aged(_),
             ) => {}
             KeeperOutput::LimitEvent(event) => info!(?event, "limits"),
-            KeeperOutput::TopicHeard(client, heard) => self.say(ConnId(client.0), &Word::TopicHeard(heard)),
+            KeeperOutput::TopicHeard(client, heard) => {
+                self.say(ConnectionId(client.0), &Message::PublishResponse(heard))
+            }
             KeeperOutput::NotPublished(client, _, Refused::NotLeader(leader))
             | KeeperOutput::NotPlaced(client, _, Refused::NotLeader(leader)) => {
                 let address = leader.and_then(|l| self.address_of(l)).map(|a| a.to_string());
-                self.say(ConnId(client.0), &Word::NotLeader(address));
+                self.say(ConnectionId(client.0), &Message::NotLeader(address));
             }
             KeeperOutput::NotPublished(client, ..) | KeeperOutput::NotPlaced(client, ..) => {
-                self.say(ConnId(client.0), &Word::Heard(Heard::Busy));
+                self.say(ConnectionId(client.0), &Message::LeaseResponse(Heard::Busy));
             }
             KeeperOutput::Placed(client, number, answer) => {
-                self.say(ConnId(client.0), &Word::Placed { number, answer });
+                self.say(ConnectionId(client.0), &Message::PlacementResponse { number, answer });
             }
             // Rights are renewed all the time; what changes is said.
             KeeperOutput::PlacementEvent(PlacementEvent::Right { .. }) => {}
@@ -139,13 +147,13 @@
                     info!(?event, "topic");
                 }
             }
-            KeeperOutput::Unwatched(client) => self.conns.close(ConnId(client.0)),
+            KeeperOutput::Unwatched(client) => self.conns.close(ConnectionId(client.0)),
             KeeperOutput::Event(Event::Renewed(..)) => {}
             KeeperOutput::Event(event) => info!(?event, "lease"),
             KeeperOutput::Group(ticket, taken) if self.asked.contains_key(&ticket) => {
                 if let Some(conn) = self.asked.remove(&ticket) {
                     let taken = taken.map(drop).map_err(|why| why.to_string());
-                    self.say(conn, &Word::Replacing(taken));
+                    self.say(conn, &Message::ReplaceResult(taken));
                 }
             }
             KeeperOutput::Group(_, Ok(at)) => info!(place = at.index.0, "a change of members is in the log"),
--- a/crates/fleet/coordinator/src/engine/errors.rs
+++ b/crates/fleet/coordinator/src/server/error.rs
@@ -12,7 +12,7 @@
 
 /// Why a keeper can't start, or stopped.
 #[derive(Debug, Error)]
-pub enum StartError {
+pub enum ServerError {
     /// Its settings lack something that a keeper needs.
     #[error("fleet.{0}: missing, and a keeper needs it")]
     Missing(&'static str),
--- a/crates/fleet/coordinator/src/engine.rs
+++ b/crates/fleet/coordinator/src/server/mod.rs
@@ -14,21 +14,21 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, bounded};
 use tracing::info;
 
-use crate::links::{Came, ConnId, Conns, Peer};
-use crate::peers::Peers;
+use crate::connections::{ConnectionId, Connections, Inbound, Peer};
+use crate::membership::MembershipService;
 use crate::settings::FleetSettings;
 use crate::store::LogStore;
-use crate::wire::{self, Word};
+use crate::wire::{self, Message};
 
-mod errors;
-mod forming;
-mod lines;
-mod serving;
-mod words;
+mod bootstrap;
+mod dispatch;
+mod error;
+mod reports;
+mod subscriptions;
 
-pub use errors::StartError;
-use forming::has_formed;
-use serving::Serving;
+use bootstrap::has_formed;
+pub use error::ServerError;
+use subscriptions::Subscriptions;
 
 /// Words taken before one commit.
 const A_TURN: usize = 256;
@@ -46,15 +46,15 @@
 }
 
 /// A keeper that runs.
-pub struct Keeping {
+pub struct CoordinatorServer {
     set: FleetSettings,
     address: SocketAddr,
     id: MemberId,
     keeper: Keeper,
     disk: LogStore,
-    conns: Conns,
+    conns: Connections,
     peers: BTreeMap<SocketAddr, Peer>,
-    came: Receiver<Came>,
+    came: Receiver<Inbound>,
     end: Arc<AtomicBool>,
     /// Whether it has been a member of a group, for those who say hello in its name.
     formed: Arc<Mutex<bool>>,
@@ -62,66 +62,71 @@
     look_at: Duration,
     tickets: u64,
     /// Who asked for a change that the log has not taken yet.
-    asked: BTreeMap<Ticket, ConnId>,
+    asked: BTreeMap<Ticket, ConnectionId>,
     clock: Box<dyn Fn() -> Duration + Send>,
     /// As a member, if its settings name seeds.
-    members: Option<Arc<Peers>>,
-    serving: Serving,
+    members: Option<Arc<MembershipService>>,
+    serving: Subscriptions,
     /// There is more for the topics' cleaners to do.
     unclean: bool,
     #[cfg(feature = "planted")]
     fault: Option<Fault>,
 }
 
-impl Keeping {
+impl CoordinatorServer {
     /// Opens its folder and begins to listen.
     ///
     /// # Errors
-    /// As [`StartError`] says; nothing was changed then.
-    pub fn start(set: FleetSettings, end: Arc<AtomicBool>) -> Result<Keeping, StartError> {
-        Keeping::start_as(Kind::Keeper, set, end)
+    /// As [`ServerError`] says; nothing was changed then.
+    pub fn start(set: FleetSettings, end: Arc<AtomicBool>) -> Result<CoordinatorServer, ServerError> {
+        CoordinatorServer::start_as(Kind::Keeper, set, end)
     }
 
     /// The same within a process that is something else besides, as a front may be.
     ///
     /// # Errors
-    /// As [`StartError`] says; nothing was changed then.
-    pub fn start_as(kind: Kind, set: FleetSettings, end: Arc<AtomicBool>) -> Result<Keeping, StartError> {
-        let address = set.listen.ok_or(StartError::Missing("listen"))?;
-        let folder = set.store.clone().ok_or(StartError::Missing("store"))?;
+    /// As [`ServerError`] says; nothing was changed then.
+    pub fn start_as(
+        kind: Kind,
+        set: FleetSettings,
+        end: Arc<AtomicBool>,
+    ) -> Result<CoordinatorServer, ServerError> {
+        let address = set.listen.ok_or(ServerError::Missing("listen"))?;
+        let folder = set.store.clone().ok_or(ServerError::Missing("store"))?;
         if !set.keepers.contains(&address) {
-            return Err(StartError::NoKeeper(address));
+            return Err(ServerError::NoKeeper(address));
         }
         let (disk, id, stored) = LogStore::open(&folder, &set.name)
-            .map_err(|error| StartError::Open { folder: folder.clone(), error })?;
+            .map_err(|error| ServerError::Open { folder: folder.clone(), error })?;
         let listener =
-            TcpListener::bind(address).map_err(|e| StartError::Io("the address can't be listened on", e))?;
+            TcpListener::bind(address).map_err(|e| ServerError::Io("the address can't be listened on", e))?;
         let formed = Arc::new(Mutex::new(has_formed(&stored)));
         let clock = Box::new(set.clock());
         let keeper = Keeper::new(id, Settings::default(), stored, set.drift, rand::random(), clock())?;
         let (queue, came) = bounded(4096);
-        let conns = Conns::default();
-        conns.accept(listener, set.number(), queue).map_err(|e| StartError::Io("no threads", e))?;
+        let conns = Connections::default();
+        conns.accept(listener, set.number(), queue).map_err(|e| ServerError::Io("no threads", e))?;
         let mut peers = BTreeMap::new();
         for peer in set.keepers.iter().filter(|a| **a != address) {
             let (known, number) = (Arc::clone(&formed), set.number());
             let hello = move || {
                 let formed = *known.lock().unwrap_or_else(PoisonError::into_inner);
-                wire::encode(number, &Word::Hello { id, listen: address.to_string(), formed })
+                wire::encode(number, &Message::Hello { id, listen: address.to_string(), formed })
             };
             let link = Peer::start(set.reach(*peer), hello, Arc::clone(&end))
-                .map_err(|e| StartError::Io("no threads", e))?;
+                .map_err(|e| ServerError::Io("no threads", e))?;
             peers.insert(*peer, link);
         }
         let members = match set.seeds.is_empty() {
             true => None,
             false => {
-                let peers = Peers::start(&set, kind).map_err(|e| StartError::Io("no member", e))?;
+                let peers =
+                    MembershipService::start(&set, kind).map_err(|e| ServerError::Io("no member", e))?;
                 Some(Arc::new(peers))
             }
         };
         info!(id = %id, %address, fleet = set.name, "keeper is up");
-        Ok(Keeping {
+        Ok(CoordinatorServer {
             look_at: clock(),
             set,
             address,
@@ -138,7 +143,7 @@
             asked: BTreeMap::new(),
             clock,
             members,
-            serving: Serving::default(),
+            serving: Subscriptions::default(),
             unclean: false,
             #[cfg(feature = "planted")]
             fault: None,
@@ -154,7 +159,7 @@
     }
 
     /// This process as a member, if it is one.
-    pub fn members(&self) -> Option<Arc<Peers>> {
+    pub fn members(&self) -> Option<Arc<MembershipService>> {
         self.members.clone()
     }
 
@@ -162,7 +167,7 @@
     ///
     /// # Errors
     /// The disk, or a snapshot that is no table: it must not go on.
-    pub fn run(&mut self) -> Result<(), StartError> {
+    pub fn run(&mut self) -> Result<(), ServerError> {
         while !self.end.load(Ordering::Relaxed) {
             let due = self.keeper.next_due().min(self.look_at).min(self.serving.next_due());
             let due = due.saturating_sub((self.clock)());
--- a/crates/fleet/coordinator/src/engine/lines.rs
+++ b/crates/fleet/coordinator/src/server/reports.rs
@@ -6,18 +6,18 @@
 use beechloft_leases::{Event, Grant, Name, Table, Token};
 use beechloft_topic::Topic;
 
-use super::Keeping;
-use crate::wire::{ChangeLine, LeaseLine, MemberLine, StatusLine, TopicLine};
+use super::CoordinatorServer;
+use crate::wire::{LeaseChange, LeaseInfo, ReplicaInfo, ReplicaStatus, TopicStatus};
 
-impl Keeping {
-    pub(super) fn status(&self) -> StatusLine {
+impl CoordinatorServer {
+    pub(super) fn status(&self) -> ReplicaStatus {
         let s = self.keeper.status();
-        let member = |(id, m): (MemberId, &Member)| MemberLine {
+        let member = |(id, m): (MemberId, &Member)| ReplicaInfo {
             id: id.to_string(),
             address: m.address.clone(),
             voter: m.voter,
         };
-        StatusLine {
+        ReplicaStatus {
             id: s.id.to_string(),
             role: format!("{:?}", s.role).to_lowercase(),
             term: s.term.0,
@@ -25,28 +25,28 @@
             commit: s.commit.0,
             last: s.last.index.0,
             members: s.members.iter().map(member).collect(),
-            refused_words: self.conns.refused.load(Ordering::Relaxed),
+            rejected_messages: self.conns.refused.load(Ordering::Relaxed),
             silent_ms: u64::try_from(self.keeper.stale().as_millis()).unwrap_or(u64::MAX),
-            told_bytes: self.serving.told_bytes,
+            delivered_bytes: self.serving.delivered_bytes,
             topics: self.keeper.topics().all().map(|(name, topic)| self.topic(name, topic)).collect(),
         }
     }
 
-    fn topic(&self, name: &Name, topic: &Topic) -> TopicLine {
-        TopicLine {
+    fn topic(&self, name: &Name, topic: &Topic) -> TopicStatus {
+        TopicStatus {
             name: name.to_string(),
             head: topic.head().0,
             horizon: topic.horizon().0,
             keys: topic.keys() as u64,
             bytes: topic.bytes(),
-            held_bytes: topic.held_bytes(),
+            memory_bytes: topic.held_bytes(),
             subscribers: self.serving.of(name) as u64,
         }
     }
 }
 
 /// What those who watch are told; nothing of a renewal.
-pub(super) fn change(event: &Event) -> Option<ChangeLine> {
+pub(super) fn change(event: &Event) -> Option<LeaseChange> {
     let (name, token, what) = match event {
         Event::Granted { name, token, .. } => (name, token, "granted"),
         Event::Released(name, token) => (name, token, "released"),
@@ -58,15 +58,21 @@
         Event::Granted { holder, before, .. } => (Some(holder.0), before.map(|t| t.0)),
         _ => (None, None),
     };
-    Some(ChangeLine { name: name.to_string(), token: token.0, what: what.to_owned(), holder, before })
+    Some(LeaseChange {
+        name: name.to_string(),
+        token: token.0,
+        what: what.to_owned(),
+        holder,
+        previous: before,
+    })
 }
 
 /// All grants.
-pub(super) fn grants(table: &Table) -> Vec<LeaseLine> {
-    let line = |(name, places, token, g): (&Name, u16, Token, &Grant)| LeaseLine {
+pub(super) fn grants(table: &Table) -> Vec<LeaseInfo> {
+    let line = |(name, places, token, g): (&Name, u16, Token, &Grant)| LeaseInfo {
         name: name.to_string(),
-        places,
-        place: g.place,
+        slots: places,
+        slot: g.place,
         token: token.0,
         holder: g.holder.0,
         ttl_ms: g.ttl_ms,
--- a/crates/fleet/coordinator/src/engine/serving.rs
+++ b/crates/fleet/coordinator/src/server/subscriptions.rs
@@ -14,7 +14,7 @@
 use beechloft_topic::{Feed, Offset, Position, Said, Topic};
 use tracing::{debug, info};
 
-use crate::links::{ConnId, Conns};
+use crate::connections::{ConnectionId, Connections};
 use crate::wire;
 
 /// Subscriptions at most; more connections than these may come in.
@@ -46,15 +46,15 @@
 
 /// All subscriptions at this keeper.
 #[derive(Default)]
-pub(super) struct Serving {
-    all: BTreeMap<ConnId, Subscription>,
+pub(super) struct Subscriptions {
+    all: BTreeMap<ConnectionId, Subscription>,
     /// Whose turn it was last.
-    turn: Option<ConnId>,
+    turn: Option<ConnectionId>,
     /// When they have their turn next; none: nothing has changed.
     due: Option<Duration>,
     served_at: Duration,
     /// Bytes told in all.
-    pub told_bytes: u64,
+    pub delivered_bytes: u64,
     #[cfg(feature = "planted")]
     fault: Option<Fault>,
 }
@@ -68,7 +68,7 @@
     fleet: u64,
 }
 
-impl Serving {
+impl Subscriptions {
     /// Plants a fault in subscriptions to come.
     #[cfg(feature = "planted")]
     pub fn plant(&mut self, fault: Fault) {
@@ -78,7 +78,7 @@
     /// A subscription begins, in place of the one that its connection had.
     pub fn subscribe(
         &mut self,
-        conn: ConnId,
+        conn: ConnectionId,
         (feed, topic): (u64, Name),
         from: Option<Position>,
         allow: u64,
@@ -101,14 +101,14 @@
     }
 
     /// More may be told.
-    pub fn allow(&mut self, conn: ConnId, feed: u64, total: u64, now: Duration) {
+    pub fn allow(&mut self, conn: ConnectionId, feed: u64, total: u64, now: Duration) {
         if let Some(subscription) = self.all.get_mut(&conn).filter(|s| s.feed == feed) {
             subscription.place.allow(total);
             self.due = Some(now);
         }
     }
 
-    pub fn closed(&mut self, conn: ConnId) {
+    pub fn closed(&mut self, conn: ConnectionId) {
         self.all.remove(&conn);
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// Gives each its turn, as far as a turn's bytes go.
-    pub fn serve(&mut self, now: Duration, keeper: &Keeper, conns: &Conns, fleet: u64) {
+    pub fn serve(&mut self, now: Duration, keeper: &Keeper, conns: &Connections, fleet: u64) {
         if now < self.next_due() {
             return;
         }
@@ -141,7 +141,8 @@
         let (mut left, mut waits, mut made) = (A_TURN, false, Made::new());
         // Round and round, each turn beginning where the last one ended.
         let after = self.turn.take().map_or(Bound::Unbounded, Bound::Excluded);
-        let mut order: Vec<ConnId> = self.all.range((after, Bound::Unbounded)).map(|(c, _)| *c).collect();
+        let mut order: Vec<ConnectionId> =
+            self.all.range((after, Bound::Unbounded)).map(|(c, _)| *c).collect();
         order.extend(self.all.keys().copied().take(self.all.len() - order.len()));
         for conn in order {
             if left == 0 {
@@ -153,7 +154,7 @@
             let Some(subscription) = self.all.get_mut(&conn) else { continue };
             let topic = keeper.topics().topic(&subscription.topic);
             let told = subscription.tell(moment, topic, &mut made, (conns, conn));
-            self.told_bytes += told.bytes as u64;
+            self.delivered_bytes += told.bytes as u64;
             left = left.saturating_sub(told.bytes);
             waits |= told.more;
         }
@@ -188,7 +189,7 @@
         moment: Moment,
         topic: Option<&Topic>,
         made: &mut Made,
-        (conns, conn): (&Conns, ConnId),
+        (conns, conn): (&Connections, ConnectionId),
     ) -> Told {
         let mut told = Told::default();
         for _ in 0..A_FEED {
@@ -215,7 +216,7 @@
         moment: Moment,
         said: &Said,
         made: &mut Made,
-        (conns, conn): (&Conns, ConnId),
+        (conns, conn): (&Connections, ConnectionId),
     ) -> usize {
         self.said_at = moment.now;
         let shared = match said {
@@ -223,10 +224,10 @@
             _ => None,
         };
         let bytes = match shared {
-            Some(key) => made.entry(key).or_insert_with(|| wire::said(said)).clone(),
-            None => wire::said(said),
+            Some(key) => made.entry(key).or_insert_with(|| wire::encode_feed_item(said)).clone(),
+            None => wire::encode_feed_item(said),
         };
-        let word = wire::told(moment.fleet, (self.feed, moment.applied, moment.silent_ms), &bytes);
+        let word = wire::encode_delivery(moment.fleet, self.feed, moment.applied, moment.silent_ms, &bytes);
         let length = word.len();
         conns.say(conn, word);
         length
--- a/crates/fleet/coordinator/src/settings.rs
+++ b/crates/fleet/coordinator/src/settings/mod.rs
@@ -9,14 +9,13 @@
 use beechloft_leases::{Drift, Name, Terms};
 use beechloft_membership::Zone;
 
-mod limits;
-
-pub use limits::{Known, LimitsSettings};
+mod outlier_detection;
+mod quotas;
 mod topics;
-mod verdicts;
 
+pub use outlier_detection::OutlierDetectionSettings;
+pub use quotas::{KnownNames, QuotaSettings};
 pub use topics::TopicSpec;
-pub use verdicts::VerdictSettings;
 
 /// Keepers at most.
 const MOST_KEEPERS: usize = 9;
@@ -45,15 +44,15 @@
     /// What is the same of a front from one start to the next: who starts in it takes over the number that was left there.
     pub seat: Option<Name>,
     /// How fronts restart in turn, if they do.
-    pub restart: Option<Restart>,
+    pub restart: Option<RollingRestart>,
     /// Topics that there are to be, by the keepers' settings.
     pub topics: Vec<TopicSpec>,
     /// How fronts spread rows, if anything that is asked for needs them.
     pub spread: Option<beechloft_gossip::Settings>,
     /// Limits that hold for all fronts, if there are any.
-    pub limits: Option<LimitsSettings>,
+    pub limits: Option<QuotaSettings>,
     /// How verdicts on boxes are shared, if they are.
-    pub verdicts: Option<VerdictSettings>,
+    pub verdicts: Option<OutlierDetectionSettings>,
     /// The zones that there are, as far as the file names them.
     pub zones: Vec<String>,
     /// For tests: this process's clock runs at this rate.
@@ -68,7 +67,7 @@
 
 /// How fronts restart in turn.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Restart {
+pub struct RollingRestart {
     /// The lease: as many places as fronts may be out at once, each for as long as a front takes to be back.
     pub terms: Terms,
     /// How long one is waited for.
@@ -87,7 +86,7 @@
     }
 
     /// The same, of a file that names customers and classes too.
-    pub fn among(section: &Section<'_>, zones: &[String], known: Known<'_>) -> FleetSettings {
+    pub fn among(section: &Section<'_>, zones: &[String], known: KnownNames<'_>) -> FleetSettings {
         fleet(section, Some(zones), Some(known))
     }
 
@@ -124,7 +123,7 @@
     }
 }
 
-fn fleet(s: &Section<'_>, zones: Option<&[String]>, known: Option<Known<'_>>) -> FleetSettings {
+fn fleet(s: &Section<'_>, zones: Option<&[String]>, known: Option<KnownNames<'_>>) -> FleetSettings {
     let name = s.required_text("name");
     if name.is_empty() || name.len() > 64 {
         s.report("name", "1 to 64 bytes are needed");
@@ -152,18 +151,19 @@
     let ppm = s.integer("drift_ppm", 0..=99_999).unwrap_or(10_000) as u32;
     // Within bounds by the range above; a file with a fault there is not used.
     let drift = Drift::ppm(ppm).unwrap_or_default();
-    let limits = s.has("limits").then(|| limits::limits(&s.section("limits"), drift, known));
-    if limits.as_ref().is_some_and(LimitsSettings::any_soft) && !s.has("seeds") {
+    let limits = s.has("limits").then(|| quotas::quotas(&s.section("limits"), drift, known));
+    if limits.as_ref().is_some_and(QuotaSettings::any_soft) && !s.has("seeds") {
         s.report(
             "limits",
             "soft limits go from front to front, and fleet.seeds, by which they know each other, is missing",
         );
     }
-    let soft = limits.as_ref().is_some_and(LimitsSettings::any_soft);
-    let spread = (soft || shares(s)).then(|| verdicts::rows(&s.section("rows"), most_fronts(s), ppm));
-    let verdicts = spread
-        .filter(|_| s.has("verdicts"))
-        .map(|rows| verdicts::verdicts(&s.section("verdicts"), rows.staleness(most_fronts(s))));
+    let soft = limits.as_ref().is_some_and(QuotaSettings::any_soft);
+    let spread =
+        (soft || shares(s)).then(|| outlier_detection::gossip(&s.section("rows"), most_fronts(s), ppm));
+    let verdicts = spread.filter(|_| s.has("verdicts")).map(|rows| {
+        outlier_detection::outlier_detection(&s.section("verdicts"), rows.staleness(most_fronts(s)))
+    });
     if spread.is_some() && (!s.has("seeds") || listen.is_none()) {
         s.report("verdicts", "fronts share them as members: fleet.seeds and fleet.listen are needed");
     }
@@ -224,11 +224,11 @@
     Name::try_from(text).map_err(|e| s.report("seat", e.to_string())).ok()
 }
 
-fn restart(s: &Section<'_>, drift: Drift) -> Option<Restart> {
+fn restart(s: &Section<'_>, drift: Drift) -> Option<RollingRestart> {
     let places = s.required_integer("at_most", 1..=4_096) as u16;
     let wait = s.millis("wait_ms", 1..=3_600_000).unwrap_or(Duration::from_secs(60));
     let terms = terms(s, "front/restart", places, ("back_ms", 15_000), drift)?;
-    Some(Restart { terms, wait })
+    Some(RollingRestart { terms, wait })
 }
 
 /// Addresses with ports, none of them twice.
--- a/crates/fleet/coordinator/src/settings/verdicts.rs
+++ b/crates/fleet/coordinator/src/settings/outlier_detection.rs
@@ -8,7 +8,7 @@
 
 /// How verdicts are shared.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct VerdictSettings {
+pub struct OutlierDetectionSettings {
     /// What a verdict needs, and how long it holds.
     pub rules: Rules,
     /// An attempt that took longer than this is slow.
@@ -24,7 +24,7 @@
 }
 
 /// How rows are spread among so many fronts at most.
-pub(super) fn rows(s: &Section<'_>, fronts: usize, drift_ppm: u32) -> Settings {
+pub(super) fn gossip(s: &Section<'_>, fronts: usize, drift_ppm: u32) -> Settings {
     let default = Settings::default();
     let set = Settings {
         round: span(s, "round_ms", default.round),
@@ -41,7 +41,7 @@
 }
 
 /// How verdicts are shared where rows are around within `staleness`.
-pub(super) fn verdicts(s: &Section<'_>, staleness: Duration) -> VerdictSettings {
+pub(super) fn outlier_detection(s: &Section<'_>, staleness: Duration) -> OutlierDetectionSettings {
     let default = Rules::default();
     let mut rules = default;
     rules.fronts = s.integer("fronts", 2..=64).map_or(default.fronts, |n| n as usize);
@@ -57,7 +57,7 @@
     if let Err(why) = rules.check(staleness) {
         s.report("window_ms", why.to_string());
     }
-    VerdictSettings {
+    OutlierDetectionSettings {
         rules,
         slow: span(s, "slow_ms", Duration::from_millis(500)),
         trial_ttl_ms: s.integer("trial_ttl_ms", 500..=3_600_000).unwrap_or(3_000) as u32,
--- a/crates/fleet/coordinator/src/settings/limits.rs
+++ b/crates/fleet/coordinator/src/settings/quotas.rs
@@ -9,7 +9,7 @@
 
 /// What the section says.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct LimitsSettings {
+pub struct QuotaSettings {
     /// Times, and how many fronts there are at most.
     pub rules: Rules,
     /// Limits, until the topic says something else.
@@ -18,7 +18,7 @@
     pub tagged: bool,
 }
 
-impl LimitsSettings {
+impl QuotaSettings {
     /// Whether some limit is kept by parts that fronts tell each other.
     pub fn any_soft(&self) -> bool {
         self.definitions.iter().any(|d| !d.is_hard())
@@ -27,7 +27,7 @@
 
 /// Names that the rest of a file has, to be looked up.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Known<'a> {
+pub struct KnownNames<'a> {
     /// Customers.
     pub customers: &'a [String],
     /// Classes.
@@ -35,7 +35,7 @@
 }
 
 /// Reads the section.
-pub(super) fn limits(s: &Section<'_>, drift: Drift, known: Option<Known<'_>>) -> LimitsSettings {
+pub(super) fn quotas(s: &Section<'_>, drift: Drift, known: Option<KnownNames<'_>>) -> QuotaSettings {
     let d = Rules::default();
     let rules = Rules {
         fronts: s.required_integer("fronts", 1..=u64::from(MOST_FRONTS)) as u32,
@@ -54,10 +54,10 @@
         }
         definitions.push(definition);
     }
-    LimitsSettings { rules, definitions, tagged: true }
+    QuotaSettings { rules, definitions, tagged: true }
 }
 
-fn definition(s: &Section<'_>, rules: &Rules, known: Option<Known<'_>>) -> Option<Definition> {
+fn definition(s: &Section<'_>, rules: &Rules, known: Option<KnownNames<'_>>) -> Option<Definition> {
     let text = s.required_text("name");
     let name = Name::try_from(text).map_err(|e| s.report("name", e.to_string())).ok();
     let counts = [
@@ -133,7 +133,7 @@
     Some(definition)
 }
 
-fn weights(s: &Section<'_>, known: Option<Known<'_>>) -> BTreeMap<Key, u32> {
+fn weights(s: &Section<'_>, known: Option<KnownNames<'_>>) -> BTreeMap<Key, u32> {
     let mut all = BTreeMap::new();
     for one in s.sections("weights") {
         let customer = one.required_text("customer");
@@ -152,12 +152,12 @@
     use super::*;
     use beechloft_config_reader as config_reader;
 
-    fn read(list: &str) -> Result<LimitsSettings, String> {
+    fn read(list: &str) -> Result<QuotaSettings, String> {
         let customers = ["market".to_owned(), "school".to_owned()];
-        let known = Known { customers: &customers, classes: &[] };
+        let known = KnownNames { customers: &customers, classes: &[] };
         let drift = Drift::ppm(10_000).expect("within bounds");
         let text = format!("limits:\n  fronts: 10\n  list:\n{list}");
-        config_reader::read(&text, |top| limits(&top.section("limits"), drift, Some(known)))
+        config_reader::read(&text, |top| quotas(&top.section("limits"), drift, Some(known)))
             .map_err(|f| f.to_string())
     }
 
@@ -197,7 +197,7 @@
         one("name: a b, counts: sessions, of: all, kind: hard, limit: 20", "name: a name has");
         one("name: x, counts: seats, of: all, kind: hard, limit: 20", "counts");
         let short = config_reader::read("limits: {fronts: 3, ttl_ms: 300}", |top| {
-            limits(&top.section("limits"), Drift::default(), None)
+            quotas(&top.section("limits"), Drift::default(), None)
         });
         assert!(short.expect_err("short").to_string().contains("limits.ttl_ms: 300 ms leave 300 ms"));
     }
--- a/crates/fleet/coordinator/src/topics/follower.rs
+++ b/crates/fleet/coordinator/src/topics/follower.rs
@@ -13,9 +13,9 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use tracing::{info, warn};
 
-use super::{Came, Conn, LOOK, STACK};
+use super::{Conn, Inbound, LOOK, STACK};
 use crate::settings::FleetSettings;
-use crate::wire::Word;
+use crate::wire;
 
 /// Words that have come and are not taken yet, at most; what a keeper may send is bounded in bytes besides.
 const QUEUE: usize = 16;
@@ -24,17 +24,17 @@
 
 /// What one who follows hears.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Followed {
+pub enum FollowerEvent {
     /// A key has a value, or another one.
-    Changed(Message),
+    Updated(Message),
     /// A key has none any more, for all that is known at this offset.
-    Gone(Key, Offset),
+    Deleted(Key, Offset),
     /// It has the latest of each key as of this offset, without it.
     CaughtUp(Offset),
     /// It is not known to be complete any more, until it is caught up again.
     Behind,
     /// A keeper said what can't be; nothing of it was taken, and another keeper is asked.
-    Distrusted(Distrust),
+    ProtocolViolation(Distrust),
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -70,7 +70,7 @@
         set: &FleetSettings,
         topic: Name,
         settings: SubscriberSettings,
-        hear: impl FnMut(Followed) + Send + 'static,
+        hear: impl FnMut(FollowerEvent) + Send + 'static,
     ) -> io::Result<Follower> {
         let subscriber = Mutex::new(Subscriber::new(topic.clone(), settings, rand::random()));
         let shared = Arc::new(Shared {
@@ -132,9 +132,9 @@
     conn: Option<Conn>,
     allowed: u64,
     said_at: Instant,
-    hears: Sender<Came>,
-    came: Receiver<Came>,
-    hear: Box<dyn FnMut(Followed) + Send>,
+    hears: Sender<Inbound>,
+    came: Receiver<Inbound>,
+    hear: Box<dyn FnMut(FollowerEvent) + Send>,
 }
 
 impl Follows {
@@ -143,7 +143,7 @@
         while !self.shared.end.load(Ordering::Relaxed) {
             let due = locked(&self.shared.subscriber).next_due().unwrap_or(Duration::MAX);
             match self.came.recv_timeout(due.saturating_sub((self.clock)()).min(LOOK)) {
-                Ok((_, Some(Word::Told(told)))) => self.told(told),
+                Ok((_, Some(wire::Message::Delivery(told)))) => self.told(told),
                 // It does not serve, or it ended the connection.
                 Ok((number, _)) => self.take(SubscriberInput::Broken(number)),
                 Err(RecvTimeoutError::Timeout) => self.take(SubscriberInput::Tick),
@@ -180,7 +180,7 @@
     fn does(&mut self, output: SubscriberOutput) -> Option<SubscriberInput> {
         let followed = match output {
             SubscriberOutput::Subscribe { feed, topic, from, allow } => {
-                let word = Word::Subscribe { feed, topic, from, allow };
+                let word = wire::Message::Subscribe { feed, topic, from, allow };
                 self.allowed = allow;
                 return self.open(feed, &word).is_none().then_some(SubscriberInput::Broken(feed));
             }
@@ -194,16 +194,16 @@
                 self.conn = None;
                 return None;
             }
-            SubscriberOutput::Changed(message) => Followed::Changed(message),
-            SubscriberOutput::Gone(key, offset) => Followed::Gone(key, offset),
+            SubscriberOutput::Changed(message) => FollowerEvent::Updated(message),
+            SubscriberOutput::Gone(key, offset) => FollowerEvent::Deleted(key, offset),
             SubscriberOutput::CaughtUp(offset) => {
                 info!(topic = %self.topic, offset = offset.0, "caught up");
-                Followed::CaughtUp(offset)
+                FollowerEvent::CaughtUp(offset)
             }
-            SubscriberOutput::Behind => Followed::Behind,
+            SubscriberOutput::Behind => FollowerEvent::Behind,
             SubscriberOutput::Distrusted(why) => {
                 warn!(topic = %self.topic, "a keeper's word can't be: {why}");
-                Followed::Distrusted(why)
+                FollowerEvent::ProtocolViolation(why)
             }
         };
         (self.hear)(followed);
@@ -211,7 +211,7 @@
     }
 
     /// Subscribes at another keeper than the last one.
-    fn open(&mut self, feed: u64, word: &Word) -> Option<()> {
+    fn open(&mut self, feed: u64, word: &wire::Message) -> Option<()> {
         self.keeper = (self.keeper + 1) % self.set.keepers.len().max(1);
         // What the one before still sends is of a subscription that was given up.
         self.conn = None;
@@ -225,7 +225,7 @@
         self.said_at = Instant::now();
         if let Some(conn) = &mut self.conn {
             // One that can't be told of it any more is seen to be gone by who reads.
-            let _ = conn.say([&Word::Allow { feed: conn.number, total: self.allowed }]);
+            let _ = conn.say([&wire::Message::Credit { feed: conn.number, total: self.allowed }]);
         }
     }
 }
--- a/crates/fleet/coordinator/src/topics.rs
+++ b/crates/fleet/coordinator/src/topics/mod.rs
@@ -4,8 +4,8 @@
 mod follower;
 mod publisher;
 
-pub use follower::{Followed, Follower};
-pub use publisher::{Publisher, Right, Settled};
+pub use follower::{Follower, FollowerEvent};
+pub use publisher::{PublishResult, Publisher, WriteMode};
 
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
@@ -15,7 +15,7 @@
 use crossbeam_channel::Sender;
 
 use crate::settings::FleetSettings;
-use crate::wire::{self, Word};
+use crate::wire::{self, Message};
 
 const CONNECT: Duration = Duration::from_millis(300);
 const WRITE: Duration = Duration::from_millis(500);
@@ -24,7 +24,7 @@
 const LOOK: Duration = Duration::from_millis(50);
 
 /// What came over a connection, by its number: a word, or its end.
-type Came = (u64, Option<Word>);
+type Inbound = (u64, Option<Message>);
 
 /// A connection to a keeper, with a thread that reads.
 struct Conn {
@@ -35,7 +35,7 @@
 
 impl Conn {
     /// Connects to a keeper, by its place among those of the settings.
-    fn open(set: &FleetSettings, keeper: usize, number: u64, came: Sender<Came>) -> Option<Conn> {
+    fn open(set: &FleetSettings, keeper: usize, number: u64, came: Sender<Inbound>) -> Option<Conn> {
         let address = set.reach(*set.keepers.get(keeper)?);
         let stream = TcpStream::connect_timeout(&address, CONNECT).ok()?;
         let _ = stream.set_nodelay(true);
@@ -54,7 +54,7 @@
     }
 
     /// Writes words together; false: it is of no more use.
-    fn say<'a>(&mut self, words: impl IntoIterator<Item = &'a Word>) -> bool {
+    fn say<'a>(&mut self, words: impl IntoIterator<Item = &'a Message>) -> bool {
         let bytes: Vec<u8> =
             words.into_iter().filter_map(|w| wire::encode(self.fleet, w)).flatten().collect();
         self.stream.write_all(&bytes).is_ok()
--- a/crates/fleet/coordinator/src/topics/publisher.rs
+++ b/crates/fleet/coordinator/src/topics/publisher.rs
@@ -15,9 +15,9 @@
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded, select};
 use tracing::{info, warn};
 
-use super::{Came, Conn, LOOK, STACK};
+use super::{Conn, Inbound, LOOK, STACK};
 use crate::settings::FleetSettings;
-use crate::wire::Word;
+use crate::wire::Message;
 
 /// Messages that have not been taken yet, and outcomes that nobody has taken, at most.
 const QUEUE: (usize, usize) = (1024, 8192);
@@ -28,16 +28,16 @@
 
 /// By what right messages are written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Right {
+pub enum WriteMode {
     /// As one of many.
-    OneOfMany,
+    Shared,
     /// As the one writer, by the token of its lease.
-    Only(Epoch),
+    Exclusive(Epoch),
 }
 
 /// What became of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Settled {
+pub struct PublishResult {
     /// Which.
     pub ticket: PublisherTicket,
     /// What.
@@ -49,7 +49,7 @@
 /// A publisher of one topic. It ends when it is dropped; what is not settled then may have been written or not.
 pub struct Publisher {
     asks: Sender<Asked>,
-    settled: Receiver<Settled>,
+    settled: Receiver<PublishResult>,
     tickets: AtomicU64,
     end: Arc<AtomicBool>,
 }
@@ -62,13 +62,13 @@
     pub fn start(
         set: &FleetSettings,
         topic: Name,
-        right: Right,
+        right: WriteMode,
         settings: PublisherSettings,
     ) -> io::Result<Publisher> {
         let (id, seed) = (PublisherId(rand::random()), rand::random());
         let machine = match right {
-            Right::OneOfMany => Machine::one_of_many(id, topic.clone(), settings, seed),
-            Right::Only(token) => Machine::only(id, token, topic.clone(), settings, seed),
+            WriteMode::Shared => Machine::one_of_many(id, topic.clone(), settings, seed),
+            WriteMode::Exclusive(token) => Machine::only(id, token, topic.clone(), settings, seed),
         };
         let (asks, asked) = bounded(QUEUE.0);
         let (settles, settled) = bounded(QUEUE.1);
@@ -104,7 +104,7 @@
     }
 
     /// What became of messages, each once. Whoever does not take them gets nothing more written.
-    pub fn settled(&self) -> &Receiver<Settled> {
+    pub fn settled(&self) -> &Receiver<PublishResult> {
         &self.settled
     }
 }
@@ -128,9 +128,9 @@
     /// Since when something is out and nothing has come back.
     unheard_since: Option<Instant>,
     asked: Receiver<Asked>,
-    settles: Sender<Settled>,
-    hears: Sender<Came>,
-    came: Receiver<Came>,
+    settles: Sender<PublishResult>,
+    hears: Sender<Inbound>,
+    came: Receiver<Inbound>,
     end: Arc<AtomicBool>,
 }
 
@@ -174,20 +174,20 @@
         outputs.extend(self.machine.handle((self.clock)(), input));
     }
 
-    fn hear(&mut self, (number, word): Came, outputs: &mut Vec<PublisherOutput>) {
+    fn hear(&mut self, (number, word): Inbound, outputs: &mut Vec<PublisherOutput>) {
         let input = match word {
-            Some(Word::TopicHeard(heard)) => {
+            Some(Message::PublishResponse(heard)) => {
                 self.unheard_since = None;
                 PublisherInput::Heard(heard)
             }
             // Of a connection that was left.
             _ if self.conn.as_ref().is_none_or(|c| c.number != number) => return,
-            Some(Word::NotLeader(leader)) => {
+            Some(Message::NotLeader(leader)) => {
                 let named = leader.and_then(|l| l.parse::<SocketAddr>().ok());
                 self.leave(named.and_then(|l| self.set.keepers.iter().position(|k| *k == l)));
                 PublisherInput::NotNow
             }
-            Some(Word::Heard(_)) => {
+            Some(Message::LeaseResponse(_)) => {
                 self.unheard_since = None;
                 PublisherInput::NotNow
             }
@@ -211,12 +211,12 @@
 
     /// Does what the machine wants; false: nobody is there any more.
     fn does(&mut self, outputs: Vec<PublisherOutput>) -> bool {
-        let mut requests: Vec<Word> = Vec::new();
+        let mut requests: Vec<Message> = Vec::new();
         for output in outputs {
             match output {
-                PublisherOutput::Send(request) => requests.push(Word::Publish(request)),
+                PublisherOutput::Send(request) => requests.push(Message::Publish(request)),
                 PublisherOutput::Settled(ticket, outcome) => {
-                    if self.settles.send(Settled { ticket, outcome }).is_err() {
+                    if self.settles.send(PublishResult { ticket, outcome }).is_err() {
                         return false;
                     }
                 }
@@ -232,7 +232,7 @@
     }
 
     /// Says words to the keeper that is taken for the leader; what can't be said is lost, as on any network.
-    fn say(&mut self, words: &[Word]) {
+    fn say(&mut self, words: &[Message]) {
         if self.conn.is_none() {
             self.conns += 1;
             self.conn = Conn::open(&self.set, self.keeper, self.conns, self.hears.clone());
--- /dev/null
+++ b/crates/fleet/coordinator/src/wire/frame.rs
@@ -0,0 +1,106 @@
+//! Frames: a header with magic, version, fleet, length and CRC-32, and a body in postcard's encoding. All numbers of the header
+//! are big-endian.
+
+use std::io::{self, Read};
+
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use thiserror::Error;
+
+/// Maximum size of a body, bytes.
+pub const MAX_BODY_BYTES: usize = 1 << 20;
+/// Maximum size of a datagram between members with its header, bytes.
+pub const MAX_DATAGRAM_BYTES: usize = 1_432;
+/// Size of the header, bytes: magic 4, version 2, fleet 8, length 4, checksum 4.
+pub(crate) const HEADER_BYTES: usize = 22;
+/// Version 2: snapshots go between replicas in chunks, and the log has topics.
+const VERSION: u16 = 2;
+
+/// Why a message could not be read.
+#[derive(Debug, Error)]
+pub enum WireError {
+    /// The connection failed or ended.
+    #[error("the connection: {0}")]
+    Io(#[from] io::Error),
+    /// Another magic or another version of the protocol.
+    #[error("not a message of this version")]
+    Version,
+    /// The message is for another fleet.
+    #[error("a message of another fleet")]
+    Fleet,
+    /// The length is above the maximum.
+    #[error("a message of {0} bytes")]
+    TooLong(usize),
+    /// The checksum differs, or the body can't be decoded.
+    #[error("a malformed message")]
+    Malformed,
+}
+
+impl WireError {
+    /// Whether the message was received and rejected, rather than the connection lost.
+    pub fn is_rejection(&self) -> bool {
+        !matches!(self, WireError::Io(_))
+    }
+}
+
+/// Encodes a value and puts the header before it; none if the body is longer than `max_body_bytes`.
+pub(crate) fn write_frame(
+    magic: [u8; 4],
+    fleet: u64,
+    value: &impl Serialize,
+    max_body_bytes: usize,
+) -> Option<Vec<u8>> {
+    let body = postcard::to_allocvec(value).ok().filter(|body| body.len() <= max_body_bytes)?;
+    Some(frame_body(magic, fleet, &body))
+}
+
+/// Puts the header before an encoded body.
+pub(super) fn frame_body(magic: [u8; 4], fleet: u64, body: &[u8]) -> Vec<u8> {
+    #[expect(clippy::cast_possible_truncation, reason = "a body has 1 MiB at most")]
+    let length = body.len() as u32;
+    let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
+    frame.extend_from_slice(&magic);
+    frame.extend_from_slice(&VERSION.to_be_bytes());
+    frame.extend_from_slice(&fleet.to_be_bytes());
+    frame.extend_from_slice(&length.to_be_bytes());
+    frame.extend_from_slice(&crc32fast::hash(body).to_be_bytes());
+    frame.extend_from_slice(body);
+    frame
+}
+
+/// Takes the next bytes of the header.
+fn take<const N: usize>(header: &mut impl Read) -> io::Result<[u8; N]> {
+    let mut bytes = [0; N];
+    header.read_exact(&mut bytes)?;
+    Ok(bytes)
+}
+
+/// Reads one frame and decodes its body.
+///
+/// # Errors
+/// As [`WireError`] says; the position in the stream is undefined then.
+pub(crate) fn read_frame<T: DeserializeOwned>(
+    magic: [u8; 4],
+    fleet: u64,
+    from: &mut impl Read,
+) -> Result<T, WireError> {
+    let header: [u8; HEADER_BYTES] = take(from)?;
+    let mut fields = &header[..];
+    if take(&mut fields)? != magic || u16::from_be_bytes(take(&mut fields)?) != VERSION {
+        return Err(WireError::Version);
+    }
+    if u64::from_be_bytes(take(&mut fields)?) != fleet {
+        return Err(WireError::Fleet);
+    }
+    let length = u32::from_be_bytes(take(&mut fields)?) as usize;
+    let checksum = u32::from_be_bytes(take(&mut fields)?);
+    if length > MAX_BODY_BYTES {
+        return Err(WireError::TooLong(length));
+    }
+    let mut body = vec![0; length];
+    from.read_exact(&mut body)?;
+    if crc32fast::hash(&body) != checksum {
+        return Err(WireError::Malformed);
+    }
+    postcard::from_bytes(&body).map_err(|_| WireError::Malformed)
+}
--- a/crates/fleet/coordinator/tests/wire_format.rs
+++ b/crates/fleet/coordinator/tests/wire_format.rs
@@ -5,7 +5,7 @@
 
 use beechloft_consensus::{self as consensus, Body, Entry, Index, LogPos, Payload, Term};
 use beechloft_coordinator::wire::{
-    self, ChangeLine, LeaseLine, MemberLine, SeenLine, StatusLine, TopicLine, Word,
+    self, LeaseChange, LeaseInfo, MemberInfo, Message, ReplicaInfo, ReplicaStatus, TopicStatus,
 };
 use beechloft_leases::{self as leases, HolderId, KeeperId, Name, Op, Token};
 use beechloft_membership::{self as membership, About, Digests, Incarnation, Kind, Packet, Rumour, Zone};
@@ -37,11 +37,11 @@
     Name::try_from(text.to_owned()).expect("a name")
 }
 
-fn lease_line() -> LeaseLine {
-    LeaseLine {
+fn lease_info() -> LeaseInfo {
+    LeaseInfo {
         name: "task/1".into(),
-        places: 3,
-        place: 1,
+        slots: 3,
+        slot: 1,
         token: 300,
         holder: u64::MAX,
         ttl_ms: 3_000,
@@ -49,61 +49,61 @@
     }
 }
 
-fn change_line() -> ChangeLine {
-    ChangeLine {
+fn lease_change() -> LeaseChange {
+    LeaseChange {
         name: "task/1".into(),
         token: 300,
         what: "granted".into(),
         holder: Some(9),
-        before: Some(299),
+        previous: Some(299),
     }
 }
 
-fn status_line() -> StatusLine {
-    StatusLine {
+fn replica_status() -> ReplicaStatus {
+    ReplicaStatus {
         id: "00000000000000ff".into(),
         role: "leader".into(),
         term: 2,
         leader: Some("00000000000000ff".into()),
         commit: 16,
         last: 17,
-        members: vec![MemberLine {
+        members: vec![ReplicaInfo {
             id: "00000000000000ff".into(),
             address: "127.0.0.1:7301".into(),
             voter: true,
         }],
-        refused_words: 4,
+        rejected_messages: 4,
         silent_ms: 5,
-        told_bytes: 6,
-        topics: vec![TopicLine {
+        delivered_bytes: 6,
+        topics: vec![TopicStatus {
             name: "quotas".into(),
             head: 1,
             horizon: 2,
             keys: 3,
             bytes: 4,
-            held_bytes: 5,
+            memory_bytes: 5,
             subscribers: 6,
         }],
     }
 }
 
-fn seen_line() -> SeenLine {
-    SeenLine {
+fn member_info() -> MemberInfo {
+    MemberInfo {
         id: "00000000000000fe".into(),
         address: "127.0.0.1:7311".into(),
         zone: "hala-a".into(),
         kind: "front".into(),
-        life: "alive".into(),
+        state: "alive".into(),
         since_ms: 1,
         known_ms: 2,
         incarnation: 3,
-        asked: true,
+        is_reporter: true,
         sent: 4,
         sent_bytes: 5,
     }
 }
 
-fn messages() -> Vec<(&'static str, Word)> {
+fn messages() -> Vec<(&'static str, Message)> {
     let at = LogPos { term: Term(2), index: Index(300) };
     let append = Body::Append {
         prev: at,
@@ -133,50 +133,53 @@
     };
     let position = Position { life: 1, next: Offset(2), base: Offset(3), seen: Offset(4) };
     let batch = Batch { from: Offset(1), to: Offset(300), head: Offset(301), messages: Vec::new() };
-    let told = |said| Word::Told(Told { feed: 7, applied: 300, silent_ms: 1_000, said });
+    let told = |said| Message::Delivery(Told { feed: 7, applied: 300, silent_ms: 1_000, said });
     vec![
-        ("hello", Word::Hello { id: consensus::MemberId(7), listen: "127.0.0.1:7301".into(), formed: true }),
-        ("peer", Word::Peer(peer)),
-        ("ask", Word::Ask(leases::Request { holder: HolderId(9), seq: 2, op: acquire })),
+        (
+            "hello",
+            Message::Hello { id: consensus::MemberId(7), listen: "127.0.0.1:7301".into(), formed: true },
+        ),
+        ("peer", Message::Consensus(peer)),
+        ("ask", Message::LeaseRequest(leases::Request { holder: HolderId(9), seq: 2, op: acquire })),
         (
             "heard.answer",
-            Word::Heard(leases::Heard::Answer {
+            Message::LeaseResponse(leases::Heard::Answer {
                 holder: HolderId(9),
                 seq: 2,
                 answer: leases::Answer::Released,
             }),
         ),
-        ("heard.not_leader", Word::Heard(leases::Heard::NotLeader(Some(KeeperId(3))))),
-        ("heard.busy", Word::Heard(leases::Heard::Busy)),
-        ("not_leader", Word::NotLeader(Some("127.0.0.1:7302".into()))),
-        ("not_leader.unknown", Word::NotLeader(None)),
-        ("list", Word::List),
-        ("listed", Word::Listed(vec![lease_line()])),
-        ("status", Word::Status),
-        ("status_is", Word::StatusIs(status_line())),
-        ("replace", Word::Replace { old: consensus::MemberId(1), new: consensus::MemberId(2) }),
-        ("replacing.done", Word::Replacing(Ok(()))),
-        ("replacing.refused", Word::Replacing(Err("no".into()))),
-        ("watch", Word::Watch(Some(name("task/1")))),
-        ("watch.all", Word::Watch(None)),
-        ("changed", Word::Changed(change_line())),
-        ("members", Word::Members),
-        ("members_are", Word::MembersAre(Some(vec![seen_line()]))),
-        ("members_are.none", Word::MembersAre(None)),
-        ("publish", Word::Publish(publish)),
-        ("topic_heard", Word::TopicHeard(topic_heard)),
+        ("heard.not_leader", Message::LeaseResponse(leases::Heard::NotLeader(Some(KeeperId(3))))),
+        ("heard.busy", Message::LeaseResponse(leases::Heard::Busy)),
+        ("not_leader", Message::NotLeader(Some("127.0.0.1:7302".into()))),
+        ("not_leader.unknown", Message::NotLeader(None)),
+        ("list", Message::ListLeases),
+        ("listed", Message::Leases(vec![lease_info()])),
+        ("status", Message::GetStatus),
+        ("status_is", Message::Status(replica_status())),
+        ("replace", Message::ReplaceReplica { old: consensus::MemberId(1), new: consensus::MemberId(2) }),
+        ("replacing.done", Message::ReplaceResult(Ok(()))),
+        ("replacing.refused", Message::ReplaceResult(Err("no".into()))),
+        ("watch", Message::WatchLeases(Some(name("task/1")))),
+        ("watch.all", Message::WatchLeases(None)),
+        ("changed", Message::LeaseChanged(lease_change())),
+        ("members", Message::GetMembers),
+        ("members_are", Message::Members(Some(vec![member_info()]))),
+        ("members_are.none", Message::Members(None)),
+        ("publish", Message::Publish(publish)),
+        ("topic_heard", Message::PublishResponse(topic_heard)),
         (
             "subscribe",
-            Word::Subscribe { feed: 7, topic: name("quotas"), from: Some(position), allow: 65_536 },
+            Message::Subscribe { feed: 7, topic: name("quotas"), from: Some(position), allow: 65_536 },
         ),
-        ("allow", Word::Allow { feed: 7, total: 131_072 }),
+        ("allow", Message::Credit { feed: 7, total: 131_072 }),
         ("told.anew", told(Said::Anew { life: 1, base: Offset(300) })),
         ("told.behind", told(Said::Behind { head: Offset(9) })),
         ("told.batch", told(Said::Batch(batch))),
         ("told.still", told(Said::Still)),
         (
             "place",
-            Word::Place {
+            Message::PlacementRequest {
                 number: 300,
                 command: Box::new(placement::Command::Expire {
                     front: placement::names::FrontId(4),
@@ -184,10 +187,10 @@
                 }),
             },
         ),
-        ("placed", Word::Placed { number: 300, answer: placement::Answer::Stale(Token(6)) }),
+        ("placed", Message::PlacementResponse { number: 300, answer: placement::Answer::Stale(Token(6)) }),
         (
             "limit",
-            Word::Limit(quotas::Request {
+            Message::QuotaRequest(quotas::Request {
                 front: quotas::FrontId(4),
                 seq: 5,
                 op: quotas::Op::Open { ttl_ms: 15_000, tagged: true },
@@ -195,13 +198,13 @@
         ),
         (
             "limit_heard",
-            Word::LimitHeard(quotas::Heard::Answer {
+            Message::QuotaResponse(quotas::Heard::Answer {
                 front: quotas::FrontId(4),
                 seq: 5,
                 answer: quotas::Answer::Closed,
             }),
         ),
-        ("limit_heard.again", Word::LimitHeard(quotas::Heard::Again)),
+        ("limit_heard.again", Message::QuotaResponse(quotas::Heard::Again)),
     ]
 }
 
@@ -259,7 +262,8 @@
 
 #[test]
 fn every_membership_datagram_is_encoded_as_the_fixture_has_it() {
-    let encoded = packets().into_iter().map(|(name, p)| (name, wire::datagram(FLEET, &p).expect("short")));
+    let encoded =
+        packets().into_iter().map(|(name, p)| (name, wire::encode_datagram(FLEET, &p).expect("short")));
     compare(DATAGRAMS, &encoded.collect::<Vec<_>>());
 }
 
@@ -270,7 +274,7 @@
     assert_eq!(fixture.len(), expected.len());
     for ((in_fixture, bytes), (in_code, packet)) in fixture.into_iter().zip(expected) {
         assert_eq!(in_fixture, in_code);
-        assert_eq!(wire::read_datagram(FLEET, &bytes).expect(in_code), packet);
+        assert_eq!(wire::decode_datagram(FLEET, &bytes).expect(in_code), packet);
     }
 }
 
@@ -280,19 +284,19 @@
 fn lines_for_people_have_the_same_json_text() {
     let json = |line: serde_json::Result<String>| line.expect("it has a form");
     assert_eq!(
-        json(serde_json::to_string(&lease_line())),
+        json(serde_json::to_string(&lease_info())),
         r#"{"name":"task/1","places":3,"place":1,"token":300,"holder":18446744073709551615,"ttl_ms":3000,"renewals":7}"#
     );
     assert_eq!(
-        json(serde_json::to_string(&change_line())),
+        json(serde_json::to_string(&lease_change())),
         r#"{"name":"task/1","token":300,"what":"granted","holder":9,"before":299}"#
     );
     assert_eq!(
-        json(serde_json::to_string(&seen_line())),
+        json(serde_json::to_string(&member_info())),
         r#"{"id":"00000000000000fe","address":"127.0.0.1:7311","zone":"hala-a","kind":"front","life":"alive","since_ms":1,"known_ms":2,"incarnation":3,"asked":true,"sent":4,"sent_bytes":5}"#
     );
     assert_eq!(
-        json(serde_json::to_string(&status_line())),
+        json(serde_json::to_string(&replica_status())),
         r#"{"id":"00000000000000ff","role":"leader","term":2,"leader":"00000000000000ff","commit":16,"last":17,"members":[{"id":"00000000000000ff","address":"127.0.0.1:7301","voter":true}],"refused_words":4,"silent_ms":5,"told_bytes":6,"topics":[{"name":"quotas","head":1,"horizon":2,"keys":3,"bytes":4,"held_bytes":5,"subscribers":6}]}"#
     );
 }
--- a/crates/testing/fakes/src/topic.rs
+++ b/crates/testing/fakes/src/topic.rs
@@ -9,7 +9,7 @@
 
 use beechloft_checker::topic::{Recorded, Saw, Told, Write};
 use beechloft_coordinator::FleetSettings;
-use beechloft_coordinator::topics::{Followed, Follower, Publisher, Right, Settled};
+use beechloft_coordinator::topics::{Follower, FollowerEvent, PublishResult, Publisher, WriteMode};
 use beechloft_topic::{Expect, Key, Name, Outcome, PublisherSettings, Record, SubscriberSettings, Value};
 
 /// Values' numbers: no two values that are ever written in this process have the same.
@@ -52,7 +52,7 @@
             again: (Duration::from_millis(100), Duration::from_secs(1)),
             ..PublisherSettings::default()
         };
-        let publisher = Publisher::start(set, topic.clone(), Right::OneOfMany, settings)?;
+        let publisher = Publisher::start(set, topic.clone(), WriteMode::Shared, settings)?;
         let end = Arc::new(AtomicBool::new(false));
         let (ends, name, record) = (Arc::clone(&end), name.to_owned(), record.clone());
         let writes = move || {
@@ -140,7 +140,7 @@
         self.there.insert(key, !deletes);
     }
 
-    fn settles(&mut self, settled: Settled) {
+    fn settles(&mut self, settled: PublishResult) {
         let Some((message, key)) = self.out.remove(&settled.ticket.0) else { return };
         let told = match settled.outcome {
             Outcome::Written(offset) => Told::Written(offset.0),
@@ -219,16 +219,16 @@
     }
 }
 
-fn saw(followed: Followed) -> Option<Saw> {
+fn saw(followed: FollowerEvent) -> Option<Saw> {
     Some(match followed {
-        Followed::Changed(message) => {
+        FollowerEvent::Updated(message) => {
             let (key, offset) = (message.key().to_vec(), message.offset.0);
             let number = message.body.value().and_then(|v| v.first_chunk::<8>()).copied().unwrap_or_default();
             Saw::Changed { key, offset, value: u64::from_be_bytes(number) }
         }
-        Followed::Gone(key, at) => Saw::Gone { key: key.bytes().to_vec(), at: at.0 },
-        Followed::CaughtUp(to) => Saw::CaughtUp(to.0),
-        Followed::Behind => Saw::Behind,
-        Followed::Distrusted(_) => return None,
+        FollowerEvent::Deleted(key, at) => Saw::Gone { key: key.bytes().to_vec(), at: at.0 },
+        FollowerEvent::CaughtUp(to) => Saw::CaughtUp(to.0),
+        FollowerEvent::Behind => Saw::Behind,
+        FollowerEvent::ProtocolViolation(_) => return None,
     })
 }
--- a/crates/testing/fakes/tests/topic_planted.rs
+++ b/crates/testing/fakes/tests/topic_planted.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use beechloft_checker::topic::{Recorded, Verdict};
-use beechloft_coordinator::{FleetSettings, Keeping};
+use beechloft_coordinator::{CoordinatorServer, FleetSettings};
 use beechloft_fakes::topic::{Pace, Reader, Writer};
 use beechloft_fault_proxy::ports::Port;
 use beechloft_fault_proxy::{Relay, Way};
@@ -51,7 +51,7 @@
                 dir.path().join(n.to_string()).display()
             );
             let mut keeping =
-                Keeping::start(settings(&addresses, &more), Arc::clone(&end)).expect("it starts");
+                CoordinatorServer::start(settings(&addresses, &more), Arc::clone(&end)).expect("it starts");
             if let Some(fault) = fault {
                 keeping.plant(fault);
             }
