--- a/crates/cli/src/fleet_membership.rs
+++ b/crates/cli/src/fleet_membership.rs
@@ -9,11 +9,11 @@
 use beechloft_coordinator::{
     CoordinatorServer, FleetSettings, FrontLeases, MembershipService, OutlierDetector, QuotaClient,
 };
-use beechloft_leases::Part;
-use beechloft_membership::Kind;
+use beechloft_leases::SlotShare;
+use beechloft_membership::MemberKind;
 use beechloft_quotas::Gate;
-use beechloft_server::observe::Observer;
-use beechloft_server::{Boxes, Hooks};
+use beechloft_server::evidence::Observer;
+use beechloft_server::{FleetHooks, MediaServers};
 use beechloft_session::api::Numbered;
 
 use crate::outlier_observer::OutlierObserver;
@@ -47,7 +47,7 @@
     pub fn start(set: &FleetSettings, span: Duration) -> io::Result<FleetMembership> {
         let (peers, keeping) = if set.keeps() {
             let end = Arc::new(AtomicBool::new(false));
-            let keeping = CoordinatorServer::start_as(Kind::Front, set.clone(), Arc::clone(&end));
+            let keeping = CoordinatorServer::start_as(MemberKind::Front, set.clone(), Arc::clone(&end));
             let keeping = keeping.map_err(|e| io::Error::other(e.to_string()))?;
             let peers = keeping.members();
             let thread = thread::Builder::new().name("keeper".into()).spawn(move || keep(keeping))?;
@@ -81,7 +81,7 @@
             Some(listen) => io::Error::new(e.kind(), format!("fleet.listen {listen}: {e}")),
             None => e,
         };
-        let peers = MembershipService::start(set, Kind::Front).map_err(said)?;
+        let peers = MembershipService::start(set, MemberKind::Front).map_err(said)?;
         peers.answer().map_err(said)?;
         Ok(Some(Arc::new(peers)))
     }
@@ -92,8 +92,8 @@
         Box::new(move || {
             // Without a part: a number that is not under them all.
             let (number, of, reach) = match agent.part()? {
-                (Part::Of { number, of }, reach) => (number, of, reach),
-                (Part::None, reach) => (0, 0, reach),
+                (SlotShare::Of { slot: number, slot_count: of }, reach) => (number, of, reach),
+                (SlotShare::None, reach) => (0, 0, reach),
             };
             let fronts = peers.as_ref().map_or(reach, |p| p.fronts()).max(1);
             Some(Numbered { number, of, fronts })
@@ -101,12 +101,12 @@
     }
 
     /// What a front is told by its fleet, and tells it.
-    pub fn hooks(&self) -> Hooks {
+    pub fn hooks(&self) -> FleetHooks {
         let observer = self
             .verdicts
             .as_ref()
             .map(|v| -> Box<dyn Observer> { Box::new(OutlierObserver::new(Arc::clone(v))) });
-        Hooks { numbers: Some(self.numbers()), observer, gate: self.gate() }
+        FleetHooks { slots: Some(self.numbers()), observer, gate: self.gate() }
     }
 
     /// It is told to end: it asks for its turn, if fronts restart in turn; how long it is to wait at most.
@@ -130,7 +130,7 @@
     ///
     /// # Errors
     /// There is no thread.
-    pub fn survey(&self, boxes: Boxes) -> io::Result<()> {
+    pub fn survey(&self, boxes: MediaServers) -> io::Result<()> {
         self.limiter.as_ref().map_or(Ok(()), |l| l.survey(Box::new(move || boxes.tags())))
     }
 
--- a/crates/fleet/coordinator/src/client.rs
+++ b/crates/fleet/coordinator/src/client.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use beechloft_consensus::MemberId;
-use beechloft_leases::{Heard, HolderInput, Name, Request, Route};
+use beechloft_leases::{HolderInput, LeaderLocator, Name, Request, Response};
 use crossbeam_channel::{Receiver, Sender, bounded};
 
 use crate::history::Book;
@@ -25,7 +25,7 @@
 }
 
 /// Asks a process of the fleet whom it sees; none: it does not answer, or is no member.
-pub fn members(set: &FleetSettings, of: SocketAddr, within: Duration) -> Option<Vec<wire::MemberInfo>> {
+pub fn members(set: &FleetSettings, of: SocketAddr, within: Duration) -> Option<Vec<wire::MemberView>> {
     match call(set, of, &Message::GetMembers, within)? {
         Message::Members(seen) => seen,
         _ => None,
@@ -60,14 +60,14 @@
 
 /// Watches a task's grants, or all, by whichever keeper leads, until `hear` wants no more.
 pub fn watch(set: &FleetSettings, name: Option<&Name>, mut hear: impl FnMut(WatchEvent) -> bool) {
-    let mut route = Route::new(set.keepers.len(), 0);
+    let mut route = LeaderLocator::new(set.keepers.len(), 0);
     loop {
-        let keeper = set.keepers[route.take()];
+        let keeper = set.keepers[route.next_target()];
         if let Some(mut stream) = open_watch(set, keeper, name) {
             loop {
                 match wire::read(set.number(), &mut stream) {
                     Ok(Message::Leases(mut lines)) => {
-                        route.answered();
+                        route.on_response();
                         lines.retain(|l| name.is_none_or(|n| n.to_string() == l.name));
                         if !hear(WatchEvent::Snapshot(lines)) {
                             return;
@@ -79,7 +79,7 @@
                         }
                     }
                     Ok(Message::NotLeader(leader)) => {
-                        route.not_leader(place(set, leader.as_deref()));
+                        route.on_not_leader(place(set, leader.as_deref()));
                         break;
                     }
                     _ => break,
@@ -118,11 +118,11 @@
 /// Asks whichever keeper leads, until one answers.
 fn ask_leader(set: &FleetSettings, word: &Message, within: Duration) -> Option<Message> {
     let until = Instant::now() + within;
-    let mut route = Route::new(set.keepers.len(), 0);
+    let mut route = LeaderLocator::new(set.keepers.len(), 0);
     while Instant::now() < until {
-        let keeper = set.keepers[route.take()];
+        let keeper = set.keepers[route.next_target()];
         match call(set, keeper, word, Duration::from_millis(500)) {
-            Some(Message::NotLeader(leader)) => route.not_leader(place(set, leader.as_deref())),
+            Some(Message::NotLeader(leader)) => route.on_not_leader(place(set, leader.as_deref())),
             None | Some(Message::LeaseResponse(_)) => {}
             Some(answer) => return Some(answer),
         }
@@ -139,7 +139,7 @@
 /// A holder's connection to whichever keeper leads.
 pub struct LeaderConnection {
     set: FleetSettings,
-    route: Route,
+    route: LeaderLocator,
     conn: Option<(usize, TcpStream)>,
     hears: Sender<Message>,
     heard: Receiver<Message>,
@@ -149,7 +149,7 @@
 impl LeaderConnection {
     /// A way that begins at any keeper.
     pub fn new(set: FleetSettings) -> LeaderConnection {
-        let route = Route::new(set.keepers.len(), rand::random_range(0..set.keepers.len().max(1)));
+        let route = LeaderLocator::new(set.keepers.len(), rand::random_range(0..set.keepers.len().max(1)));
         let (hears, heard) = bounded(64);
         let book = Book::open(set.test_history.as_deref());
         LeaderConnection { set, route, conn: None, hears, heard, book }
@@ -162,7 +162,7 @@
 
     /// Says a word to the keeper that leads, as far as is known; what can't be sent is lost, as on any network.
     pub fn say(&mut self, word: &Message) {
-        let at = self.route.take();
+        let at = self.route.next_target();
         if self.conn.as_ref().is_none_or(|c| c.0 != at) {
             self.conn = self.open(at);
         }
@@ -204,9 +204,9 @@
         match self.hear_word(within)? {
             Message::LeaseResponse(heard) => {
                 self.book.hears(&heard);
-                Some(HolderInput::Heard(heard))
+                Some(HolderInput::Response(heard))
             }
-            Message::NotLeader(_) => Some(HolderInput::Heard(Heard::NotLeader(None))),
+            Message::NotLeader(_) => Some(HolderInput::Response(Response::NotLeader(None))),
             _ => None,
         }
     }
@@ -215,8 +215,8 @@
     pub fn hear_word(&mut self, within: Duration) -> Option<Message> {
         let word = self.heard.recv_timeout(within).ok()?;
         match &word {
-            Message::NotLeader(leader) => self.route.not_leader(place(&self.set, leader.as_deref())),
-            _ => self.route.answered(),
+            Message::NotLeader(leader) => self.route.on_not_leader(place(&self.set, leader.as_deref())),
+            _ => self.route.on_response(),
         }
         Some(word)
     }
--- a/crates/fleet/coordinator/src/server/dispatch.rs
+++ b/crates/fleet/coordinator/src/server/dispatch.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use beechloft_consensus::{MemberId, Outputs, Refused};
-use beechloft_leases::{Event, Heard};
+use beechloft_leases::{Event, Response};
 use beechloft_placement::Event as PlacementEvent;
 use beechloft_replica::{Asked, ClientId, KeeperOutput};
 use beechloft_topic::TopicEvent;
@@ -59,7 +59,7 @@
             | Message::Publish(_)
             | Message::Subscribe { .. }
             | Message::QuotaRequest(_)
-            | Message::PlacementRequest { .. } => self.say(conn, &Message::LeaseResponse(Heard::Busy)),
+            | Message::PlacementRequest { .. } => self.say(conn, &Message::LeaseResponse(Response::Busy)),
             Message::GetStatus => self.say(conn, &Message::Status(self.status())),
             Message::ReplaceReplica { old, new } => self.replace(conn, old, new, out),
             Message::GetMembers => {
@@ -102,7 +102,7 @@
                     link.say(bytes);
                 }
             }
-            KeeperOutput::Heard(client, Heard::NotLeader(leader)) => {
+            KeeperOutput::Heard(client, Response::NotLeader(leader)) => {
                 let address = leader.and_then(|l| self.address_of(MemberId(l.0))).map(|a| a.to_string());
                 self.say(ConnectionId(client.0), &Message::NotLeader(address));
             }
@@ -133,7 +133,7 @@
                 self.say(ConnectionId(client.0), &Message::NotLeader(address));
             }
             KeeperOutput::NotPublished(client, ..) | KeeperOutput::NotPlaced(client, ..) => {
-                self.say(ConnectionId(client.0), &Message::LeaseResponse(Heard::Busy));
+                self.say(ConnectionId(client.0), &Message::LeaseResponse(Response::Busy));
             }
             KeeperOutput::Placed(client, number, answer) => {
                 self.say(ConnectionId(client.0), &Message::PlacementResponse { number, answer });
--- a/crates/fleet/coordinator/src/server/mod.rs
+++ b/crates/fleet/coordinator/src/server/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use beechloft_consensus::{MemberId, Outputs, Settings, Ticket};
-use beechloft_membership::Kind;
+use beechloft_membership::MemberKind;
 use beechloft_replica::{Asked, Keeper};
 #[cfg(feature = "planted")]
 use beechloft_topic::Fault;
@@ -79,7 +79,7 @@
     /// # Errors
     /// As [`ServerError`] says; nothing was changed then.
     pub fn start(set: FleetSettings, end: Arc<AtomicBool>) -> Result<CoordinatorServer, ServerError> {
-        CoordinatorServer::start_as(Kind::Keeper, set, end)
+        CoordinatorServer::start_as(MemberKind::Replica, set, end)
     }
 
     /// The same within a process that is something else besides, as a front may be.
@@ -87,7 +87,7 @@
     /// # Errors
     /// As [`ServerError`] says; nothing was changed then.
     pub fn start_as(
-        kind: Kind,
+        kind: MemberKind,
         set: FleetSettings,
         end: Arc<AtomicBool>,
     ) -> Result<CoordinatorServer, ServerError> {
--- a/crates/fleet/coordinator/src/wire/message.rs
+++ b/crates/fleet/coordinator/src/wire/message.rs
@@ -7,7 +7,7 @@
 use beechloft_topic::{Position, Told, TopicHeard, TopicRequest};
 use serde::{Deserialize, Serialize};
 
-use super::reports::{LeaseChange, LeaseInfo, MemberInfo, ReplicaStatus};
+use super::reports::{LeaseChange, LeaseInfo, MemberView, ReplicaStatus};
 
 /// A message between processes of a fleet.
 ///
@@ -29,7 +29,7 @@
     /// A holder's request.
     LeaseRequest(leases::Request),
     /// The response to a [`Message::LeaseRequest`]; as `Busy`, to any request that can't be served now.
-    LeaseResponse(leases::Heard),
+    LeaseResponse(leases::Response),
     /// The replica does not lead. The address of the leader, if it is known.
     NotLeader(Option<String>),
     /// Asks for all grants.
@@ -56,7 +56,7 @@
     /// Asks for the members that a process sees.
     GetMembers,
     /// The members; none if the process is no member, as its settings name no seeds.
-    Members(Option<Vec<MemberInfo>>),
+    Members(Option<Vec<MemberView>>),
     /// A publisher's request.
     Publish(TopicRequest),
     /// The response to a [`Message::Publish`].
--- a/crates/fleet/coordinator/src/wire/mod.rs
+++ b/crates/fleet/coordinator/src/wire/mod.rs
@@ -13,7 +13,7 @@
 pub(crate) use frame::{HEADER_BYTES, read_frame, write_frame};
 pub use frame::{MAX_BODY_BYTES, MAX_DATAGRAM_BYTES, WireError};
 pub use message::Message;
-pub use reports::{LeaseChange, LeaseInfo, MemberInfo, ReplicaInfo, ReplicaStatus, TopicStatus};
+pub use reports::{LeaseChange, LeaseInfo, MemberView, ReplicaInfo, ReplicaStatus, TopicStatus};
 
 #[cfg(test)]
 mod tests;
--- a/crates/fleet/coordinator/src/wire/reports.rs
+++ b/crates/fleet/coordinator/src/wire/reports.rs
@@ -101,7 +101,7 @@
 
 /// A member of the fleet as another member sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberInfo {
+pub struct MemberView {
     /// Its id, drawn when it started.
     pub id: String,
     /// Its address.
--- a/crates/fleet/coordinator/src/wire/tests.rs
+++ b/crates/fleet/coordinator/src/wire/tests.rs
@@ -38,9 +38,9 @@
 
 #[test]
 fn a_membership_packet_survives_encoding_and_every_corruption_is_rejected() {
-    use beechloft_membership::{Digests, MemberId, Said};
-    let said = Said::Compare { digests: Digests(vec![u64::MAX; 64]), answers: false };
-    let packet = Packet { from: MemberId(7), to: None, said, rumours: Vec::new() };
+    use beechloft_membership::{Digests, MemberId, Message};
+    let message = Message::CompareDigests { digests: Digests(vec![u64::MAX; 64]), is_reply: false };
+    let packet = Packet { from: MemberId(7), to: None, message, updates: Vec::new() };
     let bytes = encode_datagram(9, &packet).expect("short");
     assert_eq!(decode_datagram(9, &bytes).expect("sound"), packet);
     assert!(matches!(decode_datagram(8, &bytes), Err(WireError::Fleet)));
