--- a/crates/front/server/src/http.rs
+++ b/crates/front/server/src/http.rs
@@ -109,7 +109,7 @@
         };
         let replies = self.shared.handle.request_session(session_request, token.map(client_key));
         let served = self.serve(session, &replies, link, |set_up| {
-            let number = self.shared.settings.settings.number;
+            let number = self.shared.settings.settings.slot;
             let offer = offer.limited(set_up.rate_kb);
             boxes::tagged(boxes::set_up(&title, publishes, offer, token, number), set_up.tag.as_deref())
         });
@@ -280,7 +280,8 @@
     }
 
     fn refuse(&self) -> Response {
-        let retry_after = self.shared.settings.settings.limits.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
+        let retry_after =
+            self.shared.settings.settings.capabilities.max_retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
         answer::for_browsers(answer::response(&Answer::Rejected(Some(retry_after))))
     }
 
--- a/crates/front/session/src/io.rs
+++ b/crates/front/session/src/io.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use beechloft::api::{LoadReport, Micros, Note, Numbered, Outcome, Rung, ServerId, SessionId};
+use beechloft::api::{Feedback, LoadReport, Micros, Outcome, Rung, ServerId, SessionId, SlotAssignment};
 
 use crate::catalog::EndpointUpdate;
 pub use crate::catalog::Protocol;
@@ -99,7 +99,7 @@
     /// Nobody listens at its address: the process is not there.
     ConnectionRefused,
     /// A figure about what plays there.
-    Note(Note),
+    Note(Feedback),
     /// A session has ended at the media server.
     SessionEnded {
         /// Its path there.
@@ -170,7 +170,7 @@
     /// Other media servers are to be offered to the policy from now on.
     HolderFilter(HolderFilter),
     /// This front's slot among the fronts changed.
-    Numbered(Numbered),
+    Numbered(SlotAssignment),
     /// Time passes.
     Tick,
     /// Nothing new is taken from now on.
--- a/crates/front/session/tests/any_order.rs
+++ b/crates/front/session/tests/any_order.rs
@@ -107,7 +107,7 @@
 
 fn outcome(kind: u8) -> Outcome {
     match kind {
-        2 => Outcome::Full,
+        2 => Outcome::Overloaded,
         3 => Outcome::Error,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
@@ -224,8 +224,8 @@
                     1 => MediaServerEvent::Connected { boot: self.front.now },
                     2 => MediaServerEvent::Disconnected,
                     3 => MediaServerEvent::ConnectionRefused,
-                    4 => MediaServerEvent::Note(Note::LinkUse(0.7)),
-                    _ => MediaServerEvent::Note(Note::Delivered(0.8)),
+                    4 => MediaServerEvent::Note(Feedback::LinkUtilization(0.7)),
+                    _ => MediaServerEvent::Note(Feedback::DeliveredFraction(0.8)),
                 };
                 let restarted = match event {
                     MediaServerEvent::ConnectionRefused => {
--- a/crates/testing/fleet-simulation/tests/machine_hash/driver.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/driver.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use beechloft::api::{Micros, Numbered};
+use beechloft::api::{Micros, SlotAssignment};
 use beechloft_fleet_simulation::settings::Terms;
 use beechloft_front_node::{AttemptFailure, Input, Node, NodeLimits, Output, ViewerConnection};
 use beechloft_protocol::bus::{Endpoint, Status, Topology};
@@ -402,7 +402,7 @@
 
     fn renumber(&mut self) {
         let number = self.rng.random_range(0..4);
-        self.input(Input::SlotAssigned(Numbered { number, of: 3, fronts: 3 }));
+        self.input(Input::SlotAssigned(SlotAssignment { slot: number, slot_count: 3, live_fronts: 3 }));
     }
 
     fn test(&mut self) {
