--- a/crates/fleet/coordinator/src/server/reports.rs
+++ b/crates/fleet/coordinator/src/server/reports.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::Ordering;
 
-use beechloft_consensus::{Member, MemberId};
+use beechloft_consensus::{Member, NodeId};
 use beechloft_leases::{Event, GrantEntry, Name, Table};
 use beechloft_topic::Topic;
 
@@ -12,7 +12,7 @@
 impl CoordinatorServer {
     pub(super) fn status(&self) -> ReplicaStatus {
         let s = self.keeper.status();
-        let member = |(id, m): (MemberId, &Member)| ReplicaInfo {
+        let member = |(id, m): (NodeId, &Member)| ReplicaInfo {
             id: id.to_string(),
             address: m.address.clone(),
             voter: m.voter,
@@ -26,7 +26,7 @@
             last: s.last.index.0,
             members: s.members.iter().map(member).collect(),
             rejected_messages: self.conns.refused.load(Ordering::Relaxed),
-            silent_ms: u64::try_from(self.keeper.stale().as_millis()).unwrap_or(u64::MAX),
+            silent_ms: u64::try_from(self.keeper.staleness().as_millis()).unwrap_or(u64::MAX),
             delivered_bytes: self.serving.delivered_bytes,
             topics: self.keeper.topics().all().map(|(name, topic)| self.topic(name, topic)).collect(),
         }
--- a/crates/fleet/coordinator/src/wire/message.rs
+++ b/crates/fleet/coordinator/src/wire/message.rs
@@ -1,6 +1,6 @@
 //! The messages between processes of a fleet.
 
-use beechloft_consensus::{self as consensus, MemberId};
+use beechloft_consensus::{self as consensus, NodeId};
 use beechloft_leases::{self as leases, Name};
 use beechloft_placement as placement;
 use beechloft_quotas as quotas;
@@ -18,7 +18,7 @@
     /// A replica introduces itself to another.
     Hello {
         /// The id drawn with its store.
-        id: MemberId,
+        id: NodeId,
         /// Its listen address.
         listen: String,
         /// Whether it has been a member of a group.
@@ -43,9 +43,9 @@
     /// Removes a replica that lost its store and admits the one that has come up in its place.
     ReplaceReplica {
         /// The lost one.
-        old: MemberId,
+        old: NodeId,
         /// The one in its place.
-        new: MemberId,
+        new: NodeId,
     },
     /// The lost replica's removal is in the log, or why it was refused.
     ReplaceResult(Result<(), String>),
--- a/crates/fleet/coordinator/src/wire/tests.rs
+++ b/crates/fleet/coordinator/src/wire/tests.rs
@@ -1,4 +1,4 @@
-use beechloft_consensus::MemberId;
+use beechloft_consensus::NodeId;
 use beechloft_membership::Packet;
 use beechloft_topic::{Said, Told};
 
@@ -17,7 +17,7 @@
 
 #[test]
 fn a_message_survives_encoding_and_every_corruption_is_rejected() {
-    let message = Message::Hello { id: MemberId(7), listen: "127.0.0.1:1".into(), formed: true };
+    let message = Message::Hello { id: NodeId(7), listen: "127.0.0.1:1".into(), formed: true };
     let bytes = encode(9, &message).expect("short");
     assert_eq!(read(9, &mut &bytes[..]).expect("sound"), message);
     assert!(matches!(read(8, &mut &bytes[..]), Err(WireError::Fleet)));
--- a/crates/fleet/coordinator/tests/wire_format.rs
+++ b/crates/fleet/coordinator/tests/wire_format.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use beechloft_consensus::{self as consensus, Body, Entry, Index, LogPos, Payload, Term};
+use beechloft_consensus::{self as consensus, Entry, Index, LogPosition, MessageBody, Payload, Term};
 use beechloft_coordinator::wire::{
     self, LeaseChange, LeaseInfo, MemberView, Message, ReplicaInfo, ReplicaStatus, TopicStatus,
 };
@@ -106,19 +106,19 @@
 }
 
 fn messages() -> Vec<(&'static str, Message)> {
-    let at = LogPos { term: Term(2), index: Index(300) };
-    let append = Body::Append {
+    let at = LogPosition { term: Term(2), index: Index(300) };
+    let append = MessageBody::AppendEntries {
         prev: at,
         entries: vec![Entry {
-            at: LogPos { term: Term(2), index: Index(301) },
+            at: LogPosition { term: Term(2), index: Index(301) },
             payload: Payload::Command(vec![1, 2, 3].into()),
         }],
         commit: Index(299),
         round: 8,
     };
     let peer = consensus::Message {
-        from: consensus::MemberId(1),
-        to: consensus::MemberId(2),
+        from: consensus::NodeId(1),
+        to: consensus::NodeId(2),
         term: Term(2),
         body: append,
     };
@@ -137,10 +137,7 @@
     let batch = Batch { from: Offset(1), to: Offset(300), head: Offset(301), messages: Vec::new() };
     let told = |said| Message::Delivery(Told { feed: 7, applied: 300, silent_ms: 1_000, said });
     vec![
-        (
-            "hello",
-            Message::Hello { id: consensus::MemberId(7), listen: "127.0.0.1:7301".into(), formed: true },
-        ),
+        ("hello", Message::Hello { id: consensus::NodeId(7), listen: "127.0.0.1:7301".into(), formed: true }),
         ("peer", Message::Consensus(peer)),
         ("ask", Message::LeaseRequest(leases::Request { holder: HolderId(9), seq: 2, op: acquire })),
         (
@@ -159,7 +156,7 @@
         ("listed", Message::Leases(vec![lease_info()])),
         ("status", Message::GetStatus),
         ("status_is", Message::Status(replica_status())),
-        ("replace", Message::ReplaceReplica { old: consensus::MemberId(1), new: consensus::MemberId(2) }),
+        ("replace", Message::ReplaceReplica { old: consensus::NodeId(1), new: consensus::NodeId(2) }),
         ("replacing.done", Message::ReplaceResult(Ok(()))),
         ("replacing.refused", Message::ReplaceResult(Err("no".into()))),
         ("watch", Message::WatchLeases(Some(name("task/1")))),
