--- a/crates/front/config/src/lib.rs
+++ b/crates/front/config/src/lib.rs
@@ -2,12 +2,7 @@
 //!
 //! The settings describe a deployment and this front's place in it. What the decision module decides is not in them.
 // Not reworked yet, see docs/ROADMAP.md.
-#![allow(
-    clippy::cast_possible_truncation,
-    clippy::missing_errors_doc,
-    clippy::shadow_unrelated,
-    clippy::wildcard_imports
-)]
+#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::wildcard_imports)]
 #![forbid(unsafe_code)]
 
 pub mod front;
--- a/crates/front/config/src/service.rs
+++ b/crates/front/config/src/service.rs
@@ -13,9 +13,9 @@
     pub classes: Vec<String>,
     /// Names of the tenants.
     pub tenants: Vec<String>,
-    /// Names of the kinds of boxes.
+    /// Names of the kinds of media servers.
     pub kinds: Vec<String>,
-    /// For the module; a front's own number and zone are still to be set.
+    /// For the policy; a front's own number and zone are still to be set.
     pub settings: Settings,
 }
 
--- a/crates/front/discovery/src/lib.rs
+++ b/crates/front/discovery/src/lib.rs
@@ -1,14 +1,9 @@
-//! The box list as it travels: JSON in server-sent events, `snapshot` (all there is) and `change` (what changed).
+//! The media server list as it travels: JSON in server-sent events, `snapshot` (all there is) and `change` (what changed).
 //!
 //! A line that can't be used is left out and said, and the rest of its message holds: one operator's slip must not
 //! cost a front its list.
 // Not reworked yet, see docs/ROADMAP.md.
-#![allow(
-    clippy::cast_possible_truncation,
-    clippy::missing_errors_doc,
-    clippy::shadow_unrelated,
-    clippy::wildcard_imports
-)]
+#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::wildcard_imports)]
 #![forbid(unsafe_code)]
 
 pub mod cache;
@@ -32,7 +27,7 @@
 /// Longest message, bytes.
 pub const BYTES: usize = 32 * 1024 * 1024;
 
-/// A box in a message.
+/// A media server in a message.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BoxText {
     /// Its number.
@@ -75,7 +70,7 @@
     /// Name of its tenant, if there are any.
     #[serde(default)]
     pub tenant: String,
-    /// Numbers of the boxes that hold it.
+    /// Numbers of the media servers that hold it.
     pub holders: BTreeSet<u32>,
     /// How long a session lasts, roughly.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -85,7 +80,7 @@
 /// A message, its lines not yet looked at.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Message {
-    /// Lines of boxes.
+    /// Lines of media servers.
     #[serde(default)]
     pub boxes: Vec<Value>,
     /// Lines of titles.
@@ -99,7 +94,7 @@
 /// A message read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Read {
-    /// For the core.
+    /// For the session controller.
     pub update: EndpointUpdate,
     /// Lines left out, and why.
     pub faults: Vec<String>,
@@ -196,43 +191,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::json;
-
-    pub(crate) fn service() -> Service {
-        let names = |n: &str| vec![n.to_owned()];
-        let settings = Settings { racks: 2, ..Settings::default() };
-        Service { zones: names("a"), classes: names("c"), tenants: vec![], kinds: names("k"), settings }
-    }
-
-    #[test]
-    fn a_bad_line_costs_only_itself() {
-        let sound = json!({"id": 1, "name": "one", "address": "127.0.0.1:1", "state": "ready", "zone": "a", "kind": "k"});
-        let with = |key: &str, value: Value| {
-            let mut v = sound.clone();
-            v[key] = value;
-            v
-        };
-        let message = Message {
-            boxes: vec![
-                sound.clone(),
-                with("state", json!("fine")),
-                with("zone", json!("b")),
-                with("address", json!("nowhere")),
-                with("rack", json!(2)),
-                with("id", json!(-1)),
-                json!(7),
-            ],
-            titles: vec![
-                json!({"name": "t", "class": "c", "holders": [1]}),
-                json!({"name": "u", "class": "d", "holders": [1]}),
-            ],
-            gone: vec!["v".into()],
-        };
-        let read = read(Form::Change, &message, &service());
-        let EndpointUpdate::Change { servers, titles, removed } = read.update else { panic!("a change") };
-        assert_eq!((servers.len(), titles.len(), removed.len(), read.faults.len()), (1, 1, 1, 7));
-        assert!(read.faults[1].contains("no zone is called 'b'"), "{:?}", read.faults);
-    }
-}
+mod tests;
--- a/crates/front/discovery/src/mirror.rs
+++ b/crates/front/discovery/src/mirror/mod.rs
@@ -14,11 +14,11 @@
 }
 
 impl Mirror {
-    /// Takes a message over. A box without a number or a title without a name can't be kept.
+    /// Takes a message over. A media server without a number or a title without a name can't be kept.
     pub fn apply(&mut self, whole: bool, message: &Message) {
         if whole {
             if message.boxes.is_empty() && !self.boxes.is_empty() {
-                return; // taken for a failure of the list service, see the core's catalog
+                return; // taken for a failure of the list service, see the session controller's catalog
             }
             *self = Mirror::default();
         }
@@ -49,21 +49,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::json;
-
-    #[test]
-    fn changes_add_up_to_the_list() {
-        let mut mirror = Mirror::default();
-        let boxes = vec![json!({"id": 1, "state": "ready"}), json!({"id": 2, "state": "ready"})];
-        let titles = vec![json!({"name": "t"}), json!({"name": "u"})];
-        mirror.apply(true, &Message { boxes, titles, gone: vec![] });
-        let boxes = vec![json!({"id": 1, "state": "gone"}), json!({"id": 2, "state": "draining"})];
-        mirror.apply(false, &Message { boxes, titles: vec![], gone: vec!["t".into()] });
-        mirror.apply(true, &Message::default());
-        let all = mirror.message();
-        assert_eq!(all.boxes, [json!({"id": 2, "state": "draining"})]);
-        assert_eq!(all.titles, [json!({"name": "u"})]);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/front/discovery/src/tests.rs
@@ -0,0 +1,41 @@
+//! Tests of the messages of the endpoint list.
+
+use super::*;
+use serde_json::json;
+
+pub(crate) fn service() -> Service {
+    let names = |n: &str| vec![n.to_owned()];
+    let settings = Settings { racks: 2, ..Settings::default() };
+    Service { zones: names("a"), classes: names("c"), tenants: vec![], kinds: names("k"), settings }
+}
+
+#[test]
+fn a_bad_line_costs_only_itself() {
+    let sound =
+        json!({"id": 1, "name": "one", "address": "127.0.0.1:1", "state": "ready", "zone": "a", "kind": "k"});
+    let with = |key: &str, value: Value| {
+        let mut v = sound.clone();
+        v[key] = value;
+        v
+    };
+    let message = Message {
+        boxes: vec![
+            sound.clone(),
+            with("state", json!("fine")),
+            with("zone", json!("b")),
+            with("address", json!("nowhere")),
+            with("rack", json!(2)),
+            with("id", json!(-1)),
+            json!(7),
+        ],
+        titles: vec![
+            json!({"name": "t", "class": "c", "holders": [1]}),
+            json!({"name": "u", "class": "d", "holders": [1]}),
+        ],
+        gone: vec!["v".into()],
+    };
+    let read = read(Form::Change, &message, &service());
+    let EndpointUpdate::Change { servers, titles, removed } = read.update else { panic!("a change") };
+    assert_eq!((servers.len(), titles.len(), removed.len(), read.faults.len()), (1, 1, 1, 7));
+    assert!(read.faults[1].contains("no zone is called 'b'"), "{:?}", read.faults);
+}
--- a/crates/front/server/src/admission.rs
+++ b/crates/front/server/src/admission.rs
@@ -12,7 +12,7 @@
 use beechloft_session::api::{LoadReport, Micros, Outcome, ServerId, SessionId};
 use beechloft_session::catalog::Title;
 use beechloft_session::io::{Answer, AttemptId, AttemptResult, Input, Output, SessionRequest};
-use beechloft_whep::boxes;
+use beechloft_whep::media_server;
 use tracing::{debug, info};
 
 use crate::Shared;
@@ -215,7 +215,7 @@
 /// Reads the tags of a media server's sessions. One that is not there any more plays nothing.
 pub(crate) fn tags(shared: &Shared, address: SocketAddr) -> Option<BTreeMap<String, u64>> {
     let until = Instant::now() + shared.settings.call_time;
-    match shared.pool.call(address, &boxes::tags(), until) {
+    match shared.pool.call(address, &media_server::tags(), until) {
         Ok(response) if response.status.is_success() => serde_json::from_slice(&response.body).ok(),
         Err(CallError::Refused) => Some(BTreeMap::new()),
         _ => None,
--- a/crates/front/server/src/attempt.rs
+++ b/crates/front/server/src/attempt.rs
@@ -15,7 +15,7 @@
 use beechloft_session::api::{LoadReport, Outcome};
 use beechloft_session::io::{AttemptResult, Input, MediaServerEvent};
 use beechloft_session::session::GRACE;
-use beechloft_whep::boxes;
+use beechloft_whep::media_server;
 use tracing::debug;
 
 use crate::Shared;
@@ -58,7 +58,7 @@
         if answered {
             match exchange.advance() {
                 Ok(Some(response)) => {
-                    let (result, load) = boxes::verdict(&response);
+                    let (result, load) = media_server::attempt_result(&response);
                     shared.pool.put(exchange, &response);
                     return AttemptEnd { result, load, client_disconnected: false };
                 }
@@ -109,7 +109,7 @@
 fn abandon(mut exchange: Exchange) -> AttemptEnd {
     exchange.give_up();
     let until = Instant::now() + Duration::from_micros(GRACE.0);
-    let result = match exchange.wait(until).map(|response| boxes::verdict(&response).0) {
+    let result = match exchange.wait(until).map(|response| media_server::attempt_result(&response).0) {
         Ok(AttemptResult::Accepted { resource, .. } | AttemptResult::Unusable { resource, .. }) => {
             AttemptResult::Unusable { resource, outcome: Outcome::Timeout }
         }
--- a/crates/front/server/src/endpoint_list.rs
+++ b/crates/front/server/src/endpoint_list.rs
@@ -13,7 +13,7 @@
 use beechloft_http::{Method, Request, header};
 use beechloft_session::catalog::EndpointUpdate;
 use beechloft_session::io::Input;
-use beechloft_whep::{EVENTS, boxes};
+use beechloft_whep::{EVENTS, media_server};
 use rand_chacha::ChaCha20Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use tracing::{info, warn};
@@ -130,7 +130,7 @@
             return Err(CallError::Refused);
         };
         let request = Request::new(Method::GET, path.clone()).with(header::ACCEPT, EVENTS);
-        let request = request.with(header::VIA, boxes::via(self.shared.settings.settings.number));
+        let request = request.with(header::VIA, media_server::via(self.shared.settings.settings.number));
         let until = Instant::now() + CONNECT_TIMEOUT;
         let (response, stream) = Conn::open(*address, until)?.send(&request, until)?.into_stream(until)?;
         if response.status.is_success() {
--- a/crates/front/server/src/event_streams.rs
+++ b/crates/front/server/src/event_streams.rs
@@ -12,7 +12,7 @@
 use beechloft_http::{Method, Request, header};
 use beechloft_session::api::ServerId;
 use beechloft_session::io::{Input, MediaServerEvent};
-use beechloft_whep::{EVENTS, news};
+use beechloft_whep::{EVENTS, server_events};
 use tracing::{debug, warn};
 
 use crate::handle::EngineHandle;
@@ -142,7 +142,7 @@
     }
 
     fn connect(&self) -> Result<Stream, CallError> {
-        let request = Request::new(Method::GET, news::PATH).with(header::ACCEPT, EVENTS);
+        let request = Request::new(Method::GET, server_events::PATH).with(header::ACCEPT, EVENTS);
         let until = Instant::now() + self.connect_time;
         let exchange = Conn::open(self.address, until)?.send(&request, until)?;
         let (response, stream) = exchange.into_stream(Instant::now() + RESPONSE_TIMEOUT)?;
@@ -154,8 +154,8 @@
 
     /// Reads until the stream breaks or falls silent.
     fn read(&self, stream: &mut Stream) -> CallError {
-        let max_silence = Duration::from_micros(news::BEAT.0 * SILENT_BEATS);
-        let mut parser = Parser::new(news::EVENT_BYTES);
+        let max_silence = Duration::from_micros(server_events::HEARTBEAT.0 * SILENT_BEATS);
+        let mut parser = Parser::new(server_events::MAX_EVENT_BYTES);
         let mut events = Vec::new();
         let mut received_at = Instant::now();
         let (mut second_began, mut events_in_second) = (Instant::now(), 0);
@@ -181,7 +181,7 @@
                 let flood = "more events a second than a healthy media server sends";
                 return CallError::Broken(std::io::Error::other(flood));
             }
-            for event in events.drain(..).filter_map(|event| news::read(&event)) {
+            for event in events.drain(..).filter_map(|event| server_events::read(&event)) {
                 self.report(event);
             }
         }
--- a/crates/front/server/src/http.rs
+++ b/crates/front/server/src/http.rs
@@ -15,7 +15,7 @@
 use beechloft_whep::events::{self, PlayerEvent};
 use beechloft_whep::route::{self, Place};
 use beechloft_whep::sdp::Offer;
-use beechloft_whep::{EVENTS, boxes};
+use beechloft_whep::{EVENTS, media_server};
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use rand_chacha::ChaCha20Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -111,7 +111,10 @@
         let served = self.serve(session, &replies, link, |set_up| {
             let number = self.shared.settings.settings.number;
             let offer = offer.limited(set_up.rate_kb);
-            boxes::tagged(boxes::set_up(&title, publishes, offer, token, number), set_up.tag.as_deref())
+            media_server::tagged(
+                media_server::set_up(&title, publishes, offer, token, number),
+                set_up.tag.as_deref(),
+            )
         });
         let answer = match served {
             Served::Answer(answer) => answer,
@@ -182,7 +185,7 @@
             SessionCall::Patch => {
                 match self.shared.handle.call(|id| Input::Locate { request: id, session, secret }) {
                     Answer::Located { server, resource } => {
-                        self.patch(&boxes::patch(&resource, request), server, &resource)
+                        self.patch(&media_server::patch(&resource, request), server, &resource)
                     }
                     other => answer::response(&other),
                 }
@@ -196,7 +199,7 @@
         };
         let until = Instant::now() + self.shared.settings.call_time;
         match self.shared.pool.call(address, request, until) {
-            Ok(response) => answer::passed_on(&response),
+            Ok(response) => answer::forwarded(&response),
             Err(error) => {
                 info!(target: "http", server = server.0, resource, %error, "change not forwarded");
                 Response::text(StatusCode::BAD_GATEWAY, "the streaming server did not take the change")
--- a/crates/front/server/src/server_calls.rs
+++ b/crates/front/server/src/server_calls.rs
@@ -13,7 +13,7 @@
 use beechloft_session::api::{LoadReport, Outcome, Rung, ServerId};
 use beechloft_session::io::{Input, MediaServerEvent};
 use beechloft_session::release::ReleaseId;
-use beechloft_whep::{boxes, load};
+use beechloft_whep::{load, media_server};
 use tracing::debug;
 
 use crate::handle::EngineHandle;
@@ -202,18 +202,18 @@
     fn make(&self, server: ServerId, address: SocketAddr, job: Job) {
         match job {
             Job::Release { id, resource } => {
-                let result = self.call(server, address, &boxes::release(&resource));
+                let result = self.call(server, address, &media_server::release(&resource));
                 debug!(target: "boxes", server = server.0, resource, ok = result.is_ok(), "release");
-                let gone = result.is_ok_and(|response| boxes::is_gone(&response));
+                let gone = result.is_ok_and(|response| media_server::is_gone(&response));
                 self.handle.input(Input::Released { id, gone });
             }
             Job::SetRung { path, rung } => {
-                if let Err(error) = self.call(server, address, &boxes::set_rung(&path, rung)) {
+                if let Err(error) = self.call(server, address, &media_server::set_rung(&path, rung)) {
                     debug!(target: "boxes", server = server.0, path, %error, "rung not set");
                 }
             }
             Job::HealthCheck => {
-                let (outcome, load) = health(self.call(server, address, &boxes::probe()));
+                let (outcome, load) = health(self.call(server, address, &media_server::health_check()));
                 self.handle.input(Input::Probed { server, outcome, load });
             }
         }
--- a/crates/front/sip/src/agent/boxes.rs
+++ b/crates/front/sip/src/agent/boxes.rs
@@ -1,4 +1,4 @@
-//! The agent towards boxes: attempts, calls that stand there, their rungs and their ends.
+//! The agent towards media servers: attempts, calls that stand there, their rungs and their ends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -132,7 +132,7 @@
         }
     }
 
-    /// A request of a box within its call.
+    /// A request of a media server within its call.
     pub(super) fn box_asks(&mut self, key: &Key, leg: u64, request: &Request) {
         let Some(placed) = self.placed.get_mut(&leg) else { return };
         let taken = placed.leg.dialog().map_or(Err(481), |d| d.takes(request));
@@ -157,7 +157,7 @@
         self.on_box(leg, callee::In::Change(&body));
     }
 
-    /// Hands something to a leg at a box and carries out what it wants.
+    /// Hands something to a leg at a media server and carries out what it wants.
     pub(super) fn on_box(&mut self, leg: u64, input: callee::In<'_>) {
         let Some(placed) = self.placed.get_mut(&leg) else { return };
         let lost = matches!(input, callee::In::Lost);
@@ -253,7 +253,7 @@
     }
 }
 
-/// What a box's answer to an INVITE comes to.
+/// What a media server's answer to an INVITE comes to.
 fn accepted(leg: u64, body: Vec<u8>) -> AttemptResult {
     let resource = resource_of(leg);
     if sdp::check_answer(&body).is_err() {
@@ -263,7 +263,7 @@
     AttemptResult::Accepted { resource, reply: Arc::new(reply) }
 }
 
-/// What a box's final status means: full, the caller's own fault, or an error.
+/// What a media server's final status means: full, the caller's own fault, or an error.
 fn refusal(status: u16) -> AttemptResult {
     match status {
         486 | 503 | 600 => AttemptResult::Ended(Outcome::Full),
--- a/crates/front/sip/src/agent/callers.rs
+++ b/crates/front/sip/src/agent/callers.rs
@@ -1,4 +1,4 @@
-//! The agent towards callers: a call comes, is admitted or turned away, and what its leg wants is carried out.
+//! The agent towards callers: a call comes, is admitted or rejected, and what its leg wants is carried out.
 
 use beechloft_session::api::SessionId;
 use beechloft_session::io::{self as core_io, Protocol, RequestId, Secret, SessionRequest};
--- a/crates/front/sip/src/agent/gate.rs
+++ b/crates/front/sip/src/agent/gate.rs
@@ -12,7 +12,7 @@
 use crate::transaction::layer::Peer;
 
 impl Agent {
-    /// Whether a message that came at a time is to be worked on. A new call that is turned away has its answer by then.
+    /// Whether a message that came at a time is to be worked on. A new call that is rejected has its answer by then.
     pub(super) fn passes(&mut self, peer: Peer, message: &Message, at: Micros) -> bool {
         let Message::Request(invite) = message else { return true };
         let new = invite.method() == Method::Invite && invite.names.to_tag.is_none();
--- a/crates/front/sip/src/agent/mod.rs
+++ b/crates/front/sip/src/agent/mod.rs
@@ -1,8 +1,8 @@
-//! The back-to-back user agent: callers' calls on one side, boxes' on the other, and the front's core in between.
+//! The back-to-back user agent: callers' calls on one side, media servers' on the other, and the front's core in between.
 //!
-//! A caller's INVITE is an `SessionRequest` of the core; each attempt that the core asks for is an INVITE to a box on a
+//! A caller's INVITE is an `SessionRequest` of the session controller; each attempt that the session controller asks for is an INVITE to a media server on a
 //! connection of its own; a leg's end is a verdict, a release a BYE. Retransmissions stop at the transaction layer and
-//! never reach the core. No I/O, clock or randomness but seeded.
+//! never reach the session controller. No I/O, clock or randomness but seeded.
 
 mod boxes;
 mod callers;
@@ -27,9 +27,9 @@
 
 /// Calls at once; past that an INVITE is refused unseen.
 pub const CALLS: usize = 100_000;
-/// What begins the path of a call at a box, as the core knows it.
+/// What begins the path of a call at a media server, as the session controller knows it.
 pub const RESOURCE: &str = "sip:";
-/// The agent's own requests to the core are told from others' by this bit.
+/// The agent's own requests to the session controller are told from others' by this bit.
 pub const OWN: u64 = 1 << 63;
 
 /// What happens to the agent.
@@ -52,7 +52,7 @@
     Transmit(Peer, Box<Message>),
     /// Close a connection.
     Close(Peer),
-    /// Tell the core.
+    /// Tell the session controller.
     Core(Box<core_io::Input>),
 }
 
@@ -66,7 +66,7 @@
     name: (String, String),
     title: String,
     offer: Offer,
-    /// When its INVITE came; none once the core has said its first word on it.
+    /// When its INVITE came; none once the session controller has said its first word on it.
     arrived: Option<Micros>,
 }
 
@@ -114,13 +114,13 @@
     by_request: BTreeMap<RequestId, SessionId>,
     by_invite: BTreeMap<Key, SessionId>,
     placed: BTreeMap<u64, Placed>,
-    /// Legs at boxes by their `Call-ID`.
+    /// Legs at media servers by their `Call-ID`.
     by_box: BTreeMap<String, u64>,
-    /// Legs at boxes by the transactions that they wait for.
+    /// Legs at media servers by the transactions that they wait for.
     by_key: BTreeMap<Key, u64>,
     /// Attempts that are out.
     trying: BTreeMap<SessionId, u64>,
-    /// Calls that stand at boxes.
+    /// Calls that stand at media servers.
     standing: BTreeMap<SessionId, u64>,
     /// When each leg is next due, both ways.
     timers: BTreeSet<(Micros, Owner)>,
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Calls of callers, and legs at boxes, that are not over.
+    /// Calls of callers, and legs at media servers, that are not over.
     pub fn len(&self) -> (usize, usize) {
         (self.calls.len(), self.placed.len())
     }
@@ -275,7 +275,7 @@
             },
             core_io::Output::SessionEnded(session, _) => {
                 self.on_caller(session, caller::In::End, None);
-                // Of a box that is lost the core asks nothing more, but its process may run on and the call with it:
+                // Of a media server that is lost the session controller asks nothing more, but its process may run on and the call with it:
                 // unlike a player's session it does not end by itself when its caller has gone.
                 if let Some(leg) = self.standing.get(&session).copied() {
                     self.on_box(leg, callee::In::End);
@@ -320,7 +320,7 @@
     }
 }
 
-/// How a front names itself to boxes (section 20.41).
+/// How a front names itself to media servers (section 20.41).
 fn user_agent(number: u32) -> String {
     format!("beechloft-{number}")
 }
--- a/crates/front/sip/src/callee.rs
+++ b/crates/front/sip/src/callee.rs
@@ -1,10 +1,10 @@
-//! The leg towards a box: an attempt to set a call up there, and the call while it stands.
+//! The leg towards a media server: an attempt to set a call up there, and the call while it stands.
 //!
-//! A box that has a call is never left with it. An attempt that is given up is cancelled as soon as that is allowed
+//! A media server that has a call is never left with it. An attempt that is given up is cancelled as soon as that is allowed
 //! (section 9.1); a 2xx that comes all the same, however late, is acknowledged and ended by a BYE. When an attempt is
 //! **certainly over**, so that another may go out, is said by [`Out::Over`]: a final response has come, or the
 //! connection that it went out on is closed. The connection is the attempt's own; it is closed [`GRACE`] after the
-//! attempt was given up, so that a box that stands still costs no more than that.
+//! attempt was given up, so that a media server that stands still costs no more than that.
 
 use beechloft_session::api::Micros;
 use beechloft_session::session::GRACE;
@@ -24,7 +24,7 @@
     Lost,
     /// The attempt is given up, or the call is to be ended.
     End,
-    /// A BYE came from the box, in this dialog.
+    /// A BYE came from the media server, in this dialog.
     Bye,
     /// A response to its BYE, or none in time.
     ByeDone,
@@ -45,17 +45,17 @@
     Send(Box<Request>),
     /// Send an ACK of a 2xx.
     Ack(Box<Request>),
-    /// The box works on it.
+    /// The media server works on it.
     Rings(u16),
-    /// The call stands; the box's answer.
+    /// The call stands; the media server's answer.
     Up(Vec<u8>),
-    /// The attempt ended without a call: the box's final status; none: it was given up, or nothing came.
+    /// The attempt ended without a call: the media server's final status; none: it was given up, or nothing came.
     Over(Option<u16>),
     /// Close the attempt's own connection.
     Close,
-    /// The box ended the call.
+    /// The media server ended the call.
     HungUp,
-    /// Nothing is left of the leg at the box.
+    /// Nothing is left of the leg at the media server.
     Gone,
 }
 
@@ -73,7 +73,7 @@
     Gone,
 }
 
-/// A leg towards a box.
+/// A leg towards a media server.
 #[derive(Debug)]
 pub struct BoxLeg {
     invite: Request,
@@ -220,7 +220,7 @@
         }
     }
 
-    /// No final response will come on the attempt's connection. The box may still accept and say so on another.
+    /// No final response will come on the attempt's connection. The media server may still accept and say so on another.
     fn abandon(&mut self, now: Micros, out: &mut Vec<Out>) {
         self.state = State::Abandoned { until: now + TRIES };
         out.push(Out::Over(None));
@@ -257,7 +257,7 @@
         }
     }
 
-    /// What concerns a call that stands; what the box does not have any more is over, and a BYE makes it certain.
+    /// What concerns a call that stands; what the media server does not have any more is over, and a BYE makes it certain.
     fn standing(&mut self, now: Micros, input: In<'_>, mint: &mut Mint, out: &mut Vec<Out>) {
         let State::Up(standing) = &mut self.state else { return };
         match input {
--- a/crates/front/sip/src/caller.rs
+++ b/crates/front/sip/src/caller.rs
@@ -1,6 +1,6 @@
 //! The leg towards a caller: its INVITE is owed one final answer, and its call stands until one side ends it.
 //!
-//! A 2xx is repeated by us until its ACK comes (section 13.3.1.4); a caller that never sends one is hung up. A caller
+//! A 2xx is repeated by us until its ACK comes (section 13.3.1.4); a caller that never sends one is disconnected. A caller
 //! that vanishes without a BYE is noticed by the session timer (RFC 4028): we ask for refreshes by the caller and end
 //! the call when they stay out, so that its room is free again.
 
@@ -23,7 +23,7 @@
     Ring,
     /// It plays: the answer to its offer.
     Accept(&'a str),
-    /// It is turned away or failed, perhaps with seconds to come back after.
+    /// It is rejected or failed, perhaps with seconds to come back after.
     Refuse(u16, Option<u64>),
     /// The caller cancelled its INVITE.
     Cancel,
@@ -57,7 +57,7 @@
 /// Why a call is over on the caller's side.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Why {
-    /// It hung up.
+    /// It disconnected.
     Bye,
     /// Its answer was never acknowledged.
     NoAck,
@@ -215,7 +215,7 @@
         }
     }
 
-    /// A request within the dialog. A change of the session from the caller's side is not taken (488): the module
+    /// A request within the dialog. A change of the session from the caller's side is not taken (488): the policy
     /// chooses the rung; a refresh is an offer-less UPDATE or the same offer again.
     fn request(&mut self, now: Micros, request: &Request, out: &mut Vec<Out>) {
         if matches!(self.state, State::Owed | State::Over) {
--- a/crates/front/sip/src/overload/control.rs
+++ b/crates/front/sip/src/overload/control.rs
@@ -1,6 +1,6 @@
 //! The decision: take a new call, or turn it away at once.
 //!
-//! The sign of overload is the least wait of an interval, from a call's arrival to the core's first word on it: a burst
+//! The sign of overload is the least wait of an interval, from a call's arrival to the session controller's first word on it: a burst
 //! makes some wait, a queue that stands makes all wait (the idea of CoDel, RFC 8289, section 4.2). While it stands, new
 //! calls are admitted at a rate that is cut when the wait stays, and grows when it is gone. From that rate and from
 //! what all neighbours would send follows the share that each is asked to keep back (RFC 7339, section 5.5).
@@ -21,7 +21,7 @@
 pub const LOOK: Micros = Micros(100_000);
 /// A wait of all calls up to this is borne: a 25th of the time after which a caller repeats its INVITE.
 pub const BORNE: Micros = Micros(T1.0 / 25);
-/// A call that has waited longer is turned away, whatever the rate: half the time after which its caller repeats it.
+/// A call that has waited longer is rejected, whatever the rate: half the time after which its caller repeats it.
 pub const LATE: Micros = Micros(T1.0 / 2);
 /// What stands in the queue beyond [`BORNE`] is to be worked off within this time.
 const DRAINS: Micros = T1;
@@ -49,7 +49,7 @@
 pub enum Ruling {
     /// It is taken.
     Take,
-    /// It is turned away. Seconds after which it may come back; none for a neighbour that keeps calls back by itself,
+    /// It is rejected. Seconds after which it may come back; none for a neighbour that keeps calls back by itself,
     /// which would stop altogether.
     TurnAway(Option<u64>),
 }
@@ -85,7 +85,7 @@
     /// New calls of neighbours that keep back what they are told to.
     spared: u32,
     taken: u32,
-    /// Calls on which the core said its first word: while a queue stands, what the front can do.
+    /// Calls on which the session controller said its first word: while a queue stands, what the front can do.
     worked: u32,
     /// When the last of them arrived.
     last: Option<Micros>,
--- a/crates/front/sip/src/overload/refused.rs
+++ b/crates/front/sip/src/overload/refused.rs
@@ -1,4 +1,4 @@
-//! What was turned away, remembered by a number each.
+//! What was rejected, remembered by a number each.
 //!
 //! A refusal under overload holds no transaction and is not repeated by us (the stateless server of RFC 3261, section
 //! 8.2.7): a repeated INVITE draws the same answer again. It must be the same one: were a copy judged anew and taken,
--- a/crates/front/sip/src/standing.rs
+++ b/crates/front/sip/src/standing.rs
@@ -1,9 +1,9 @@
-//! A call that stands at a box: what is still asked of the box while it does.
+//! A call that stands at a media server: what is still asked of the media server while it does.
 //!
 //! Two things are asked, both by an UPDATE (RFC 3311) and one at a time (section 5.1): a change of the rung, and a
-//! refresh (RFC 4028), by which each side learns that the other still has the call. Without refreshes the box ends the
+//! refresh (RFC 4028), by which each side learns that the other still has the call. Without refreshes the media server ends the
 //! call by itself: a front that is gone leaves nothing there for longer than the interval. An answer that says that the
-//! box does not know the call any more, or none at all, ends it on our side.
+//! media server does not know the call any more, or none at all, ends it on our side.
 
 use beechloft_session::api::Micros;
 use rsip::Header;
@@ -14,7 +14,7 @@
 use crate::message::{Method, Request, Response};
 use crate::transaction::{Key, Layer};
 
-/// After a broken connection the box is asked within this time, spread, whether it still has the call.
+/// After a broken connection the media server is asked within this time, spread, whether it still has the call.
 const ASKS: (Micros, Micros) = (Micros(500_000), Micros(2_500_000));
 /// An UPDATE that crossed another (491) is sent again within this time (RFC 3261, section 14.1, for the side that made
 /// the `Call-ID`).
@@ -25,7 +25,7 @@
 pub enum Means {
     /// It stands.
     Stands,
-    /// The box does not have it any more.
+    /// The media server does not have it any more.
     Gone,
 }
 
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub struct Standing {
     dialog: Dialog,
-    /// Between two refreshes; none: the box takes no UPDATE.
+    /// Between two refreshes; none: the media server takes no UPDATE.
     every: Option<Micros>,
     refresh: Micros,
     /// The UPDATE that is out.
@@ -97,7 +97,7 @@
         self.wanted = Some((offer.to_owned(), now));
     }
 
-    /// Its connection broke. That ends no call, but perhaps the box broke with it.
+    /// Its connection broke. That ends no call, but perhaps the media server broke with it.
     pub fn broken(&mut self, now: Micros, mint: &mut Mint) {
         self.refresh = self.refresh.min(now + spread(ASKS, mint));
     }
@@ -110,7 +110,7 @@
         let offer = self.wanted.take_if(|w| w.1 <= now).map(|w| w.0);
         let update = self.dialog.request(Method::Update, at, &mint.branch(), offer.as_deref());
         let Some(mut update) = update else {
-            // What the box gave as its address makes no request: nothing can be asked of it, now or later.
+            // What the media server gave as its address makes no request: nothing can be asked of it, now or later.
             (self.every, self.wanted) = (None, None);
             return None;
         };
@@ -142,7 +142,7 @@
                     self.wanted = Some((offer, now + wait));
                 }
             }
-            // It knows no UPDATE. The call stands as it is; its end is learned from the box's events alone.
+            // It knows no UPDATE. The call stands as it is; its end is learned from the media server's events alone.
             405 | 501 => (self.every, self.wanted) = (None, None),
             // It has the call and does not want this.
             _ => self.refresh = now + self.every.unwrap_or_default(),
@@ -151,7 +151,7 @@
     }
 }
 
-/// Half of what the box allows between refreshes (RFC 4028, section 10).
+/// Half of what the media server allows between refreshes (RFC 4028, section 10).
 fn interval(answer: &Response) -> Micros {
     let seconds = session_expires(&answer.raw.headers).map_or(SESSION, |s| s.clamp(MIN_SE, SESSION));
     Micros(u64::from(seconds) * 500_000)
--- a/crates/front/whep/src/answer.rs
+++ b/crates/front/whep/src/answer/mod.rs
@@ -76,8 +76,8 @@
         } else if request.headers.get(header::IF_MATCH).is_none() {
             // RFC 9725, section 4.3.1.
             Response::text(StatusCode::PRECONDITION_REQUIRED, "If-Match with the session's ETag is needed")
-        } else if let Err(e) = crate::frag::check(&request.body) {
-            Response::text(StatusCode::BAD_REQUEST, e)
+        } else if let Err(error) = crate::frag::check(&request.body) {
+            Response::text(StatusCode::BAD_REQUEST, error)
         } else {
             return SessionCall::Patch;
         }),
@@ -90,20 +90,20 @@
     Response::text(StatusCode::METHOD_NOT_ALLOWED, text).with(header::ALLOW, methods)
 }
 
-/// Whole seconds, as `Retry-After` has them, never sooner than advised.
-fn seconds(advice: Micros) -> u64 {
-    advice.0.div_ceil(1_000_000).max(1)
+/// Seconds rounded up, as `Retry-After` has them, never sooner than advised.
+fn whole_seconds(retry_after: Micros) -> u64 {
+    retry_after.0.div_ceil(1_000_000).max(1)
 }
 
-fn unavailable(text: &str, advice: Option<Micros>) -> Response {
+fn unavailable(text: &str, retry_after: Option<Micros>) -> Response {
     let response = Response::text(StatusCode::SERVICE_UNAVAILABLE, text);
-    match advice {
-        Some(advice) => response.with(header::RETRY_AFTER, seconds(advice).to_string()),
+    match retry_after {
+        Some(retry_after) => response.with(header::RETRY_AFTER, whole_seconds(retry_after).to_string()),
         None => response,
     }
 }
 
-/// The response that carries the core's answer.
+/// The response that carries the session controller's answer.
 pub fn response(answer: &Answer) -> Response {
     match answer {
         Answer::Playing { session, secret, reply, .. } => {
@@ -116,9 +116,13 @@
             }
             let (path, names) = (route::events_path(*session, *secret), events::NAMES.join(","));
             let own = format!("<{path}>; rel=\"{}\"; events=\"{names}\"", events::REL);
-            reply.links.iter().fold(created, |r, link| r.with(header::LINK, link)).with(header::LINK, own)
+            reply
+                .links
+                .iter()
+                .fold(created, |response, link| response.with(header::LINK, link))
+                .with(header::LINK, own)
         }
-        Answer::Rejected(advice) => unavailable("no room for this session now", *advice),
+        Answer::Rejected(retry_after) => unavailable("no room for this session now", *retry_after),
         Answer::Failed => Response::text(StatusCode::GATEWAY_TIMEOUT, "the session could not be set up"),
         Answer::Declined(status) => {
             let status = StatusCode::from_u16(*status).unwrap_or(StatusCode::BAD_REQUEST);
@@ -134,19 +138,19 @@
     }
 }
 
-/// The response of a box to a passed-on change, as the client may see it.
-pub fn passed_on(from_box: &Response) -> Response {
+/// The response of a media server to a passed-on change, as the client may see it.
+pub fn forwarded(from_server: &Response) -> Response {
     let known = matches!(
-        from_box.status.as_u16(),
+        from_server.status.as_u16(),
         200 | 204 | 400 | 401 | 403 | 404 | 405 | 409 | 412 | 415 | 422 | 428
     );
     if !known {
         return Response::text(StatusCode::BAD_GATEWAY, "the streaming server could not take the change");
     }
-    let mut response = Response::new(from_box.status);
-    response.body.clone_from(&from_box.body);
+    let mut response = Response::new(from_server.status);
+    response.body.clone_from(&from_server.body);
     for name in [header::CONTENT_TYPE, header::ETAG] {
-        if let Some(value) = from_box.headers.get(&name) {
+        if let Some(value) = from_server.headers.get(&name) {
             response.headers.insert(name, value.clone());
         }
     }
@@ -154,50 +158,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn post(kind: &'static str, accept: Option<&str>) -> Request {
-        let request = Request::new(Method::POST, "/whep/a").body(kind, "v=0");
-        accept.map_or(request.clone(), |a| request.with(header::ACCEPT, a))
-    }
-
-    #[test]
-    fn calls_out_of_the_standard_get_its_statuses() {
-        let status = |r: &Request| endpoint_call(r).map(|r| r.status.as_u16());
-        assert_eq!(status(&post(SDP, None)), None);
-        assert_eq!(status(&post("text/plain", None)), Some(415));
-        assert_eq!(status(&post(SDP, Some("text/html"))), Some(406));
-        assert_eq!(status(&Request::new(Method::GET, "/whep/a")), Some(405));
-        let options = endpoint_call(&Request::new(Method::OPTIONS, "/whep/a")).expect("answered");
-        assert_eq!(options.field(ACCEPT_POST), Some(SDP));
-        assert!(options.field(header::ACCESS_CONTROL_ALLOW_METHODS).is_some());
-
-        let frag = "a=ice-ufrag:EsAw\r\na=ice-pwd:P2uYro0UCOQ4zxjKXaWCBui1\r\n";
-        let patch = |kind, tag: bool, body: &str| {
-            let r = Request::new(Method::PATCH, "/").body(kind, body);
-            match session_call(&if tag { r.with(header::IF_MATCH, "\"1\"") } else { r }) {
-                SessionCall::Answer(r) => r.status.as_u16(),
-                _ => 0,
-            }
-        };
-        assert_eq!(patch(SDP, true, frag), 415);
-        assert_eq!(patch(FRAG, false, frag), 428);
-        assert_eq!(patch(FRAG, true, "a=mid"), 400);
-        assert_eq!(patch(FRAG, true, frag), 0);
-        assert!(
-            matches!(session_call(&Request::new(Method::POST, "/")), SessionCall::Answer(r) if r.status == 405)
-        );
-    }
-
-    #[test]
-    fn a_time_to_come_back_is_never_sooner_than_advised() {
-        let wait =
-            |us| response(&Answer::Rejected(Some(Micros(us)))).field(header::RETRY_AFTER).map(str::to_owned);
-        assert_eq!(
-            (wait(0), wait(500_000), wait(1_000_001)),
-            (Some("1".into()), Some("1".into()), Some("2".into()))
-        );
-        assert!(response(&Answer::Rejected(None)).field(header::RETRY_AFTER).is_none());
-    }
-}
+mod tests;
--- a/crates/front/whep/src/layers.rs
+++ b/crates/front/whep/src/layers/mod.rs
@@ -1,6 +1,6 @@
 //! Rungs while playing: WHEP's layer selection extension (draft-ietf-wish-whep, section 4.8.2).
 //!
-//! A box names the address in a `Link` of its 201; the front posts the layer there. A rung is the encoding of its
+//! A media server names the address in a `Link` of its 201; the front posts the layer there. A rung is the encoding of its
 //! number on the video line.
 
 use beechloft_session::api::Rung;
@@ -41,14 +41,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn rungs_and_links_are_read_as_written() {
-        assert_eq!(selected(select(Rung(3)).as_bytes()), Some(Rung(3)));
-        assert_eq!(selected(b"{\"mediaId\":\"0\"}"), None);
-        assert_eq!(link(&format!("</r/1/layer>; rel=\"{REL}\"; events=\"x\"")), Some(("/r/1/layer", REL)));
-        assert_eq!(link("no link"), None);
-    }
-}
+mod tests;
--- a/crates/front/whep/src/lib.rs
+++ b/crates/front/whep/src/lib.rs
@@ -1,22 +1,20 @@
-//! WHIP (RFC 9725) and WHEP (draft-ietf-wish-whep) as the front speaks them to players and boxes. No I/O.
+//! WHIP (RFC 9725) and WHEP (draft-ietf-wish-whep) as the front speaks them to players and media servers. No I/O.
 //!
-//! The same texts are spoken on both sides: a player posts its offer to the front, the front posts it to a box, and
-//! the box's answer goes back. In between the front checks the descriptions ([`sdp`], [`frag`]), sets the rung by a
-//! bandwidth line (RFC 3890) at set-up and by WHEP's layer selection while playing ([`layers`]), and hears of boxes'
-//! load in ORCA's published form ([`load`]) and on one event stream for each box ([`news`]).
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::missing_errors_doc, clippy::shadow_unrelated)]
+//! The same texts are spoken on both sides: a player posts its offer to the front, the front posts it to a media server, and
+//! the media server's answer goes back. In between the front checks the descriptions ([`sdp`], [`frag`]), sets the rung by a
+//! bandwidth line (RFC 3890) at set-up and by WHEP's layer selection while playing ([`layers`]), and hears of media servers'
+//! load in ORCA's published form ([`load`]) and on one event stream for each media server ([`server_events`]).
 #![forbid(unsafe_code)]
 
 pub mod answer;
-pub mod boxes;
 pub mod events;
 pub mod frag;
 pub mod layers;
 pub mod load;
-pub mod news;
+pub mod media_server;
 pub mod route;
 pub mod sdp;
+pub mod server_events;
 
 /// Media type of offers and answers.
 pub const SDP: &str = "application/sdp";
@@ -47,14 +45,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn media_types_are_compared_without_their_parameters() {
-        assert!(is_type(Some("Application/SDP; charset=utf-8"), SDP));
-        assert!(!is_type(Some("application/json"), SDP) && !is_type(None, SDP));
-        assert!(accepts(None, SDP) && accepts(Some("text/html, application/*;q=0.5"), SDP));
-        assert!(!accepts(Some("text/html, application/sdp;q=0"), SDP));
-    }
-}
+mod tests;
--- a/crates/front/whep/src/load.rs
+++ b/crates/front/whep/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! A box's load in ORCA's form: the `endpoint-load-metrics` field, or the same as a body.
+//! A media server's load in ORCA's form: the `endpoint-load-metrics` field, or the same as a body.
 //!
 //! The form is that of xds ORCA's `OrcaLoadReport`: `JSON {...}` or `TEXT key=value, ...`. Of its `named_metrics` the
 //! front knows `streams` (sessions run or being set up), `link` (what is asked of the link over what it gives) and
@@ -31,10 +31,10 @@
         return body(text.as_bytes());
     }
     if form.eq_ignore_ascii_case("text") {
-        for (key, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
+        for (key, number) in text.split(',').filter_map(|pair| pair.split_once('=')) {
             let name = key.trim().strip_prefix("named_metrics.").unwrap_or_default();
-            if let Ok(value) = value.trim().parse() {
-                set(&mut report, name, value);
+            if let Ok(number) = number.trim().parse() {
+                set(&mut report, name, number);
             }
         }
     }
@@ -63,25 +63,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn all_forms_say_the_same_and_nonsense_says_nothing() {
-        let report = LoadReport { streams: Some(3.0), link: Some(0.5), uplink: None };
-        assert_eq!(body(write(&report).as_bytes()), report);
-        assert_eq!(field(Some(&format!("JSON {}", write(&report)))), report);
-        let text = "TEXT cpu_utilization=0.3, named_metrics.streams=3,named_metrics.link=0.5, named_metrics.uplink=x";
-        assert_eq!(field(Some(text)), report);
-        for odd in [
-            "",
-            "JSON",
-            "JSON [1]",
-            "JSON {\"named_metrics\":{\"link\":-1}}",
-            "TEXT named_metrics.link=NaN",
-            "BIN AA",
-        ] {
-            assert_eq!(field(Some(odd)), LoadReport::default(), "{odd}");
-        }
-    }
-}
+mod tests;
--- a/crates/front/whep/src/news.rs
+++ b/crates/front/whep/src/server_events/mod.rs
@@ -1,21 +1,21 @@
-//! What a box tells a front about the sessions that play there: server-sent events, one stream for each front.
+//! What a media server tells a front about the sessions that play there: server-sent events, one stream for each front.
 //!
-//! WHEP's server-sent events extension has a stream for each session. A front with a thousand sessions at a box would
-//! hold a thousand streams, so the box offers one for all sessions of a front, with the event names below.
+//! WHEP's server-sent events extension has a stream for each session. A front with a thousand sessions at a media server would
+//! hold a thousand streams, so the media server offers one for all sessions of a front, with the event names below.
 
 use beechloft_http::sse::Event;
 use beechloft_session::api::{Micros, Note};
 use beechloft_session::io::MediaServerEvent;
 use serde::{Deserialize, Serialize};
 
-/// Path of the stream at a box.
+/// Path of the stream at a media server.
 pub const PATH: &str = "/front-events";
-/// Path of the load at a box.
+/// Path of the load at a media server.
 pub const LOAD_PATH: &str = "/load";
 /// Longest event, bytes.
-pub const EVENT_BYTES: usize = 4096;
-/// A box sends at least a comment this often; a stream silent for three times as long is broken.
-pub const BEAT: Micros = Micros(1_000_000);
+pub const MAX_EVENT_BYTES: usize = 4096;
+/// A media server sends at least a comment this often; a stream silent for three times as long is broken.
+pub const HEARTBEAT: Micros = Micros(1_000_000);
 
 /// An event's data.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
@@ -32,7 +32,7 @@
 /// Reads an event; none: it says nothing that a front knows.
 pub fn read(event: &Event) -> Option<MediaServerEvent> {
     let data: Data = serde_json::from_str(&event.data).ok()?;
-    let share = data.share.filter(|s| s.is_finite() && *s >= 0.0);
+    let share = data.share.filter(|share| share.is_finite() && *share >= 0.0);
     match event.name.as_str() {
         "hello" => Some(MediaServerEvent::Connected { boot: data.boot? }),
         "delivered" => Some(MediaServerEvent::Note(Note::Delivered(share?))),
@@ -43,9 +43,9 @@
     }
 }
 
-/// Writes an event; none: it is not one that a box sends.
-pub fn write(news: &MediaServerEvent) -> Option<Event> {
-    let (name, data) = match news {
+/// Writes an event; none: it is not one that a media server sends.
+pub fn write(event: &MediaServerEvent) -> Option<Event> {
+    let (name, data) = match event {
         MediaServerEvent::Connected { boot } => ("hello", Data { boot: Some(*boot), ..Data::default() }),
         MediaServerEvent::Note(Note::Delivered(x)) => {
             ("delivered", Data { share: Some(*x), ..Data::default() })
@@ -63,23 +63,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn news_is_read_as_written_and_the_rest_is_passed_over() {
-        for news in [
-            MediaServerEvent::Connected { boot: 7 },
-            MediaServerEvent::Note(Note::Delivered(0.9)),
-            MediaServerEvent::Note(Note::UplinkUse(1.2)),
-            MediaServerEvent::SessionEnded { resource: "/r/1".into() },
-        ] {
-            assert_eq!(write(&news).as_ref().and_then(read), Some(news));
-        }
-        for (name, data) in
-            [("hello", "{}"), ("link", "{\"share\":-1}"), ("link", "1"), ("viewercount", "{}"), ("over", "")]
-        {
-            assert_eq!(read(&Event { name: name.into(), data: data.into(), ..Event::default() }), None);
-        }
-    }
-}
+mod tests;
--- a/crates/testing/fakes/src/boxes/serve.rs
+++ b/crates/testing/fakes/src/boxes/serve.rs
@@ -12,7 +12,7 @@
 use beechloft_http::{Method, Request, Response, StatusCode, header, sse, wait};
 use beechloft_session::io::MediaServerEvent;
 use beechloft_whep::route::{self, Place};
-use beechloft_whep::{EVENTS, FRAG, SDP, boxes, is_type, layers, load, news, sdp};
+use beechloft_whep::{EVENTS, FRAG, SDP, is_type, layers, load, media_server, sdp, server_events};
 use crossbeam_channel::{Receiver, Sender, bounded};
 
 use super::load::Gone;
@@ -36,7 +36,7 @@
         let offered = What::Offered {
             server,
             offer: offer.clone(),
-            front: boxes::front_of(request.field(header::VIA)).unwrap_or(u32::MAX),
+            front: media_server::front_slot(request.field(header::VIA)).unwrap_or(u32::MAX),
             title: title.to_owned(),
             rate_kb: limit.unwrap_or(f64::MAX),
         };
@@ -44,7 +44,7 @@
         if self.topples() {
             return Reply::HangUp;
         }
-        let tag = request.field(header::HeaderName::from_static(boxes::TAG));
+        let tag = request.field(header::HeaderName::from_static(media_server::TAG));
         match self.serve(title, publishes, limit, &offer, tag, link.socket) {
             Ok(reply) => reply,
             Err(Gone) => {
@@ -219,14 +219,15 @@
             let hello = MediaServerEvent::Connected { boot };
             let mut news = Some(hello);
             loop {
-                let bytes = news.as_ref().and_then(news::write).map_or(sse::BEAT.to_vec(), |e| e.encode());
+                let bytes =
+                    news.as_ref().and_then(server_events::write).map_or(sse::BEAT.to_vec(), |e| e.encode());
                 while this.stands_still() {
                     thread::sleep(Duration::from_millis(20));
                 }
                 if stream.write_all(&bytes).is_err() || wait::hung_up(stream) {
                     return;
                 }
-                news = match receiver.recv_timeout(Duration::from_micros(news::BEAT.0)) {
+                news = match receiver.recv_timeout(Duration::from_micros(server_events::HEARTBEAT.0)) {
                     Ok(news) => Some(news),
                     Err(crossbeam_channel::RecvTimeoutError::Timeout) => None,
                     Err(crossbeam_channel::RecvTimeoutError::Disconnected) => return,
@@ -251,13 +252,13 @@
             return Reply::HangUp;
         }
         Reply::Whole(match (&request.method, path) {
-            (&Method::GET, news::PATH) => return this.events(),
-            (&Method::GET, news::LOAD_PATH) => {
+            (&Method::GET, server_events::PATH) => return this.events(),
+            (&Method::GET, server_events::LOAD_PATH) => {
                 this.probes.fetch_add(1, Ordering::SeqCst);
                 let report = this.lock().reported;
                 Response::new(StatusCode::OK).body(load::BODY, load::write(&report))
             }
-            (&Method::GET, boxes::TAGS_PATH) => {
+            (&Method::GET, media_server::TAGS_PATH) => {
                 let tags = serde_json::to_vec(&this.lock().sessions.tags()).unwrap_or_default();
                 Response::new(StatusCode::OK).body("application/json", tags)
             }
--- a/crates/testing/fakes/src/list.rs
+++ b/crates/testing/fakes/src/list.rs
@@ -12,7 +12,7 @@
 use beechloft_discovery::{BoxText, CHANGE, Message, PATH, SNAPSHOT, TitleText};
 use beechloft_http::server::{Handler, Link, Reply, Server, Sizes};
 use beechloft_http::{Method, Request, Response, StatusCode, header, sse, wait};
-use beechloft_whep::{EVENTS, boxes};
+use beechloft_whep::{EVENTS, media_server};
 
 /// How often a stream looks for changes.
 const LOOK: Duration = Duration::from_millis(10);
@@ -205,7 +205,7 @@
         }
         let inner = self.0.clone();
         inner.served.fetch_add(1, Ordering::SeqCst);
-        let front = boxes::front_of(request.field(header::VIA)).unwrap_or(u32::MAX);
+        let front = media_server::front_slot(request.field(header::VIA)).unwrap_or(u32::MAX);
         let head = Response::new(StatusCode::OK).with(header::CONTENT_TYPE, EVENTS);
         Reply::Open(head, Box::new(move |socket| inner.stream(front, socket)))
     }
