--- a/crates/front/config/src/front/mod.rs
+++ b/crates/front/config/src/front/mod.rs
@@ -99,7 +99,7 @@
     }
     let zone = ZoneId(f.index("zone", &service.zones, "zone").unwrap_or(0) as u16);
     let settings =
-        Settings { fronts: fronts as u32, number: number as u32, zone, ..service.settings.clone() };
+        Settings { front_count: fronts as u32, slot: number as u32, zone, ..service.settings.clone() };
     let b = top.section("boxes");
     FrontSettings {
         listen,
--- a/crates/front/config/src/front/tests.rs
+++ b/crates/front/config/src/front/tests.rs
@@ -34,7 +34,10 @@
 #[test]
 fn a_sound_file_is_read_whole() {
     let f = parse(SOUND).expect("sound");
-    assert_eq!((f.settings.zone, f.settings.ladder.rates_kb.len(), f.settings.fronts), (ZoneId(1), 2, 1));
+    assert_eq!(
+        (f.settings.zone, f.settings.ladder.rates_kb.len(), f.settings.front_count),
+        (ZoneId(1), 2, 1)
+    );
     let ListSource::Written(boxes, titles) = f.list else { panic!("written here") };
     assert_eq!((boxes.len(), titles[0].holders.len()), (1, 1));
 }
--- a/crates/front/server/src/evidence.rs
+++ b/crates/front/server/src/evidence.rs
@@ -128,7 +128,7 @@
                 Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => Some(Verdict::Error),
                 // One that was dropped as its client left counts as a time-out for the policy, too.
                 Outcome::Timeout => had_its_time.then_some(Verdict::Timeout),
-                Outcome::Ok | Outcome::Full | Outcome::Cancelled | Outcome::Moot => None,
+                Outcome::Ok | Outcome::Overloaded | Outcome::Cancelled | Outcome::NotSent => None,
             },
         };
         let Some(verdict) = verdict else { return };
--- a/crates/front/server/src/server_calls.rs
+++ b/crates/front/server/src/server_calls.rs
@@ -214,7 +214,7 @@
             }
             Job::HealthCheck => {
                 let (outcome, load) = health(self.call(server, address, &media_server::health_check()));
-                self.handle.input(Input::Probed { server, outcome, load });
+                self.handle.input(Input::HealthChecked { server, outcome, load });
             }
         }
     }
--- a/crates/front/server/src/sip/mod.rs
+++ b/crates/front/server/src/sip/mod.rs
@@ -53,7 +53,7 @@
     let (sender, queues) = queues();
     shared.handle.attach_sip(sender.for_engine());
     let agent_seed = shared.seed_of_this_start(seed) ^ SEED_SALT;
-    let number = shared.settings.settings.number;
+    let number = shared.settings.settings.slot;
     let control = Control::new(agent_seed, shared.settings.sip_control);
     let agent = Agent::with(address, number, agent_seed, control);
     let streams = Streams::start(shared, sender.clone())?;
--- a/crates/front/session/tests/support/mod.rs
+++ b/crates/front/session/tests/support/mod.rs
@@ -14,48 +14,48 @@
 pub fn settings() -> Settings {
     Settings {
         classes: vec![Class {
-            aim: Micros(800 * MILLISECOND),
+            latency_objective: Micros(800 * MILLISECOND),
             deadline: Micros(4 * SECOND),
-            effect: Effect::Repeatable,
-            worth: 1.0,
-            scale: 1.0,
-            floor: Rung(0),
-            top: Rung(3),
-            seats: None,
-            join: 1.0,
+            idempotency: Idempotency::Idempotent,
+            utility: 1.0,
+            rate_scale: 1.0,
+            min_rung: Rung(0),
+            max_rung: Rung(3),
+            max_sessions_per_title: None,
+            shared_rate_fraction: 1.0,
         }],
-        kind_streams: vec![20],
-        ladder: Ladder {
+        max_streams_by_type: vec![20],
+        ladder: BitrateLadder {
             rates_kb: vec![200.0, 450.0, 1_000.0, 2_000.0],
-            worth: vec![0.2, 0.5, 0.75, 1.0],
-            change_cost_s: 0.5,
+            utility: vec![0.2, 0.5, 0.75, 1.0],
+            switch_cost_s: 0.5,
         },
         cells: 2,
         racks: 2,
-        link_unit_kb: Some(10_000.0),
-        uplink_kb: Some(18_000.0),
-        guard: Some(1.2),
-        fronts: 2,
-        reporting: Reporting::InAnswers,
-        limits: Limits {
+        link_kb_per_weight: Some(10_000.0),
+        mean_uplink_kb: Some(18_000.0),
+        admission_limit: Some(1.2),
+        front_count: 2,
+        load_reporting: LoadReporting::InResponses,
+        capabilities: Capabilities {
             max_attempts: 3,
-            probes: false,
+            health_checks: false,
             cancel: true,
-            retry_after: Some(Micros(500 * MILLISECOND)),
+            max_retry_after: Some(Micros(500 * MILLISECOND)),
         },
-        budget: Some(RetryBudget { free: 3.0, share: 0.1, window: Micros(10 * SECOND) }),
-        cold: ColdRule {
-            warm_after: Micros(12 * SECOND),
-            from: 0.4,
-            multiple: 2.5,
-            span: Micros(2 * SECOND),
+        retry_budget: Some(RetryBudget { min_retries: 3.0, retry_ratio: 0.1, window: Micros(10 * SECOND) }),
+        slow_start: SlowStart {
+            warm_up: Micros(12 * SECOND),
+            initial_fraction: 0.4,
+            overload_factor: 2.5,
+            overload_window: Micros(2 * SECOND),
         },
-        over_share_worth: 1.0,
+        over_quota_utility: 1.0,
         ..Settings::default()
     }
 }
 
-pub fn media_server(n: u32, state: ServerState) -> MediaServerEntry {
+pub fn media_server(n: u32, state: EndpointState) -> MediaServerEntry {
     MediaServerEntry {
         id: ServerId(n),
         name: format!("box-{n}").into(),
@@ -64,7 +64,7 @@
         state,
         rack: (n % 2) as u16,
         zone: ZoneId((n % 2) as u16),
-        kind: KindId(0),
+        kind: ServerType(0),
         started: Micros(0),
         size: 1.0,
     }
@@ -82,7 +82,7 @@
 
 /// All four media servers; nobody holds `title-2`.
 pub fn snapshot(cached: bool) -> EndpointUpdate {
-    let servers = (0..4).map(|n| media_server(n, ServerState::Ready)).collect();
+    let servers = (0..4).map(|n| media_server(n, EndpointState::Ready)).collect();
     let titles =
         vec![title_entry("title-0", 0..4), title_entry("title-1", [1, 3]), title_entry("title-2", [])];
     EndpointUpdate::Snapshot { cached, servers, titles }
@@ -94,10 +94,10 @@
 
 pub fn list_change(n: u8) -> EndpointUpdate {
     match n {
-        0 => change(vec![media_server(1, ServerState::Draining)]),
-        1 => change(vec![media_server(1, ServerState::Ready)]),
-        2 => change(vec![media_server(2, ServerState::Gone)]),
-        3 => change(vec![media_server(2, ServerState::Ready), media_server(2, ServerState::Draining)]),
+        0 => change(vec![media_server(1, EndpointState::Draining)]),
+        1 => change(vec![media_server(1, EndpointState::Ready)]),
+        2 => change(vec![media_server(2, EndpointState::Removed)]),
+        3 => change(vec![media_server(2, EndpointState::Ready), media_server(2, EndpointState::Draining)]),
         4 => EndpointUpdate::Failed,
         5 => EndpointUpdate::Snapshot { cached: false, servers: vec![], titles: vec![] },
         _ => snapshot(false),
--- a/crates/front/whep/src/load/tests.rs
+++ b/crates/front/whep/src/load/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn all_forms_say_the_same_and_nonsense_says_nothing() {
-    let report = LoadReport { streams: Some(3.0), link: Some(0.5), uplink: None };
+    let report = LoadReport { streams: Some(3.0), link_utilization: Some(0.5), uplink_utilization: None };
     assert_eq!(body(write(&report).as_bytes()), report);
     assert_eq!(field(Some(&format!("JSON {}", write(&report)))), report);
     let text =
--- a/crates/front/whep/src/media_server/mod.rs
+++ b/crates/front/whep/src/media_server/mod.rs
@@ -102,7 +102,7 @@
     let report = load::field(response.field(load::FIELD));
     let result = match response.status.as_u16() {
         201 => accepted(response),
-        503 | 429 => AttemptResult::Ended(Outcome::Full),
+        503 | 429 => AttemptResult::Ended(Outcome::Overloaded),
         status @ (400 | 401 | 403 | 406 | 413 | 415 | 422) => AttemptResult::Declined(status),
         _ => AttemptResult::Ended(Outcome::Error),
     };
--- a/crates/front/whep/src/media_server/tests.rs
+++ b/crates/front/whep/src/media_server/tests.rs
@@ -18,7 +18,7 @@
         let (verdict, report) = super::attempt_result(&created(location, ANSWER));
         let AttemptResult::Accepted { resource, reply } = verdict else { panic!("{verdict:?}") };
         assert_eq!(
-            (resource.as_str(), reply.layers.as_deref(), report.link),
+            (resource.as_str(), reply.layers.as_deref(), report.link_utilization),
             ("/r/1", Some("/l/1"), Some(0.4))
         );
         assert_eq!(reply.links, ["<stun:a.example>; rel=\"ice-server\""]);
@@ -36,7 +36,7 @@
     assert_eq!(of(&created("r/1", ANSWER)), AttemptResult::Ended(Outcome::Error));
     assert_eq!(of(&created(&format!("/{}", "a".repeat(600)), ANSWER)), AttemptResult::Ended(Outcome::Error));
     let status = |code: u16| of(&Response::new(StatusCode::from_u16(code).expect("a status")));
-    assert_eq!(status(503), AttemptResult::Ended(Outcome::Full));
+    assert_eq!(status(503), AttemptResult::Ended(Outcome::Overloaded));
     assert_eq!(status(401), AttemptResult::Declined(401));
     assert_eq!(
         (status(500), status(404), status(200)),
--- a/crates/front/whep/src/server_events/mod.rs
+++ b/crates/front/whep/src/server_events/mod.rs
@@ -4,7 +4,7 @@
 //! hold a thousand streams, so the media server offers one for all sessions of a front, with the event names below.
 
 use beechloft_http::sse::Event;
-use beechloft_session::api::{Micros, Note};
+use beechloft_session::api::{Feedback, Micros};
 use beechloft_session::io::MediaServerEvent;
 use serde::{Deserialize, Serialize};
 
@@ -35,9 +35,9 @@
     let share = data.share.filter(|share| share.is_finite() && *share >= 0.0);
     match event.name.as_str() {
         "hello" => Some(MediaServerEvent::Connected { boot: data.boot? }),
-        "delivered" => Some(MediaServerEvent::Note(Note::Delivered(share?))),
-        "link" => Some(MediaServerEvent::Note(Note::LinkUse(share?))),
-        "uplink" => Some(MediaServerEvent::Note(Note::UplinkUse(share?))),
+        "delivered" => Some(MediaServerEvent::Feedback(Feedback::DeliveredFraction(share?))),
+        "link" => Some(MediaServerEvent::Feedback(Feedback::LinkUtilization(share?))),
+        "uplink" => Some(MediaServerEvent::Feedback(Feedback::UplinkUtilization(share?))),
         "over" => Some(MediaServerEvent::SessionEnded { resource: data.resource? }),
         _ => None,
     }
@@ -47,15 +47,19 @@
 pub fn write(event: &MediaServerEvent) -> Option<Event> {
     let (name, data) = match event {
         MediaServerEvent::Connected { boot } => ("hello", Data { boot: Some(*boot), ..Data::default() }),
-        MediaServerEvent::Note(Note::Delivered(x)) => {
+        MediaServerEvent::Feedback(Feedback::DeliveredFraction(x)) => {
             ("delivered", Data { share: Some(*x), ..Data::default() })
         }
-        MediaServerEvent::Note(Note::LinkUse(x)) => ("link", Data { share: Some(*x), ..Data::default() }),
-        MediaServerEvent::Note(Note::UplinkUse(x)) => ("uplink", Data { share: Some(*x), ..Data::default() }),
+        MediaServerEvent::Feedback(Feedback::LinkUtilization(x)) => {
+            ("link", Data { share: Some(*x), ..Data::default() })
+        }
+        MediaServerEvent::Feedback(Feedback::UplinkUtilization(x)) => {
+            ("uplink", Data { share: Some(*x), ..Data::default() })
+        }
         MediaServerEvent::SessionEnded { resource } => {
             ("over", Data { resource: Some(resource.clone()), ..Data::default() })
         }
-        MediaServerEvent::Note(Note::Rung(_))
+        MediaServerEvent::Feedback(Feedback::Rung(_))
         | MediaServerEvent::Disconnected
         | MediaServerEvent::ConnectionRefused => return None,
     };
--- a/crates/front/whep/src/server_events/tests.rs
+++ b/crates/front/whep/src/server_events/tests.rs
@@ -6,8 +6,8 @@
 fn news_is_read_as_written_and_the_rest_is_passed_over() {
     for news in [
         MediaServerEvent::Connected { boot: 7 },
-        MediaServerEvent::Note(Note::Delivered(0.9)),
-        MediaServerEvent::Note(Note::UplinkUse(1.2)),
+        MediaServerEvent::Feedback(Feedback::DeliveredFraction(0.9)),
+        MediaServerEvent::Feedback(Feedback::UplinkUtilization(1.2)),
         MediaServerEvent::SessionEnded { resource: "/r/1".into() },
     ] {
         assert_eq!(write(&news).as_ref().and_then(read), Some(news));
--- a/crates/platform/front-node/src/io.rs
+++ b/crates/platform/front-node/src/io.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use beechloft::api::{Micros, Numbered};
+use beechloft::api::{Micros, SlotAssignment};
 use beechloft_protocol::CallId;
 use beechloft_protocol::bus::Topology;
 use beechloft_protocol::server::ServerMessage;
@@ -48,7 +48,7 @@
     /// The media server's process is down: connections are refused, or it stayed unreachable for the bound of that.
     ServerDown(ServerIncarnation),
     /// This front node's slot among the front nodes changed.
-    SlotAssigned(Numbered),
+    SlotAssigned(SlotAssignment),
     /// SIGTERM.
     Terminate,
     /// Only time has passed.
