--- a/crates/cli/src/fleet/coordinator.rs
+++ b/crates/cli/src/fleet/coordinator.rs
@@ -15,7 +15,7 @@
 use crate::{fail, log};
 
 /// Keeps, or changes who does.
-pub fn keeper(args: &Keeper) -> ExitCode {
+pub fn run_coordinator(args: &Keeper) -> ExitCode {
     match (&args.command, &args.file) {
         (Some(KeeperCommand::Replace { file, old, new }), _) => replace(file, old, new),
         (None, Some(file)) => keep(file),
