--- a/crates/fleet/consensus/src/fault_injection.rs
+++ b/crates/fleet/consensus/src/fault_injection.rs
@@ -1,22 +1,22 @@
-//! Faults that tests plant, one at a time, to see that the checks find them.
+//! Faults that tests inject, one at a time, to verify that the checks detect them.
 
-/// A fault. Without the feature `planted` none can be planted.
+/// A fault. Without the feature `fault_injection` none can be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Fault {
-    /// A vote leaves before it lasts.
+    /// A vote is sent before it is durable.
     VoteUnsaved,
-    /// An entry of an older term counts as committed by its number of copies (the case of the paper's figure 8).
+    /// An entry of an older term counts as committed by its number of copies (figure 8 of the paper).
     CommitsOlderTerm,
     /// A learner counts for a quorum.
     LearnerCounts,
-    /// A follower takes entries without a look at the one before them.
+    /// A follower accepts entries without a check of the entry before them.
     TakesAnyPrevious,
-    /// A vote is given to a log that is behind.
+    /// A vote is granted to a candidate whose log is behind.
     VotesForBehind,
-    /// A read is answered without its round.
+    /// A read is answered without its heartbeat round.
     ReadsUnconfirmed,
-    /// Two changes of members at once.
+    /// Two membership changes are in progress at once.
     ChangesTogether,
-    /// Entries leave before they last.
+    /// Entries are acknowledged before they are durable.
     EntriesUnsaved,
 }
--- a/crates/fleet/consensus/src/ids.rs
+++ b/crates/fleet/consensus/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names of members, terms and places in the log.
+//! Identifiers of nodes, terms, log entries and requests.
 
 use std::fmt;
 
@@ -13,13 +13,13 @@
 }
 
 number! {
-    /// A member, by the id that was drawn with its folder.
+    /// A node of the cluster, by the id that was drawn when its storage was created.
     NodeId,
-    /// A term: at most one leader each.
+    /// A term: a period with at most one leader (section 3.3).
     Term,
-    /// A place in the log; the first entry is at 1.
+    /// The index of a log entry. The first entry has index 1.
     Index,
-    /// Names a proposal, a read or a change to whoever made it.
+    /// Identifies a proposal, a read or a membership change to the caller that made it.
     RequestId,
 }
 
@@ -30,22 +30,23 @@
 }
 
 impl Index {
-    /// The place after it.
+    /// The index after it.
     pub fn next(self) -> Index {
         Index(self.0 + 1)
     }
 
-    /// The place before it; none before the first.
-    pub fn before(self) -> Index {
+    /// The index before it; 0 stays 0.
+    pub fn previous(self) -> Index {
         Index(self.0.saturating_sub(1))
     }
 }
 
-/// An entry's place and term. Of two logs the one whose last is greater is the more up to date (section 5.4.1).
+/// The term and index of a log entry. The order is that of section 3.6.1: of two logs, the one whose last position is greater is
+/// the more up-to-date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The term in which it was made.
+    /// The term in which the entry was created.
     pub term: Term,
-    /// Its place.
+    /// The index of the entry.
     pub index: Index,
 }
--- a/crates/fleet/consensus/src/lib.rs
+++ b/crates/fleet/consensus/src/lib.rs
@@ -1,42 +1,41 @@
-//! A replicated log as a state machine without I/O: [`Raft::handle`] takes the time and an input and adds to
-//! [`PendingOutputs`]. No sockets, no clock, no threads, no files.
+//! The Raft consensus algorithm as a state machine without I/O: [`Raft::handle`] takes the time and an [`Input`] and adds to
+//! [`PendingOutputs`]. It uses no sockets, clocks, threads or files.
 //!
-//! From Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (USENIX ATC 2014), and Ongaro's
-//! dissertation "Consensus: Bridging Theory and Practice" (Stanford 2014), in our own words: elections with a pre-vote (9.6)
-//! and leaders that step down without a quorum (6.2), leadership transfer (3.10), learners before voters (4.2.1),
-//! changes of one member at a time (4.1, with the amendment that a leader first commits an entry of its own term), snapshots
-//! (5), linearizable reads without a log write (6.4).
+//! The sources are Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (USENIX ATC 2014), and Ongaro's
+//! dissertation "Consensus: Bridging Theory and Practice" (Stanford 2014). Sections in comments are those of the dissertation,
+//! unless they say "paper". Implemented are elections with a pre-vote (9.6), leaders that step down without a quorum (6.2),
+//! leadership transfer (3.10), learners (4.2.1), membership changes of one server at a time (4.1, with the amendment that a
+//! leader first commits an entry of its own term), snapshots (5) and linearizable reads without a log write (6.4).
 //!
-//! What must last before anything that depends on it goes out is so by type: messages, committed entries and answers lie in
-//! [`PendingOutputs`] and come out of [`PendingOutputs::commit`] alone, which has the [`Storage`] take the [`StateUpdate`] first.
+//! What must be durable before anything that depends on it is sent is enforced by types: messages, committed entries and
+//! answers are held in [`PendingOutputs`] and come out of [`PendingOutputs::persist`] alone, which first gives the
+//! [`StateUpdate`] to the [`Storage`].
 //!
-//! A member is a disk, not an address: its id is drawn with its folder, and one whose disk is lost never comes back under
-//! its old id. It joins as a new member, and the lost one is removed.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::shadow_unrelated)]
+//! A node is identified by its storage, not by its address: its id is drawn when the storage is created. A node whose storage
+//! is lost never comes back under its old id. It joins as a new node, and the lost one is removed.
 #![forbid(unsafe_code)]
 
-mod election;
+mod entry;
+mod error;
 mod fault_injection;
-mod follower;
 mod ids;
-mod leader;
 mod log;
 mod membership;
 mod message;
-mod outputs;
-mod progress;
+mod output;
 mod raft;
-mod rope;
-mod types;
+mod settings;
+mod snapshot_data;
+mod storage;
 
+pub use entry::{Entry, Payload, Snapshot};
+pub use error::RequestError;
 pub use fault_injection::Fault;
-pub use log::PersistentState;
+pub use ids::{Index, LogPosition, NodeId, RequestId, Term};
 pub use membership::{Member, Membership, MembershipChange, MembershipChangeError};
 pub use message::{AppendResult, Message, MessageBody};
-pub use outputs::{HardState, PendingOutputs, Reads, Ready, StateUpdate, Storage};
-pub use raft::{Input, Raft, Role, Status};
-pub use rope::{Chunk, ChunkId, MAX_CHUNK_BYTES, MAX_CHUNKS, SnapshotData};
-pub use types::{
-    Entry, Index, LogPosition, NodeId, Payload, RequestError, RequestId, Settings, Snapshot, Term,
-};
+pub use output::{PendingOutputs, Reads, Ready};
+pub use raft::{FollowerStatus, Input, Raft, Role, Status};
+pub use settings::Settings;
+pub use snapshot_data::{Chunk, ChunkId, MAX_CHUNK_BYTES, MAX_CHUNKS, SnapshotData};
+pub use storage::{HardState, PersistentState, StateUpdate, Storage};
--- a/crates/fleet/consensus/src/message.rs
+++ b/crates/fleet/consensus/src/message.rs
@@ -1,95 +1,96 @@
-//! What members say to each other. Any message may be lost, late, doubled or overtaken.
+//! Messages between nodes. Any message may be lost, delayed, duplicated or reordered.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
+use crate::entry::Entry;
+use crate::ids::{Index, LogPosition, NodeId, Term};
 use crate::membership::Membership;
-use crate::types::{Entry, Index, LogPosition, NodeId, Term};
 
-/// A message.
+/// A message. Nodes encode it with postcard: the order of fields and variants is part of the protocol.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Message {
-    /// Who says it.
+    /// The sender.
     pub from: NodeId,
-    /// To whom.
+    /// The receiver.
     pub to: NodeId,
-    /// The sender's term; for a pre-vote and its consent, the term that would begin.
+    /// The sender's term. For a pre-vote request and its consent it is the term that the election would have.
     pub term: Term,
-    /// What it says.
+    /// The content.
     pub body: MessageBody,
 }
 
-/// What became of a message with entries.
+/// The outcome of an AppendEntries or InstallSnapshot request at a follower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum AppendResult {
-    /// The log is the leader's up to here, and lasts.
+    /// The follower's log matches the leader's up to this index, and is durable.
     Match(Index),
-    /// It is not at the place before the entries; the leader may try at this one.
+    /// The follower has no entry, or another one, at the previous position. Holds the index that the leader may try next.
     Conflict(Index),
 }
 
-/// What a message says.
+/// The content of a message, named as in the paper.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Would you vote for me? Changes nothing at who asks, nor at who answers.
+    /// Asks whether the receiver would grant a vote (section 9.6). It changes the state of neither node.
     PreVoteRequest {
-        /// The last entry of who asks.
-        last: LogPosition,
+        /// The sender's last entry.
+        last_entry: LogPosition,
     },
-    /// I would, or not.
+    /// Whether the sender would grant its vote.
     PreVoteResponse(bool),
-    /// Vote for me.
+    /// Asks for a vote (section 3.4).
     VoteRequest {
-        /// The last entry of who asks.
-        last: LogPosition,
-        /// A leader has handed over to who asks: a leader heard of lately is no reason against it.
+        /// The candidate's last entry.
+        last_entry: LogPosition,
+        /// The previous leader transferred leadership to the candidate: the request counts although a leader was heard recently.
         leadership_transfer: bool,
     },
-    /// You have my vote, or not.
+    /// Whether the sender grants its vote.
     VoteResponse(bool),
-    /// A leader's entries, or none as a sign of life.
+    /// Entries of a leader, or none as a heartbeat (section 3.5).
     AppendEntries {
         /// The entry before them.
         prev: LogPosition,
         /// The entries, in order.
         entries: Vec<Entry>,
-        /// The leader has committed up to here.
+        /// The leader's commit index.
         commit: Index,
-        /// The leader's round, for reads and to see who hears it.
+        /// The leader's heartbeat round, for reads and for the check of its quorum.
         round: u64,
     },
-    /// What became of that.
+    /// The answer to `AppendEntries`, and to the last part of a snapshot.
     AppendEntriesResponse {
-        /// Which.
-        verdict: AppendResult,
-        /// The round as it came.
+        /// The outcome.
+        result: AppendResult,
+        /// The round of the request.
         round: u64,
     },
-    /// A part of a snapshot.
+    /// A part of a snapshot (section 5.3).
     InstallSnapshot {
-        /// The snapshot's last entry.
-        at: LogPosition,
-        /// Its members.
-        members: Membership,
-        /// Where the part begins.
+        /// The last entry that the snapshot includes.
+        last_included: LogPosition,
+        /// The membership as of that entry.
+        membership: Membership,
+        /// The offset of the part, in bytes.
         offset: u64,
-        /// The part.
-        part: Arc<[u8]>,
-        /// It is the last.
-        last: bool,
-        /// The leader's round.
+        /// The bytes of the part.
+        data: Arc<[u8]>,
+        /// Whether this is the last part.
+        is_last: bool,
+        /// The leader's heartbeat round.
         round: u64,
     },
-    /// So much of a snapshot is there.
+    /// The answer to a part that is not the last one.
     InstallSnapshotResponse {
-        /// Which snapshot.
-        at: LogPosition,
-        /// Bytes of it so far.
+        /// The last entry that the snapshot includes.
+        last_included: LogPosition,
+        /// Bytes received so far.
         offset: u64,
-        /// The round as it came.
+        /// The round of the request.
         round: u64,
     },
-    /// Ask for votes at once: the lead is handed over.
+    /// The leader transfers leadership: the receiver starts an election at once (section 3.10).
     TimeoutNow,
 }
--- a/crates/fleet/consensus/tests/encoding.rs
+++ b/crates/fleet/consensus/tests/encoding.rs
@@ -71,19 +71,19 @@
 fn every_message_has_the_encoding_of_its_fixture() {
     let last = position(6, 300);
     let install = |offset, part: &[u8], is_last| MessageBody::InstallSnapshot {
-        at: position(5, 290),
-        members: membership(),
+        last_included: position(5, 290),
+        membership: membership(),
         offset,
-        part: part.into(),
-        last: is_last,
+        data: part.into(),
+        is_last,
         round: 77,
     };
     let bodies = [
-        ("pre-vote", MessageBody::PreVoteRequest { last }),
+        ("pre-vote", MessageBody::PreVoteRequest { last_entry: last }),
         ("pre-vote-granted", MessageBody::PreVoteResponse(true)),
         ("pre-vote-denied", MessageBody::PreVoteResponse(false)),
-        ("vote", MessageBody::VoteRequest { last, leadership_transfer: false }),
-        ("vote-after-transfer", MessageBody::VoteRequest { last, leadership_transfer: true }),
+        ("vote", MessageBody::VoteRequest { last_entry: last, leadership_transfer: false }),
+        ("vote-after-transfer", MessageBody::VoteRequest { last_entry: last, leadership_transfer: true }),
         ("vote-granted", MessageBody::VoteResponse(true)),
         ("vote-denied", MessageBody::VoteResponse(false)),
         (
@@ -101,17 +101,21 @@
         ),
         (
             "append-matches",
-            MessageBody::AppendEntriesResponse { verdict: AppendResult::Match(Index(301)), round: 9 },
+            MessageBody::AppendEntriesResponse { result: AppendResult::Match(Index(301)), round: 9 },
         ),
         (
             "append-differs",
-            MessageBody::AppendEntriesResponse { verdict: AppendResult::Conflict(Index(128)), round: 10 },
+            MessageBody::AppendEntriesResponse { result: AppendResult::Conflict(Index(128)), round: 10 },
         ),
         ("install-first", install(0, b"snapshot", false)),
         ("install-last", install(65_536, b"", true)),
         (
             "installing",
-            MessageBody::InstallSnapshotResponse { at: position(5, 290), offset: 65_536, round: 78 },
+            MessageBody::InstallSnapshotResponse {
+                last_included: position(5, 290),
+                offset: 65_536,
+                round: 78,
+            },
         ),
         ("transfer", MessageBody::TimeoutNow),
     ];
--- a/crates/fleet/consensus/tests/explored.rs
+++ b/crates/fleet/consensus/tests/explored.rs
@@ -294,7 +294,7 @@
             from: id,
             to: by,
             term,
-            body: MessageBody::VoteRequest { last, leadership_transfer: false },
+            body: MessageBody::VoteRequest { last_entry: last, leadership_transfer: false },
         })),
         Event::Deliver(Arc::new(Message { from: by, to: id, term, body: MessageBody::VoteResponse(true) })),
     ]
--- a/crates/fleet/consensus/tests/support/mod.rs
+++ b/crates/fleet/consensus/tests/support/mod.rs
@@ -56,7 +56,7 @@
         }
         for (index, entry) in &self.committed {
             let before = self.committed_in.get(index).is_some_and(|t| *t < term);
-            if before && *index >= raft.first() && raft.entry(*index) != Some(entry) {
+            if before && *index >= raft.first_index() && raft.entry(*index) != Some(entry) {
                 let why = format!("{id} leads in {term:?} without {:?}, which was committed", entry.at);
                 return self.breaks(why);
             }
@@ -93,7 +93,7 @@
                 }
                 let mut same = false;
                 let mut at = sa.last.index.min(sb.last.index);
-                while at >= a.first().max(b.first()) && at.0 > 0 {
+                while at >= a.first_index().max(b.first_index()) && at.0 > 0 {
                     let (Some(x), Some(y)) = (a.entry(at), b.entry(at)) else { break };
                     if same && x != y {
                         self.breaks(format!(
--- a/crates/fleet/coordinator/src/store.rs
+++ b/crates/fleet/coordinator/src/store.rs
@@ -144,9 +144,9 @@
     /// Puts a snapshot in place of the last one. Pieces that both have stay as they are.
     fn put_snapshot(&mut self, snapshot: &Snapshot, batch: &mut Batch) {
         let mut named = BTreeSet::new();
-        let names = snapshot.state.chunks().iter().map(|c| (c.name().hash, c.name().length)).collect();
+        let names = snapshot.state.chunks().iter().map(|c| (c.id().hash, c.id().length)).collect();
         for chunk in snapshot.state.chunks() {
-            let name = chunk.name();
+            let name = chunk.id();
             if named.insert(name) && !self.chunks.contains(&name) {
                 batch.put_shared(CHUNKS, name.to_key(), Arc::clone(chunk.bytes()));
             }
@@ -190,7 +190,7 @@
     let mut state = Vec::with_capacity(chunks.len());
     for (hash, length) in chunks {
         let name = ChunkId { hash, length };
-        let chunk = view.get(CHUNKS, &name.to_key()).map(Chunk::new).filter(|c| c.name() == name);
+        let chunk = view.get(CHUNKS, &name.to_key()).map(Chunk::new).filter(|c| c.id() == name);
         state.push(chunk.ok_or(OpenError::Unreadable("a piece of the snapshot"))?);
     }
     Ok(Some(Snapshot { at, members, state: SnapshotData::new(state) }))
--- a/crates/fleet/replica/src/keeper.rs
+++ b/crates/fleet/replica/src/keeper.rs
@@ -232,7 +232,7 @@
     }
 
     fn compact(&mut self, out: &mut PendingOutputs) {
-        let state = self.raft.snapshot().map_or(0, |s| s.state.bytes());
+        let state = self.raft.snapshot().map_or(0, |s| s.state.size());
         let long = self.raft.log_bytes() >= state.clamp(*LOG_BYTES.start(), *LOG_BYTES.end());
         let many = self.applied.0 >= self.snapshot_at.0 + LOG_ENTRIES;
         if (long || many) && self.applied > self.snapshot_at && self.raft.can_compact() {
