--- a/crates/fleet/coordinator/src/store.rs
+++ b/crates/fleet/coordinator/src/store.rs
@@ -10,8 +10,8 @@
     Chunk, ChunkId, Entry, HardState, LogPosition, Membership, NodeId, PersistentState, Snapshot,
     SnapshotData, StateUpdate, Storage,
 };
-use beechloft_store::fs::Disk as Folder;
-use beechloft_store::{Batch, Options, Store, StoreError, Table, View, Written};
+use beechloft_store::directory::DiskDirectory as Folder;
+use beechloft_store::{Batch, Options, Store, StoreError, Table, View, WrittenGeneration};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -69,7 +69,7 @@
 }
 
 /// A compaction that is written on a thread of its own.
-type Compacting = JoinHandle<Result<Written<File>, StoreError>>;
+type Compacting = JoinHandle<Result<WrittenGeneration<File>, StoreError>>;
 
 /// A keeper's disk.
 pub struct LogStore {
