--- /dev/null
+++ b/crates/platform/event-loop/tests/event_bus/malformed.rs
@@ -0,0 +1,202 @@
+//! Malformed events and responses: nothing but themselves is lost.
+
+use beechloft_event_loop::limits::SocketLimits;
+
+use crate::harness::{Harness, SECOND, limits};
+use crate::support::messages::EVENT_STREAM_HEAD;
+use crate::texts::{CHUNKED_HEAD, chunk, endpoint, event, event_with_id};
+
+/// A malformed event is requested again twice, as it may have been corrupted on its way, and then skipped. `last_id`: the
+/// number from which the next request comes.
+fn assert_skipped(malformed: &str, good: &str, last_id: &str) {
+    let mut harness = Harness::connected();
+    let mut retries = 0;
+    loop {
+        harness.send(&format!("{malformed}{good}"));
+        harness.run_until("the event to be handled", |harness| {
+            !harness.is_connected() || !harness.received.is_empty()
+        });
+        if harness.is_connected() {
+            break;
+        }
+        retries += 1;
+        assert!(retries <= 5, "requested again and again, and later events are never handled");
+        assert_eq!(harness.wait_for_request(), "41");
+        harness.send(EVENT_STREAM_HEAD);
+    }
+    assert_eq!((retries, harness.received.as_slice()), (2, &["later".to_owned()][..]));
+    harness.close_by_bus();
+    assert_eq!(harness.wait_for_request(), last_id);
+}
+
+#[test]
+fn a_malformed_event_does_not_hide_later_ones() {
+    assert_skipped(&event_with_id("42", "{noise"), &event(43, "later"), "43");
+    assert_skipped(
+        &event_with_id("42", r#"{"offset":42,"topology":{"endpoints":7}}"#),
+        &event(43, "later"),
+        "43",
+    );
+}
+
+#[test]
+fn a_skipped_event_is_not_requested_again() {
+    let mut harness = Harness::connected();
+    for attempt in 0..3 {
+        harness.send(&event_with_id("42", "{noise"));
+        if attempt < 2 {
+            harness.wait_for_disconnect();
+            assert_eq!(harness.wait_for_request(), "41");
+            harness.send(EVENT_STREAM_HEAD);
+        }
+    }
+    // A part of an event follows, then the end.
+    harness.send("id: 43\nda");
+    harness.close_by_bus();
+    assert_eq!(harness.wait_for_request(), "42");
+}
+
+#[test]
+fn a_malformed_event_without_a_number_is_skipped() {
+    assert_skipped("data: {noise\n\n", &event(42, "later"), "42");
+    assert_skipped(&event_with_id("forty", "{noise"), &event(42, "later"), "42");
+    // An implausible number counts as none.
+    assert_skipped(&event_with_id(&u64::MAX.to_string(), "{noise"), &event(42, "later"), "42");
+}
+
+#[test]
+fn many_malformed_events_in_a_row_cost_two_requests() {
+    let bad: String = (42..92).map(|n| event_with_id(&n.to_string(), "{noise")).collect();
+    assert_skipped(&bad, &event(92, "later"), "92");
+}
+
+#[test]
+fn a_repeated_event_is_ignored_though_malformed() {
+    let mut harness = Harness::connected();
+    harness.send_and_sync(&event_with_id("41", "{noise"), 42);
+    assert!(harness.is_connected());
+}
+
+#[test]
+fn a_malformed_endpoint_is_skipped_alone() {
+    let malformed_endpoints = [
+        r#"{"name":"b","address":"10.1.0.9:2905","status":"Resting"}"#,
+        r#"{"name":"b","address":"10.1.0.9:2905","status":"Ready","weight":"four"}"#,
+        r#"{"name":"b","status":"Ready"}"#,
+        r#"{"name":"b","address":"10.1.0.9:2905","status":"Ready","group":70000}"#,
+        r#"{"name":"b","address":"10.1.0.9:2905","status":"Ready","since_ms":-1}"#,
+        r#"{"address":"10.1.0.9:2905","status":"Ready"}"#,
+        "7",
+        "null",
+        "[]",
+    ];
+    for bad in malformed_endpoints {
+        let mut harness = Harness::connected();
+        let lines = format!("{},{bad},{}", endpoint("a"), endpoint("c"));
+        harness.send_and_sync(
+            &event_with_id("42", &format!(r#"{{"offset":42,"topology":{{"endpoints":[{lines}]}}}}"#)),
+            43,
+        );
+        assert_eq!(harness.received, ["a", "c", "mark-43"], "{bad}");
+    }
+}
+
+#[test]
+fn a_snapshot_with_malformed_lines_is_no_snapshot() {
+    let list = |lines: &str| {
+        event_with_id(
+            "42",
+            &format!(r#"{{"offset":42,"topology":{{"snapshot":true,"endpoints":[{lines}]}}}}"#),
+        )
+    };
+    let mut harness = Harness::connected();
+    harness.send(&list(&endpoint("a")));
+    harness.wait_for_endpoint("a");
+    assert!(harness.last_was_snapshot);
+    let mut with_malformed = Harness::connected();
+    with_malformed.send(&list(&format!(r#"{{"name":"b","status":"Resting"}},{}"#, endpoint("a"))));
+    with_malformed.wait_for_endpoint("a");
+    assert!(!with_malformed.last_was_snapshot, "the server of the malformed line would count as removed");
+}
+
+#[test]
+fn an_oversized_event_is_skipped_and_does_not_hide_later_ones() {
+    // Longer than an event may be, but it ends.
+    let long = format!("data: {}\n\n", "x".repeat(limits().max_event_bytes + 10));
+    assert_skipped(&long, &event(42, "later"), "42");
+    let lines = format!("{}\n", "data: some noise\r\n".repeat(limits().max_event_bytes / 12));
+    assert_skipped(&lines, &event(42, "later"), "42");
+}
+
+#[test]
+fn an_event_that_never_ends_closes_the_connection_and_the_waits_grow() {
+    let mut harness = Harness::connected();
+    let mut last = Default::default();
+    for _ in 0..12 {
+        harness.send_repeatedly("x", 4 << 20);
+        assert!(!harness.is_connected(), "4 MiB of one event were taken");
+        last = harness.time_until_connect(SECOND + SECOND);
+        assert_eq!(harness.accept_request(), "41");
+        harness.send(EVENT_STREAM_HEAD);
+    }
+    assert!(last >= limits().bus_retry_max, "still every {last:?} after a dozen");
+}
+
+#[test]
+fn malformed_chunks_do_not_hide_earlier_events() {
+    let mut harness = Harness::new(7);
+    assert_eq!(harness.wait_for_request(), "41");
+    // All in one read: events before the malformed chunk are handled.
+    harness.send(&format!("{CHUNKED_HEAD}{}noise\r\n", chunk(&event(42, "before"))));
+    harness.wait_for_disconnect();
+    assert_eq!(harness.received, ["before"]);
+    assert_eq!(harness.wait_for_request(), "42");
+    harness.send(&format!("{CHUNKED_HEAD}{}{}", chunk(&event(43, "after")), chunk(":\n\n")));
+    harness.wait_for_endpoint("after");
+}
+
+#[test]
+fn whole_events_before_an_oversized_one_are_handled() {
+    // Both in one read.
+    let mut harness = Harness::with_limits(SocketLimits { max_event_bytes: 1_000, ..limits() }, 7);
+    assert_eq!(harness.wait_for_request(), "41");
+    harness.send(&format!("{EVENT_STREAM_HEAD}{}data: {}", event(42, "before"), "x".repeat(2_000)));
+    harness.wait_for_disconnect();
+    assert_eq!(harness.received, ["before"]);
+    assert_eq!(harness.wait_for_request(), "42");
+}
+
+/// Bytes corrupted anywhere, in the same way at each request, cost some requests and the events that they belong to. The last
+/// event, which is sound, is always handled.
+#[test]
+fn the_last_event_of_any_corrupted_stream_is_handled() {
+    for seed in 0..40_u64 {
+        let mut state = seed;
+        let mut random_below = |bound: usize| {
+            state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            (state >> 33) as usize % bound
+        };
+        let mut events = (42..62).map(|n| event(n, &format!("s-{n}")).into_bytes()).collect::<Vec<_>>();
+        for _ in 0..1 + random_below(12) {
+            let of = random_below(events.len());
+            let at = random_below(events[of].len());
+            events[of][at] = b"0123456789{}[]:,\"\n\r x"[random_below(21)];
+        }
+        let mut harness = Harness::new(seed);
+        for requests in 1.. {
+            assert!(requests <= 60, "seed {seed}: {requests} requests, {:?}", harness.received);
+            let from: usize = harness.wait_for_request().parse().expect("a number");
+            let rest = events.iter().skip(from.saturating_sub(41)).flatten().copied().collect::<Vec<_>>();
+            harness.send(&format!("{EVENT_STREAM_HEAD}{}", String::from_utf8(rest).expect("text")));
+            harness.send(&event(62, "last"));
+            harness.run_until("the event to be handled", |harness| {
+                !harness.is_connected() || harness.received.last().is_some_and(|n| n == "last")
+            });
+            if harness.is_connected() {
+                break;
+            }
+        }
+        harness.close_by_bus();
+        assert_eq!(harness.wait_for_request(), "62", "seed {seed}");
+    }
+}
