--- a/crates/platform/front-node/src/viewers.rs
+++ b/crates/platform/front-node/src/viewers.rs
@@ -62,15 +62,15 @@
             class: ClassId(class as u16),
             title: TitleId(setup.title_id),
             viewer: ViewerId(attributes.viewer),
-            home: attributes.home_cell,
-            holders: attributes.copies,
-            on: None,
-            top: Rung(attributes.max_rung.min(u8::MAX.into()) as u8),
-            gives_up: gives_up - self.bounds.answer_margin,
-            hint: None,
+            first_cell: attributes.home_cell,
+            cell_count: attributes.copies,
+            eligible_servers: None,
+            max_rung: Rung(attributes.max_rung.min(u8::MAX.into()) as u8),
+            deadline: gives_up - self.bounds.answer_margin,
+            expected_duration: None,
             tenant: TenantId(0),
-            moved: self.moved.remove(&ViewerId(attributes.viewer)).is_some(),
-            again: attributes.is_retry,
+            migrated: self.moved.remove(&ViewerId(attributes.viewer)).is_some(),
+            is_retry: attributes.is_retry,
         };
         if let Some(at) = &attributes.playing_at {
             return self.handed_over(conn, id, request, at);
@@ -87,8 +87,8 @@
             return self.turn_away(conn, id, Cause::Congestion);
         }
         self.releases.conns.entry(conn).or_default().open.insert(id);
-        self.timers.set(request.gives_up, Due::Answer(id));
-        let phase = Phase::Owed { setup, gives_up: request.gives_up, out: None };
+        self.timers.set(request.deadline, Due::Answer(id));
+        let phase = Phase::Owed { setup, gives_up: request.deadline, out: None };
         self.sessions.insert(id, Session { conn, viewer: request.viewer, attempts: 0, rung: 0, phase });
         self.feed(Event::Request(request));
     }
@@ -105,7 +105,7 @@
         let phase = Phase::Standing(attempt);
         self.sessions.insert(id, Session { conn, viewer: request.viewer, attempts: 1, rung: 0, phase });
         self.stands(lane, conn, id);
-        self.feed(Event::HandedOver(request, server));
+        self.feed(Event::SessionAdopted { request, server });
     }
 
     /// A viewer gives a set-up up, or leaves.
--- a/crates/platform/front-node/tests/orders.rs
+++ b/crates/platform/front-node/tests/orders.rs
@@ -131,7 +131,7 @@
         Step::Note { which, value } => {
             if let Some((id, lane)) = pick(&rig.standing, which) {
                 let note = match which % 4 {
-                    0 => Note::DeliveredRatio(value),
+                    0 => Note::DeliveredFraction(value),
                     1 => Note::Rung(value),
                     2 => Note::LinkUtilization(value),
                     _ => Note::UplinkUtilization(value),
--- a/crates/platform/protocol/src/server.rs
+++ b/crates/platform/protocol/src/server.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Note {
     /// `kept_up`: the delivered fraction of the rate.
-    DeliveredRatio(f64),
+    DeliveredFraction(f64),
     /// `tier`: the rung in use.
     Rung(f64),
     /// `wire`: utilization of the server's link.
@@ -109,7 +109,7 @@
         let name = self.with.get("note").and_then(Value::as_str)?;
         let value = self.with.get("value").and_then(parse_measurement)?;
         match name {
-            "kept_up" => Some(Note::DeliveredRatio(value)),
+            "kept_up" => Some(Note::DeliveredFraction(value)),
             "tier" => Some(Note::Rung(value)),
             "wire" => Some(Note::LinkUtilization(value)),
             "trunk" => Some(Note::UplinkUtilization(value)),
--- a/crates/platform/protocol/tests/wire.rs
+++ b/crates/platform/protocol/tests/wire.rs
@@ -195,7 +195,7 @@
         (r#"{"op":"tested","call":"9b1f03aa5c7e2d41","why":2}"#, FromServer::TestResult(ID, false)),
         (
             r#"{"op":"info","call":"9b1f03aa5c7e2d41","with":{"note":"kept_up","value":"0.75"}}"#,
-            FromServer::Note(ID, Note::DeliveredRatio(0.75)),
+            FromServer::Note(ID, Note::DeliveredFraction(0.75)),
         ),
         (
             r#"{"op":"info","call":"9b1f03aa5c7e2d41","with":{"note":"tier","value":2}}"#,
--- a/crates/testing/fleet-simulation/tests/machine_hash/canonical.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/canonical.rs
@@ -71,9 +71,9 @@
             }
             Input::ServerDown(server) => self.number(server.0.into()),
             Input::SlotAssigned(place) => {
-                self.number(place.number.into());
-                self.number(place.of.into());
-                self.number(place.fronts.into());
+                self.number(place.slot.into());
+                self.number(place.slot_count.into());
+                self.number(place.live_fronts.into());
             }
             Input::Terminate | Input::Tick => {}
         }
@@ -205,7 +205,7 @@
                 self.tag(2);
                 self.number(id.0);
                 let (kind, value) = match note {
-                    Note::DeliveredRatio(value) => (0, value),
+                    Note::DeliveredFraction(value) => (0, value),
                     Note::Rung(value) => (1, value),
                     Note::LinkUtilization(value) => (2, value),
                     Note::UplinkUtilization(value) => (3, value),
