--- a/crates/front/server/src/engine/event_loop.rs
+++ b/crates/front/server/src/engine/event_loop.rs
@@ -155,7 +155,7 @@
         if let Some(slot) = now.filter(|slot| Some(*slot) != self.slot) {
             info!(target: "core", number = slot.slot, of = slot.slot_count, fronts = slot.live_fronts, "numbered");
             self.slot = Some(slot);
-            self.handle(Input::Numbered(slot));
+            self.handle(Input::SlotAssigned(slot));
         }
     }
 
@@ -277,7 +277,7 @@
             Output::Release { id, server, resource } => {
                 self.calls.push(server, Job::Release { id, resource });
             }
-            Output::Probe(server) => self.calls.push(server, Job::HealthCheck),
+            Output::HealthCheck(server) => self.calls.push(server, Job::HealthCheck),
             Output::Watch(server, url) => self.watch(server, &url),
             Output::Unwatch(server) => {
                 self.calls.forget(server);
--- a/crates/front/session/tests/any_order.rs
+++ b/crates/front/session/tests/any_order.rs
@@ -224,8 +224,8 @@
                     1 => MediaServerEvent::Connected { boot: self.front.now },
                     2 => MediaServerEvent::Disconnected,
                     3 => MediaServerEvent::ConnectionRefused,
-                    4 => MediaServerEvent::Note(Feedback::LinkUtilization(0.7)),
-                    _ => MediaServerEvent::Note(Feedback::DeliveredFraction(0.8)),
+                    4 => MediaServerEvent::Feedback(Feedback::LinkUtilization(0.7)),
+                    _ => MediaServerEvent::Feedback(Feedback::DeliveredFraction(0.8)),
                 };
                 let restarted = match event {
                     MediaServerEvent::ConnectionRefused => {
