--- a/crates/front/session/src/controller/media_servers.rs
+++ b/crates/front/session/src/controller/media_servers.rs
@@ -56,7 +56,7 @@
                     self.lose_media_server(server, Loss::ProcessGone, out);
                 }
             }
-            MediaServerEvent::Note(note) => {
+            MediaServerEvent::Feedback(note) => {
                 let playing = self.playing.get(&server).and_then(|playing| playing.values().next());
                 let session = playing.copied().unwrap_or_default();
                 self.events.push_back(Event::FeedbackReceived { session, server, feedback: note });
--- a/crates/front/session/src/io.rs
+++ b/crates/front/session/src/io.rs
@@ -99,7 +99,7 @@
     /// Nobody listens at its address: the process is not there.
     ConnectionRefused,
     /// A figure about what plays there.
-    Note(Feedback),
+    Feedback(Feedback),
     /// A session has ended at the media server.
     SessionEnded {
         /// Its path there.
@@ -152,7 +152,7 @@
     /// An event of a media server.
     MediaServer(ServerId, MediaServerEvent),
     /// The result of a health check.
-    Probed {
+    HealthChecked {
         /// Which media server.
         server: ServerId,
         /// How it went.
@@ -170,7 +170,7 @@
     /// Other media servers are to be offered to the policy from now on.
     HolderFilter(HolderFilter),
     /// This front's slot among the fronts changed.
-    Numbered(SlotAssignment),
+    SlotAssigned(SlotAssignment),
     /// Time passes.
     Tick,
     /// Nothing new is taken from now on.
@@ -277,7 +277,7 @@
         resource: String,
     },
     /// Check a media server's health and load.
-    Probe(ServerId),
+    HealthCheck(ServerId),
     /// Keep an event stream to this media server, at this address; replaces an earlier one.
     Watch(ServerId, Arc<str>),
     /// The media server is off the list and nothing plays there any more: drop its stream.
