--- a/crates/platform/front-node/src/servers.rs
+++ b/crates/platform/front-node/src/servers.rs
@@ -12,7 +12,7 @@
 impl Node {
     pub(crate) fn server(&mut self, lane: ServerIncarnation, line: ServerMessage) {
         let report = self.report(line.load.as_deref());
-        match line.message {
+        match line.event {
             FromServer::Accept(id, description) => self.accepted(lane, id, description, report),
             FromServer::End(id, cause) => self.ended(lane, id, cause, report),
             FromServer::Note(id, note) => {
@@ -130,8 +130,8 @@
         }
         let server = a.server;
         let note = match note {
-            Note::KeptUp(x) => api::Feedback::DeliveredFraction(x),
-            Note::Tier(x) => {
+            Note::DeliveredFraction(x) => api::Feedback::DeliveredFraction(x),
+            Note::Rung(x) => {
                 let rung = x.min(255.0) as u8;
                 if usize::from(rung) >= self.settings.ladder.rates_kb.len() {
                     return;
@@ -139,8 +139,8 @@
                 self.sessions.entry(id).and_modify(|s| s.rung = rung);
                 api::Feedback::Rung(Rung(rung))
             }
-            Note::Wire(x) => api::Feedback::LinkUtilization(x),
-            Note::Trunk(x) => api::Feedback::UplinkUtilization(x),
+            Note::LinkUtilization(x) => api::Feedback::LinkUtilization(x),
+            Note::UplinkUtilization(x) => api::Feedback::UplinkUtilization(x),
         };
         self.feed(Event::FeedbackReceived { session: SessionId(id.0), server, feedback: note });
     }
