--- a/crates/platform/event-loop/tests/sockets.rs
+++ b/crates/platform/event-loop/tests/sockets.rs
@@ -154,7 +154,7 @@
     let mut viewer = ViewerClient::connect(front.addr);
     for (number, (code, value)) in invalid.into_iter().enumerate() {
         let mut frame = set_up(100 + number as u64, 3_000);
-        frame.params.iter_mut().filter(|p| p.0 == code).for_each(|p| p.1 = value.to_vec());
+        frame.parameters.iter_mut().filter(|p| p.code == code).for_each(|p| p.value = value.to_vec());
         viewer.send(&frame);
         let answer = viewer.receive_message();
         assert_eq!(
--- a/crates/platform/event-loop/tests/support/messages.rs
+++ b/crates/platform/event-loop/tests/support/messages.rs
@@ -49,12 +49,12 @@
 
 /// The cause that a frame names; 0 if none.
 pub fn cause(frame: &Frame) -> u8 {
-    frame.params.iter().find(|param| param.0 == 29).map_or(0, |param| param.1[0])
+    frame.parameters.iter().find(|param| param.code == 29).map_or(0, |param| param.value[0])
 }
 
 /// The description that a frame carries.
 pub fn description(frame: &Frame) -> String {
-    let value = frame.params.iter().find(|param| param.0 == 31).map(|param| param.1.clone());
+    let value = frame.parameters.iter().find(|param| param.code == 31).map(|param| param.value.clone());
     String::from_utf8(value.unwrap_or_default()).expect("text")
 }
 
