--- a/crates/cli/tests/twenty/attempts.rs
+++ b/crates/cli/tests/many_processes/attempts.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
-use crate::facts::lock;
+use crate::recorder::lock;
 use crate::sockets::{Connection, Snapshot, Sockets};
 
 /// How an attempt ended.
@@ -25,8 +25,8 @@
     pub connection: u64,
     /// What had reached all connections of its front node as it was read.
     pub seen: Snapshot,
-    /// As they were noted. A giving-up may be noted behind an end by the media server that it crossed, and count as the
-    /// earlier one all the same.
+    /// In the order in which they were recorded. A give-up may be recorded behind an end by the media server that it
+    /// crossed, and counts from its own time all the same.
     pub ends: Vec<AttemptEnd>,
 }
 
@@ -67,9 +67,9 @@
 }
 
 impl AttemptLog {
-    /// Notes a set-up that was read from this connection.
+    /// Records a set-up that was read from this connection.
     pub fn begin(&self, server: usize, id: u64, node: usize, connection: &Connection) {
-        connection.belongs_to(node);
+        connection.set_node(node);
         let still_out = self.connections_out(id);
         let seen = self.sockets.snapshot(node, &still_out);
         let attempt = Attempt { server, connection: connection.number, seen, ends: Vec::new() };
@@ -82,7 +82,7 @@
         attempts.get(&id).into_iter().flatten().filter(|a| a.is_out()).map(|a| a.connection).collect()
     }
 
-    /// Notes the end of the last set-up of a session on this connection; whether it was out until now.
+    /// Records the end of the last set-up of a session on this connection; whether it was out until now.
     pub fn end(&self, id: u64, connection: u64, end: AttemptEnd) -> bool {
         let by_server = matches!(end, AttemptEnd::ByServer { .. });
         let mut attempts = lock(&self.attempts);
@@ -102,7 +102,7 @@
         attempts.iter().filter(|(_, of)| of.iter().any(is_out)).map(|(id, _)| *id).collect()
     }
 
-    /// All that were noted.
+    /// All that were recorded.
     pub fn attempts(&self) -> Attempts {
         lock(&self.attempts).clone()
     }
--- a/crates/cli/tests/twenty/fleet.rs
+++ b/crates/cli/tests/many_processes/fleet.rs
@@ -11,56 +11,62 @@
 use rustix::process::Signal;
 use serde_json::{Value, json};
 
-use crate::clients::{CLASS, Conn};
-use crate::facts::{Record, Style, What, lock};
-use crate::media::{EventBus, Media, event};
+use crate::clients::{CLASS, ClientConnection};
+use crate::event_bus::{EventBus, topology_event};
+use crate::media_server::MediaServer;
+use crate::recorder::{EventKind, Recorder, RestartStyle, lock};
 use crate::support::{PATIENCE, Process, kept_addresses};
 
 pub const NODES: usize = 20;
 /// The class's deadline, in microseconds.
-pub const LONGEST: u64 = 2_000_000;
+pub const MAX_DEADLINE_US: u64 = 2_000_000;
 
-/// What cold media servers are allowed, for all front nodes.
+/// How many set-ups a media server may get while it warms up, from all front nodes together.
 #[derive(Debug, Clone, Copy)]
-pub struct Cold {
+pub struct SlowStart {
+    /// How many streams a media server carries.
     pub streams: u32,
-    pub from: f64,
-    pub warm_us: u64,
+    /// The share of the streams allowed at the start.
+    pub initial_share: f64,
+    /// How long it takes from the start to all streams.
+    pub ramp_us: u64,
+    /// How far the allowance may be exceeded.
     pub multiple: f64,
-    pub fall_us: u64,
+    /// The span over which set-ups are counted.
+    pub window_us: u64,
 }
 
-impl Cold {
+impl SlowStart {
     /// N of the rule: what the settings allow within `fall_us` at the start.
     pub fn allowance(&self) -> f64 {
-        let spans = self.fall_us as f64 / self.warm_us as f64;
-        self.multiple * self.from * f64::from(self.streams) * spans
+        let spans = self.window_us as f64 / self.ramp_us as f64;
+        self.multiple * self.initial_share * f64::from(self.streams) * spans
     }
 }
 
-/// How far a front node's clients may go.
+/// What clients may send to a front node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
-pub enum State {
+pub enum NodeState {
     Down = 0,
     Up = 1,
-    /// It was told to end: no more new connections after a while, then no more set-ups.
-    Ending = 2,
+    /// SIGTERM was sent: no more new connections after a while, then no more set-ups.
+    Terminating = 2,
 }
 
-pub struct Node {
+pub struct FrontNode {
     pub number: usize,
     pub addr: SocketAddr,
     config: PathBuf,
     process: Mutex<Option<Process>>,
     state: AtomicU8,
-    told: Mutex<Option<Instant>>,
-    /// Its steady clients pause, so that a crossing is met with nothing owed.
-    pub quiet: AtomicBool,
-    record: Record,
+    terminated_at: Mutex<Option<Instant>>,
+    /// Its steady clients pause, so that nothing is pending as it ends.
+    pub paused: AtomicBool,
+    recorder: Recorder,
 }
 
-impl Node {
+impl FrontNode {
     pub fn start(&self) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_beechloft"));
         command.arg("node").env("ROUTER_CONFIG", &self.config);
@@ -69,19 +75,20 @@
             std::fs::OpenOptions::new().create(true).append(true).open(self.config.with_extension("log"));
         command.stderr(log.map_or_else(|_| Stdio::null(), Stdio::from));
         *lock(&self.process) = Some(Process::start(&mut command));
-        self.record.note(What::Started { node: self.number });
+        self.recorder.record(EventKind::ProcessStarted { node: self.number });
     }
 
-    /// Whether a test passes before long; noted, and clients come from then on.
+    /// Waits until a test passes; whether it did. It is recorded, and clients may send from then on.
     pub fn wait_ready(&self) -> bool {
-        let until = Instant::now() + PATIENCE;
-        while Instant::now() < until {
-            // Quietly, as it is no break that a process which starts does not listen yet.
+        let deadline = Instant::now() + PATIENCE;
+        while Instant::now() < deadline {
+            // Without a record, as a process that starts does not listen yet.
             if std::net::TcpStream::connect(self.addr).is_ok()
-                && Conn::open(self.number, self.addr, &self.record).is_some_and(|c| c.passes())
+                && ClientConnection::open(self.number, self.addr, &self.recorder)
+                    .is_some_and(|c| c.passes_test())
             {
-                self.record.note(What::Passed { node: self.number });
-                self.state.store(State::Up as u8, Ordering::SeqCst);
+                self.recorder.record(EventKind::TestPassed { node: self.number });
+                self.state.store(NodeState::Up as u8, Ordering::SeqCst);
                 return true;
             }
             thread::sleep(Duration::from_millis(10));
@@ -89,17 +96,17 @@
         false
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> NodeState {
         match self.state.load(Ordering::SeqCst) {
-            0 => State::Down,
-            1 => State::Up,
-            _ => State::Ending,
+            0 => NodeState::Down,
+            1 => NodeState::Up,
+            _ => NodeState::Terminating,
         }
     }
 
-    /// How long ago it was told to end.
-    pub fn told(&self) -> Option<Duration> {
-        lock(&self.told).map(|t| t.elapsed())
+    /// How long ago SIGTERM was sent.
+    pub fn since_termination(&self) -> Option<Duration> {
+        lock(&self.terminated_at).map(|t| t.elapsed())
     }
 
     pub fn signal(&self, signal: Signal) {
@@ -108,76 +115,77 @@
         }
     }
 
-    pub fn terminate(&self, style: Style) {
-        // Before the signal, so that no client comes later than it may.
-        *lock(&self.told) = Some(Instant::now());
-        self.record.note(What::Term { node: self.number, style });
-        self.state.store(State::Ending as u8, Ordering::SeqCst);
+    pub fn terminate(&self, style: RestartStyle) {
+        // Before the signal, so that no client sends later than it may.
+        *lock(&self.terminated_at) = Some(Instant::now());
+        self.recorder.record(EventKind::Terminated { node: self.number, style });
+        self.state.store(NodeState::Terminating as u8, Ordering::SeqCst);
         self.signal(Signal::TERM);
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits until the process has exited.
     pub fn wait_exit(&self) {
-        let until = Instant::now() + PATIENCE;
-        while Instant::now() < until {
-            let ended = lock(&self.process).as_mut().and_then(|p| p.0.try_wait().ok().flatten());
-            if let Some(status) = ended {
-                self.record.note(What::Exited { node: self.number, code: status.code() });
+        let deadline = Instant::now() + PATIENCE;
+        while Instant::now() < deadline {
+            let exited = lock(&self.process).as_mut().and_then(|p| p.0.try_wait().ok().flatten());
+            if let Some(status) = exited {
+                self.recorder.record(EventKind::ProcessExited { node: self.number, code: status.code() });
                 break;
             }
             thread::sleep(Duration::from_millis(5));
         }
-        self.state.store(State::Down as u8, Ordering::SeqCst);
-        *lock(&self.told) = None;
+        self.state.store(NodeState::Down as u8, Ordering::SeqCst);
+        *lock(&self.terminated_at) = None;
         *lock(&self.process) = None;
     }
 }
 
-/// The fleet, ended whatever becomes of the test.
+/// Front nodes with media servers and event buses around them. The processes are killed when it is dropped.
 pub struct Fleet {
-    pub record: Record,
-    pub nodes: Vec<Arc<Node>>,
-    pub media: Vec<Media>,
+    pub recorder: Recorder,
+    pub nodes: Vec<Arc<FrontNode>>,
+    pub media_servers: Vec<MediaServer>,
     pub buses: Vec<EventBus>,
-    pub cold: Cold,
+    pub slow_start: SlowStart,
     _dir: tempfile::TempDir,
 }
 
 impl Fleet {
     /// All front nodes, started and ready, with so many media servers.
-    pub fn start(servers: usize, cold: Cold) -> Fleet {
-        let record = Record::begin();
-        let media = (0..servers).map(|n| Media::start(n, &record)).collect();
+    pub fn start(servers: usize, slow_start: SlowStart) -> Fleet {
+        let recorder = Recorder::start();
+        let media_servers = (0..servers).map(|n| MediaServer::start(n, &recorder)).collect();
         let buses = vec![EventBus::start(), EventBus::start()];
         let dir = tempfile::tempdir().expect("a folder");
         let nodes = kept_addresses(NODES).into_iter().enumerate().map(|(number, addr)| {
             let config = dir.path().join(format!("n{number}.json"));
-            let (record, state) = (record.clone(), AtomicU8::new(State::Down as u8));
-            let (process, told, quiet) = (Mutex::default(), Mutex::default(), AtomicBool::new(false));
-            Arc::new(Node { number, addr, config, process, state, told, quiet, record })
+            let (recorder, state) = (recorder.clone(), AtomicU8::new(NodeState::Down as u8));
+            let (process, terminated_at, paused) =
+                (Mutex::default(), Mutex::default(), AtomicBool::new(false));
+            Arc::new(FrontNode { number, addr, config, process, state, terminated_at, paused, recorder })
         });
         let nodes = nodes.collect();
-        let fleet = Fleet { record, nodes, media, buses, cold, _dir: dir };
+        let fleet = Fleet { recorder, nodes, media_servers, buses, slow_start, _dir: dir };
         fleet.configure(0, 1);
         fleet.nodes.iter().for_each(|n| n.start());
         thread::scope(|s| fleet.nodes.iter().for_each(|n| drop(s.spawn(|| n.wait_ready()))));
-        let watched = Instant::now() + PATIENCE;
-        while fleet.buses[0].asked() < NODES && Instant::now() < watched {
+        let deadline = Instant::now() + PATIENCE;
+        while fleet.buses[0].request_count() < NODES && Instant::now() < deadline {
             thread::sleep(Duration::from_millis(10));
         }
         fleet
     }
 
-    /// Writes all configurations: this event bus, and the events up to this one as known.
+    /// Writes all configurations: this event bus, and the events up to this offset as the initial ones.
     pub fn configure(&self, bus: usize, offset: u64) {
-        let listed: Vec<Value> = self.media.iter().map(|m| m.endpoint("Ready")).collect();
+        let listed: Vec<Value> = self.media_servers.iter().map(|m| m.endpoint("Ready")).collect();
         for node in &self.nodes {
             let config = json!({
                 "name": format!("n{}", node.number), "listen": node.addr.to_string(),
                 "seed": format!("8c1f30d27a5b{:04x}", node.number),
                 "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
                 "bus": self.buses[bus].addr.to_string(),
-                "known": {"offset": offset, "batch": [event(offset, true, &listed)]},
+                "known": {"offset": offset, "batch": [topology_event(offset, true, &listed)]},
                 "settings": self.settings(node.number)
             });
             std::fs::write(&node.config, config.to_string()).expect("written");
@@ -185,11 +193,11 @@
     }
 
     fn settings(&self, number: usize) -> Value {
-        let c = &self.cold;
+        let c = &self.slow_start;
         json!({
             "caps": {"cancel": true, "max_attempts": 3, "probes": true, "retry_after": true,
                 "max_retry_after_us": 500_000, "dial_timeout_us": 250_000, "conn_idle_us": 30_000_000},
-            "classes": [{"name": CLASS, "aim_us": 800_000, "deadline_us": LONGEST, "effect": "repeatable",
+            "classes": [{"name": CLASS, "aim_us": 800_000, "deadline_us": MAX_DEADLINE_US, "effect": "repeatable",
                 "points": 1.0}],
             "discovery": "push", "group_size": NODES, "my_number": number, "kinds": ["small"],
             "zones": ["a", "b"], "locality": number % 2,
@@ -198,15 +206,15 @@
                 "kind_streams": [c.streams], "places": 4, "shelves": 2, "rates_kb": [200.0, 400.0],
                 "see_us": 800_000, "worth_by_rung": [0.4, 1.0]},
             "reporting": {"how": "piggyback", "names": ["utilization", "x1"]},
-            "rules": {"cold_from": c.from, "cold_us": c.warm_us, "fall_multiple": c.multiple,
-                "fall_us": c.fall_us},
+            "rules": {"cold_from": c.initial_share, "cold_us": c.ramp_us, "fall_multiple": c.multiple,
+                "fall_us": c.window_us},
             "weights": "nominal"
         })
     }
 
-    /// What the front nodes have logged last, for who looks into a break.
+    /// The last lines that each front node has logged.
     pub fn logs(&self) -> String {
-        let last = |n: &Arc<Node>| {
+        let last = |n: &Arc<FrontNode>| {
             let text = std::fs::read_to_string(n.config.with_extension("log")).unwrap_or_default();
             let lines: Vec<&str> = text.lines().rev().take(3).collect();
             format!("n{}: {}", n.number, lines.join(" | "))
--- a/crates/cli/tests/twenty/sockets.rs
+++ b/crates/cli/tests/many_processes/sockets.rs
@@ -2,7 +2,7 @@
 //!
 //! The threads of the fakes may run late on a busy machine, so the time at which a line is read does not tell when it was
 //! written. On the loopback device bytes lie in the receiving socket before a later write of the same process is seen
-//! anywhere, so a look at all sockets tells what was written before.
+//! anywhere, so a snapshot of all sockets tells what was written before.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read};
@@ -13,14 +13,14 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::io::ioctl_fionread;
 
-use crate::facts::lock;
+use crate::recorder::lock;
 
 /// A connection that a media server has accepted. Whoever holds it keeps it from being closed.
 pub struct Connection {
     /// No two connections share it, and it grows.
     pub number: u64,
     pub stream: TcpStream,
-    /// The front node at its other end, once a set-up has told it.
+    /// The front node at its other end, once a set-up was received.
     node: OnceLock<usize>,
     /// How many bytes were taken from the socket.
     taken: Mutex<u64>,
@@ -37,8 +37,8 @@
         Ok(count)
     }
 
-    /// Notes which front node has opened it.
-    pub fn belongs_to(&self, node: usize) {
+    /// Records which front node has opened it.
+    pub fn set_node(&self, node: usize) {
         self.node.get_or_init(|| node);
     }
 
@@ -120,7 +120,7 @@
         self.next_number += 1;
         let connection =
             Arc::new(Connection { number, stream, node: OnceLock::new(), taken: Mutex::default() });
-        self.by_number.retain(|_, connection| connection.strong_count() > 0);
+        self.by_number.retain(|_, other| other.strong_count() > 0);
         self.by_number.insert(number, Arc::downgrade(&connection));
         connection
     }
@@ -181,16 +181,16 @@
         self.order.fetch_add(1, Ordering::SeqCst)
     }
 
-    /// What has reached the connections of a front node by now. It looks at `first` before all others, so that little
+    /// What has reached the connections of a front node by now. It observes `first` before all others, so that little
     /// time passes until then.
     pub fn snapshot(&self, node: usize, first: &[u64]) -> Snapshot {
         let order = self.mark();
-        let looked_at_first = {
+        let first_connections = {
             let connections = lock(&self.connections);
             first.iter().filter_map(|number| connections.get(*number)).collect()
         };
         let mut seen = BTreeMap::new();
-        look_at(looked_at_first, &mut seen);
+        observe(first_connections, &mut seen);
         // A connection that no thread has accepted yet may carry a set-up and its giving-up already.
         self.accept_all(&lock(&self.listeners));
         let (next_connection, others) = {
@@ -199,14 +199,14 @@
             let others: Vec<_> = others.filter_map(|(_, connection)| connection.upgrade()).collect();
             (connections.next_number, others)
         };
-        look_at(others.into_iter().filter(|connection| connection.may_be_of(node)).collect(), &mut seen);
+        observe(others.into_iter().filter(|connection| connection.may_be_of(node)).collect(), &mut seen);
         Snapshot { order, next_connection, connections: seen }
     }
 }
 
-fn look_at(connections: Vec<Arc<Connection>>, seen: &mut BTreeMap<u64, Arrived>) {
-    let bytes: Vec<u64> = connections.iter().map(|connection| connection.bytes_arrived()).collect();
-    for (connection, bytes) in connections.iter().zip(bytes) {
+fn observe(connections: Vec<Arc<Connection>>, seen: &mut BTreeMap<u64, Arrived>) {
+    let counts: Vec<u64> = connections.iter().map(|connection| connection.bytes_arrived()).collect();
+    for (connection, bytes) in connections.iter().zip(counts) {
         seen.insert(connection.number, Arrived { bytes, ended: connection.has_ended() });
     }
 }
