--- a/crates/cli/tests/many_processes/clients.rs
+++ b/crates/cli/tests/many_processes/clients.rs
@@ -200,15 +200,24 @@
 
     fn on_frame(&self, frame: &Frame) {
         let id = frame.id.0;
-        let cause =
-            frame.params.iter().find(|p| p.0 == PARAM_CAUSE).and_then(|p| p.1.first()).copied().unwrap_or(0);
+        let cause = frame
+            .parameters
+            .iter()
+            .find(|p| p.code == PARAM_CAUSE)
+            .and_then(|p| p.value.first())
+            .copied()
+            .unwrap_or(0);
         let served = frame.kind == KIND_ANSWER;
         match frame.kind {
             KIND_ANSWER | KIND_RELEASE => {
                 let was_pending = lock(&self.pending).remove(&id).is_some();
                 // A release of an established session is no answer; a second answer is one.
                 if was_pending || served {
-                    let text = frame.params.iter().find(|p| p.0 == PARAM_DESCRIPTION).map(|p| p.1.as_slice());
+                    let text = frame
+                        .parameters
+                        .iter()
+                        .find(|p| p.code == PARAM_DESCRIPTION)
+                        .map(|p| p.value.as_slice());
                     let correct = !served || text == Some(description(id).as_bytes());
                     self.recorder.record(EventKind::AnswerReceived { id, served, correct });
                 }
--- a/crates/front/server/tests/whep.rs
+++ b/crates/front/server/tests/whep.rs
@@ -251,7 +251,7 @@
     let recording = front.stop(Duration::from_secs(1));
     let told = |ok: bool| {
         let is = |i: &beechloft_session::io::Input| match i {
-            beechloft_session::io::Input::Probed { outcome, load, .. } => {
+            beechloft_session::io::Input::HealthChecked { outcome, load, .. } => {
                 (*outcome == beechloft_session::api::Outcome::Ok && load.link_utilization.is_some()) == ok
             }
             _ => false,
--- a/crates/front/session/src/controller/actions.rs
+++ b/crates/front/session/src/controller/actions.rs
@@ -37,7 +37,7 @@
                 }
             }
             Action::Migrate(id) => self.end_and_release(id, EndReason::Migrated, out),
-            Action::HealthCheck(server) => out.push(Output::Probe(server)),
+            Action::HealthCheck(server) => out.push(Output::HealthCheck(server)),
             Action::Subscribe => out.push(Output::Subscribe),
             Action::SetTimer { delay, token } => {
                 self.timers.insert((self.now + delay, token));
--- a/crates/platform/event-loop/src/servers/receive.rs
+++ b/crates/platform/event-loop/src/servers/receive.rs
@@ -137,5 +137,5 @@
 
 /// Whether a line ends the wait for a set-up's answer.
 fn answers(line: &ServerMessage, id: CallId) -> bool {
-    matches!(&line.message, FromServer::Accept(answered, _) | FromServer::End(answered, _) if *answered == id)
+    matches!(&line.event, FromServer::Accept(answered, _) | FromServer::End(answered, _) if *answered == id)
 }
--- a/crates/testing/fakes/src/boxes/life.rs
+++ b/crates/testing/fakes/src/boxes/life.rs
@@ -113,12 +113,12 @@
             let short = share.delivered < 0.98;
             if now - short_told >= SHORT_EVERY && (short || was_short) {
                 (short_told, was_short) = (now, short);
-                self.tell(&MediaServerEvent::Note(Feedback::DeliveredFraction(share.delivered)));
+                self.tell(&MediaServerEvent::Feedback(Feedback::DeliveredFraction(share.delivered)));
             }
             if now - full_told >= FULL_EVERY {
                 full_told = now;
-                self.tell(&MediaServerEvent::Note(Feedback::LinkUtilization(share.link)));
-                self.tell(&MediaServerEvent::Note(Feedback::UplinkUtilization(share.uplink)));
+                self.tell(&MediaServerEvent::Feedback(Feedback::LinkUtilization(share.link)));
+                self.tell(&MediaServerEvent::Feedback(Feedback::UplinkUtilization(share.uplink)));
             }
         }
     }
