--- a/crates/platform/front-node/src/node.rs
+++ b/crates/platform/front-node/src/node.rs
@@ -161,7 +161,7 @@
     /// What the module believes, some lines.
     pub fn diagnostics(&self) -> Vec<String> {
         const MOST: usize = 64;
-        self.choice.beliefs(self.now, MOST)
+        self.choice.describe(self.now, MOST)
     }
 
     /// What a viewers' connection is of use for.
@@ -178,7 +178,7 @@
     pub fn counts(&self) -> Counts {
         let mut counts = Counts {
             incarnations: self.directory.lanes.len(),
-            servers: self.choice.known(),
+            servers: self.choice.known_servers(),
             queued_releases: self.releases.owed(),
             timers: self.timers.len(),
             ..Counts::default()
--- a/src/api.rs
+++ b/src/api.rs
@@ -19,6 +19,7 @@
         self.0 as f64 / 1e6
     }
     /// This many seconds; negative and non-finite values give zero.
+    #[expect(clippy::cast_possible_truncation, reason = "casts from floats saturate")]
     pub fn from_secs(seconds: f64) -> Self {
         Micros((seconds.max(0.0) * 1e6) as u64)
     }
@@ -149,6 +150,14 @@
     pub is_retry: bool,
 }
 
+impl Attempt {
+    /// The last of so many attempts.
+    #[expect(clippy::cast_possible_truncation, reason = "a session has far fewer attempts than u16 counts")]
+    pub(crate) fn last_of(attempts: usize) -> Attempt {
+        Attempt(attempts.saturating_sub(1) as u16)
+    }
+}
+
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -1,76 +1,92 @@
-//! What tests and logs ask of a controller: whether its sums are right, how much it has worked, and what it believes.
+//! What tests and logs read off a policy: whether its totals are right, how much it has worked, and what it knows.
 //! Nothing is decided here.
 
+use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-use crate::api::{Micros, ServerId};
+use crate::api::{Micros, Rung, ServerId};
 use crate::policy::Policy;
-use crate::state::{Books, Gauge, Phase};
+use crate::state::{Accounting, ResourceGauge, Server};
 
 impl Policy {
-    /// Steps of work so far: loads of resources looked up, and sessions entered in the sums or taken out.
+    /// Steps of work so far: loads of resources looked up, and sessions added to the totals or taken out.
     pub fn work(&self) -> u64 {
         let servers = self.servers.values().map(|s| s.link.reads.get() + s.streams.reads.get());
-        let racks = self.racks.values().map(|g| g.reads.get());
-        self.books.entries + servers.chain(racks).sum::<u64>()
+        let racks = self.racks.values().map(|uplink| uplink.reads.get());
+        self.accounting.updates + servers.chain(racks).sum::<u64>()
     }
 
-    /// What own sessions ask of each server's link and streams, in order of servers, then of each uplink.
-    pub fn sums(&self) -> Vec<f64> {
-        let servers = self.servers.values().flat_map(|s| [s.link.own, s.streams.own]);
-        servers.chain(self.racks.values().map(|g| g.own)).collect()
+    /// Demand of own sessions on each server's link and streams, in order of servers, then on each uplink.
+    pub fn own_demand(&self) -> Vec<f64> {
+        let servers = self.servers.values().flat_map(|s| [s.link.own_demand, s.streams.own_demand]);
+        servers.chain(self.racks.values().map(|uplink| uplink.own_demand)).collect()
     }
 
-    /// How many servers it has in mind, listed or not.
-    pub fn known(&self) -> usize {
+    /// The same counted anew; the totals kept up by events must equal it.
+    pub fn recompute_own_demand(&mut self) -> Vec<f64> {
+        let (servers, racks) = (&mut self.servers, &mut self.racks);
+        Accounting::default().recompute(&self.settings, servers, racks, &self.sessions);
+        self.own_demand()
+    }
+
+    /// How many servers it knows, listed or not.
+    pub fn known_servers(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether a server is on the list, as far as the list is believed.
+    /// Whether a server is on the endpoint list, as far as the list is believed.
     pub fn lists(&self, server: ServerId) -> bool {
-        self.servers.get(&server).is_some_and(|s| s.listed())
+        self.servers.get(&server).is_some_and(Server::is_listed)
+    }
+
+    /// What it assumes of servers, uplinks and its sessions, a line each, `max_lines` at most: to be compared with what
+    /// crossed the wire. Of a resource: its capacity and own demand in kB a second, and the newest utilization with its
+    /// age.
+    pub fn describe(&self, now: Micros, max_lines: usize) -> Vec<String> {
+        let is_in_use = |server: &Server| server.is_listed() || server.link.own_demand > 0.0;
+        let servers = self.servers.iter().filter(|(_, server)| is_in_use(server));
+        let servers = servers.map(|(&id, server)| self.describe_server(now, id, server));
+        let uplinks =
+            self.racks.iter().map(|(id, uplink)| format!("uplink {id} {}", describe_gauge(now, uplink)));
+        servers.chain(uplinks).chain([self.describe_sessions()]).take(max_lines).collect()
     }
 
-    /// What it believes of servers, uplinks and its sessions, a line each, at most so many: to be held against what
-    /// crossed the wire. Of a resource: its size and what own sessions ask of it in kB a second, and the use heard last
-    /// with its age.
-    pub fn beliefs(&self, now: Micros, most: usize) -> Vec<String> {
-        let gauge = |g: &Gauge| {
-            let heard = g.heard.back().map(|h| format!("{:.2}@{:.1}s", h.1, (now - h.0).secs()));
-            let held = if now < g.held_until { " held" } else { "" };
-            format!("{:.0}/{:.0} {}{held}", g.own, g.size, heard.unwrap_or_default())
-        };
-        let server = |(id, s): (&ServerId, &crate::state::Server)| {
-            let (state, out, strikes) = (s.entry.state, s.out, s.strikes);
-            let rest = (s.shut_until - now).secs();
-            let cold = s.cold_since.map_or(-1.0, |t| (now - t).secs());
-            let (cell, sent) = (s.entry.cell.0, s.sent.within(now, self.set.slow_start.overload_window));
-            let witnessed = if s.witnessed { " witnessed" } else { "" };
-            format!(
-                "server {} {state:?} cell {cell} link {} streams {:.0}/{:.0} out {out} strikes {strikes} \
-                 rests {rest:.1}s started {cold:.1}s ago sent {sent}{witnessed}",
-                id.0,
-                gauge(&s.link),
-                s.streams.own,
-                s.streams.size
-            )
-        };
-        let servers = self.servers.iter().filter(|(_, s)| s.listed() || s.link.own > 0.0).map(server);
-        let racks = self.racks.iter().map(|(id, g)| format!("uplink {id} {}", gauge(g)));
-        let mut rungs: std::collections::BTreeMap<(u8, u8), u32> = Default::default();
-        for s in self.sessions.values().filter(|s| s.phase == Phase::Playing) {
-            *rungs.entry((s.rung.0, self.set.top(&s.req).0)).or_default() += 1;
+    fn describe_server(&self, now: Micros, id: ServerId, server: &Server) -> String {
+        format!(
+            "server {} {:?} cell {} link {} streams {:.0}/{:.0} out {} strikes {} rests {:.1}s started {:.1}s ago \
+             sent {}{}",
+            id.0,
+            server.endpoint.state,
+            server.endpoint.cell.0,
+            describe_gauge(now, &server.link),
+            server.streams.own_demand,
+            server.streams.capacity,
+            server.attempts_in_flight,
+            server.ejection_level,
+            (server.ejected_until - now).secs(),
+            server.started_at.map_or(-1.0, |at| (now - at).secs()),
+            server.recent_attempts.count_within(now, self.settings.slow_start.overload_window),
+            if server.may_have_restarted { " witnessed" } else { "" },
+        )
+    }
+
+    fn describe_sessions(&self) -> String {
+        let mut by_rung: BTreeMap<(Rung, Rung), u32> = BTreeMap::new();
+        for session in self.sessions.values().filter(|session| session.is_playing()) {
+            *by_rung.entry((session.rung, self.settings.max_rung(&session.request))).or_default() += 1;
         }
-        let mut sessions = String::from("sessions by rung of top:");
-        for ((rung, top), n) in rungs {
-            let _ = write!(sessions, " {rung}/{top}:{n}");
+        let mut line = String::from("sessions by rung of top:");
+        for ((rung, max_rung), count) in by_rung {
+            let _ = write!(line, " {}/{}:{count}", rung.0, max_rung.0);
         }
-        servers.chain(racks).chain([sessions]).take(most).collect()
+        line
     }
+}
 
-    /// The same counted anew; the sums kept up by events must equal it.
-    pub fn sums_anew(&mut self) -> Vec<f64> {
-        Books::default().anew(&self.set, &mut self.servers, &mut self.racks, &self.sessions);
-        self.sums()
-    }
+fn describe_gauge(now: Micros, gauge: &ResourceGauge) -> String {
+    let latest = gauge.samples.back();
+    let latest =
+        latest.map(|s| format!("{:.2}@{:.1}s", s.utilization, (now - s.at).secs())).unwrap_or_default();
+    let held = if now < gauge.hold_until { " held" } else { "" };
+    format!("{:.0}/{:.0} {latest}{held}", gauge.own_demand, gauge.capacity)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,11 +2,10 @@
 //!
 //! [`policy::Policy`] is a pure state machine: it is fed events with the time at which they happened and
 //! answers with actions. [`api`] holds every type that passes between it and whatever drives it.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated, clippy::wildcard_imports)]
 #![forbid(unsafe_code)]
 
 pub mod api;
+mod bookkeeping;
 mod invariants;
 pub mod policy;
 mod settings;
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -13,13 +13,13 @@
         f.hand_over(1, 2);
         f.list(0, EndpointState::Draining, 0);
         f.list(1, EndpointState::Removed, 0);
-        let before = f.policy.sums();
+        let before = f.policy.own_demand();
         assert_eq!(
             f.send(Event::EndpointsUpdated { kind: form, endpoints: vec![] }),
             [],
             "it ends nothing that plays"
         );
-        assert_eq!(f.policy.sums(), before, "what plays is still counted");
+        assert_eq!(f.policy.own_demand(), before, "what plays is still counted");
         for id in 10..40 {
             let (server, _) = set_up(&f.ask(id)).expect("the front serves on");
             assert!(server >= 2, "{server}: what the list before said of each still holds");
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -95,8 +95,12 @@
 impl World {
     /// Checks actions against the rules and applies them.
     fn apply(&mut self, actions: Vec<Action>) {
-        let kept = self.front.policy.sums();
-        assert_eq!(kept, self.front.policy.sums_anew(), "sums kept up by events, and counted anew");
+        let kept = self.front.policy.own_demand();
+        assert_eq!(
+            kept,
+            self.front.policy.recompute_own_demand(),
+            "sums kept up by events, and counted anew"
+        );
         for a in actions {
             match a {
                 Action::StartAttempt { session: id, server, deadline: until } => {
