--- a/crates/fleet/coordinator/src/rows/mod.rs
+++ b/crates/fleet/coordinator/src/membership/gossip/mod.rs
@@ -1,10 +1,10 @@
-//! Rows of `beechloft_gossip` on the members' socket: their own kind of datagram, and the way to them for whoever writes and reads.
+//! GossipTable of `beechloft_gossip` on the members' socket: their own kind of datagram, and the way to them for whoever writes and reads.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use beechloft_gossip::{Counts, Input, Kind, Output, Packet, Peer, Settings, Spread, TooLong};
+use beechloft_gossip::{Counters, Gossip, Input, Output, Packet, Peer, RowTooLong, SectionKind, Settings};
 use beechloft_membership::{MemberId, MemberKind, MemberList};
 
 use crate::wire::{self, WireError};
@@ -14,7 +14,7 @@
 
 /// The bytes of a packet of rows; none: past the bound, which no machine's packet is.
 pub fn datagram(fleet: u64, packet: &Packet) -> Option<Vec<u8>> {
-    wire::framed(MAGIC, fleet, packet, wire::MOST_DATAGRAM - wire::HEAD)
+    wire::write_frame(MAGIC, fleet, packet, wire::MAX_DATAGRAM_BYTES - wire::HEADER_BYTES)
 }
 
 /// Reads a packet of rows, which is all of a datagram.
@@ -22,13 +22,13 @@
 /// # Errors
 /// Whatever is said in [`WireError`]; it is dropped then.
 pub fn read_datagram(fleet: u64, mut bytes: &[u8]) -> Result<Packet, WireError> {
-    let packet = wire::unframed(MAGIC, fleet, &mut bytes)?;
-    if bytes.is_empty() { Ok(packet) } else { Err(WireError::Nonsense) }
+    let packet = wire::read_frame(MAGIC, fleet, &mut bytes)?;
+    if bytes.is_empty() { Ok(packet) } else { Err(WireError::Malformed) }
 }
 
 /// A row, for whoever reads it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RowSeen {
+pub struct GossipRow {
     /// Whose.
     pub life: MemberId,
     /// Its number among the fronts, as it says.
@@ -44,22 +44,22 @@
 }
 
 /// The rows of this process.
-pub(crate) struct Rows {
-    spread: Mutex<Spread>,
+pub(crate) struct GossipTable {
+    spread: Mutex<Gossip>,
     zone: String,
 }
 
-impl Rows {
-    pub(crate) fn new(id: MemberId, zone: String, set: Settings, now: Duration) -> Rows {
-        Rows { spread: Mutex::new(Spread::new(id, set, rand::random(), now)), zone }
+impl GossipTable {
+    pub(crate) fn new(id: MemberId, zone: String, set: Settings, now: Duration) -> GossipTable {
+        GossipTable { spread: Mutex::new(Gossip::new(id, set, rand::random(), now)), zone }
     }
 
-    fn spread(&self) -> MutexGuard<'_, Spread> {
+    fn spread(&self) -> MutexGuard<'_, Gossip> {
         self.spread.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn next_due(&self) -> Duration {
-        self.spread().next_due()
+        self.spread().next_deadline()
     }
 
     /// What is to be sent where.
@@ -79,15 +79,15 @@
         self.handle(now, Input::Peers(peers.collect()))
     }
 
-    pub(crate) fn write(&self, now: Duration, kind: Kind, bytes: Vec<u8>) -> Result<(), TooLong> {
-        self.spread().write(now, kind, bytes)
+    pub(crate) fn write(&self, now: Duration, kind: SectionKind, bytes: Vec<u8>) -> Result<(), RowTooLong> {
+        self.spread().write_section(now, kind, bytes)
     }
 
     pub(crate) fn number(&self, now: Duration, number: Option<u16>) {
-        self.spread().number(now, number);
+        self.spread().set_front_number(now, number);
     }
 
-    pub(crate) fn seen(&self, now: Duration, kind: Kind) -> Vec<RowSeen> {
+    pub(crate) fn seen(&self, now: Duration, kind: SectionKind) -> Vec<GossipRow> {
         let spread = self.spread();
         let zone = |life| {
             if life == spread.id() {
@@ -97,14 +97,14 @@
         };
         let rows = spread.rows(now).filter_map(|r| {
             let bytes = r.section(kind)?.to_vec();
-            let (life, number, version, age) = (r.life, r.number, r.version, r.age);
-            Some(RowSeen { life, number, zone: zone(life), version, age, bytes })
+            let (life, number, version, age) = (r.member, r.front_number, r.version, r.age);
+            Some(GossipRow { life, number, zone: zone(life), version, age, bytes })
         });
         rows.collect()
     }
 
-    pub(crate) fn counts(&self) -> Counts {
-        self.spread().counts()
+    pub(crate) fn counts(&self) -> Counters {
+        self.spread().counters()
     }
 }
 
--- a/crates/fleet/coordinator/src/verdicts.rs
+++ b/crates/fleet/coordinator/src/outlier_detector.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use beechloft_gossip::Kind;
+use beechloft_gossip::SectionKind;
 use beechloft_leases::{Holder, HolderId, HolderInput, HolderOutput, LeaseSpec, Name, Request};
 use beechloft_outlier_detection::{
     BoxKey, BoxLine, Change, Evidence, FrontLife, Ledger, Outcome, Outlook, Places, Report, Seen, Tried,
@@ -16,9 +16,9 @@
 };
 use tracing::{info, warn};
 
-use crate::client::Way;
-use crate::peers::Peers;
-use crate::settings::{FleetSettings, VerdictSettings};
+use crate::client::LeaderConnection;
+use crate::membership::MembershipService;
+use crate::settings::{FleetSettings, OutlierDetectionSettings};
 
 /// The longest that the thread listens before it looks at the clock.
 const LISTEN: Duration = Duration::from_millis(20);
@@ -52,29 +52,29 @@
 }
 
 struct Shared {
-    set: VerdictSettings,
+    set: OutlierDetectionSettings,
     zones: Vec<String>,
-    peers: Arc<Peers>,
+    peers: Arc<MembershipService>,
     state: Mutex<State>,
     version: AtomicU64,
     end: AtomicBool,
 }
 
 /// A front's part in verdicts. It ends when it is dropped.
-pub struct Verdicting {
+pub struct OutlierDetector {
     shared: Arc<Shared>,
 }
 
-impl Verdicting {
+impl OutlierDetector {
     /// Begins to judge.
     ///
     /// # Errors
     /// There is no thread.
     pub fn start(
         set: &FleetSettings,
-        verdicts: VerdictSettings,
-        peers: Arc<Peers>,
-    ) -> io::Result<Verdicting> {
+        verdicts: OutlierDetectionSettings,
+        peers: Arc<MembershipService>,
+    ) -> io::Result<OutlierDetector> {
         let own = set.zone.to_string();
         let zone = set.zones.iter().position(|z| *z == own).map_or(ELSEWHERE, |n| n as u16);
         let state = State {
@@ -97,12 +97,12 @@
         let name = Name::try_from("verdict/trial".to_owned()).map_err(io::Error::other)?;
         let terms = LeaseSpec { name, slots: 1, ttl_ms: verdicts.trial_ttl_ms };
         let holder = Holder::new(HolderId(rand::random()), terms, set.drift, rand::random());
-        let (its, way) = (Arc::clone(&shared), Way::new(set.clone()));
+        let (its, way) = (Arc::clone(&shared), LeaderConnection::new(set.clone()));
         thread::Builder::new()
             .name("verdicts".into())
             .stack_size(256 << 10)
             .spawn(move || its.run(holder, way))?;
-        Ok(Verdicting { shared })
+        Ok(OutlierDetector { shared })
     }
 
     /// The boxes of the list.
@@ -164,7 +164,7 @@
     }
 }
 
-impl Drop for Verdicting {
+impl Drop for OutlierDetector {
     fn drop(&mut self) {
         self.shared.end.store(true, Ordering::Relaxed);
     }
@@ -190,7 +190,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn run(&self, mut holder: Holder, mut way: Way) {
+    fn run(&self, mut holder: Holder, mut way: LeaderConnection) {
         let mut judge_at = Duration::ZERO;
         while !self.end.load(Ordering::Relaxed) {
             let input = way.hear(LISTEN).unwrap_or(HolderInput::Tick);
@@ -212,7 +212,7 @@
 
     /// Takes in all rows.
     fn read(&self) {
-        let rows = self.peers.rows(Kind::EVIDENCE);
+        let rows = self.peers.rows(SectionKind::OUTLIER_REPORT);
         let mut ages = BTreeMap::new();
         let mut state = self.state();
         for row in rows {
@@ -277,7 +277,7 @@
             report = lie(report, places, |server| BoxKey::new(server, lives.get(&server).map(|l| l.0)));
         }
         drop(state);
-        if let Err(why) = self.peers.write_row(Kind::EVIDENCE, report.encode()) {
+        if let Err(why) = self.peers.write_row(SectionKind::OUTLIER_REPORT, report.encode()) {
             warn!("evidence is not told to others: {why}");
         }
     }
--- a/crates/front/session/src/controller/mod.rs
+++ b/crates/front/session/src/controller/mod.rs
@@ -111,12 +111,12 @@
                 out.push(Output::Reply(request, self.locate(session, secret)));
             }
             Input::MediaServer(server, event) => self.media_server_event(server, event, out),
-            Input::Probed { server, outcome, load } => {
+            Input::HealthChecked { server, outcome, load } => {
                 self.events.push_back(Event::HealthChecked { server, outcome, report: load });
             }
             Input::Released { id, gone } => self.releases.result(self.now, id, gone),
             Input::HolderFilter(change) => self.holder_filters.change(change),
-            Input::Numbered(numbered) => self.events.push_back(Event::SlotAssigned(numbered)),
+            Input::SlotAssigned(slot) => self.events.push_back(Event::SlotAssigned(slot)),
             Input::Tick => {}
             Input::Shutdown => self.shutting_down = true,
         }
