--- a/crates/fleet/replica/src/parts/limits.rs
+++ b/crates/fleet/replica/src/components/quotas.rs
@@ -1,56 +1,58 @@
-//! Limits: the ledger, and while this keeper leads the times of accounts and of what lost fronts left.
+//! Quotas: the ledger, and the deadlines of accounts and of lost front nodes while this replica is the leader.
 
+use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
 use beechloft_consensus::{Chunk, RequestError};
 use beechloft_leases::ReplicaId;
 use beechloft_quotas::{Command, Definition, Fault, FrontId, Heard, Ledger, LedgerError, Times};
 
-use super::{Moment, Part};
-use crate::asked::{ClientId, ReplicaOutput};
+use super::{ApplyContext, Component};
+use crate::input::ClientId;
+use crate::output::ReplicaOutput;
 
-/// The topic whose records define limits: keys are their names.
+/// The topic whose records define limits. Keys are their names.
 pub(crate) const TOPIC: &str = "fleet/limits";
 
-/// Who waits.
+/// A client that waits, or the leader itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(crate) enum LimitsWait {
-    /// For a front's request, by its number.
+pub(crate) enum PendingQuotaRequest {
+    /// Waits for the answer to a front node's request, by its sequence number.
     Request(ClientId, FrontId, u64),
-    /// Nobody: what the keeper itself put into the log.
-    Nobody,
+    /// No client: the replica proposed the command itself.
+    Internal,
 }
 
-/// The limits at a keeper.
+/// The quotas at a replica.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Limits {
+pub(crate) struct QuotasComponent {
     ledger: Ledger,
-    /// While it leads.
+    /// Present while this replica is the leader.
     times: Option<Times>,
     fault: Option<Fault>,
 }
 
-/// All that decides what it does next.
-impl std::hash::Hash for Limits {
-    fn hash<H: std::hash::Hasher>(&self, into: &mut H) {
+/// Everything that determines its next outputs.
+impl Hash for QuotasComponent {
+    fn hash<H: Hasher>(&self, into: &mut H) {
         (&self.ledger, &self.times).hash(into);
     }
 }
 
-impl Limits {
+impl QuotasComponent {
     pub fn restore(&mut self, chunks: &[Chunk]) -> Result<(), LedgerError> {
         self.ledger = Ledger::read(chunks.first().map_or(&[][..], |c| c.bytes()))?;
         Ok(())
     }
 
     pub fn write(&self) -> Vec<Chunk> {
-        // Where there are none the state is as if there was no such part.
+        // Without limits the state is the same as before this component existed.
         if self.ledger == Ledger::default() { Vec::new() } else { vec![Chunk::new(self.ledger.write())] }
     }
 
-    pub fn plant(&mut self, fault: Fault) {
+    pub fn inject_fault(&mut self, fault: Fault) {
         self.fault = Some(fault);
-        #[cfg(feature = "planted")]
+        #[cfg(feature = "fault_injection")]
         self.ledger.plant(fault);
     }
 
@@ -58,11 +60,11 @@
         &self.ledger
     }
 
-    /// A record of the topic: a limit is defined, or is no more. What is no sound definition of that name changes nothing; the
-    /// version is the message's offset, so that an older one never comes back.
+    /// Applies a record of the topic, which defines or removes a limit. A record that is no valid definition of its key has no
+    /// effect. The version is derived from the message's offset, so that an older definition never returns.
     pub fn record(
         &mut self,
-        at: Moment,
+        context: ApplyContext,
         key: &[u8],
         value: Option<&[u8]>,
         offset: u64,
@@ -78,55 +80,55 @@
                 _ => return,
             },
         };
-        self.apply(at, command, None, out);
+        self.apply(context, command, None, out);
     }
 }
 
-impl Part for Limits {
+impl Component for QuotasComponent {
     type Command = Command;
-    type Waits = LimitsWait;
+    type Pending = PendingQuotaRequest;
 
     fn apply(
         &mut self,
-        at: Moment,
+        context: ApplyContext,
         command: Command,
-        waits: Option<LimitsWait>,
+        pending: Option<PendingQuotaRequest>,
         out: &mut Vec<ReplicaOutput>,
     ) {
         let (answer, events) = self.ledger.apply(&command);
         for event in events {
             if let Some(times) = &mut self.times {
-                times.applied(at.now, &self.ledger, &event);
+                times.applied(context.now, &self.ledger, &event);
             }
             out.push(ReplicaOutput::QuotaEvent(event));
         }
-        if let (Some(LimitsWait::Request(client, front, seq)), Some(answer)) = (waits, answer) {
+        if let (Some(PendingQuotaRequest::Request(client, front, seq)), Some(answer)) = (pending, answer) {
             out.push(ReplicaOutput::QuotaResponse(client, Heard::Answer { front, seq, answer }));
         }
     }
 
-    fn read(&mut self, _: LimitsWait, _: &mut Vec<ReplicaOutput>) {}
+    fn complete_read(&mut self, _: PendingQuotaRequest, _: &mut Vec<ReplicaOutput>) {}
 
-    fn refuse(&mut self, waits: LimitsWait, why: RequestError, out: &mut Vec<ReplicaOutput>) {
-        let LimitsWait::Request(client, ..) = waits else { return };
-        let heard = match why {
+    fn reject(&mut self, pending: PendingQuotaRequest, error: RequestError, out: &mut Vec<ReplicaOutput>) {
+        let PendingQuotaRequest::Request(client, ..) = pending else { return };
+        let response = match error {
             RequestError::NotLeader(leader) => {
                 beechloft_leases::Response::NotLeader(leader.map(|l| ReplicaId(l.0)))
             }
             _ => beechloft_leases::Response::Busy,
         };
-        out.push(ReplicaOutput::LeaseResponse(client, heard));
+        out.push(ReplicaOutput::LeaseResponse(client, response));
     }
 
-    /// A new leader gives all accounts their full time again: it does not know when the one before it began to count.
-    fn lead(&mut self, at: Moment) {
-        self.times = at.leads.then(|| {
-            let mut times = Times::new(at.drift);
-            #[cfg(feature = "planted")]
+    /// A new leader restarts the time of all accounts, because it does not know when its predecessor did.
+    fn leadership_changed(&mut self, context: ApplyContext) {
+        self.times = context.is_leader.then(|| {
+            let mut times = Times::new(context.drift);
+            #[cfg(feature = "fault_injection")]
             if let Some(fault) = self.fault {
                 times.plant(fault);
             }
-            times.begin(at.now, &self.ledger);
+            times.begin(context.now, &self.ledger);
             times
         });
     }
@@ -135,11 +137,11 @@
         self.times.as_ref().and_then(Times::next_due)
     }
 
-    fn due(&mut self, now: Duration) -> Vec<Command> {
+    fn due_commands(&mut self, now: Duration) -> Vec<Command> {
         self.times.as_mut().map(|t| t.due(now)).unwrap_or_default()
     }
 
-    fn told(&mut self, _: &mut Vec<ReplicaOutput>) {}
+    fn drain_notifications(&mut self, _: &mut Vec<ReplicaOutput>) {}
 
-    fn closed(&mut self, _: ClientId) {}
+    fn client_disconnected(&mut self, _: ClientId) {}
 }
--- a/crates/fleet/replica/src/planted.rs
+++ b/crates/fleet/replica/src/fault_injection.rs
@@ -1,6 +1,6 @@
-//! Faults that tests plant, one at a time, to see that the checks find them.
+//! Faults that tests inject, one at a time, to verify that the checks detect them.
 
-/// A fault of one part. Without the feature `planted` none can be planted.
+/// A fault of one component. Without the feature `fault_injection` none can be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Fault {
     /// Of the leases.
@@ -9,7 +9,7 @@
     Topics(beechloft_topic::Fault),
     /// Of the placement.
     Placement(beechloft_placement::Fault),
-    /// Of the limits.
+    /// Of the quotas.
     Quotas(beechloft_quotas::Fault),
 }
 
--- a/crates/fleet/replica/src/lib.rs
+++ b/crates/fleet/replica/src/lib.rs
@@ -1,27 +1,28 @@
-//! What a few keepers agree on: one log, and the replicated state that it makes.
+//! A replica of the coordinator: a consensus node, and the replicated state that its log produces.
 //!
-//! The state is composed of parts, each a crate of its own that knows neither the log nor the others: leases
-//! (`beechloft_leases`),
-//! topics (`beechloft_topic`) and the placement (`beechloft_placement`). Each has a module here that says how its commands are applied, what the keeper that leads does
-//! about time for it, and who is told. [`Replica`] is a member of the group with all of them. No sockets, no clock, no
-//! threads, no files: what must last before anything goes out is so by the types of `beechloft_consensus`.
+//! The state consists of components, each defined by a crate that knows neither the log nor the others: leases
+//! (`beechloft_leases`), topics (`beechloft_topic`), quotas (`beechloft_quotas`) and the placement (`beechloft_placement`). For
+//! each, a module here says how its commands are applied, what the leader does about time, and which clients are informed.
+//! [`Replica`] is a node of the cluster with all of them, as a replicated state machine (Schneider, "Implementing Fault-Tolerant
+//! Services Using the ReplicatedState Machine Approach", ACM Computing Surveys 1990). It uses no sockets, clocks, threads or files. That
+//! state is durable before anything that depends on it is sent is enforced by the types of `beechloft_consensus`.
 //!
-//! Adding a part: a module in `parts` that implements `Part`, a field of `State`, and a variant of [`Command`] with its tag
-//! and of `Waits`. `docs/fleet.md` has the argument for each.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
+//! To add a component: a module in `components` that implements `Component`, a field of `ReplicatedState`, and a variant of
+//! [`Command`] with its tag and of `PendingRequest`. `docs/fleet.md` has the reasons for each.
 #![forbid(unsafe_code)]
 
-mod asked;
 mod command;
-mod keeper;
-mod parts;
-mod planted;
+mod components;
+mod fault_injection;
+mod input;
+mod output;
+mod pending_requests;
+mod replica;
 mod snapshot;
-mod waiting;
 
-pub use asked::{ClientId, ReplicaInput, ReplicaOutput};
 pub use command::Command;
-pub use keeper::Replica;
-pub use planted::Fault;
+pub use fault_injection::Fault;
+pub use input::{ClientId, ReplicaInput};
+pub use output::ReplicaOutput;
+pub use replica::Replica;
 pub use snapshot::StateError;
--- a/crates/fleet/replica/src/keeper/tests/placement.rs
+++ b/crates/fleet/replica/src/replica/tests/placement.rs
@@ -1,23 +1,28 @@
-//! The placement as a part of what a keeper replicates.
+//! The placement as a component of the replicated state.
 
 use std::sync::Arc;
 
 use beechloft_leases::{Name, Token};
-use beechloft_placement::names::*;
+use beechloft_placement::names::{
+    AskId, BoxId, Digest, DiskId, FrontId, Life, Order, RackId, Revision, ShardId, Version,
+};
 use beechloft_placement::plan::inventory::{BoxLine, RackLine};
 use beechloft_placement::words::request::{First, OnLoss, WhenFull};
 use beechloft_placement::{
     Answer, Change, Command, Operate, Outcome, Quota, Renew, Renewed, Request, Room, Step, Titles, What,
 };
 
-use super::*;
+use super::{Replica, handle, single_replica};
+use crate::components::ReplicatedState;
+use crate::input::{ClientId, ReplicaInput};
+use crate::output::ReplicaOutput;
 
 fn name<T: TryFrom<String, Error: std::fmt::Debug>>(text: &str) -> T {
     T::try_from(text.to_owned()).expect("a name")
 }
 
-fn place(k: &mut Replica, at_ms: u64, command: Command) -> Vec<Answer> {
-    let out = does(k, at_ms, ReplicaInput::PlacementCommand(ClientId(1), at_ms, Box::new(command)));
+fn place(replica: &mut Replica, at_ms: u64, command: Command) -> Vec<Answer> {
+    let out = handle(replica, at_ms, ReplicaInput::PlacementCommand(ClientId(1), at_ms, Box::new(command)));
     let answer = |o| match o {
         ReplicaOutput::PlacementResponse(ClientId(1), number, answer) if number == at_ms => Some(answer),
         _ => None,
@@ -42,9 +47,9 @@
 }
 
 #[test]
-fn records_are_written_to_their_topic_by_the_log_itself_and_rights_run_out() {
-    let mut k = alone();
-    does(&mut k, 2_000, ReplicaInput::Tick);
+fn records_are_written_to_their_topic_by_the_log_itself_and_rights_expire() {
+    let mut replica = single_replica();
+    handle(&mut replica, 2_000, ReplicaInput::Tick);
     let room = Room { bytes: 100, streams: 10, kb_s: 10 };
     let line = BoxLine { zone: name("z"), rack: RackId(1), has: room, held: Room::default() };
     let quota = Quota { bytes: 100, regions: [name("south")].into(), changes_an_hour: 9, shards: 9 };
@@ -55,31 +60,35 @@
         Operate::Quota(name("ann"), quota),
     ];
     for (at_ms, operate) in (2_001..).zip(words) {
-        assert_eq!(place(&mut k, at_ms, Command::Operate(operate)), [Answer::Done]);
+        assert_eq!(place(&mut replica, at_ms, Command::Operate(operate)), [Answer::Done]);
     }
     let met = Step::Met { id: BoxId(1), life: Life(1), disk: DiskId(1), told: Order(0) };
-    assert_eq!(place(&mut k, 2_010, Command::Step(Token(1), met)), [Answer::Done]);
+    assert_eq!(place(&mut replica, 2_010, Command::Step(Token(1), met)), [Answer::Done]);
     let admitted = Answer::Asked(AskId(1), Outcome::Admitted(Version(1)));
-    assert_eq!(place(&mut k, 2_011, put()), std::slice::from_ref(&admitted));
-    // There is no topic yet: the record waits, in the state that a snapshot has.
-    let mut read = State::read(&k.state.write()).expect("it reads back");
-    assert_eq!(read.write(), k.state.write());
+    assert_eq!(place(&mut replica, 2_011, put()), std::slice::from_ref(&admitted));
+    // There is no topic yet: the record pending, in the state that a snapshot has.
+    let mut read = ReplicatedState::read(&replica.state.write()).expect("it reads back");
+    assert_eq!(read.write(), replica.state.write());
     let topic: Name = name("fleet/placement");
-    let written = |k: &Replica| k.topics().all().find(|(n, _)| **n == topic).map(|(_, t)| t.head().0);
-    assert_eq!(written(&k), None);
-    does(&mut k, 2_012, ReplicaInput::DeclareTopic(7, topic.clone(), beechloft_topic::Terms::default()));
-    assert_eq!(written(&k), Some(1));
-    // Sent again it is done once, and nothing more is written; a state that was read goes on as this one.
-    assert_eq!(place(&mut k, 2_013, put()), [admitted]);
-    assert_eq!(written(&k), Some(1));
-    read.restore(&k.state.write(), None).expect("it reads back");
-    assert_eq!(read.write(), k.state.write());
-    // A front's right runs out by the leader's clock, some time after its own.
+    let written = |of: &Replica| of.topics().all().find(|(n, _)| **n == topic).map(|(_, t)| t.head().0);
+    assert_eq!(written(&replica), None);
+    handle(
+        &mut replica,
+        2_012,
+        ReplicaInput::DeclareTopic(7, topic.clone(), beechloft_topic::Terms::default()),
+    );
+    assert_eq!(written(&replica), Some(1));
+    // A retried command is applied once, and nothing more is written. A state that was read back behaves the same.
+    assert_eq!(place(&mut replica, 2_013, put()), [admitted]);
+    assert_eq!(written(&replica), Some(1));
+    read.restore(&replica.state.write(), None).expect("it reads back");
+    assert_eq!(read.write(), replica.state.write());
+    // A front node's right expires by the leader's clock, some time after its own.
     let renew = Renew { front: FrontId(5), seq: 1, has: Some(Revision(1)), ttl_ms: 1_000 };
     let right = Answer::Front { front: FrontId(5), seq: 1, renewed: Renewed::Right };
-    assert_eq!(place(&mut k, 2_020, Command::Renew(renew)), [right]);
-    does(&mut k, 3_000, ReplicaInput::Tick);
-    assert_eq!(k.placements().fronts().len(), 1);
-    does(&mut k, 3_040, ReplicaInput::Tick);
-    assert_eq!(k.placements().fronts().len(), 0);
+    assert_eq!(place(&mut replica, 2_020, Command::Renew(renew)), [right]);
+    handle(&mut replica, 3_000, ReplicaInput::Tick);
+    assert_eq!(replica.placements().fronts().len(), 1);
+    handle(&mut replica, 3_040, ReplicaInput::Tick);
+    assert_eq!(replica.placements().fronts().len(), 0);
 }
