--- a/crates/cli/src/witness.rs
+++ b/crates/cli/src/witness.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use beechloft_coordinator::{Noted, Verdicting};
-use beechloft_outlier_detection::{Outcome, Place, title_key};
+use beechloft_outlier_detection::{Outcome, ServerInstance, ServerLocation, title_key};
 use beechloft_server::evidence::{Evidence, Observer, Verdict};
 use beechloft_session::api::{EndpointState, Micros, ServerId};
 use beechloft_session::catalog::Catalog;
@@ -28,7 +28,7 @@
 impl Observer for Witness {
     fn endpoints_changed(&mut self, catalog: &Catalog) {
         let listed = catalog.servers().filter(|b| b.state != EndpointState::Removed);
-        let place = |zone, size: f64| Place { zone, size: if size > 0.0 { size } else { 1.0 } };
+        let place = |zone, size: f64| ServerLocation { zone, capacity: if size > 0.0 { size } else { 1.0 } };
         self.verdicts.list(listed.map(|b| (b.id.0, place(b.zone.0, b.size))).collect());
         // Names change seldom, and there may be many.
         if catalog.titles().count() == self.titles.len() {
@@ -44,9 +44,9 @@
     fn attempt_ended(&mut self, evidence: Evidence, now: Micros) {
         let outcome = match evidence.verdict {
             Verdict::Accepted(took) if Duration::from_micros(took.0) > self.verdicts.slow() => Outcome::Slow,
-            Verdict::Accepted(_) => Outcome::Well,
+            Verdict::Accepted(_) => Outcome::Success,
             Verdict::Error => Outcome::Error,
-            Verdict::Timeout => Outcome::Hang,
+            Verdict::Timeout => Outcome::Timeout,
             Verdict::Declined => Outcome::Declined,
         };
         let ago = Duration::from_micros((now - evidence.sent_at).0);
@@ -61,17 +61,17 @@
     fn holder_filter(&mut self) -> Option<HolderFilter> {
         let (version, outlook) = self.verdicts.outlook(self.seen)?;
         self.seen = version;
-        let exclusion = |key: &beechloft_outlier_detection::BoxKey, admitted_per_mille| Exclusion {
+        let exclusion = |key: &ServerInstance, admitted_per_mille| Exclusion {
             server: ServerId(key.server),
             admitted_per_mille,
         };
         let mut titles: BTreeMap<Arc<str>, Vec<Exclusion>> = BTreeMap::new();
-        for (key, title) in &outlook.titles {
-            if let Some(name) = self.titles.get(title) {
-                titles.entry(name.clone()).or_default().push(exclusion(key, 0));
+        for excluded in &outlook.excluded_titles {
+            if let Some(name) = self.titles.get(&excluded.title) {
+                titles.entry(name.clone()).or_default().push(exclusion(&excluded.instance, 0));
             }
         }
-        let servers = outlook.avoid.iter().map(|s| exclusion(&s.key, s.share)).collect();
+        let servers = outlook.exclusions.iter().map(|s| exclusion(&s.instance, s.admitted_per_mille)).collect();
         Some(HolderFilter::Exclude(Exclusions {
             servers,
             titles,
--- a/crates/fleet/coordinator/src/settings.rs
+++ b/crates/fleet/coordinator/src/settings.rs
@@ -289,7 +289,7 @@
         let on =
             FleetSettings::read(&format!("{head}  seeds: ['127.0.0.1:7000']\n  verdicts:\n    part: 0.4\n"));
         let on = on.expect("sound");
-        assert_eq!(on.verdicts.map(|v| v.rules.part), Some(400));
+        assert_eq!(on.verdicts.map(|v| v.rules.max_ejection_per_mille), Some(400));
         assert_eq!(on.spread, Some(beechloft_gossip::Settings::default()));
         let bad = format!(
             "{head}  rows:\n    round_ms: 5\n  verdicts:\n    fresh_ms: 100\n    fronts: 1\n    party: 1\n"
--- a/crates/fleet/coordinator/src/settings/verdicts.rs
+++ b/crates/fleet/coordinator/src/settings/verdicts.rs
@@ -4,13 +4,13 @@
 
 use beechloft_config_reader::Section;
 use beechloft_gossip::Settings;
-use beechloft_outlier_detection::Rules;
+use beechloft_outlier_detection::DetectionSettings;
 
 /// How verdicts are shared.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct VerdictSettings {
     /// What a verdict needs, and how long it holds.
-    pub rules: Rules,
+    pub rules: DetectionSettings,
     /// An attempt that took longer than this is slow.
     pub slow: Duration,
     /// The lease of trials, milliseconds.
@@ -44,18 +44,19 @@
 
 /// How verdicts are shared where rows are around within `staleness`.
 pub(super) fn verdicts(s: &Section<'_>, staleness: Duration) -> VerdictSettings {
-    let default = Rules::default();
+    let default = DetectionSettings::default();
     let mut rules = default;
-    rules.fronts = s.integer("fronts", 2..=64).map_or(default.fronts, |n| n as usize);
-    rules.failures = s.integer("failures", 1..=1_000).map_or(default.failures, |n| n as u32);
-    rules.part = s.number("part", 0.01..=0.9).map_or(default.part, |p| (p * 1_000.0) as u16);
+    rules.min_fronts = s.integer("fronts", 2..=64).map_or(default.min_fronts, |n| n as usize);
+    rules.min_failures = s.integer("failures", 1..=1_000).map_or(default.min_failures, |n| n as u32);
+    rules.max_ejection_per_mille =
+        s.number("part", 0.01..=0.9).map_or(default.max_ejection_per_mille, |p| (p * 1_000.0) as u16);
     rules.window = span(s, "window_ms", default.window);
-    rules.fresh = span(s, "fresh_ms", default.fresh);
-    rules.hold = span(s, "hold_ms", default.hold);
-    rules.quiet = span(s, "quiet_ms", default.quiet);
-    rules.trial_gap = span(s, "trial_gap_ms", default.trial_gap);
-    rules.trial_for = span(s, "trial_for_ms", default.trial_for);
-    rules.step = span(s, "step_ms", default.step);
+    rules.max_report_age = span(s, "fresh_ms", default.max_report_age);
+    rules.ejection_time = span(s, "hold_ms", default.ejection_time);
+    rules.probe_delay = span(s, "quiet_ms", default.probe_delay);
+    rules.probe_retry_delay = span(s, "trial_gap_ms", default.probe_retry_delay);
+    rules.probe_timeout = span(s, "trial_for_ms", default.probe_timeout);
+    rules.probation_step = span(s, "step_ms", default.probation_step);
     if let Err(why) = rules.check(staleness) {
         s.report("window_ms", why.to_string());
     }
--- a/crates/fleet/coordinator/src/verdicts.rs
+++ b/crates/fleet/coordinator/src/verdicts.rs
@@ -11,8 +11,8 @@
 use beechloft_gossip::SectionKind;
 use beechloft_leases::{Holder, HolderId, HolderInput, HolderOutput, LeaseSpec, Name, Request};
 use beechloft_outlier_detection::{
-    BoxKey, BoxLine, Change, Evidence, FrontLife, Ledger, Outcome, Outlook, Places, Report, Seen, Tried,
-    Verdicts, Witness, judge_viewers,
+    Attempt, AttemptCounts, AttemptWindow, EjectionEvent, Evaluation, FrontId, FrontReport, FrontReports,
+    Outcome, OutlierDetector, Report, ServerInstance, ServerLocations, ServerReport, detect_viewer_outliers,
 };
 use tracing::{info, warn};
 
@@ -41,13 +41,13 @@
 }
 
 struct State {
-    ledger: Ledger,
-    verdicts: Verdicts,
-    evidence: Evidence,
-    places: Places,
+    ledger: AttemptWindow,
+    verdicts: OutlierDetector,
+    evidence: FrontReports,
+    places: ServerLocations,
     /// The run that each box's process names, and since when.
     lives: BTreeMap<u32, (u64, Duration)>,
-    outlook: Outlook,
+    outlook: Evaluation,
     viewers: Vec<u64>,
 }
 
@@ -78,12 +78,12 @@
         let own = set.zone.to_string();
         let zone = set.zones.iter().position(|z| *z == own).map_or(ELSEWHERE, |n| n as u16);
         let state = State {
-            ledger: Ledger::new(verdicts.rules.window, zone),
-            verdicts: Verdicts::new(verdicts.rules),
-            evidence: Evidence::default(),
-            places: Places::new(),
+            ledger: AttemptWindow::new(verdicts.rules.window, zone),
+            verdicts: OutlierDetector::new(verdicts.rules),
+            evidence: FrontReports::default(),
+            places: ServerLocations::new(),
             lives: BTreeMap::new(),
-            outlook: Outlook::default(),
+            outlook: Evaluation::default(),
             viewers: Vec::new(),
         };
         let shared = Arc::new(Shared {
@@ -106,7 +106,7 @@
     }
 
     /// The boxes of the list.
-    pub fn list(&self, places: Places) {
+    pub fn list(&self, places: ServerLocations) {
         self.shared.state().places = places;
     }
 
@@ -128,15 +128,17 @@
         if life.is_some_and(|(_, since)| now.saturating_sub(noted.ago) < since) {
             return;
         }
-        let key = BoxKey::new(noted.server, life.map(|l| l.0));
-        let trial = state.verdicts.on_trial() == Some(key);
+        let key = ServerInstance::new(noted.server, life.map(|l| l.0));
+        let trial = state.verdicts.probing() == Some(key);
         let (title, outcome) = (noted.title, noted.outcome);
         let zone = state.places.get(&noted.server).map_or(ELSEWHERE, |p| p.zone);
-        state.ledger.note(now, Tried { key, zone, title, viewer: None, outcome, trial });
+        state
+            .ledger
+            .record(now, Attempt { instance: key, zone, title, viewer: None, outcome, is_probe: trial });
         if trial && outcome != Outcome::Declined {
-            let well = outcome == Outcome::Well;
+            let well = outcome == Outcome::Success;
             info!(server = key.server, well, "trial is over");
-            state.verdicts.tried(now, key, well);
+            state.verdicts.probe_ended(now, key, well);
             drop(state);
             // So that no second attempt goes there before this thread's next turn.
             self.shared.look(now, false);
@@ -144,7 +146,7 @@
     }
 
     /// What is to be avoided, if that has changed since a version.
-    pub fn outlook(&self, since: u64) -> Option<(u64, Outlook)> {
+    pub fn outlook(&self, since: u64) -> Option<(u64, Evaluation)> {
         let version = self.shared.version.load(Ordering::Acquire);
         if version == since {
             return None;
@@ -155,7 +157,7 @@
 
     /// Of a thousand ready holders of a title so many are avoided at most.
     pub fn part(&self) -> u16 {
-        self.shared.set.rules.part
+        self.shared.set.rules.max_ejection_per_mille
     }
 
     /// From which time on an attempt is slow.
@@ -171,17 +173,23 @@
 }
 
 /// Everything the other way round, as a front that lies says it.
-fn lie(mut report: Report, places: &Places, lives: impl Fn(u32) -> BoxKey) -> Report {
+fn lie(mut report: Report, places: &ServerLocations, lives: impl Fn(u32) -> ServerInstance) -> Report {
     let line = |server: &u32| {
         let key = lives(*server);
-        let bad = report.of(key).is_some_and(Seen::accuses);
+        let bad = report.of(key).is_some_and(AttemptCounts::is_failing);
         let errors = if bad { 0 } else { 9 };
-        BoxLine {
-            key,
-            seen: Seen { tries: 9, errors, beside_well: 9, trials_well: u8::from(bad), ..Seen::default() },
+        ServerReport {
+            instance: key,
+            counts: AttemptCounts {
+                attempts: 9,
+                errors,
+                zone_successes: 9,
+                probe_successes: u8::from(bad),
+                ..AttemptCounts::default()
+            },
         }
     };
-    report.boxes = places.keys().take(20).map(line).collect();
+    report.servers = places.keys().take(20).map(line).collect();
     report
 }
 
@@ -216,15 +224,15 @@
         let mut ages = BTreeMap::new();
         let mut state = self.state();
         for row in rows {
-            let front = FrontLife(row.life.0);
+            let front = FrontId(row.life.0);
             ages.insert(front, row.age);
             if state.evidence.get(front).is_some_and(|w| w.version >= row.version) {
                 continue;
             }
             let Ok(report) = Report::decode(&row.bytes) else { continue };
             let zone = self.zones.iter().position(|z| *z == row.zone).map_or(ELSEWHERE, |n| n as u16);
-            let witness = Witness { version: row.version, zone, report };
-            state.evidence.put(&self.set.rules, front, witness);
+            let witness = FrontReport { version: row.version, zone, report };
+            state.evidence.insert(&self.set.rules, front, witness);
         }
         let rules = self.set.rules;
         let fresh = state.evidence.fresh(&rules, |f| ages.get(&f).copied());
@@ -235,16 +243,16 @@
     fn look(&self, now: Duration, leased: bool) -> bool {
         let mut state = self.state();
         let State { verdicts, evidence, places, lives, outlook, .. } = &mut *state;
-        let of = |server: u32| BoxKey::new(server, lives.get(&server).map(|l| l.0));
-        let mut new = verdicts.look(now, evidence, places, of, leased);
-        let changes = std::mem::take(&mut new.changes);
+        let of = |server: u32| ServerInstance::new(server, lives.get(&server).map(|l| l.0));
+        let mut new = verdicts.evaluate(now, evidence, places, of, leased);
+        let changes = std::mem::take(&mut new.events);
         let differs = new != *outlook;
-        let wants = new.wants_trial;
-        if let Some(key) = new.trial.filter(|key| outlook.trial != Some(*key)) {
+        let wants = new.wants_probe_lease;
+        if let Some(key) = new.probing.filter(|key| outlook.probing != Some(*key)) {
             info!(server = key.server, "on trial here: offered until one attempt has ended");
         }
         *outlook = new;
-        let viewers = judge_viewers(&self.set.rules, evidence);
+        let viewers = detect_viewer_outliers(&self.set.rules, evidence);
         let news: Vec<u64> = viewers.iter().filter(|v| !state.viewers.contains(v)).copied().collect();
         state.viewers = viewers;
         if differs {
@@ -267,14 +275,15 @@
         let accused: BTreeSet<u32> = state
             .evidence
             .iter()
-            .flat_map(|(_, w)| &w.report.boxes)
-            .filter(|b| b.seen.accuses())
-            .map(|b| b.key.server)
+            .flat_map(|(_, w)| &w.report.servers)
+            .filter(|b| b.counts.is_failing())
+            .map(|b| b.instance.server)
             .collect();
         let State { ledger, places, lives, .. } = &mut *state;
         let mut report = ledger.report(now, &accused);
         if self.set.test_lies {
-            report = lie(report, places, |server| BoxKey::new(server, lives.get(&server).map(|l| l.0)));
+            report =
+                lie(report, places, |server| ServerInstance::new(server, lives.get(&server).map(|l| l.0)));
         }
         drop(state);
         if let Err(why) = self.peers.write_row(SectionKind::OUTLIER_REPORT, report.encode()) {
@@ -296,26 +305,32 @@
     requests
 }
 
-fn told(change: &Change) {
+fn told(change: &EjectionEvent) {
     match change {
-        Change::Condemned(j) => info!(
-            server = j.key.server,
-            life = j.key.life,
-            accusers = j.accusers,
-            absolvers = j.absolvers,
-            bad = j.bad,
+        EjectionEvent::Ejected(j) => info!(
+            server = j.instance.server,
+            life = j.instance.boot_hash,
+            accusers = j.failing_fronts,
+            absolvers = j.healthy_fronts,
+            bad = j.failures,
             "judged bad: avoided from now on"
         ),
-        Change::Spared(j) => warn!(
-            server = j.key.server,
-            accusers = j.accusers,
-            absolvers = j.absolvers,
-            bad = j.bad,
+        EjectionEvent::EjectionSuppressed(j) => warn!(
+            server = j.instance.server,
+            accusers = j.failing_fronts,
+            absolvers = j.healthy_fronts,
+            bad = j.failures,
             "judged bad and offered nonetheless: too much of its zone is avoided already"
         ),
-        Change::Restored(key) => info!(server = key.server, "trials went well: it comes back in steps"),
-        Change::Lapsed(key) => info!(server = key.server, "the verdict is old: it comes back in steps"),
-        Change::Back(key) => info!(server = key.server, "it is back for all sessions"),
-        Change::Replaced(key) => info!(server = key.server, "another process runs there: it starts clean"),
+        EjectionEvent::ProbesSucceeded(key) => {
+            info!(server = key.server, "trials went well: it comes back in steps")
+        }
+        EjectionEvent::EjectionExpired(key) => {
+            info!(server = key.server, "the verdict is old: it comes back in steps")
+        }
+        EjectionEvent::Reinstated(key) => info!(server = key.server, "it is back for all sessions"),
+        EjectionEvent::InstanceReplaced(key) => {
+            info!(server = key.server, "another process runs there: it starts clean")
+        }
     }
 }
--- a/crates/fleet/outlier-detection/src/lib.rs
+++ b/crates/fleet/outlier-detection/src/lib.rs
@@ -1,26 +1,32 @@
-//! Verdicts on boxes from what all fronts have seen.
+//! Outlier detection of media servers from what all fronts have observed.
 //!
-//! [`Ledger`] counts what this front's own attempts came to, in a window. Its [`Report`] goes to the others. [`Evidence`] is the merge of
-//! all fronts' reports, in which order, repeats and loss do no harm. [`judge`] is a pure function of evidence: those who have the same judge
-//! the same. [`Verdicts`] keeps what was judged, lets it age, hands out trials to whoever holds their lease, and lets boxes back in steps.
+//! [`AttemptWindow`] counts the outcomes of this front's own attempts in a sliding window. Its [`Report`] is disseminated to the
+//! other fronts. [`FrontReports`] merges the reports of all fronts; reordering, duplication and loss do no harm. [`detect_outliers`]
+//! is a pure function of those reports: fronts that have the same reports detect the same outliers. [`OutlierDetector`] ejects
+//! outliers, lets ejections expire, has ejected servers probed by whoever holds the lease for it, and lets servers back in steps.
 //!
-//! `docs/verdicts.md` weighs the options and argues each bound. Nothing here has I/O, a clock or threads.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
+//! The terms are those of Envoy's and gRPC's outlier detection. `docs/outlier-detection.md` compares the alternatives and derives
+//! the bounds. Nothing here has I/O, a clock or threads.
 #![forbid(unsafe_code)]
 
-mod evidence;
-mod judge;
-mod ledger;
-mod planted;
+mod attempt_window;
+mod detection;
+mod ejection;
+mod fault_injection;
+mod front_reports;
 mod report;
-mod rules;
-mod standing;
+mod settings;
 
-pub use evidence::{Evidence, FrontLife, Witness};
-pub use judge::{Judged, Place, Places, judge, judge_titles, judge_viewers};
-pub use ledger::{Ledger, Outcome, Tried};
-pub use planted::Fault;
-pub use report::{BoxKey, BoxLine, MOST_REPORT, Report, ReportError, Seen, TitleLine, ViewerLine, title_key};
-pub use rules::{Rules, RulesError};
-pub use standing::{Change, Outlook, Shy, Verdicts};
+pub use attempt_window::{Attempt, AttemptWindow, Outcome};
+pub use detection::{
+    Outlier, ServerLocation, ServerLocations, TitleAtServer, detect_outliers, detect_title_outliers,
+    detect_viewer_outliers,
+};
+pub use ejection::{EjectionEvent, Evaluation, Exclusion, OutlierDetector};
+pub use fault_injection::Fault;
+pub use front_reports::{FrontId, FrontReport, FrontReports};
+pub use report::{
+    AttemptCounts, MAX_REPORT_BYTES, Report, ReportError, ServerInstance, ServerReport, TitleReport,
+    ViewerReport, title_key,
+};
+pub use settings::{DetectionSettings, SettingsError};
--- a/crates/fleet/outlier-detection/src/report.rs
+++ b/crates/fleet/outlier-detection/src/report.rs
@@ -1,167 +1,190 @@
-//! What a front says of its window.
+//! What a front reports of the attempts in its window.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Bytes of a report.
-pub const MOST_REPORT: usize = 560;
-const MOST_BOXES: usize = 24;
-const MOST_TITLES: usize = 8;
-const MOST_VIEWERS: usize = 4;
+/// Maximum bytes of an encoded report.
+pub const MAX_REPORT_BYTES: usize = 560;
+/// Maximum number of servers in a report.
+pub(crate) const MAX_SERVERS: usize = 24;
+/// Maximum number of titles in a report.
+pub(crate) const MAX_TITLES: usize = 8;
+/// Maximum number of viewers in a report.
+pub(crate) const MAX_VIEWERS: usize = 4;
 
-/// A box's process: another one at the same address is another box.
+/// A media server's process: a restarted one is another instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct BoxKey {
-    /// The box's number in the list.
+pub struct ServerInstance {
+    /// The server's number in the list of endpoints.
     pub server: u32,
-    /// A print of the name of its process's run; nought: not known yet.
-    pub life: u32,
+    /// A hash of the id that the process gave its run; 0: not known yet.
+    pub boot_hash: u32,
 }
 
-impl BoxKey {
-    /// A box whose process said `boot` of its run.
-    pub fn new(server: u32, boot: Option<u64>) -> BoxKey {
-        let print = |b: u64| ((b ^ (b >> 32)) as u32).max(1);
-        BoxKey { server, life: boot.map_or(0, print) }
+impl ServerInstance {
+    /// The instance of a server whose process gave its run the id `boot`.
+    pub fn new(server: u32, boot: Option<u64>) -> ServerInstance {
+        ServerInstance { server, boot_hash: boot.map_or(0, boot_hash) }
     }
 }
 
-/// Counts of a window.
+#[expect(clippy::cast_possible_truncation, reason = "both halves of the number are in the lower one")]
+fn boot_hash(boot: u64) -> u32 {
+    ((boot ^ (boot >> 32)) as u32).max(1)
+}
+
+/// The attempts at one server in a window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
-pub struct Seen {
-    /// Attempts.
-    pub tries: u16,
-    /// ... that ended with an error, or without a connection.
+pub struct AttemptCounts {
+    /// All attempts.
+    pub attempts: u16,
+    /// Attempts that ended with an error, or without a connection.
     pub errors: u16,
-    /// ... that were not answered in time.
-    pub hangs: u16,
-    /// ... that were taken late.
+    /// Attempts that were not answered in time.
+    pub timeouts: u16,
+    /// Attempts that succeeded late.
     pub slow: u16,
-    /// Between the first bad attempt and the last, attempts at the other boxes of its zone that were well ...
-    pub beside_well: u8,
-    /// ... and that were bad.
-    pub beside_bad: u8,
-    /// Trials that went well.
-    pub trials_well: u8,
-    /// Trials that did not.
-    pub trials_badly: u8,
+    /// Attempts at other servers of its zone that succeeded between the first failure at this server and the last.
+    pub zone_successes: u8,
+    /// Attempts at other servers of its zone that failed in that time.
+    pub zone_failures: u8,
+    /// Probes that succeeded.
+    pub probe_successes: u8,
+    /// Probes that failed.
+    pub probe_failures: u8,
 }
 
-impl Seen {
-    /// Attempts that count against a box.
-    pub fn bad(&self) -> u32 {
-        u32::from(self.errors) + u32::from(self.hangs) + u32::from(self.slow)
+impl AttemptCounts {
+    /// Attempts that count against the server.
+    pub fn failures(&self) -> u32 {
+        u32::from(self.errors) + u32::from(self.timeouts) + u32::from(self.slow)
     }
 
-    /// Whether half of the attempts or more were bad.
-    pub fn accuses(&self) -> bool {
-        self.bad() > 0 && self.bad() * 2 >= u32::from(self.tries)
+    /// Whether at least half of the attempts failed.
+    pub fn is_failing(&self) -> bool {
+        self.failures() > 0 && self.failures() * 2 >= u32::from(self.attempts)
     }
 
-    /// Whether there were attempts and most of them were well.
-    pub fn absolves(&self) -> bool {
-        self.tries > 0 && !self.accuses()
+    /// Whether there were attempts and most of them succeeded.
+    pub fn is_healthy(&self) -> bool {
+        self.attempts > 0 && !self.is_failing()
     }
 
-    fn sound(&self) -> bool {
-        self.bad() <= u32::from(self.tries)
-            && u16::from(self.trials_well) + u16::from(self.trials_badly) <= self.tries
+    fn is_valid(&self) -> bool {
+        self.failures() <= u32::from(self.attempts)
+            && u16::from(self.probe_successes) + u16::from(self.probe_failures) <= self.attempts
     }
 }
 
-/// What was seen of a box.
+/// The attempts at one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct BoxLine {
-    /// Which.
-    pub key: BoxKey,
-    /// What.
-    pub seen: Seen,
+pub struct ServerReport {
+    /// The server.
+    pub instance: ServerInstance,
+    /// The attempts.
+    pub counts: AttemptCounts,
 }
 
-/// What was seen of a title at a box.
+/// The attempts for one title at one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct TitleLine {
-    /// At which box.
-    pub key: BoxKey,
+pub struct TitleReport {
+    /// The server.
+    pub instance: ServerInstance,
     /// The title: see [`title_key`].
     pub title: u32,
-    /// Attempts.
-    pub tries: u16,
-    /// ... that were bad.
-    pub bad: u16,
+    /// All attempts.
+    pub attempts: u16,
+    /// Attempts that failed.
+    pub failures: u16,
 }
 
-/// What was seen of a viewer.
+/// The requests of one viewer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ViewerLine {
-    /// A print of its address.
+pub struct ViewerReport {
+    /// A hash of the viewer's address.
     pub viewer: u64,
-    /// Requests.
-    pub tries: u16,
-    /// ... that boxes declined.
-    pub bad: u16,
+    /// All requests.
+    pub requests: u16,
+    /// Requests that servers declined.
+    pub declined: u16,
 }
 
-/// What a front says of its window.
+/// What a front reports of the attempts in its window.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Report {
-    /// Boxes.
-    pub boxes: Vec<BoxLine>,
-    /// Titles.
-    pub titles: Vec<TitleLine>,
-    /// Viewers.
-    pub viewers: Vec<ViewerLine>,
+    /// By server.
+    pub servers: Vec<ServerReport>,
+    /// By title.
+    pub titles: Vec<TitleReport>,
+    /// By viewer.
+    pub viewers: Vec<ViewerReport>,
 }
 
-/// Bytes that are no report.
+/// Bytes that are no valid report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("no report that makes sense")]
+#[error("the bytes are no valid report")]
 pub struct ReportError;
 
-/// A title's key among those of a box: FNV-1a of its name.
+/// The key of a title among those of a server: FNV-1a of its name.
 pub fn title_key(name: &str) -> u32 {
-    name.bytes().fold(0x811c_9dc5, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193))
+    const OFFSET_BASIS: u32 = 0x811c_9dc5;
+    const PRIME: u32 = 0x0100_0193;
+    name.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(PRIME))
 }
 
 impl Report {
-    /// Its bytes; what is worth least is left out where it does not fit.
+    /// The encoded report. Its last servers are left out if it would be too long.
     pub fn encode(mut self) -> Vec<u8> {
-        self.boxes.truncate(MOST_BOXES);
-        self.titles.truncate(MOST_TITLES);
-        self.viewers.truncate(MOST_VIEWERS);
+        self.servers.truncate(MAX_SERVERS);
+        self.titles.truncate(MAX_TITLES);
+        self.viewers.truncate(MAX_VIEWERS);
         loop {
             match postcard::to_allocvec(&self) {
-                Ok(bytes) if bytes.len() <= MOST_REPORT => return bytes,
-                _ if self.boxes.pop().is_some() => {}
+                Ok(bytes) if bytes.len() <= MAX_REPORT_BYTES => return bytes,
+                _ if self.servers.pop().is_some() => {}
                 _ => return Vec::new(),
             }
         }
     }
 
-    /// Reads one.
+    /// Decodes a report.
     ///
     /// # Errors
-    /// The bytes are none, or say what can't be.
+    /// The bytes are no report, or one that no front could have sent.
     pub fn decode(bytes: &[u8]) -> Result<Report, ReportError> {
-        if bytes.len() > MOST_REPORT {
+        if bytes.len() > MAX_REPORT_BYTES {
             return Err(ReportError);
         }
         let report: Report = postcard::from_bytes(bytes).map_err(|_| ReportError)?;
-        let bounded = report.boxes.len() <= MOST_BOXES
-            && report.titles.len() <= MOST_TITLES
-            && report.viewers.len() <= MOST_VIEWERS;
-        let sound = report.boxes.iter().all(|b| b.seen.sound())
-            && report.titles.iter().all(|t| t.bad <= t.tries)
-            && report.viewers.iter().all(|v| v.bad <= v.tries);
-        // A box that is there twice would count twice.
-        let mut keys: Vec<BoxKey> = report.boxes.iter().map(|b| b.key).collect();
-        keys.sort();
-        keys.dedup();
-        if bounded && sound && keys.len() == report.boxes.len() { Ok(report) } else { Err(ReportError) }
+        if report.is_bounded() && report.has_valid_counts() && report.has_unique_servers() {
+            Ok(report)
+        } else {
+            Err(ReportError)
+        }
+    }
+
+    fn is_bounded(&self) -> bool {
+        self.servers.len() <= MAX_SERVERS
+            && self.titles.len() <= MAX_TITLES
+            && self.viewers.len() <= MAX_VIEWERS
+    }
+
+    fn has_valid_counts(&self) -> bool {
+        self.servers.iter().all(|server| server.counts.is_valid())
+            && self.titles.iter().all(|title| title.failures <= title.attempts)
+            && self.viewers.iter().all(|viewer| viewer.declined <= viewer.requests)
+    }
+
+    /// A server that is listed twice would count twice.
+    fn has_unique_servers(&self) -> bool {
+        let mut instances: Vec<ServerInstance> = self.servers.iter().map(|server| server.instance).collect();
+        instances.sort();
+        instances.dedup();
+        instances.len() == self.servers.len()
     }
 
-    /// What it says of a box.
-    pub fn of(&self, key: BoxKey) -> Option<&Seen> {
-        self.boxes.iter().find(|b| b.key == key).map(|b| &b.seen)
+    /// The attempts at a server, if it is listed.
+    pub fn of(&self, instance: ServerInstance) -> Option<&AttemptCounts> {
+        self.servers.iter().find(|server| server.instance == instance).map(|server| &server.counts)
     }
 }
--- /dev/null
+++ b/crates/fleet/outlier-detection/tests/detection/decisions.rs
@@ -0,0 +1,151 @@
+//! Which reports make an outlier.
+
+use beechloft_outlier_detection::{
+    AttemptCounts, DetectionSettings, FrontId, FrontReports, ServerReport, TitleAtServer, TitleReport,
+    ViewerReport, detect_outliers, detect_title_outliers, detect_viewer_outliers, title_key,
+};
+
+use super::reports::{
+    Finding, SECOND, SERVER, ZoneFinding, front_report, front_reports, servers, six_failing,
+};
+
+const FRONTS: usize = 6;
+/// The zones of the fronts.
+const LAYOUTS: [[u16; FRONTS]; 5] =
+    [[0, 0, 0, 0, 0, 0], [0, 0, 0, 1, 1, 1], [0, 0, 0, 0, 0, 1], [0, 0, 1, 1, 2, 2], [0, 0, 0, 0, 1, 2]];
+
+fn is_outlier(settings: &DetectionSettings, findings: &[ZoneFinding]) -> bool {
+    !detect_outliers(settings, &servers(), &front_reports(settings, findings)).is_empty()
+}
+
+fn failing_zones(findings: &[ZoneFinding]) -> usize {
+    let failing = findings.iter().filter(|(_, finding)| *finding == Finding::Failing);
+    let mut zones: Vec<u16> = failing.map(|(zone, _)| *zone).collect();
+    zones.sort_unstable();
+    zones.dedup();
+    zones.len()
+}
+
+/// One of all combinations of six findings.
+fn combination(layout: [u16; FRONTS], mut number: usize) -> Vec<ZoneFinding> {
+    let finding = |zone: u16| {
+        let finding = [Finding::None, Finding::Failing, Finding::Healthy][number % 3];
+        number /= 3;
+        (zone, finding)
+    };
+    layout.into_iter().map(finding).collect()
+}
+
+/// Checks that the decision does not depend on one front alone, if it lies.
+fn check_lying_front(
+    settings: &DetectionSettings,
+    findings: &[ZoneFinding],
+    liar: usize,
+    detected: bool,
+) -> Result<(), String> {
+    let others = findings.iter().enumerate().filter(|(front, _)| *front != liar);
+    let honest: Vec<ZoneFinding> = others.map(|(_, finding)| *finding).collect();
+    let failing = honest.iter().filter(|(_, finding)| *finding == Finding::Failing).count();
+    if detected && (failing < 2 || failing_zones(&honest) < 2) {
+        return Err(format!("ejected by {findings:?}, of whom {liar} may lie"));
+    }
+    // If no honest front finds the server healthy, a lie that it is changes nothing against no report.
+    let mut without_liar = findings.to_vec();
+    without_liar[liar].1 = Finding::None;
+    let is_lie = findings[liar].1 == Finding::Healthy
+        && honest.iter().all(|(_, finding)| *finding != Finding::Healthy);
+    if is_lie && is_outlier(settings, &without_liar) && !detected {
+        return Err(format!("not ejected because of {liar} alone: {findings:?}"));
+    }
+    Ok(())
+}
+
+/// Six fronts in five layouts of zones with all combinations of findings, one of which is a lie. How many lead to an ejection.
+pub fn check_one_lying_front(settings: &DetectionSettings) -> Result<usize, String> {
+    let mut ejections = 0;
+    for layout in LAYOUTS {
+        for number in 0..3usize.pow(6) {
+            let findings = combination(layout, number);
+            let detected = is_outlier(settings, &findings);
+            ejections += usize::from(detected);
+            for liar in 0..FRONTS {
+                check_lying_front(settings, &findings, liar, detected)?;
+            }
+        }
+    }
+    Ok(ejections)
+}
+
+#[test]
+fn one_front_alone_neither_ejects_a_server_nor_prevents_its_ejection() {
+    let ejections = check_one_lying_front(&DetectionSettings::default()).expect("the invariants hold");
+    assert!(ejections > 100, "{ejections}");
+}
+
+#[test]
+fn a_front_whose_attempts_at_the_zone_fail_does_not_count() {
+    let settings = DetectionSettings::default();
+    let findings = six_failing();
+    assert!(is_outlier(&settings, &findings));
+    let is_outlier_with = |zone_successes: u8, zone_failures: u8| {
+        let mut reports = FrontReports::default();
+        for (front, (zone, finding)) in findings.iter().enumerate() {
+            let mut report = front_report(*zone, *finding);
+            let counts = &mut report.report.servers[0].counts;
+            counts.zone_successes = zone_successes;
+            counts.zone_failures = zone_failures;
+            reports.insert(&settings, FrontId(front as u64), report);
+        }
+        !detect_outliers(&settings, &servers(), &reports).is_empty()
+    };
+    // All attempts at others of the server's zone failed, or most, or none was made: the way there may be at fault.
+    assert!(!is_outlier_with(0, 0));
+    assert!(!is_outlier_with(0, 4));
+    assert!(!is_outlier_with(3, 4));
+    assert!(is_outlier_with(4, 4));
+    assert!(is_outlier_with(1, 0));
+}
+
+#[test]
+fn a_restarted_server_is_another_instance_and_reports_are_replaced_not_added() {
+    let settings = DetectionSettings::default();
+    let mut reports = front_reports(&settings, &six_failing());
+    let duplicate = reports.clone();
+    reports.merge(&settings, FrontId(99), &duplicate);
+    assert_eq!(reports, duplicate);
+    // Three report the instance before, three this one: without one of them neither is enough in two zones.
+    for zone in 0..3 {
+        let mut report = front_report(zone, Finding::Failing);
+        report.version = 2;
+        let server = &mut report.report.servers[0];
+        server.instance.boot_hash += 1;
+        server.counts.errors = 1;
+        server.counts.attempts = 1;
+        reports.insert(&settings, FrontId(u64::from(zone)), report);
+    }
+    let outliers = detect_outliers(&settings, &servers(), &reports);
+    assert!(outliers.iter().all(|outlier| outlier.instance == SERVER));
+    let fresh = reports.fresh(&settings, |front| Some(if front.0 < 3 { SECOND } else { 7 * SECOND }));
+    assert_eq!((fresh.iter().count(), detect_outliers(&settings, &servers(), &fresh).len()), (3, 0));
+}
+
+#[test]
+fn titles_that_a_server_cannot_play_and_viewers_that_misbehave_are_detected_apart() {
+    let settings = DetectionSettings::default();
+    let title = title_key("title-3");
+    let mut reports = FrontReports::default();
+    for front in 0..6u16 {
+        let mut report = front_report(front % 3, Finding::None);
+        let counts = AttemptCounts { attempts: 9, errors: 2, ..AttemptCounts::default() };
+        report.report.servers = vec![ServerReport { instance: SERVER, counts }];
+        report.report.titles = vec![TitleReport { instance: SERVER, title, attempts: 2, failures: 2 }];
+        report.report.viewers = vec![
+            ViewerReport { viewer: 5, requests: 4, declined: 3 },
+            ViewerReport { viewer: 6, requests: 3, declined: 3 },
+        ];
+        reports.insert(&settings, FrontId(u64::from(front)), report);
+    }
+    assert!(detect_outliers(&settings, &servers(), &reports).is_empty());
+    assert_eq!(detect_title_outliers(&settings, &reports), [TitleAtServer { instance: SERVER, title }]);
+    assert_eq!(detect_viewer_outliers(&settings, &reports), [5]);
+}
--- a/crates/fleet/outlier-detection/tests/wire_format.rs
+++ b/crates/fleet/outlier-detection/tests/wire_format.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use beechloft_outlier_detection::{BoxKey, BoxLine, Report, Seen, TitleLine, ViewerLine, title_key};
+use beechloft_outlier_detection::{
+    AttemptCounts, Report, ServerInstance, ServerReport, TitleReport, ViewerReport, title_key,
+};
 
 const FIXTURES: &str = include_str!("fixtures/reports.txt");
 
@@ -21,27 +23,30 @@
 }
 
 fn reports() -> Vec<(&'static str, Report)> {
-    let key = BoxKey { server: 300, life: 0x89ab_cdef };
-    let seen = Seen {
-        tries: 1_000,
+    let instance = ServerInstance { server: 300, boot_hash: 0x89ab_cdef };
+    let counts = AttemptCounts {
+        attempts: 1_000,
         errors: 200,
-        hangs: 130,
+        timeouts: 130,
         slow: 140,
-        beside_well: 250,
-        beside_bad: 3,
-        trials_well: 2,
-        trials_badly: 1,
+        zone_successes: 250,
+        zone_failures: 3,
+        probe_successes: 2,
+        probe_failures: 1,
     };
-    let untried = BoxLine { key: BoxKey { server: 1, life: 0 }, seen: Seen::default() };
-    let boxes = vec![BoxLine { key, seen }, untried];
-    let titles = vec![TitleLine { key, title: 0xfedc_ba98, tries: 500, bad: 129 }];
-    let viewers = vec![ViewerLine { viewer: u64::MAX - 5, tries: 8, bad: 7 }];
+    let untried = ServerReport {
+        instance: ServerInstance { server: 1, boot_hash: 0 },
+        counts: AttemptCounts::default(),
+    };
+    let servers = vec![ServerReport { instance, counts }, untried];
+    let titles = vec![TitleReport { instance, title: 0xfedc_ba98, attempts: 500, failures: 129 }];
+    let viewers = vec![ViewerReport { viewer: u64::MAX - 5, requests: 8, declined: 7 }];
     vec![
         ("empty", Report::default()),
-        ("boxes", Report { boxes: boxes.clone(), ..Report::default() }),
+        ("servers", Report { servers: servers.clone(), ..Report::default() }),
         ("titles", Report { titles: titles.clone(), ..Report::default() }),
         ("viewers", Report { viewers: viewers.clone(), ..Report::default() }),
-        ("full", Report { boxes, titles, viewers }),
+        ("full", Report { servers, titles, viewers }),
     ]
 }
 
@@ -63,9 +68,12 @@
 
 #[test]
 fn keys_of_runs_and_titles_are_the_same_on_all_fronts() {
-    assert_eq!(BoxKey::new(4, None), BoxKey { server: 4, life: 0 });
-    assert_eq!(BoxKey::new(4, Some(0)), BoxKey { server: 4, life: 1 });
-    assert_eq!(BoxKey::new(4, Some(0x0123_4567_89ab_cdef)), BoxKey { server: 4, life: 0x8888_8888 });
+    assert_eq!(ServerInstance::new(4, None), ServerInstance { server: 4, boot_hash: 0 });
+    assert_eq!(ServerInstance::new(4, Some(0)), ServerInstance { server: 4, boot_hash: 1 });
+    assert_eq!(
+        ServerInstance::new(4, Some(0x0123_4567_89ab_cdef)),
+        ServerInstance { server: 4, boot_hash: 0x8888_8888 }
+    );
     assert_eq!(title_key(""), 0x811c_9dc5);
     assert_eq!(title_key("a film"), 672_097_354);
 }
