--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -7,7 +7,7 @@
 use beechloft_event_loop::EventLoop;
 use beechloft_protocol::config::Environment;
 
-use crate::among::Among;
+use crate::fleet_membership::FleetMembership;
 use crate::{fail, fleet, log};
 
 /// The environment variable with the path of the configuration file.
@@ -34,10 +34,11 @@
         Err(e) => return fail(START_FAILED, e),
     };
     let pace_span = event_loop.pace_span();
-    let mut membership = match fleet_settings.map(|settings| Among::start(&settings, pace_span)).transpose() {
-        Ok(membership) => membership,
-        Err(e) => return fail(START_FAILED, e),
-    };
+    let mut membership =
+        match fleet_settings.map(|settings| FleetMembership::start(&settings, pace_span)).transpose() {
+            Ok(membership) => membership,
+            Err(e) => return fail(START_FAILED, e),
+        };
     if let Some(membership) = &membership {
         event_loop.join_fleet(membership.for_event_loop());
     }
--- a/crates/fleet/coordinator/src/verdicts.rs
+++ b/crates/fleet/coordinator/src/outlier_detector.rs
@@ -12,13 +12,14 @@
 use beechloft_leases::{Holder, HolderId, HolderInput, HolderOutput, LeaseSpec, Name, Request};
 use beechloft_outlier_detection::{
     Attempt, AttemptCounts, AttemptWindow, EjectionEvent, Evaluation, FrontId, FrontReport, FrontReports,
-    Outcome, OutlierDetector, Report, ServerInstance, ServerLocations, ServerReport, detect_viewer_outliers,
+    Outcome, OutlierDetector as Detector, Report, ServerInstance, ServerLocations, ServerReport,
+    detect_viewer_outliers,
 };
 use tracing::{info, warn};
 
-use crate::client::Way;
-use crate::peers::Peers;
-use crate::settings::{FleetSettings, VerdictSettings};
+use crate::client::LeaderConnection;
+use crate::membership::MembershipService;
+use crate::settings::{FleetSettings, OutlierDetectionSettings};
 
 /// The longest that the thread listens before it looks at the clock.
 const LISTEN: Duration = Duration::from_millis(20);
@@ -42,7 +43,7 @@
 
 struct State {
     ledger: AttemptWindow,
-    verdicts: OutlierDetector,
+    verdicts: Detector,
     evidence: FrontReports,
     places: ServerLocations,
     /// The run that each box's process names, and since when.
@@ -52,34 +53,34 @@
 }
 
 struct Shared {
-    set: VerdictSettings,
+    set: OutlierDetectionSettings,
     zones: Vec<String>,
-    peers: Arc<Peers>,
+    peers: Arc<MembershipService>,
     state: Mutex<State>,
     version: AtomicU64,
     end: AtomicBool,
 }
 
 /// A front's part in verdicts. It ends when it is dropped.
-pub struct Verdicting {
+pub struct OutlierDetector {
     shared: Arc<Shared>,
 }
 
-impl Verdicting {
+impl OutlierDetector {
     /// Begins to judge.
     ///
     /// # Errors
     /// There is no thread.
     pub fn start(
         set: &FleetSettings,
-        verdicts: VerdictSettings,
-        peers: Arc<Peers>,
-    ) -> io::Result<Verdicting> {
+        verdicts: OutlierDetectionSettings,
+        peers: Arc<MembershipService>,
+    ) -> io::Result<OutlierDetector> {
         let own = set.zone.to_string();
         let zone = set.zones.iter().position(|z| *z == own).map_or(ELSEWHERE, |n| n as u16);
         let state = State {
             ledger: AttemptWindow::new(verdicts.rules.window, zone),
-            verdicts: OutlierDetector::new(verdicts.rules),
+            verdicts: Detector::new(verdicts.rules),
             evidence: FrontReports::default(),
             places: ServerLocations::new(),
             lives: BTreeMap::new(),
@@ -97,12 +98,12 @@
         let name = Name::try_from("verdict/trial".to_owned()).map_err(io::Error::other)?;
         let terms = LeaseSpec { name, slots: 1, ttl_ms: verdicts.trial_ttl_ms };
         let holder = Holder::new(HolderId(rand::random()), terms, set.drift, rand::random());
-        let (its, way) = (Arc::clone(&shared), Way::new(set.clone()));
+        let (its, way) = (Arc::clone(&shared), LeaderConnection::new(set.clone()));
         thread::Builder::new()
             .name("verdicts".into())
             .stack_size(256 << 10)
             .spawn(move || its.run(holder, way))?;
-        Ok(Verdicting { shared })
+        Ok(OutlierDetector { shared })
     }
 
     /// The boxes of the list.
@@ -166,7 +167,7 @@
     }
 }
 
-impl Drop for Verdicting {
+impl Drop for OutlierDetector {
     fn drop(&mut self) {
         self.shared.end.store(true, Ordering::Relaxed);
     }
@@ -198,7 +199,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn run(&self, mut holder: Holder, mut way: Way) {
+    fn run(&self, mut holder: Holder, mut way: LeaderConnection) {
         let mut judge_at = Duration::ZERO;
         while !self.end.load(Ordering::Relaxed) {
             let input = way.hear(LISTEN).unwrap_or(HolderInput::Tick);
--- a/crates/fleet/coordinator/src/engine/words.rs
+++ b/crates/fleet/coordinator/src/server/dispatch.rs
@@ -9,78 +9,80 @@
 use beechloft_topic::TopicEvent;
 use tracing::{info, warn};
 
-use super::{Keeping, Met, lines};
-use crate::links::{Came, ConnId};
-use crate::wire::{self, Word};
+use super::{CoordinatorServer, Met, reports};
+use crate::connections::{ConnectionId, Inbound};
+use crate::wire::{self, Message};
 
-impl Keeping {
-    pub(super) fn take(&mut self, came: Came, out: &mut PendingOutputs) {
+impl CoordinatorServer {
+    pub(super) fn take(&mut self, came: Inbound, out: &mut PendingOutputs) {
         let now = (self.clock)();
         let (conn, word) = match came {
-            Came::Word(conn, word) => (conn, word),
-            Came::Closed(conn) => {
+            Inbound::Message(conn, word) => (conn, word),
+            Inbound::Closed(conn) => {
                 self.serving.closed(conn);
                 return self.keeper.handle(now, ReplicaInput::ClientDisconnected(ClientId(conn.0)), out);
             }
         };
         let client = ClientId(conn.0);
         match word {
-            Word::Hello { id, listen, formed } => {
+            Message::Hello { id, listen, formed } => {
                 if let Some(address) = listen.parse().ok().filter(|a| self.set.keepers.contains(a)) {
                     self.met.insert(address, Met { id, formed });
                 }
             }
-            Word::Peer(message) => self.keeper.handle(now, ReplicaInput::Peer(message), out),
-            Word::Ask(request) if self.serves() => {
+            Message::Consensus(message) => self.keeper.handle(now, ReplicaInput::Peer(message), out),
+            Message::LeaseRequest(request) if self.serves() => {
                 self.keeper.handle(now, ReplicaInput::LeaseRequest(client, request), out)
             }
-            Word::List if self.serves() => self.keeper.handle(now, ReplicaInput::ListLeases(client), out),
-            Word::Watch(name) if self.serves() => {
+            Message::ListLeases if self.serves() => {
+                self.keeper.handle(now, ReplicaInput::ListLeases(client), out)
+            }
+            Message::WatchLeases(name) if self.serves() => {
                 self.keeper.handle(now, ReplicaInput::WatchLeases(client, name), out)
             }
-            Word::Publish(request) if self.serves() => {
+            Message::Publish(request) if self.serves() => {
                 self.keeper.handle(now, ReplicaInput::TopicRequest(client, request), out)
             }
-            Word::Subscribe { feed, topic, from, allow } if self.serves() => {
+            Message::Subscribe { feed, topic, from, allow } if self.serves() => {
                 if let Err(busy) = self.serving.subscribe(conn, (feed, topic), from, allow, now) {
-                    self.say(conn, &Word::Heard(busy));
+                    self.say(conn, &Message::LeaseResponse(busy));
                 }
             }
-            Word::Allow { feed, total } => self.serving.allow(conn, feed, total, now),
-            Word::Limit(request) if self.serves() => {
+            Message::Credit { feed, total } => self.serving.allow(conn, feed, total, now),
+            Message::QuotaRequest(request) if self.serves() => {
                 self.keeper.handle(now, ReplicaInput::QuotaRequest(client, request), out)
             }
-            Word::Place { number, command } if self.serves() => {
+            Message::PlacementRequest { number, command } if self.serves() => {
                 self.keeper.handle(now, ReplicaInput::PlacementCommand(client, number, command), out)
             }
-            Word::Ask(_)
-            | Word::List
-            | Word::Watch(_)
-            | Word::Publish(_)
-            | Word::Subscribe { .. }
-            | Word::Limit(_)
-            | Word::Place { .. } => self.say(conn, &Word::Heard(Response::Busy)),
-            Word::Status => self.say(conn, &Word::StatusIs(self.status())),
-            Word::Replace { old, new } => self.replace(conn, old, new, out),
-            Word::Members => {
+            Message::LeaseRequest(_)
+            | Message::ListLeases
+            | Message::WatchLeases(_)
+            | Message::Publish(_)
+            | Message::Subscribe { .. }
+            | Message::QuotaRequest(_)
+            | Message::PlacementRequest { .. } => self.say(conn, &Message::LeaseResponse(Response::Busy)),
+            Message::GetStatus => self.say(conn, &Message::Status(self.status())),
+            Message::ReplaceReplica { old, new } => self.replace(conn, old, new, out),
+            Message::GetMembers => {
                 let seen = self.members.as_ref().map(|m| m.seen());
-                self.say(conn, &Word::MembersAre(seen));
-            }
-            Word::MembersAre(_)
-            | Word::Changed(_)
-            | Word::Heard(_)
-            | Word::NotLeader(_)
-            | Word::Listed(_)
-            | Word::StatusIs(_)
-            | Word::TopicHeard(_)
-            | Word::LimitHeard(_)
-            | Word::Told(_)
-            | Word::Placed { .. }
-            | Word::Replacing(_) => {}
+                self.say(conn, &Message::Members(seen));
+            }
+            Message::Members(_)
+            | Message::LeaseChanged(_)
+            | Message::LeaseResponse(_)
+            | Message::NotLeader(_)
+            | Message::Leases(_)
+            | Message::Status(_)
+            | Message::PublishResponse(_)
+            | Message::QuotaResponse(_)
+            | Message::Delivery(_)
+            | Message::PlacementResponse { .. }
+            | Message::ReplaceResult(_) => {}
         }
     }
 
-    pub(super) fn say(&self, to: ConnId, word: &Word) {
+    pub(super) fn say(&self, to: ConnectionId, word: &Message) {
         if let Some(bytes) = wire::encode(self.set.number(), word) {
             self.conns.say(to, bytes);
         }
@@ -97,45 +99,47 @@
             ReplicaOutput::Peer(message) => {
                 let link = self.address_of(message.to).and_then(|a| self.peers.get(&a));
                 if let (Some(link), Some(bytes)) =
-                    (link, wire::encode(self.set.number(), &Word::Peer(message)))
+                    (link, wire::encode(self.set.number(), &Message::Consensus(message)))
                 {
                     link.say(bytes);
                 }
             }
             ReplicaOutput::LeaseResponse(client, Response::NotLeader(leader)) => {
                 let address = leader.and_then(|l| self.address_of(NodeId(l.0))).map(|a| a.to_string());
-                self.say(ConnId(client.0), &Word::NotLeader(address));
+                self.say(ConnectionId(client.0), &Message::NotLeader(address));
+            }
+            ReplicaOutput::LeaseResponse(client, heard) => {
+                self.say(ConnectionId(client.0), &Message::LeaseResponse(heard))
             }
-            ReplicaOutput::LeaseResponse(client, heard) => self.say(ConnId(client.0), &Word::Heard(heard)),
             ReplicaOutput::Leases(client, table) => {
-                self.say(ConnId(client.0), &Word::Listed(lines::grants(&table)))
+                self.say(ConnectionId(client.0), &Message::Leases(reports::grants(&table)))
             }
             ReplicaOutput::WatchEvent(client, event) => {
-                if let Some(line) = lines::change(&event) {
-                    self.say(ConnId(client.0), &Word::Changed(line));
+                if let Some(line) = reports::change(&event) {
+                    self.say(ConnectionId(client.0), &Message::LeaseChanged(line));
                 }
             }
             ReplicaOutput::QuotaResponse(client, heard) => {
-                self.say(ConnId(client.0), &Word::LimitHeard(heard))
+                self.say(ConnectionId(client.0), &Message::QuotaResponse(heard))
             }
             ReplicaOutput::QuotaEvent(
                 beechloft_quotas::Event::Renewed(_) | beechloft_quotas::Event::Aged(_),
             ) => {}
             ReplicaOutput::QuotaEvent(event) => info!(?event, "limits"),
             ReplicaOutput::TopicResponse(client, heard) => {
-                self.say(ConnId(client.0), &Word::TopicHeard(heard))
+                self.say(ConnectionId(client.0), &Message::PublishResponse(heard))
             }
             ReplicaOutput::TopicRequestRejected(client, _, RequestError::NotLeader(leader))
             | ReplicaOutput::PlacementRejected(client, _, RequestError::NotLeader(leader)) => {
                 let address = leader.and_then(|l| self.address_of(l)).map(|a| a.to_string());
-                self.say(ConnId(client.0), &Word::NotLeader(address));
+                self.say(ConnectionId(client.0), &Message::NotLeader(address));
             }
             ReplicaOutput::TopicRequestRejected(client, ..)
             | ReplicaOutput::PlacementRejected(client, ..) => {
-                self.say(ConnId(client.0), &Word::Heard(Response::Busy));
+                self.say(ConnectionId(client.0), &Message::LeaseResponse(Response::Busy));
             }
             ReplicaOutput::PlacementResponse(client, number, answer) => {
-                self.say(ConnId(client.0), &Word::Placed { number, answer });
+                self.say(ConnectionId(client.0), &Message::PlacementResponse { number, answer });
             }
             // Rights are renewed all the time; what changes is said.
             ReplicaOutput::PlacementEvent(PlacementEvent::Right { .. }) => {}
@@ -146,13 +150,13 @@
                     info!(?event, "topic");
                 }
             }
-            ReplicaOutput::WatchEnded(client) => self.conns.close(ConnId(client.0)),
+            ReplicaOutput::WatchEnded(client) => self.conns.close(ConnectionId(client.0)),
             ReplicaOutput::LeaseEvent(Event::Renewed(..)) => {}
             ReplicaOutput::LeaseEvent(event) => info!(?event, "lease"),
             ReplicaOutput::Raft(ticket, taken) if self.asked.contains_key(&ticket) => {
                 if let Some(conn) = self.asked.remove(&ticket) {
                     let taken = taken.map(drop).map_err(|why| why.to_string());
-                    self.say(conn, &Word::Replacing(taken));
+                    self.say(conn, &Message::ReplaceResult(taken));
                 }
             }
             ReplicaOutput::Raft(_, Ok(at)) => info!(place = at.index.0, "a change of members is in the log"),
