--- a/crates/fleet/consensus/tests/explored.rs
+++ b/crates/fleet/consensus/tests/explored.rs
@@ -8,8 +8,8 @@
 
 mod support;
 
-use std::collections::{BTreeMap, BTreeSet};
-use std::hash::{Hash, Hasher};
+use std::collections::BTreeMap;
+use std::hash::Hash;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -17,8 +17,9 @@
     Fault, Index, Input, MembershipChange, Message, MessageBody, NodeId, PendingOutputs, PersistentState,
     Raft, RequestId, Settings, Term,
 };
-use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
-use siphasher::sip128::SipHasher13;
+use beechloft_model_checker::{
+    Counterexample, Exploration, FingerprintHasher, Limits, Model, explore, hash_unordered, insert_unique,
+};
 use support::{Laws, Memory, members};
 
 const NOUGHT: Duration = Duration::ZERO;
@@ -107,7 +108,7 @@
         if crash {
             let early = out.crash();
             *raft = self.process(id, &disk.clone());
-            return early.into_iter().for_each(|m| put(&mut w.on_way, m));
+            return early.into_iter().for_each(|m| insert_unique(&mut w.on_way, m));
         }
         let Ok(released) = out.persist(disk);
         if raft.is_leader() {
@@ -117,7 +118,7 @@
         for entry in &released.committed_entries {
             Arc::make_mut(&mut w.laws).commits(id, term, entry);
         }
-        released.messages.into_iter().for_each(|m| put(&mut w.on_way, m));
+        released.messages.into_iter().for_each(|m| insert_unique(&mut w.on_way, m));
     }
 
     fn stand(&self, w: &mut World, id: NodeId) {
@@ -139,17 +140,11 @@
     }
 }
 
-fn put(on_way: &mut Vec<Arc<Message>>, message: Message) {
-    if on_way.iter().all(|m| **m != message) {
-        on_way.push(Arc::new(message));
-    }
-}
-
 impl Model for Small {
     type State = World;
     type Action = Event;
 
-    fn starts(&self) -> Vec<World> {
+    fn initial_states(&self) -> Vec<World> {
         let mut starts = Vec::new();
         for before in &self.before {
             let mut world = self.new_world();
@@ -244,23 +239,17 @@
         }
     }
 
-    fn print(&self, w: &World, into: &mut SipHasher13) {
+    fn fingerprint(&self, w: &World, into: &mut FingerprintHasher) {
         w.left.hash(into);
         w.laws.hash(into);
         for (id, host) in &w.hosts {
             let (raft, disk) = &**host;
             (id, raft, disk.0.hard_state, &disk.0.entries).hash(into);
         }
-        // Whatever their order on the way.
-        let of = |m: &Message| {
-            let mut one = SipHasher13::new();
-            m.hash(&mut one);
-            one.finish()
-        };
-        w.on_way.iter().map(|m| of(m)).collect::<BTreeSet<u64>>().hash(into);
+        hash_unordered(&w.on_way, into);
     }
 
-    fn broken(&self, w: &World) -> Option<String> {
+    fn violation(&self, w: &World) -> Option<String> {
         let mut laws = (*w.laws).clone();
         laws.match_logs(w.hosts.values().map(|h| &h.0));
         laws.breach
@@ -274,7 +263,7 @@
     fault: Option<Fault>,
     before: Vec<Vec<Event>>,
     limits: Limits,
-) -> Result<Seen, Found<Event>> {
+) -> Result<Exploration, Counterexample<Event>> {
     let may_stand = members(3).voters().collect();
     explore(&Small { left, fault, may_stand, before }, limits)
 }
@@ -338,9 +327,15 @@
     }
 }
 
-fn found(small: &Small, depth: usize) -> Found<Event> {
+fn found(small: &Small, depth: usize) -> Counterexample<Event> {
     let found = explore(small, limits(depth, 400_000)).expect_err("the fault is found");
-    println!("{:?}: {} in {} events, {} states", small.fault, found.why, found.trail.len(), found.states);
+    println!(
+        "{:?}: {} in {} events, {} states",
+        small.fault,
+        found.violation,
+        found.trace.len(),
+        found.states
+    );
     found
 }
 
@@ -355,7 +350,7 @@
 #[test]
 fn a_vote_that_does_not_last_is_found() {
     let small = has_fault(Fault::VoteUnsaved, Left { crashes: 1, ..STANDS }, &[1, 2, 3], Vec::new());
-    assert!(found(&small, 8).why.contains("two leaders"));
+    assert!(found(&small, 8).violation.contains("two leaders"));
 }
 
 #[test]
@@ -373,7 +368,7 @@
 fn an_emptied_disk_under_the_old_id_is_found() {
     let mut small = has_fault(Fault::VoteUnsaved, Left { empties: 1, ..STANDS }, &[1, 2], Vec::new());
     small.fault = None;
-    assert!(found(&small, 8).why.contains("two leaders"));
+    assert!(found(&small, 8).violation.contains("two leaders"));
 }
 
 #[test]
--- a/crates/fleet/outlier-detection/tests/merging.rs
+++ b/crates/fleet/outlier-detection/tests/merging.rs
@@ -4,12 +4,11 @@
 use std::collections::BTreeSet;
 use std::hash::Hash;
 
-use beechloft_model_checker::{Limits, Model, explore};
+use beechloft_model_checker::{FingerprintHasher, Limits, Model, explore};
 use beechloft_outlier_detection::{
     AttemptCounts, DetectionSettings, Fault, FrontId, FrontReport, FrontReports, Report, ServerInstance,
     ServerLocation, ServerLocations, ServerReport, detect_outliers,
 };
-use siphasher::sip128::SipHasher13;
 
 const FRONTS: usize = 3;
 const FORGED_VERSION: u64 = 99;
@@ -100,7 +99,7 @@
     type State = State;
     type Action = Action;
 
-    fn starts(&self) -> Vec<State> {
+    fn initial_states(&self) -> Vec<State> {
         let known = vec![FrontReports::default(); FRONTS];
         vec![State { known, versions: vec![0; FRONTS], ..State::default() }]
     }
@@ -142,11 +141,11 @@
         }
     }
 
-    fn print(&self, state: &State, hasher: &mut SipHasher13) {
+    fn fingerprint(&self, state: &State, hasher: &mut FingerprintHasher) {
         state.hash(hasher);
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         Merging::false_knowledge(state).or_else(|| self.diverges(state))
     }
 }
@@ -175,6 +174,6 @@
         let mut settings = DetectionSettings::default();
         settings.inject_fault(fault);
         let found = explore(&model(settings), limits(6)).expect_err("detected");
-        println!("{fault:?}: {} events, {} states: {}", found.trail.len(), found.states, found.why);
+        println!("{fault:?}: {} events, {} states: {}", found.trace.len(), found.states, found.violation);
     }
 }
--- a/crates/fleet/placement/tests/explored.rs
+++ b/crates/fleet/placement/tests/explored.rs
@@ -7,12 +7,14 @@
 mod support;
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::hash::{Hash, Hasher};
+use std::hash::Hash;
 use std::sync::Arc;
 use std::time::Duration;
 
 use beechloft_leases::{DriftBound, Token};
-use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
+use beechloft_model_checker::{
+    Counterexample, Exploration, FingerprintHasher, Limits, Model, explore, hash_unordered,
+};
 use beechloft_placement::boxes::{Done, Job};
 use beechloft_placement::front::{Offer, ViewInput};
 use beechloft_placement::names::*;
@@ -23,7 +25,6 @@
 use beechloft_placement::{
     Answer, Command, Disk, Event, Fault, Placements, Record, Renewed, Rules, Step, View, Worker,
 };
-use siphasher::sip128::SipHasher13;
 use support::*;
 
 const PPM: u32 = 90_000;
@@ -467,7 +468,7 @@
     type State = World;
     type Action = Act;
 
-    fn starts(&self) -> Vec<World> {
+    fn initial_states(&self) -> Vec<World> {
         self.before.iter().map(|before| World { left: self.left, ..self.before(*before) }).collect()
     }
 
@@ -642,22 +643,16 @@
         }
     }
 
-    fn print(&self, w: &World, into: &mut SipHasher13) {
+    fn fingerprint(&self, w: &World, into: &mut FingerprintHasher) {
         (w.steps, &*w.state, &w.rights, &w.workers, w.holder, w.token, w.done).hash(into);
         (&w.hosts, &w.fronts, &w.fed, &w.topic, &w.drained, w.left).hash(into);
-        fn of(m: &impl Hash) -> u64 {
-            let mut one = SipHasher13::new();
-            m.hash(&mut one);
-            one.finish()
-        }
-        // Whatever their order on the way.
-        w.log.iter().map(|m| of(&**m)).collect::<BTreeSet<u64>>().hash(into);
-        w.tells.iter().map(|m| of(&**m)).collect::<BTreeSet<u64>>().hash(into);
-        w.saids.iter().map(|m| of(&**m)).collect::<BTreeSet<u64>>().hash(into);
-        w.heard.iter().map(|m| of(&**m)).collect::<BTreeSet<u64>>().hash(into);
+        hash_unordered(&w.log, into);
+        hash_unordered(&w.tells, into);
+        hash_unordered(&w.saids, into);
+        hash_unordered(&w.heard, into);
     }
 
-    fn broken(&self, w: &World) -> Option<String> {
+    fn violation(&self, w: &World) -> Option<String> {
         if w.breach.is_some() {
             return w.breach.clone();
         }
@@ -713,7 +708,7 @@
     fault: Option<Fault>,
     before: &[Before],
     limits: Limits,
-) -> Result<Seen, Found<Act>> {
+) -> Result<Exploration, Counterexample<Act>> {
     let span = Duration::from_millis(460);
     explore(&Small { left, fault, rates, span, before: before.to_vec() }, limits)
 }
@@ -722,14 +717,14 @@
     Limits { depth, states, threads: 4 }
 }
 
-fn told(found: &Found<Act>) -> String {
-    let trail: Vec<String> = found.trail.iter().map(|a| format!("{a:?}")).collect();
+fn told(found: &Counterexample<Act>) -> String {
+    let trail: Vec<String> = found.trace.iter().map(|a| format!("{a:?}")).collect();
     format!(
         "{} in {} events, {} states, from {}: {trail:#?}",
-        found.why,
+        found.violation,
         trail.len(),
         found.states,
-        found.start
+        found.initial_state
     )
 }
 
@@ -777,7 +772,7 @@
     let mut missed = Vec::new();
     for (fault, left, before) in all {
         match run(left, (1.0, -1.0), Some(fault), before, limits(14, 200_000)) {
-            Err(f) => println!("{fault:?}: {} in {} events, {} states", f.why, f.trail.len(), f.states),
+            Err(f) => println!("{fault:?}: {} in {} events, {} states", f.violation, f.trace.len(), f.states),
             Ok(seen) => {
                 println!("{fault:?}: {seen:?}");
                 missed.push(fault);
--- a/crates/fleet/quotas/tests/explored.rs
+++ b/crates/fleet/quotas/tests/explored.rs
@@ -8,12 +8,11 @@
 use std::time::Duration;
 
 use beechloft_leases::{DriftBound, Name};
-use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
+use beechloft_model_checker::{Counterexample, Exploration, FingerprintHasher, Limits, Model, explore};
 use beechloft_quotas::{
     Answer, Claim, Command, Counts, Definition, Fault, Front, FrontId, FrontInput, FrontOutput,
     FrontSettings, Heard, Key, Ledger, Of, Op, Request, Rules, Stage, Subject, Taken, Times,
 };
-use siphasher::sip128::SipHasher13;
 
 const PPM: u32 = 90_000;
 const TTL_MS: u32 = 1_000;
@@ -204,7 +203,7 @@
     type State = World;
     type Action = Event;
 
-    fn starts(&self) -> Vec<World> {
+    fn initial_states(&self) -> Vec<World> {
         vec![self.start()]
     }
 
@@ -296,10 +295,10 @@
         }
     }
 
-    fn print(&self, w: &World, into: &mut SipHasher13) {
+    fn fingerprint(&self, w: &World, into: &mut FingerprintHasher) {
         (w.left, w.steps, &w.ledger, &w.times, &w.fronts, w.lives, w.surveyed).hash(into);
         fn of(m: &impl Hash) -> u64 {
-            let mut one = SipHasher13::new();
+            let mut one = FingerprintHasher::new();
             m.hash(&mut one);
             one.finish()
         }
@@ -311,7 +310,7 @@
         plays.hash(into);
     }
 
-    fn broken(&self, w: &World) -> Option<String> {
+    fn violation(&self, w: &World) -> Option<String> {
         let local = self.clock(self.rates.1, w.steps);
         let open = w.fronts.iter().filter(|f| f.is_open(local));
         let might = w.plays.len() as u64 + open.map(|f| f.room(&claim())).sum::<u64>();
@@ -332,7 +331,7 @@
     span_ms: u64,
     depth: usize,
     states: usize,
-) -> Result<Seen, Found<Event>> {
+) -> Result<Exploration, Counterexample<Event>> {
     let model = Small { fault, rates, span: Duration::from_millis(span_ms), left: LEFT };
     explore(&model, Limits { depth, states, threads: 4 })
 }
--- a/crates/fleet/replica/tests/explored.rs
+++ b/crates/fleet/replica/tests/explored.rs
@@ -9,8 +9,8 @@
 
 mod support;
 
-use std::collections::{BTreeMap, BTreeSet};
-use std::hash::{Hash, Hasher};
+use std::collections::BTreeMap;
+use std::hash::Hash;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -21,9 +21,10 @@
 use beechloft_leases::{
     DriftBound, Fault, Holder, HolderId, HolderInput, HolderOutput, LeaseSpec, Name, Request, Response, Token,
 };
-use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
+use beechloft_model_checker::{
+    Counterexample, Exploration, FingerprintHasher, Limits, Model, explore, hash_unordered, insert_unique,
+};
 use beechloft_replica::{ClientId, Replica, ReplicaInput, ReplicaOutput};
-use siphasher::sip128::SipHasher13;
 use support::Memory;
 
 const TTL: Duration = Duration::from_millis(1_000);
@@ -203,9 +204,9 @@
         let Ok(released) = out.persist(disk);
         for output in keeper.process_ready(now, released).expect("a table") {
             match output {
-                ReplicaOutput::Peer(message) => put(&mut w.on_way, message),
+                ReplicaOutput::Peer(message) => insert_unique(&mut w.on_way, message),
                 ReplicaOutput::LeaseResponse(client, heard @ Response::Answer { .. }) => {
-                    put(&mut w.told, (client.0 as usize, heard));
+                    insert_unique(&mut w.told, (client.0 as usize, heard));
                 }
                 _ => {}
             }
@@ -216,7 +217,7 @@
         let now = self.clock(self.rates.1, w.steps);
         for output in Arc::make_mut(&mut w.holders[n]).handle(now, input) {
             match output {
-                HolderOutput::Send(request) => put(&mut w.asked, (n, request)),
+                HolderOutput::Send(request) => insert_unique(&mut w.asked, (n, request)),
                 HolderOutput::Acquired(token) => {
                     if token <= w.highest {
                         w.breach.get_or_insert(format!("{token:?} is held after {:?}", w.highest));
@@ -367,17 +368,11 @@
     }
 }
 
-fn put<T: PartialEq>(all: &mut Vec<Arc<T>>, one: T) {
-    if all.iter().all(|m| **m != one) {
-        all.push(Arc::new(one));
-    }
-}
-
 impl Model for Small {
     type State = World;
     type Action = Event;
 
-    fn starts(&self) -> Vec<World> {
+    fn initial_states(&self) -> Vec<World> {
         self.before.iter().map(|before| World { left: self.left, ..self.before(*before) }).collect()
     }
 
@@ -514,24 +509,18 @@
         }
     }
 
-    fn print(&self, w: &World, into: &mut SipHasher13) {
+    fn fingerprint(&self, w: &World, into: &mut FingerprintHasher) {
         (w.left, w.steps, w.highest, &w.holders).hash(into);
         for (id, host) in &w.keepers {
             let (keeper, disk) = &**host;
             (id, keeper, disk.0.hard_state, &disk.0.entries).hash(into);
         }
-        fn of(m: &impl Hash) -> u64 {
-            let mut one = SipHasher13::new();
-            m.hash(&mut one);
-            one.finish()
-        }
-        // Whatever their order on the way.
-        w.on_way.iter().map(|m| of(&**m)).collect::<BTreeSet<u64>>().hash(into);
-        w.asked.iter().map(|m| of(&**m)).collect::<BTreeSet<u64>>().hash(into);
-        w.told.iter().map(|m| of(&**m)).collect::<BTreeSet<u64>>().hash(into);
+        hash_unordered(&w.on_way, into);
+        hash_unordered(&w.asked, into);
+        hash_unordered(&w.told, into);
     }
 
-    fn broken(&self, w: &World) -> Option<String> {
+    fn violation(&self, w: &World) -> Option<String> {
         let now = self.clock(self.rates.1, w.steps);
         let valid: Vec<HolderId> = w.holders.iter().filter_map(|h| h.permit(now).map(|_| h.id())).collect();
         let two = (valid.len() > 1).then(|| format!("{valid:?} may act at once"));
@@ -564,7 +553,7 @@
     fault: Option<Fault>,
     before: &[Before],
     limits: Limits,
-) -> Result<Seen, Found<Event>> {
+) -> Result<Exploration, Counterexample<Event>> {
     explore(&Small { left, fault, rates, span: TTL / 10 * parts, before: before.to_vec() }, limits)
 }
 
@@ -612,7 +601,7 @@
     let left = Left { stands: 1, empties: 1, ..NONE };
     let found = run(left, (0.0, 0.0), 5, None, &[Before::HeldByTwo], limits(12, 400_000));
     let found = found.expect_err("two votes of one keeper are found");
-    println!("{} in {} events, {} states", found.why, found.trail.len(), found.states);
+    println!("{} in {} events, {} states", found.violation, found.trace.len(), found.states);
 }
 
 /// Outside CI: `cargo test --release -p beechloft-replica --test explored -- --ignored --nocapture`.
@@ -647,7 +636,7 @@
     for (fault, left, parts, before) in all {
         let found = run(left, (1.0, -1.0), parts, Some(fault), before, limits(12, 150_000));
         match &found {
-            Err(f) => println!("{fault:?}: {} in {} events, {} states", f.why, f.trail.len(), f.states),
+            Err(f) => println!("{fault:?}: {} in {} events, {} states", f.violation, f.trace.len(), f.states),
             Ok(seen) => println!("{fault:?}: {seen:?}"),
         }
         assert!(found.is_err(), "{fault:?} is not found");
--- a/crates/fleet/topic/tests/explored.rs
+++ b/crates/fleet/topic/tests/explored.rs
@@ -9,13 +9,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
+use beechloft_model_checker::{Counterexample, Exploration, FingerprintHasher, Limits, Model, explore};
 use beechloft_topic::{
     Epoch, Expect, Fault, Feed, Key, Layout, Name, Offset, PublisherId, Record, Session, Subscriber,
     SubscriberInput, SubscriberOutput, SubscriberSettings, Terms, Told, TopicAnswer, TopicCommand, TopicOp,
     TopicRequest, Topics, Value,
 };
-use siphasher::sip128::SipHasher13;
 
 const ZERO: Duration = Duration::ZERO;
 /// One record or two fill a segment, and none of the newest is left alone.
@@ -240,7 +239,7 @@
     type State = World;
     type Action = Event;
 
-    fn starts(&self) -> Vec<World> {
+    fn initial_states(&self) -> Vec<World> {
         vec![self.new_world()]
     }
 
@@ -337,7 +336,7 @@
         }
     }
 
-    fn print(&self, w: &World, into: &mut SipHasher13) {
+    fn fingerprint(&self, w: &World, into: &mut FingerprintHasher) {
         (w.left, w.seq, &*w.log, &w.last, &w.subscriber).hash(into);
         for host in &w.keepers {
             host.topics.hash_layout(into);
@@ -347,7 +346,7 @@
             .hash(into);
     }
 
-    fn broken(&self, w: &World) -> Option<String> {
+    fn violation(&self, w: &World) -> Option<String> {
         if w.breach.is_some() {
             return w.breach.clone();
         }
@@ -371,7 +370,7 @@
     begun: &'static [Event],
     depth: usize,
     states: usize,
-) -> Result<Seen, Found<Event>> {
+) -> Result<Exploration, Counterexample<Event>> {
     explore(&Small { left, fault, begun }, Limits { depth, states, threads: 4 })
 }
 
@@ -466,7 +465,7 @@
     for (fault, left, begun) in all {
         let found = run(left, Some(fault), begun, 16, 400_000);
         match &found {
-            Err(f) => println!("{fault:?}: {} in {} events, {} states", f.why, f.trail.len(), f.states),
+            Err(f) => println!("{fault:?}: {} in {} events, {} states", f.violation, f.trace.len(), f.states),
             Ok(seen) => println!("{fault:?}: {seen:?}"),
         }
         assert!(found.is_err(), "{fault:?} is not found");
--- /dev/null
+++ b/crates/testing/model-checker/src/fingerprint.rs
@@ -0,0 +1,34 @@
+//! Fingerprints of states.
+
+use std::collections::BTreeSet;
+use std::hash::{Hash, Hasher};
+
+use siphasher::sip128::Hasher128;
+
+use crate::model::Model;
+
+/// The hash function of fingerprints.
+pub type FingerprintHasher = siphasher::sip128::SipHasher13;
+
+/// Fixed keys, so that every run visits the same states.
+const KEYS: (u64, u64) = (0x6265_6563, 0x686c_6f66);
+
+/// The fingerprint of a state.
+pub(crate) fn fingerprint_of<M: Model>(model: &M, state: &M::State) -> u128 {
+    let mut hasher = FingerprintHasher::new_with_keys(KEYS.0, KEYS.1);
+    model.fingerprint(state, &mut hasher);
+    hasher.finish128().as_u128()
+}
+
+/// Hashes values without regard to their order or to duplicates, as the messages of a network.
+pub fn hash_unordered<'a, T: Hash + 'a>(
+    values: impl IntoIterator<Item = &'a T>,
+    into: &mut FingerprintHasher,
+) {
+    let hash_of = |value: &T| {
+        let mut hasher = FingerprintHasher::new();
+        value.hash(&mut hasher);
+        hasher.finish()
+    };
+    values.into_iter().map(hash_of).collect::<BTreeSet<u64>>().hash(into);
+}
