--- a/crates/platform/event-loop/src/event_bus/sequence.rs
+++ b/crates/platform/event-loop/src/event_bus/sequence.rs
@@ -98,8 +98,8 @@
             return EventOutcome::Ignored;
         }
         if event.skipped.count > 0 {
-            let (lines, why) = (event.skipped.count, &event.skipped.first_error);
-            warn!(id = raw.id, lines, why, "endpoints that can't be read are left out");
+            let (lines, error) = (event.skipped.count, &event.skipped.first_error);
+            warn!(id = raw.id, lines, error, "endpoints that can't be read are left out");
         }
         match number {
             Some(number) => {
@@ -123,7 +123,7 @@
         if self.request_again() {
             return EventOutcome::RequestAgain;
         }
-        warn!(id = raw_id, last = self.last, why = %error, "an event that can't be read is passed over");
+        warn!(id = raw_id, last = self.last, %error, "an event that can't be read is passed over");
         // Its number is believed if it is the next: one further on may be corrupted as the rest is, and would hide the events
         // up to it. Otherwise events after it are handled all the same, and the first of them that can be read skips it. If
         // none comes it arrives again, and is skipped at once, after each disconnect.
