--- a/crates/platform/event-loop/tests/crossings/viewers.rs
+++ b/crates/platform/event-loop/tests/crossings/viewers.rs
@@ -147,8 +147,8 @@
     }
 }
 
-#[test]
-fn an_answer_that_can_not_be_sent_ends_its_session_and_a_sent_one_does_not() {
+/// Session 1 is answered, and the answer to session 2 arrives; after the poll its client leaves. Session 2 alone is ended.
+fn leave_before_the_answer_is_sent(leave: impl Fn(Client) + Send + 'static) {
     let mut harness = Harness::new(1);
     let (mut client, mut offered) = harness.start_set_up(1);
     offered.connection.accept(1);
@@ -157,13 +157,12 @@
     client.send(&set_up(2, 3_000));
     let mut second = harness.wait_for_offer(2);
     second.connection.accept(2);
-    // The client resets after the poll, so that the answer can't be sent.
     let mut leaving = Some(client);
     harness.event_loop.on_phase_end(move |phase| {
         if phase == TurnPhase::SocketsPolled
             && let Some(leaver) = leaving.take()
         {
-            leaver.reset();
+            leave(leaver);
         }
     });
     harness.run_until("the end of the second session", |h| !h.servers[0].received("end").is_empty());
@@ -171,6 +170,16 @@
     assert_eq!((ends.len(), &ends[0]["call"]), (1, &"0000000000000002".into()));
 }
 
+#[test]
+fn an_answer_that_can_not_be_sent_ends_its_session_and_a_sent_one_does_not() {
+    leave_before_the_answer_is_sent(Client::reset);
+}
+
+#[test]
+fn an_answer_to_a_client_that_has_closed_ends_its_session() {
+    leave_before_the_answer_is_sent(Client::close);
+}
+
 /// The client reads what was written last, though it has sent bytes that nobody reads: no reset destroys it.
 #[test]
 fn closing_a_connection_for_malformed_bytes_does_not_destroy_earlier_answers() {
