--- a/crates/cli/src/among.rs
+++ b/crates/cli/src/among.rs
@@ -144,7 +144,7 @@
         let (wants, may) = (Arc::clone(&self.agent), Arc::clone(&self.agent));
         let waits = self.agent.restart().map(|r| r.wait);
         beechloft_event_loop::FleetHooks {
-            numbered: self.numbers(),
+            slot_assignment: self.numbers(),
             may_stop: Box::new(move || may.may_end()),
             request_stop: Box::new(move || wants.want_turn()),
             max_stop_wait: waits,
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -33,11 +33,12 @@
         Ok(event_loop) => event_loop,
         Err(e) => return fail(START_FAILED, e),
     };
-    let pace_span = event_loop.pace_span();
-    let mut membership = match fleet_settings.map(|settings| Among::start(&settings, pace_span)).transpose() {
-        Ok(membership) => membership,
-        Err(e) => return fail(START_FAILED, e),
-    };
+    let slow_start_window = event_loop.slow_start_window();
+    let mut membership =
+        match fleet_settings.map(|settings| Among::start(&settings, slow_start_window)).transpose() {
+            Ok(membership) => membership,
+            Err(e) => return fail(START_FAILED, e),
+        };
     if let Some(membership) = &membership {
         event_loop.join_fleet(membership.for_event_loop());
     }
--- a/crates/platform/event-loop/src/event_bus/mod.rs
+++ b/crates/platform/event-loop/src/event_bus/mod.rs
@@ -249,8 +249,7 @@
         connection.has_received = true;
         let mut events = Vec::new();
         let sequence = &mut self.sequence;
-        let received =
-            connection.response.receive(now, bytes, &mut events, &mut || !sequence.request_again());
+        let received = connection.response.receive(now, bytes, &mut events, &mut || !sequence.take_retry());
         for event in events {
             match self.sequence.receive(&event) {
                 EventOutcome::New(topology) => {
@@ -258,7 +257,7 @@
                     inputs.extend(topology.map(Input::Topology));
                 }
                 EventOutcome::Unnumbered(topology) => inputs.extend(topology.map(Input::Topology)),
-                EventOutcome::RequestAgain => return Err(ConnectionError::UnreadableEvent),
+                EventOutcome::Retry => return Err(ConnectionError::UnreadableEvent),
                 EventOutcome::Ignored => {}
             }
         }
--- a/crates/platform/event-loop/src/event_bus/sequence.rs
+++ b/crates/platform/event-loop/src/event_bus/sequence.rs
@@ -6,7 +6,7 @@
 
 /// An event that can't be read is requested again so many times, as it may have been corrupted on its way; then it is
 /// skipped. The next good event restores the budget, so that a run of bad ones costs these requests together, not each.
-const MAX_REPEATED_REQUESTS: u32 = 2;
+const MAX_RETRIES: u32 = 2;
 
 /// A number further ahead than this is not believed: it would hide all events after it, and no front node has missed so many
 /// changes of a list of some hundred servers.
@@ -20,7 +20,7 @@
     /// It has no number that can be believed: it is handled, but proves no progress, as it may come again.
     Unnumbered(Option<Topology>),
     /// It can't be read, and is to be requested again from the last number.
-    RequestAgain,
+    Retry,
     /// It came before, or can't be read and is skipped.
     Ignored,
 }
@@ -45,12 +45,12 @@
     /// The newest gap. An event in it shows that the number behind it was wrong, or came too early: the stream goes on from
     /// there. Otherwise one wrong number would hide all events up to it.
     gap: Option<Gap>,
-    repeated_requests: u32,
+    retries: u32,
 }
 
 impl EventSequence {
     pub fn starting_after(last: u64) -> EventSequence {
-        EventSequence { last, gap: None, repeated_requests: 0 }
+        EventSequence { last, gap: None, retries: 0 }
     }
 
     /// The number to request from.
@@ -59,9 +59,9 @@
     }
 
     /// Whether an event that can't be read is requested once more; if not, it is to be skipped.
-    pub fn request_again(&mut self) -> bool {
-        let request = self.repeated_requests < MAX_REPEATED_REQUESTS;
-        self.repeated_requests += u32::from(request);
+    pub fn take_retry(&mut self) -> bool {
+        let request = self.retries < MAX_RETRIES;
+        self.retries += u32::from(request);
         request
     }
 
@@ -104,7 +104,7 @@
         match number {
             Some(number) => {
                 self.advance_to(number);
-                self.repeated_requests = 0;
+                self.retries = 0;
                 EventOutcome::New(event.topology)
             }
             None => EventOutcome::Unnumbered(event.topology),
@@ -120,8 +120,8 @@
         if id.is_some_and(|number| !self.is_new(number)) {
             return EventOutcome::Ignored;
         }
-        if self.request_again() {
-            return EventOutcome::RequestAgain;
+        if self.take_retry() {
+            return EventOutcome::Retry;
         }
         warn!(id = raw_id, last = self.last, %error, "an event that can't be read is passed over");
         // Its number is believed if it is the next: one further on may be corrupted as the rest is, and would hide the events
--- a/crates/platform/event-loop/src/event_loop/effects.rs
+++ b/crates/platform/event-loop/src/event_loop/effects.rs
@@ -12,7 +12,7 @@
     /// Has the state machine handle all inputs, and carries out its outputs.
     pub(super) fn process_inputs(&mut self, now: Micros) {
         if !self.inputs.is_empty() {
-            self.update_number();
+            self.update_slot();
         }
         while let Some(input) = self.inputs.pop_front() {
             for output in self.node.handle(now, input) {
@@ -21,11 +21,11 @@
         }
     }
 
-    /// Passes on a change of the front node's number, before any other input: its lease may have expired since, for
+    /// Passes on a change of the front node's slot, before any other input: its lease may have expired since, for
     /// example while this process was stopped.
-    pub(super) fn update_number(&mut self) {
-        if let Some(numbered) = self.fleet.take_number_change() {
-            self.inputs.push_front(Input::SlotAssigned(numbered));
+    pub(super) fn update_slot(&mut self) {
+        if let Some(slot) = self.fleet.take_slot_change() {
+            self.inputs.push_front(Input::SlotAssigned(slot));
         }
     }
 
@@ -49,7 +49,9 @@
         match output {
             Output::AddIncarnation(incarnation, addr) => servers.add_incarnation(incarnation, addr, now),
             Output::RemoveIncarnation(incarnation) => servers.forget(incarnation, &mut context),
-            Output::KeepConnected(incarnation, hold) => servers.set_held(incarnation, hold, &mut context),
+            Output::KeepConnected(incarnation, keep) => {
+                servers.set_keep_connected(incarnation, keep, &mut context)
+            }
             Output::CheckReachability(incarnation) => servers.suspect(incarnation, &mut context),
             Output::SendSetUp { incarnation, id, connection, line, send_by } => {
                 servers.send_set_up(
--- a/crates/platform/event-loop/src/event_loop/mod.rs
+++ b/crates/platform/event-loop/src/event_loop/mod.rs
@@ -146,11 +146,11 @@
     /// From now on this front node is one of a fleet.
     pub fn join_fleet(&mut self, hooks: FleetHooks) {
         self.fleet.join(hooks);
-        self.update_number();
+        self.update_slot();
     }
 
     /// The span over which set-ups for servers that have just started are paced.
-    pub fn pace_span(&self) -> Duration {
+    pub fn slow_start_window(&self) -> Duration {
         Duration::from_micros(self.node.slow_start_window().0)
     }
 
--- a/crates/platform/event-loop/src/fleet.rs
+++ b/crates/platform/event-loop/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A front node's place among the front nodes of its fleet: its number, and its turn to restart.
+//! A front node as one of a fleet: its slot, and its turn to restart.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,8 +9,8 @@
 
 /// What a front node asks its fleet. The loop calls these at any time; none of them may block.
 pub struct FleetHooks {
-    /// The front node's number in the fleet now; `None`: as the configuration says.
-    pub numbered: Box<dyn Fn() -> Option<SlotAssignment> + Send>,
+    /// The front node's slot in the fleet now; `None`: as the configuration says.
+    pub slot_assignment: Box<dyn Fn() -> Option<SlotAssignment> + Send>,
     /// Whether the front node may stop now, after it requested to.
     pub may_stop: Box<dyn Fn() -> bool + Send>,
     /// Requests the front node's turn to stop.
@@ -23,7 +23,7 @@
 #[derive(Default)]
 pub(crate) struct FleetMembership {
     hooks: Option<FleetHooks>,
-    numbered: Option<SlotAssignment>,
+    slot: Option<SlotAssignment>,
     /// The front node waits for its turn to stop, at most until then.
     stop_wait_until: Option<Micros>,
 }
@@ -63,11 +63,11 @@
         inputs.push_back(Input::Terminate);
     }
 
-    /// The front node's number, if it has changed since the last call.
-    pub fn take_number_change(&mut self) -> Option<SlotAssignment> {
-        let current = self.hooks.as_ref().and_then(|hooks| (hooks.numbered)());
-        let changed = current.filter(|_| current != self.numbered)?;
-        self.numbered = current;
+    /// The front node's slot, if it has changed since the last call.
+    pub fn take_slot_change(&mut self) -> Option<SlotAssignment> {
+        let current = self.hooks.as_ref().and_then(|hooks| (hooks.slot_assignment)());
+        let changed = current.filter(|_| current != self.slot)?;
+        self.slot = current;
         info!(number = changed.slot, of = changed.slot_count, fronts = changed.live_fronts, "numbered");
         Some(changed)
     }
--- a/crates/platform/event-loop/src/servers/connect.rs
+++ b/crates/platform/event-loop/src/servers/connect.rs
@@ -78,10 +78,10 @@
 
     fn is_spare(&self, connection: &ServerConnection) -> bool {
         let incarnation = connection.incarnation;
-        let held = self.incarnations.get(&incarnation).is_some_and(|state| state.held);
+        let keep_connected = self.incarnations.get(&incarnation).is_some_and(|state| state.keep_connected);
         connection.is_idle()
             && connection.stream.pending_bytes() == 0
-            && (!held || self.connection_count(incarnation) > 1)
+            && (!keep_connected || self.connection_count(incarnation) > 1)
     }
 
     pub(super) fn connection_count(&self, incarnation: ServerIncarnation) -> usize {
--- a/crates/platform/event-loop/src/servers/incarnation.rs
+++ b/crates/platform/event-loop/src/servers/incarnation.rs
@@ -18,7 +18,7 @@
 pub(super) struct IncarnationState {
     pub addr: SocketAddr,
     /// Sessions are established there: a connection to it is kept.
-    pub held: bool,
+    pub keep_connected: bool,
     /// The list does not contain it any more: the first failure to reach it settles that it is lost.
     pub suspected: bool,
     /// When something last came from it, or a connection was established.
@@ -38,7 +38,7 @@
     pub fn new(addr: SocketAddr, now: Micros) -> IncarnationState {
         IncarnationState {
             addr,
-            held: false,
+            keep_connected: false,
             suspected: false,
             last_contact_at: now,
             unreachable_since: None,
--- a/crates/platform/event-loop/src/servers/mod.rs
+++ b/crates/platform/event-loop/src/servers/mod.rs
@@ -92,7 +92,7 @@
     /// watches, leaves first, within a bound.
     pub fn forget(&mut self, incarnation: ServerIncarnation, context: &mut ServerContext<'_>) {
         if let Some(state) = self.incarnations.get_mut(&incarnation) {
-            state.held = false;
+            state.keep_connected = false;
             let close_by = context.now + self.limits.connect_timeout + self.limits.drain_timeout;
             state.close_by = Some(close_by);
         }
@@ -114,10 +114,15 @@
     }
 
     /// Sessions are established at an incarnation, or no longer: while they are, a connection to it is kept.
-    pub fn set_held(&mut self, incarnation: ServerIncarnation, held: bool, context: &mut ServerContext<'_>) {
+    pub fn set_keep_connected(
+        &mut self,
+        incarnation: ServerIncarnation,
+        keep: bool,
+        context: &mut ServerContext<'_>,
+    ) {
         let Some(state) = self.incarnations.get_mut(&incarnation) else { return };
-        state.held = held;
-        if held && !self.has_connection(incarnation) {
+        state.keep_connected = keep;
+        if keep && !self.has_connection(incarnation) {
             let _ = self.connect(incarnation, context);
         }
     }
@@ -126,7 +131,7 @@
     pub fn suspect(&mut self, incarnation: ServerIncarnation, context: &mut ServerContext<'_>) {
         let Some(state) = self.incarnations.get_mut(&incarnation) else { return };
         state.suspected = true;
-        if state.held {
+        if state.keep_connected {
             let _ = self.connect(incarnation, context);
         }
     }
--- a/crates/platform/event-loop/src/servers/send.rs
+++ b/crates/platform/event-loop/src/servers/send.rs
@@ -29,7 +29,7 @@
                     connection.queue.push_back(Queued::SetUp(set_up));
                 }
             }
-            Err(reason) => self.share_connection(incarnation, set_up, reason, context),
+            Err(reason) => self.send_on_least_loaded(incarnation, set_up, reason, context),
         }
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// There is no connection for this set-up alone: it shares the one with the fewest. `reason`: why there is none.
-    fn share_connection(
+    fn send_on_least_loaded(
         &mut self,
         incarnation: ServerIncarnation,
         set_up: SetUp,
--- a/crates/platform/event-loop/src/servers/sweep.rs
+++ b/crates/platform/event-loop/src/servers/sweep.rs
@@ -54,7 +54,7 @@
             let unconnected = own.clone().next().is_none();
             let connecting = own.any(|connection| !connection.is_connected());
             let silent = now - state.last_contact_at > max_silence && !connecting;
-            let needs_check = state.held && (unconnected || silent);
+            let needs_check = state.keep_connected && (unconnected || silent);
             now >= state.reconnect_at && (needs_check || (unconnected && state.has_current_unsent(now)))
         };
         let wanting = self
--- a/crates/platform/event-loop/src/viewers/messages.rs
+++ b/crates/platform/event-loop/src/viewers/messages.rs
@@ -21,16 +21,16 @@
             return self.close_at_once(token, context);
         }
         if read_closed {
-            self.mark_client_gone(token, context);
+            self.mark_client_closed(token, context);
         }
         self.read_ahead(token, context);
     }
 
     /// A client has gone: nobody waits for the answers of its set-ups. No attempt is begun for it, though its end may lie
     /// unread behind everything that it sent.
-    fn mark_client_gone(&mut self, token: Token, context: &mut ViewerContext<'_>) {
-        if let Some(connection) = self.connections.get_mut(&token).filter(|c| !c.client_gone) {
-            connection.mark_client_gone();
+    fn mark_client_closed(&mut self, token: Token, context: &mut ViewerContext<'_>) {
+        if let Some(connection) = self.connections.get_mut(&token).filter(|c| !c.client_closed) {
+            connection.mark_client_closed();
             context.inputs.push_back(Input::ViewerConnectionClosed(viewer_conn(token)));
         }
     }
@@ -44,7 +44,7 @@
         let conn = viewer_conn(token);
         context.inputs.extend(releases.into_iter().map(|message| Input::ViewerMessage(conn, message)));
         if outcome == ReadAhead::Closed {
-            self.mark_client_gone(token, context);
+            self.mark_client_closed(token, context);
             self.close_at_once(token, context);
         } else if connection.has_pending_work() {
             self.pending.insert(token);
@@ -81,7 +81,7 @@
         let token = viewer_token(conn);
         self.read_ahead(token, context);
         let is_release = |input: &Input| matches!(input, Input::ViewerMessage(_, FromViewer::Release(released)) if *released == id);
-        let connected = self.connections.get(&token).is_some_and(|connection| !connection.client_gone);
+        let connected = self.connections.get(&token).is_some_and(|connection| !connection.client_closed);
         connected && !context.inputs.iter().any(is_release)
     }
 
@@ -93,7 +93,7 @@
             context.inputs.push_back(Input::AnswerUndelivered(*id));
             return;
         }
-        let Some(connection) = self.connections.get_mut(&token).filter(|c| !c.client_gone) else { return };
+        let Some(connection) = self.connections.get_mut(&token).filter(|c| !c.client_closed) else { return };
         if connection.send(message).is_err() {
             self.close_at_once(token, context);
         }
--- a/crates/platform/event-loop/src/viewers/mod.rs
+++ b/crates/platform/event-loop/src/viewers/mod.rs
@@ -92,7 +92,7 @@
     fn remove(&mut self, token: Token, context: &mut ViewerContext<'_>) -> Option<ViewerSocket> {
         let connection = self.connections.remove(&token)?;
         self.pending.remove(&token);
-        if !connection.client_gone {
+        if !connection.client_closed {
             context.inputs.push_back(Input::ViewerConnectionClosed(viewer_conn(token)));
         }
         context.inputs.extend(connection.unsent_answers().map(Input::AnswerUndelivered));
--- a/crates/platform/event-loop/src/viewers/socket.rs
+++ b/crates/platform/event-loop/src/viewers/socket.rs
@@ -58,7 +58,7 @@
     pub malformed: bool,
     /// The client has gone: nothing is owed on this connection, and what is still unread counts for established sessions
     /// alone.
-    pub client_gone: bool,
+    pub client_closed: bool,
     /// When the last whole message came, or the connection was opened.
     pub last_message_at: Micros,
     pub partial: Option<PartialMessage>,
@@ -77,7 +77,7 @@
             may_have_more: false,
             proven: false,
             malformed: false,
-            client_gone: false,
+            client_closed: false,
             last_message_at: now,
             partial: None,
             sent_bytes: 0,
@@ -146,7 +146,7 @@
         if let FromViewer::Release(id) = queued.message {
             self.remove_set_up(id);
             releases.push(queued.message);
-        } else if !self.client_gone {
+        } else if !self.client_closed {
             self.queued_bytes += queued.bytes;
             self.queue.push_back(queued);
         }
@@ -187,8 +187,8 @@
     }
 
     /// The client has gone: set-ups that wait for their turn are for nobody.
-    pub fn mark_client_gone(&mut self) {
-        self.client_gone = true;
+    pub fn mark_client_closed(&mut self) {
+        self.client_closed = true;
         self.queue.clear();
         self.queued_bytes = 0;
     }
