--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -7,7 +7,7 @@
 use beechloft_event_loop::EventLoop;
 use beechloft_protocol::config::Environment;
 
-use crate::among::Among;
+use crate::fleet_membership::FleetMembership;
 use crate::{fail, fleet, log};
 
 /// The environment variable with the path of the configuration file.
@@ -35,7 +35,8 @@
     };
     let slow_start_window = event_loop.slow_start_window();
     let mut membership =
-        match fleet_settings.map(|settings| Among::start(&settings, slow_start_window)).transpose() {
+        match fleet_settings.map(|settings| FleetMembership::start(&settings, slow_start_window)).transpose()
+        {
             Ok(membership) => membership,
             Err(e) => return fail(START_FAILED, e),
         };
