--- a/crates/platform/event-loop/src/startup.rs
+++ b/crates/platform/event-loop/src/startup.rs
@@ -139,7 +139,7 @@
     });
     let node_limits = beechloft_front_node::NodeLimits {
         answer_margin: ANSWER_MARGIN,
-        probe_timeout: limits.connect_timeout,
+        health_check_timeout: limits.connect_timeout,
         max_sessions: MAX_SESSIONS,
         shutdown_deadline: limits.answer_deadline,
     };
--- a/crates/platform/front-node/src/backoff.rs
+++ b/crates/platform/front-node/src/backoff.rs
@@ -1,38 +1,46 @@
-//! When to try again after a failure, by many at once.
+//! Delays between retries of many processes at once.
 
 use beechloft::api::Micros;
 
-/// An exponential back-off with jitter: each wait is twice the one before, up to a bound, and between half of that and all of it by chance.
-/// Guards against hundreds of front nodes that lose the same event bus at the same instant and would ask again together, at
-/// each step of the same ladder.
+/// Doublings after which the delay is at its maximum in any case.
+const MAX_DOUBLINGS: u8 = 16;
+
+/// Exponential backoff with jitter: the delay doubles with each failure up to a maximum, and a random part of up to half of
+/// it is left out. The jitter keeps processes that lose the same server at the same time from retrying together.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExponentialBackoff {
-    first: Micros,
-    most: Micros,
+    initial: Micros,
+    max: Micros,
     failures: u8,
-    dice: u64,
+    random_state: u64,
 }
 
 impl ExponentialBackoff {
-    /// Waits that begin at `first` and grow to `most`; `seed` is each process's own.
-    pub fn new(first: Micros, most: Micros, seed: u64) -> ExponentialBackoff {
-        ExponentialBackoff { first, most, failures: 0, dice: seed }
+    /// Delays from `initial` to `max`. Each process needs a `seed` of its own.
+    pub fn new(initial: Micros, max: Micros, seed: u64) -> ExponentialBackoff {
+        ExponentialBackoff { initial, max, failures: 0, random_state: seed }
     }
 
-    /// A try failed: how long to wait for the next.
+    /// The delay until the next try, after another failure.
     pub fn next_delay(&mut self) -> Micros {
-        let whole = (self.first.0 << self.failures.min(16)).min(self.most.0).max(1);
+        let doublings = self.failures.min(MAX_DOUBLINGS);
+        let full = (self.initial.0 << doublings).min(self.max.0).max(1);
         self.failures = self.failures.saturating_add(1);
-        // Splitmix64 (Steele, Lea and Flood, 2014): enough to keep processes apart.
-        self.dice = self.dice.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let z = (self.dice ^ (self.dice >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        let half = whole / 2;
-        Micros(half + (z ^ (z >> 31)) % (whole - half + 1))
+        let half = full / 2;
+        Micros(half + self.next_random() % (full - half + 1))
     }
 
-    /// It went well: the next failure begins anew.
+    /// Starts with the initial delay again, after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
+
+    /// SplitMix64 (Steele, Lea and Flood, OOPSLA 2014).
+    fn next_random(&mut self) -> u64 {
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let state = self.random_state;
+        let mixed_once = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let mixed_twice = (mixed_once ^ (mixed_once >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed_twice ^ (mixed_twice >> 31)
+    }
 }
--- a/crates/platform/front-node/src/directory.rs
+++ b/crates/platform/front-node/src/directory.rs
@@ -1,162 +1,235 @@
-//! Media servers by name, and their lanes.
+//! Media servers by name, and their incarnations.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use beechloft::api::{self as api, Micros, ServerId};
+use beechloft::api::{self, Micros, ServerId};
 use beechloft_protocol::CallId;
 use beechloft_protocol::bus::{Endpoint, Status};
 use beechloft_settings::Names;
 
 use crate::io::ServerIncarnation;
 
-/// Servers that are kept in mind; lines of a list past this are skipped.
-const MOST_SERVERS: usize = 4096;
+/// The maximum of known servers; further endpoints of a list are ignored.
+const MAX_SERVERS: usize = 4096;
 
-/// One start of one media server.
+/// The FNV-1a hash of 32 bits, by Fowler, Noll and Vo: its initial value and its prime.
+const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
+const FNV_PRIME: u32 = 0x0100_0193;
+
+/// An incarnation, and what belongs to it.
 #[derive(Debug)]
-pub(crate) struct LaneState {
+pub(crate) struct IncarnationState {
     pub server: ServerId,
-    pub addr: SocketAddr,
-    /// The list has it no more.
-    pub gone: bool,
-    /// Sessions that stand there.
-    pub standing: BTreeSet<CallId>,
-    /// Attempts that are out there.
-    pub out: BTreeSet<CallId>,
+    pub address: SocketAddr,
+    /// It is no longer on the list.
+    pub removed: bool,
+    /// Established sessions.
+    pub established: BTreeSet<CallId>,
+    /// Sessions with an attempt in flight there.
+    pub in_flight: BTreeSet<CallId>,
+}
+
+impl IncarnationState {
+    fn new(server: ServerId, address: SocketAddr) -> Self {
+        IncarnationState {
+            server,
+            address,
+            removed: false,
+            established: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
+        }
+    }
+
+    fn is_idle(&self) -> bool {
+        self.established.is_empty() && self.in_flight.is_empty()
+    }
 }
 
+/// A server with its latest incarnation.
 #[derive(Debug)]
-struct Known {
+struct Server {
     name: String,
-    addr: SocketAddr,
+    address: SocketAddr,
     started_ms: u64,
-    lane: ServerIncarnation,
+    incarnation: ServerIncarnation,
 }
 
-/// What a line of the list brings about.
-#[derive(Debug, Default)]
-pub(crate) struct Change {
-    /// A lane that begins.
-    pub begins: Option<(ServerIncarnation, SocketAddr)>,
-    /// The lane of an earlier start, whose process is gone.
+/// An incarnation that an endpoint of a list has made known.
+#[derive(Debug)]
+pub(crate) struct NewIncarnation {
+    pub incarnation: ServerIncarnation,
+    pub address: SocketAddr,
+}
+
+/// An endpoint of a list in the policy's form, and the incarnations that it changes.
+#[derive(Debug)]
+pub(crate) struct AppliedEndpoint {
+    pub endpoint: api::Endpoint,
+    /// An incarnation that starts.
+    pub added: Option<NewIncarnation>,
+    /// The server's earlier incarnation, whose process has ended.
     pub replaced: Option<ServerIncarnation>,
-    /// A lane that has left the list.
-    pub gone: Option<ServerIncarnation>,
+    /// An incarnation that was removed from the list.
+    pub removed: Option<ServerIncarnation>,
 }
 
-/// All media servers that are known, and lanes that sessions still belong to.
+/// All known media servers, and all incarnations that sessions or attempts belong to.
 #[derive(Debug, Default)]
 pub(crate) struct Directory {
-    names: BTreeMap<String, ServerId>,
-    known: BTreeMap<ServerId, Known>,
-    pub lanes: BTreeMap<ServerIncarnation, LaneState>,
-    made: u32,
+    ids: BTreeMap<String, ServerId>,
+    servers: BTreeMap<ServerId, Server>,
+    pub incarnations: BTreeMap<ServerIncarnation, IncarnationState>,
+    last_incarnation: u32,
 }
 
 impl Directory {
-    /// The module's name for a media server: the same at every front node, as it comes from the name alone
-    /// (FNV-1a); two names that fall together are told apart by trying the next number.
-    fn id(&mut self, name: &str) -> Option<ServerId> {
-        if let Some(id) = self.names.get(name) {
+    /// Applies an endpoint of a list. None if it can't be used: its address is not valid, it removes an unknown server, or
+    /// there are too many.
+    pub fn apply(&mut self, endpoint: &Endpoint, names: &Names) -> Option<AppliedEndpoint> {
+        let address: SocketAddr = endpoint.address.parse().ok()?;
+        let is_removed = endpoint.status == Status::Gone;
+        if is_removed && !self.ids.contains_key(&endpoint.name) {
+            return None;
+        }
+        let server = self.id_or_insert(&endpoint.name)?;
+        let mut applied = AppliedEndpoint {
+            endpoint: policy_endpoint(server, endpoint, names),
+            added: None,
+            replaced: None,
+            removed: None,
+        };
+        let known = self.servers.get(&server);
+        let previous = known.map(|known| known.incarnation);
+        if is_removed {
+            applied.removed = previous;
+        } else if known.is_none_or(|known| is_new_start(known, endpoint, address)) {
+            applied.replaced = previous;
+            applied.added = Some(self.start_incarnation(server, endpoint, address));
+        }
+        self.mark_listed(server, is_removed);
+        Some(applied)
+    }
+
+    /// The policy's identifier of a server. It is a hash of the name alone, so that it is the same at every front node;
+    /// of two names with the same hash the later one gets the next free identifier.
+    fn id_or_insert(&mut self, name: &str) -> Option<ServerId> {
+        if let Some(id) = self.ids.get(name) {
             return Some(*id);
         }
-        if self.names.len() >= MOST_SERVERS {
+        if self.ids.len() >= MAX_SERVERS {
             return None;
         }
-        let hash = |h: u32, b: u8| (h ^ u32::from(b)).wrapping_mul(0x0100_0193);
-        let mut id = ServerId(name.bytes().fold(0x811c_9dc5, hash));
-        while self.known.contains_key(&id) {
+        let mut id = ServerId(fnv1a(name.as_bytes()));
+        while self.servers.contains_key(&id) {
             id = ServerId(id.0.wrapping_add(1));
         }
-        self.names.insert(name.to_owned(), id);
+        self.ids.insert(name.to_owned(), id);
         Some(id)
     }
 
-    /// Takes a line of the list: the module's form of it, and what it brings about here.
-    pub fn take(&mut self, e: &Endpoint, names: &Names) -> Option<(api::Endpoint, Change)> {
-        let addr: SocketAddr = e.address.parse().ok()?;
-        let at = |list: &[String], name: &str| list.iter().position(|n| n == name).unwrap_or(0);
-        let gone = e.status == Status::Gone;
-        if gone && !self.names.contains_key(&e.name) {
-            return None;
-        }
-        let server = self.id(&e.name)?;
-        let entry = api::Endpoint {
-            server,
-            state: match e.status {
-                Status::Ready => api::EndpointState::Ready,
-                Status::Terminating => api::EndpointState::Draining,
-                Status::Gone => api::EndpointState::Removed,
-            },
-            cell: api::CellId(e.cell),
-            zone: api::ZoneId(at(&names.zones, &e.zone) as u16),
-            server_type: api::ServerType(at(&names.kinds, &e.kind) as u8),
-            started_at: Micros(e.started_ms.saturating_mul(1000)),
-            weight: if e.weight.is_finite() { e.weight } else { 0.0 },
-        };
-        let mut change = Change::default();
-        let old = self.known.get(&server).map(|k| (k.lane, k.addr, k.started_ms));
-        if gone {
-            change.gone = old.map(|o| o.0);
-        } else if old.is_none_or(|(_, a, since)| a != addr || e.started_ms > since) {
-            // A new start, or the first that is heard of it: nothing of an earlier one is left.
-            change.replaced = old.map(|o| o.0);
-            self.made += 1;
-            let lane = ServerIncarnation(self.made);
-            let known = Known { name: e.name.clone(), addr, started_ms: e.started_ms, lane };
-            self.known.insert(server, known);
-            let state =
-                LaneState { server, addr, gone: false, standing: BTreeSet::new(), out: BTreeSet::new() };
-            self.lanes.insert(lane, state);
-            change.begins = Some((lane, addr));
+    fn start_incarnation(
+        &mut self,
+        server: ServerId,
+        endpoint: &Endpoint,
+        address: SocketAddr,
+    ) -> NewIncarnation {
+        self.last_incarnation += 1;
+        let incarnation = ServerIncarnation(self.last_incarnation);
+        let (name, started_ms) = (endpoint.name.clone(), endpoint.started_ms);
+        self.servers.insert(server, Server { name, address, started_ms, incarnation });
+        self.incarnations.insert(incarnation, IncarnationState::new(server, address));
+        NewIncarnation { incarnation, address }
+    }
+
+    fn mark_listed(&mut self, server: ServerId, is_removed: bool) {
+        let incarnation = self.incarnation(server);
+        if let Some(state) = incarnation.and_then(|latest| self.incarnations.get_mut(&latest)) {
+            state.removed = is_removed;
         }
-        if let Some(lane) = change.gone.and_then(|l| self.lanes.get_mut(&l)) {
-            lane.gone = true;
-        } else if let Some(k) = self.known.get(&server)
-            && !gone
-        {
-            self.lanes.entry(k.lane).and_modify(|l| l.gone = false);
+    }
+
+    /// Marks an incarnation as removed from the list.
+    pub fn mark_removed(&mut self, incarnation: ServerIncarnation) {
+        if let Some(state) = self.incarnations.get_mut(&incarnation) {
+            state.removed = true;
         }
-        Some((entry, change))
     }
 
-    /// The media server's name with the module, if it is known.
+    /// The policy's identifier of a known server.
     pub fn server(&self, name: &str) -> Option<ServerId> {
-        self.names.get(name).copied()
+        self.ids.get(name).copied()
     }
 
-    /// Its lane.
-    pub fn lane(&self, server: ServerId) -> Option<ServerIncarnation> {
-        self.known.get(&server).map(|k| k.lane)
+    /// A server's latest incarnation.
+    pub fn incarnation(&self, server: ServerId) -> Option<ServerIncarnation> {
+        self.servers.get(&server).map(|known| known.incarnation)
     }
 
-    /// The lanes that have an address, on the list or not.
-    pub fn at(&self, addr: SocketAddr) -> impl Iterator<Item = ServerIncarnation> {
-        self.lanes.iter().filter(move |(_, l)| l.addr == addr).map(|(id, _)| *id)
+    /// The incarnations with an address, on the list or not.
+    pub fn incarnations_at(&self, address: SocketAddr) -> impl Iterator<Item = ServerIncarnation> {
+        let with_address = self.incarnations.iter().filter(move |(_, state)| state.address == address);
+        with_address.map(|(incarnation, _)| *incarnation)
     }
 
     /// All servers that are on the list.
     pub fn listed(&self) -> Vec<ServerId> {
-        let listed = |k: &Known| self.lanes.get(&k.lane).is_some_and(|l| !l.gone);
-        self.known.iter().filter(|(_, k)| listed(k)).map(|(id, _)| *id).collect()
+        let is_listed =
+            |known: &Server| self.incarnations.get(&known.incarnation).is_some_and(|state| !state.removed);
+        self.servers.iter().filter(|(_, known)| is_listed(known)).map(|(id, _)| *id).collect()
     }
 
-    /// Lets go of a lane that has nothing left; its server too, if this was its last and the list has it no more.
-    pub fn forget(&mut self, lane: ServerIncarnation) -> bool {
-        let Some(state) = self.lanes.get(&lane) else { return false };
-        if !state.standing.is_empty() || !state.out.is_empty() {
+    /// Removes an incarnation that nothing belongs to and that is not listed, and with a server's last one the server.
+    /// Returns whether it was removed.
+    pub fn remove_unused(&mut self, incarnation: ServerIncarnation) -> bool {
+        let Some(state) = self.incarnations.get(&incarnation).filter(|state| state.is_idle()) else {
             return false;
-        }
+        };
         let server = state.server;
-        let current = self.known.get(&server).is_some_and(|k| k.lane == lane);
-        if current && !state.gone {
+        let is_latest = self.incarnation(server) == Some(incarnation);
+        if is_latest && !state.removed {
             return false;
         }
-        self.lanes.remove(&lane);
-        if current && let Some(k) = self.known.remove(&server) {
-            self.names.remove(&k.name);
+        self.incarnations.remove(&incarnation);
+        if is_latest && let Some(known) = self.servers.remove(&server) {
+            self.ids.remove(&known.name);
         }
         true
     }
 }
+
+/// Whether an endpoint tells of a start of the server's process after the one that is known.
+fn is_new_start(known: &Server, endpoint: &Endpoint, address: SocketAddr) -> bool {
+    known.address != address || endpoint.started_ms > known.started_ms
+}
+
+#[expect(
+    clippy::cast_possible_truncation,
+    reason = "settings name fewer zones and kinds than the types can count"
+)]
+fn policy_endpoint(server: ServerId, endpoint: &Endpoint, names: &Names) -> api::Endpoint {
+    let zone = index_of(&names.zones, &endpoint.zone) as u16;
+    let server_type = index_of(&names.kinds, &endpoint.kind) as u8;
+    api::Endpoint {
+        server,
+        state: match endpoint.status {
+            Status::Ready => api::EndpointState::Ready,
+            Status::Terminating => api::EndpointState::Draining,
+            Status::Gone => api::EndpointState::Removed,
+        },
+        cell: api::CellId(endpoint.cell),
+        zone: api::ZoneId(zone),
+        server_type: api::ServerType(server_type),
+        started_at: Micros(endpoint.started_ms.saturating_mul(1000)),
+        weight: if endpoint.weight.is_finite() { endpoint.weight } else { 0.0 },
+    }
+}
+
+/// The index of a name; an unknown one counts as the first.
+fn index_of(names: &[String], name: &str) -> usize {
+    names.iter().position(|known| known == name).unwrap_or(0)
+}
+
+fn fnv1a(bytes: &[u8]) -> u32 {
+    bytes.iter().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u32::from(*byte)).wrapping_mul(FNV_PRIME))
+}
--- a/crates/platform/front-node/src/lib.rs
+++ b/crates/platform/front-node/src/lib.rs
@@ -1,22 +1,22 @@
-//! The front node as a state machine: sessions, attempts, answers owed, media servers, releases to come and the end
-//! after SIGTERM, around the decision module, which it drives as the simulator's adapter does. No sockets, no clock, no threads: [`Node::handle`] takes the
-//! time and an input and gives outputs. Every choice of server, rung, retry, refusal and pace is the module's.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
+//! The front node as a state machine without sockets, clock and threads: [`Node::handle`] takes the time and an input and
+//! returns outputs, which an event loop carries out.
+//!
+//! The machine holds sessions, attempts, pending answers and the incarnations of media servers around the policy, which
+//! makes every choice of server, rung, retry, rejection and rate. `docs/node.md` describes the messages and the rules.
 #![forbid(unsafe_code)]
 
-mod actions;
 mod backoff;
 mod directory;
+mod health_checks;
 pub mod io;
 mod node;
-mod releases;
-mod servers;
+mod recent;
 mod session;
+mod shutdown;
 mod timers;
-mod viewers;
+mod viewer_connections;
 
 pub use backoff::ExponentialBackoff;
 pub use io::{AttemptFailure, Input, Output, ServerIncarnation, ViewerConnection};
 pub use node::{Counts, Node, NodeLimits};
-pub use releases::ConnectionUse;
+pub use viewer_connections::ConnectionUse;
--- /dev/null
+++ b/crates/platform/front-node/src/node/viewer_messages.rs
@@ -0,0 +1,210 @@
+//! Messages of viewers, the end of their connections, and the deadlines of their answers.
+
+use beechloft::api::{
+    ClassId, Event, LoadReport, Micros, Outcome, Request, Rung, ServerId, SessionId, TenantId, TitleId,
+    ViewerId,
+};
+use beechloft_protocol::server::ToServer;
+use beechloft_protocol::viewer::{FromViewer, SetUp, SetUpError, ToViewer};
+use beechloft_protocol::{CallId, Cause};
+
+use super::Node;
+use crate::io::{Output, ServerIncarnation, ViewerConnection};
+use crate::session::{Attempt, Phase, Session};
+use crate::shutdown::Shutdown;
+use crate::timers::Timer;
+
+impl Node {
+    pub(super) fn viewer_message(&mut self, connection: ViewerConnection, message: FromViewer) {
+        match message {
+            FromViewer::SetUp(id, Ok(setup)) => self.set_up(connection, id, setup),
+            FromViewer::SetUp(id, Err(SetUpError::Missing(_))) => {
+                self.reject_set_up(connection, id, Cause::MissingElement);
+            }
+            FromViewer::SetUp(id, Err(_)) => self.reject_set_up(connection, id, Cause::InvalidElement),
+            FromViewer::Release(id) => self.release_received(connection, id),
+            FromViewer::Ignored(_) => {}
+            FromViewer::Test(id) => {
+                let result = ToViewer::TestResult(id, self.ready());
+                self.outputs.push(Output::SendToViewer(connection, result));
+            }
+        }
+    }
+
+    /// Answers a set-up that the policy does not see. One with the identifier of a known session must not disturb that
+    /// session, nor bring a second answer for it: on another connection it closes that connection.
+    fn reject_set_up(&mut self, connection: ViewerConnection, id: CallId, cause: Cause) {
+        match self.sessions.get(&id) {
+            None => self.outputs.push(Output::SendToViewer(connection, ToViewer::Release(id, cause))),
+            Some(known) if known.connection == connection => {}
+            Some(_) => self.outputs.push(Output::CloseViewerConnection(connection)),
+        }
+    }
+
+    fn set_up(&mut self, connection: ViewerConnection, id: CallId, setup: Box<SetUp>) {
+        if self.sessions.contains_key(&id) {
+            // A viewer may name a session that plays already more than once.
+            if setup.attributes.playing_at.is_none() {
+                self.reject_set_up(connection, id, Cause::InvalidElement);
+            }
+            return;
+        }
+        let Some(request) = self.request(id, &setup) else {
+            return self.reject_set_up(connection, id, Cause::InvalidElement);
+        };
+        match &setup.attributes.playing_at {
+            Some(server) => self.adopt(connection, id, request, server),
+            None => self.accept_request(connection, id, setup, request),
+        }
+    }
+
+    /// A set-up in the policy's form; none if its class, its cells or their number can't be.
+    fn request(&mut self, id: CallId, setup: &SetUp) -> Option<Request> {
+        let attributes = &setup.attributes;
+        let class = self.names.classes.iter().position(|name| *name == setup.class)?;
+        let has_valid_cells = (1..=self.settings.cells).contains(&attributes.copies)
+            && attributes.home_cell < self.settings.cells;
+        if !has_valid_cells {
+            return None;
+        }
+        let viewer_deadline = self.now + Micros(setup.timeout_ms.saturating_mul(1000));
+        let viewer = ViewerId(attributes.viewer);
+        Some(Request {
+            session: SessionId(id.0),
+            class: class_id(class),
+            title: TitleId(setup.title_id),
+            viewer,
+            first_cell: attributes.home_cell,
+            cell_count: attributes.copies,
+            eligible_servers: None,
+            max_rung: Rung(u8::try_from(attributes.max_rung).unwrap_or(u8::MAX)),
+            deadline: viewer_deadline - self.limits.answer_margin,
+            expected_duration: None,
+            tenant: TenantId(0),
+            migrated: self.migrated_viewers.remove(viewer),
+            is_retry: attributes.is_retry,
+        })
+    }
+
+    fn accept_request(
+        &mut self,
+        connection: ViewerConnection,
+        id: CallId,
+        setup: Box<SetUp>,
+        request: Request,
+    ) {
+        // A set-up that can't be encoded for a media server never reaches the policy.
+        let longest_offer = ToServer::Offer { id, setup: &setup, timeout_ms: u64::MAX, rung: u8::MAX };
+        if longest_offer.encode().is_none() {
+            return self.reject_set_up(connection, id, Cause::InvalidElement);
+        }
+        // Memory is bounded, and a process that is killed soon could not answer any more.
+        if self.sessions.len() >= self.limits.max_sessions || self.shutdown.rejects_set_ups() {
+            return self.reject_set_up(connection, id, Cause::Congestion);
+        }
+        self.connections.add_pending(connection, id);
+        self.timers.set(request.deadline, Timer::Answer(id));
+        let phase = Phase::Pending { setup, deadline: request.deadline, in_flight: None };
+        let session = Session { connection, viewer: request.viewer, attempts: 0, rung: 0, phase };
+        self.sessions.insert(id, session);
+        self.queue_event(Event::Request(request));
+    }
+
+    /// Adopts a session that plays already at a media server.
+    fn adopt(&mut self, connection: ViewerConnection, id: CallId, request: Request, server_name: &str) {
+        let has_room = self.sessions.len() < self.limits.max_sessions;
+        let Some((server, incarnation)) = self.known_server(server_name).filter(|_| has_room) else {
+            // Without its media server the session can't be managed, so its viewer has to set it up again.
+            let message = ToViewer::Release(id, Cause::TemporaryFailure);
+            return self.outputs.push(Output::SendToViewer(connection, message));
+        };
+        let attempt = Attempt { number: 0, incarnation, server, sent_at: self.now };
+        let phase = Phase::Established(attempt);
+        let session = Session { connection, viewer: request.viewer, attempts: 1, rung: 0, phase };
+        self.sessions.insert(id, session);
+        self.session_established(incarnation, connection, id);
+        self.queue_event(Event::SessionAdopted { request, server });
+    }
+
+    fn known_server(&self, name: &str) -> Option<(ServerId, ServerIncarnation)> {
+        let server = self.directory.server(name)?;
+        let incarnation = self.directory.incarnation(server)?;
+        Some((server, incarnation))
+    }
+
+    /// A viewer withdraws a set-up, or ends its session.
+    fn release_received(&mut self, connection: ViewerConnection, id: CallId) {
+        self.outputs.push(Output::SendToViewer(connection, ToViewer::ReleaseComplete(id)));
+        match self.sessions.get(&id).map(|session| &session.phase) {
+            Some(Phase::Pending { .. }) => self.withdraw(id),
+            Some(Phase::Established(_)) => {
+                if let Some(ended) = self.end_established(id, Outcome::Cancelled, LoadReport::default()) {
+                    self.release_at_server(ended.attempt.incarnation, id, Cause::Normal);
+                }
+            }
+            Some(Phase::Abandoned(_)) | None => {}
+        }
+    }
+
+    /// No viewer waits for a pending session's answer any more.
+    fn withdraw(&mut self, id: CallId) {
+        let Some(session) = self.sessions.get_mut(&id) else { return };
+        self.connections.remove_pending(session.connection, id);
+        match session.in_flight() {
+            Some(attempt) => {
+                session.phase = Phase::Abandoned(attempt);
+                self.outputs.push(Output::DiscardUnsent(attempt.incarnation, id));
+            }
+            None => {
+                self.sessions.remove(&id);
+            }
+        }
+        self.queue_event(Event::Withdrawn(SessionId(id.0)));
+    }
+
+    /// Set-ups that waited on the connection are withdrawn; established sessions belong to no connection.
+    pub(super) fn viewer_connection_closed(&mut self, connection: ViewerConnection) {
+        for id in self.connections.remove(connection) {
+            self.withdraw(id);
+        }
+    }
+
+    /// The process is killed soon: all pending answers are given now. A class's deadline may be longer than the time
+    /// between SIGTERM and SIGKILL.
+    pub(super) fn shutdown_deadline_reached(&mut self) {
+        self.shutdown = Shutdown::DeadlineReached { requested_at: self.shutdown.requested_at() };
+        let pending: Vec<(CallId, Option<Attempt>)> = self
+            .sessions
+            .iter()
+            .filter(|(_, session)| session.is_pending())
+            .map(|(id, session)| (*id, session.in_flight()))
+            .collect();
+        for (id, in_flight) in pending {
+            self.fail(id);
+            self.queue_event(Event::Withdrawn(SessionId(id.0)));
+            if let Some(attempt) = in_flight {
+                self.abandon_attempt(id, attempt, Outcome::Cancelled);
+            }
+        }
+    }
+
+    /// The deadline of a session's answer, in case the end of its attempt was lost or the policy did not answer.
+    pub(super) fn answer_deadline_reached(&mut self, id: CallId) {
+        let Some(session) = self.sessions.get(&id) else { return };
+        let Phase::Pending { deadline, in_flight, .. } = session.phase else { return };
+        if self.now < deadline {
+            return;
+        }
+        if let Some(attempt) = in_flight {
+            self.abandon_attempt(id, attempt, Outcome::Timeout);
+        } else {
+            self.fail(id);
+            self.queue_event(Event::Withdrawn(SessionId(id.0)));
+        }
+    }
+}
+
+#[expect(clippy::cast_possible_truncation, reason = "settings name fewer classes than the type can count")]
+fn class_id(index: usize) -> ClassId {
+    ClassId(index as u16)
+}
--- a/crates/platform/front-node/src/session.rs
+++ b/crates/platform/front-node/src/session.rs
@@ -1,69 +1,76 @@
-//! A session as the machine knows it.
+//! A session in the state machine.
 
 use beechloft::api::{Micros, ServerId, ViewerId};
 use beechloft_protocol::viewer::SetUp;
 
 use crate::io::{ServerIncarnation, ViewerConnection};
 
-/// An attempt that is out.
+/// An attempt to set a session up at a media server.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Attempt {
-    /// Its number, 0 the first.
+    /// Its number within the session, from 0.
     pub number: u16,
-    /// Where it went.
-    pub lane: ServerIncarnation,
-    /// The module's name for that.
+    /// The process that it was sent to.
+    pub incarnation: ServerIncarnation,
+    /// That process's server.
     pub server: ServerId,
-    /// When it went out.
-    pub sent: Micros,
+    /// When it was sent.
+    pub sent_at: Micros,
 }
 
-/// Where a session stands.
+/// The state of a session.
 #[derive(Debug)]
 pub(crate) enum Phase {
-    /// An answer is owed by the time given; perhaps an attempt is out.
-    Owed {
-        /// What the viewer stated.
+    /// The viewer waits for the answer.
+    Pending {
+        /// The viewer's set-up.
         setup: Box<SetUp>,
-        /// When the viewer gives up.
-        gives_up: Micros,
-        /// The attempt that is out.
-        out: Option<Attempt>,
+        /// When the answer has to be sent.
+        deadline: Micros,
+        /// The attempt that is in flight.
+        in_flight: Option<Attempt>,
     },
-    /// Answered, or given up by the viewer, while an attempt is still out.
-    Over(Attempt),
-    /// It stands.
-    Standing(Attempt),
+    /// Answered, or withdrawn by the viewer, while an attempt is still in flight.
+    Abandoned(Attempt),
+    /// It plays.
+    Established(Attempt),
 }
 
 #[derive(Debug)]
 pub(crate) struct Session {
     /// The connection of its set-up.
-    pub conn: ViewerConnection,
-    /// Its viewer.
+    pub connection: ViewerConnection,
     pub viewer: ViewerId,
-    /// How many attempts went out.
+    /// How many attempts were started.
     pub attempts: u16,
-    /// The rung that the module wants.
+    /// The rung that the policy wants.
     pub rung: u8,
     pub phase: Phase,
 }
 
 impl Session {
-    /// The attempt that is out and does not stand.
-    pub fn out(&self) -> Option<Attempt> {
+    /// The attempt that is in flight.
+    pub fn in_flight(&self) -> Option<Attempt> {
         match self.phase {
-            Phase::Owed { out, .. } => out,
-            Phase::Over(a) => Some(a),
-            Phase::Standing(_) => None,
+            Phase::Pending { in_flight, .. } => in_flight,
+            Phase::Abandoned(attempt) => Some(attempt),
+            Phase::Established(_) => None,
         }
     }
 
-    /// The attempt that is out or stands.
-    pub fn attempt(&self) -> Option<&Attempt> {
-        match &self.phase {
-            Phase::Owed { out, .. } => out.as_ref(),
-            Phase::Over(a) | Phase::Standing(a) => Some(a),
+    /// The attempt that is in flight or established.
+    pub fn attempt(&self) -> Option<Attempt> {
+        match self.phase {
+            Phase::Pending { in_flight, .. } => in_flight,
+            Phase::Abandoned(attempt) | Phase::Established(attempt) => Some(attempt),
         }
     }
+
+    pub fn is_pending(&self) -> bool {
+        matches!(self.phase, Phase::Pending { .. })
+    }
+
+    pub fn is_established(&self) -> bool {
+        matches!(self.phase, Phase::Established(_))
+    }
 }
--- a/crates/platform/front-node/tests/support/mod.rs
+++ b/crates/platform/front-node/tests/support/mod.rs
@@ -95,7 +95,7 @@
         let parsed = beechloft_settings::parse(settings.as_bytes()).expect("settings");
         let bounds = NodeLimits {
             answer_margin: Micros(20_000),
-            probe_timeout: Micros(250_000),
+            health_check_timeout: Micros(250_000),
             max_sessions: 500,
             shutdown_deadline: Micros(LAST_CALL_MS * 1000),
         };
--- a/crates/testing/fleet-simulation/src/fleet.rs
+++ b/crates/testing/fleet-simulation/src/fleet.rs
@@ -104,7 +104,7 @@
             beechloft_settings::parse(self.terms.text(number).as_bytes()).expect("settings of our own");
         let bounds = NodeLimits {
             answer_margin: Micros(20_000),
-            probe_timeout: Micros(250_000),
+            health_check_timeout: Micros(250_000),
             max_sessions: 8192,
             shutdown_deadline: Micros(3_450_000),
         };
--- a/crates/testing/fleet-simulation/tests/machine_hash/driver.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/driver.rs
@@ -458,7 +458,7 @@
     let settings = beechloft_settings::parse(terms.text(1).as_bytes()).expect("settings");
     let bounds = NodeLimits {
         answer_margin: Micros(20_000),
-        probe_timeout: Micros(250_000),
+        health_check_timeout: Micros(250_000),
         max_sessions: 60,
         shutdown_deadline: Micros(2_000_000),
     };
