--- a/crates/platform/front-node/src/node/mod.rs
+++ b/crates/platform/front-node/src/node/mod.rs
@@ -151,7 +151,7 @@
 
     /// Lines on what the policy assumes, for a log.
     pub fn diagnostics(&self) -> Vec<String> {
-        self.policy.beliefs(self.now, MAX_DIAGNOSTIC_LINES)
+        self.policy.describe(self.now, MAX_DIAGNOSTIC_LINES)
     }
 
     /// What a viewer's connection is used for.
@@ -168,7 +168,7 @@
     pub fn counts(&self) -> Counts {
         let mut counts = Counts {
             incarnations: self.directory.incarnations.len(),
-            servers: self.policy.known(),
+            servers: self.policy.known_servers(),
             queued_releases: self.connections.queued_releases(),
             timers: self.timers.len(),
             ..Counts::default()
