--- a/crates/cli/src/fleet_membership.rs
+++ b/crates/cli/src/fleet_membership.rs
@@ -11,7 +11,7 @@
 };
 use beechloft_leases::SlotShare;
 use beechloft_membership::MemberKind;
-use beechloft_quotas::Gate;
+use beechloft_quotas::AdmissionController;
 use beechloft_server::evidence::Observer;
 use beechloft_server::{FleetHooks, MediaServers};
 use beechloft_session::api::SlotAssignment;
@@ -122,7 +122,7 @@
     }
 
     /// What admits by limits that hold for all fronts, if there are any.
-    pub fn gate(&self) -> Option<Gate> {
+    pub fn gate(&self) -> Option<AdmissionController> {
         self.limiter.as_ref().map(QuotaClient::gate)
     }
 
--- a/crates/fleet/coordinator/src/quota_client.rs
+++ b/crates/fleet/coordinator/src/quota_client.rs
@@ -10,8 +10,8 @@
 
 use beechloft_gossip::SectionKind;
 use beechloft_quotas::{
-    Answer, Claim, Front, FrontId, FrontInput, FrontOutput, FrontSettings, Gate, Heard, Op, OrphanId,
-    Request, tag,
+    AdmissionController, Answer, Claim, Front, FrontId, FrontInput, FrontOutput, FrontSettings, Op, OrphanId,
+    Request, Response, tag,
 };
 use tracing::{debug, info, warn};
 
@@ -35,7 +35,7 @@
 pub type Tags = Box<dyn Fn() -> Option<Vec<BTreeMap<String, u64>>> + Send>;
 
 struct Shared {
-    gate: Gate,
+    gate: AdmissionController,
     end: AtomicBool,
     closed: AtomicBool,
 }
@@ -69,7 +69,7 @@
         for definition in &limits.definitions {
             front.handle(clock(), FrontInput::Define(definition.clone()));
         }
-        let gate = Gate::new(front, clock);
+        let gate = AdmissionController::new(front, clock);
         let shared = Arc::new(Shared { gate, end: AtomicBool::new(false), closed: AtomicBool::new(false) });
         let (its, way) = (Arc::clone(&shared), LeaderConnection::new(set.clone()));
         thread::Builder::new()
@@ -80,7 +80,7 @@
     }
 
     /// What admits.
-    pub fn gate(&self) -> Gate {
+    pub fn gate(&self) -> AdmissionController {
         self.shared.gate.clone()
     }
 
@@ -141,7 +141,7 @@
             let due = self.gate.front().next_due().unwrap_or(Duration::MAX);
             let wait = due.saturating_sub(self.gate.now()).min(LOOK);
             input = match way.hear_word(wait) {
-                Some(Message::QuotaResponse(heard)) => FrontInput::Heard(heard),
+                Some(Message::QuotaResponse(heard)) => FrontInput::Response(heard),
                 _ => FrontInput::Tick,
             };
         }
@@ -155,7 +155,7 @@
                 warn!(account = account.0, "no account of the fleet's limits; hard ones admit nobody here")
             }
             FrontOutput::Closed => self.closed.store(true, Ordering::Relaxed),
-            FrontOutput::Row(row) => {
+            FrontOutput::SoftShares(row) => {
                 let bytes = postcard::to_allocvec(&row).unwrap_or_default();
                 if let Some(Err(why)) = peers.map(|p| p.write_row(SectionKind::SOFT_QUOTAS, bytes)) {
                     warn!("soft limits' parts are not told: {why}");
@@ -172,7 +172,7 @@
             // A row that makes no sense says nothing: its front counts as one that is not heard.
             let Ok(parts) = postcard::from_bytes(&row.bytes) else { continue };
             if from != own {
-                self.gate.front().handle(now, FrontInput::Row(from, parts, row.age));
+                self.gate.front().handle(now, FrontInput::SoftShares(from, parts, row.age));
             }
         }
     }
@@ -233,7 +233,7 @@
     let until = Instant::now() + ANSWER;
     while Instant::now() < until {
         match way.hear_word(until.saturating_duration_since(Instant::now())) {
-            Some(Message::QuotaResponse(Heard::Answer { front: f, seq: s, answer }))
+            Some(Message::QuotaResponse(Response::Answer { front: f, seq: s, answer }))
                 if (f, s) == (front, seq) =>
             {
                 return Some(answer);
--- a/crates/fleet/coordinator/src/settings/quotas.rs
+++ b/crates/fleet/coordinator/src/settings/quotas.rs
@@ -4,16 +4,16 @@
 
 use beechloft_config_reader::Section;
 use beechloft_leases::{DriftBound, Name};
-use beechloft_quotas::define::{MOST, MOST_FRONTS};
-use beechloft_quotas::{Counts, Definition, Key, Kind, Of, Rules, bounds};
+use beechloft_quotas::definition::{MAX_FRONTS, MAX_LIMIT};
+use beechloft_quotas::{Enforcement, Key, LimitDefinition, QuotaParameters, Resource, Scope, bounds};
 
 /// What the section says.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct QuotaSettings {
     /// Times, and how many fronts there are at most.
-    pub rules: Rules,
+    pub rules: QuotaParameters,
     /// Limits, until the topic says something else.
-    pub definitions: Vec<Definition>,
+    pub definitions: Vec<LimitDefinition>,
     /// Boxes keep a tag with each session of this front, and can be asked by it.
     pub tagged: bool,
 }
@@ -36,9 +36,9 @@
 
 /// Reads the section.
 pub(super) fn quotas(s: &Section<'_>, drift: DriftBound, known: Option<KnownNames<'_>>) -> QuotaSettings {
-    let d = Rules::default();
-    let rules = Rules {
-        fronts: s.required_integer("fronts", 1..=u64::from(MOST_FRONTS)) as u32,
+    let d = QuotaParameters::default();
+    let rules = QuotaParameters {
+        fronts: s.required_integer("fronts", 1..=u64::from(MAX_FRONTS)) as u32,
         ttl_ms: s.integer("ttl_ms", 1..=600_000).unwrap_or(u64::from(d.ttl_ms)) as u32,
         settle_ms: s.integer("settle_ms", 100..=600_000).unwrap_or(u64::from(d.settle_ms)) as u32,
         horizon_ms: s.integer("horizon_ms", 100..=600_000).unwrap_or(u64::from(d.horizon_ms)) as u32,
@@ -46,7 +46,7 @@
     if let Err(why) = rules.check(drift) {
         s.report("ttl_ms", why.to_string());
     }
-    let mut definitions: Vec<Definition> = Vec::new();
+    let mut definitions: Vec<LimitDefinition> = Vec::new();
     for one in s.sections("list") {
         let Some(definition) = definition(&one, &rules, known) else { continue };
         if definitions.iter().any(|d| d.name == definition.name) {
@@ -57,46 +57,51 @@
     QuotaSettings { rules, definitions, tagged: true }
 }
 
-fn definition(s: &Section<'_>, rules: &Rules, known: Option<KnownNames<'_>>) -> Option<Definition> {
+fn definition(
+    s: &Section<'_>,
+    rules: &QuotaParameters,
+    known: Option<KnownNames<'_>>,
+) -> Option<LimitDefinition> {
     let text = s.required_text("name");
     let name = Name::try_from(text).map_err(|e| s.report("name", e.to_string())).ok();
     let counts = [
-        ("sessions", Counts::Sessions),
-        ("kbits", Counts::Kbits),
-        ("set_ups", Counts::SetUps),
-        ("attempts", Counts::Attempts),
+        ("sessions", Resource::Sessions),
+        ("kbits", Resource::Kbits),
+        ("set_ups", Resource::SetUps),
+        ("attempts", Resource::Attempts),
     ];
     let of = [
-        ("all", Of::All),
-        ("customer", Of::Customer),
-        ("title", Of::Title),
-        ("class", Of::Class),
-        ("viewer", Of::Viewer),
-        ("uplink", Of::Uplink),
-        ("box", Of::Box),
+        ("all", Scope::All),
+        ("customer", Scope::Customer),
+        ("title", Scope::Title),
+        ("class", Scope::Class),
+        ("viewer", Scope::Viewer),
+        ("uplink", Scope::Uplink),
+        ("box", Scope::Box),
     ];
     for key in ["counts", "of", "kind"] {
         if !s.has(key) {
             s.report(key, "missing");
         }
     }
-    let counts = s.choice("counts", &counts).unwrap_or(Counts::Sessions);
-    let of = s.choice("of", &of).unwrap_or(Of::All);
+    let counts = s.choice("counts", &counts).unwrap_or(Resource::Sessions);
+    let of = s.choice("of", &of).unwrap_or(Scope::All);
     let milli = |part: f64| (part * 1_000.0).round() as u32;
     let over = s.number("over", 0.0..=10.0);
     let hard = s.choice("kind", &[("hard", true), ("soft", false)]).unwrap_or(true);
     if hard && over.is_some() {
         s.report("over", "a hard limit is never over");
     }
-    let kind = if hard { Kind::Hard } else { Kind::Soft { over_milli: milli(over.unwrap_or(0.1)) } };
+    let kind =
+        if hard { Enforcement::Hard } else { Enforcement::Soft { over_milli: milli(over.unwrap_or(0.1)) } };
     let only = s.text("key");
     // A rate's least part may be a fraction of one a second.
     let scale = if counts.is_rate() { 1_000.0 } else { 1.0 };
     let least = s.number("least", 0.0..=1e9).unwrap_or(0.0) * scale;
     let weights = weights(s, known);
     let names = known.map(|k| match of {
-        Of::Customer => ("customer", k.customers),
-        Of::Class => ("class", k.classes),
+        Scope::Customer => ("customer", k.customers),
+        Scope::Class => ("class", k.classes),
         _ => ("", &[][..]),
     });
     if let (Some(only), Some((what, all))) = (&only, names)
@@ -105,13 +110,13 @@
     {
         s.report("key", format!("no {what} is called '{only}'"));
     }
-    let definition = Definition {
+    let definition = LimitDefinition {
         name: name?,
         version: 0,
         counts,
         of,
         only: only.as_deref().map(Key::of),
-        limit: s.required_integer("limit", 1..=MOST),
+        limit: s.required_integer("limit", 1..=MAX_LIMIT),
         kind,
         least: least.round() as u64,
         weights,
@@ -121,7 +126,7 @@
         fronts: rules.fronts,
         settle_ms: rules.settle_ms,
     };
-    for fault in definition.faults() {
+    for fault in definition.validate() {
         s.report(fault.key(), fault.to_string());
     }
     if !bounds::soft_can_grow(&definition) {
--- a/crates/fleet/coordinator/src/wire/message.rs
+++ b/crates/fleet/coordinator/src/wire/message.rs
@@ -98,5 +98,5 @@
     /// A front's request to the quota ledger.
     QuotaRequest(quotas::Request),
     /// The response to a [`Message::QuotaRequest`].
-    QuotaResponse(quotas::Heard),
+    QuotaResponse(quotas::Response),
 }
--- a/crates/fleet/coordinator/tests/wire_format.rs
+++ b/crates/fleet/coordinator/tests/wire_format.rs
@@ -197,13 +197,13 @@
         ),
         (
             "limit_heard",
-            Message::QuotaResponse(quotas::Heard::Answer {
+            Message::QuotaResponse(quotas::Response::Answer {
                 front: quotas::FrontId(4),
                 seq: 5,
                 answer: quotas::Answer::Closed,
             }),
         ),
-        ("limit_heard.again", Message::QuotaResponse(quotas::Heard::Again)),
+        ("limit_heard.again", Message::QuotaResponse(quotas::Response::Retry)),
     ]
 }
 
--- a/crates/fleet/quotas/src/admission.rs
+++ b/crates/fleet/quotas/src/admission.rs
@@ -4,8 +4,8 @@
 
 use beechloft_leases::Name;
 
-use crate::define::{Counts, Definition, Of};
-use crate::words::{Claim, Key};
+use crate::definition::{LimitDefinition, Resource, Scope};
+use crate::message::{Claim, Key};
 
 /// Whose session it is.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
@@ -37,43 +37,43 @@
 
 /// What was taken for a session or an attempt: it is to be given back once, when that is over. It can't be copied.
 #[derive(Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-#[cfg_attr(feature = "planted", derive(Clone))]
+#[cfg_attr(feature = "fault_injection", derive(Clone))]
 #[must_use]
-pub struct Taken(pub(crate) u64);
+pub struct Reservation(pub(crate) u64);
 
 /// What a session takes of one counter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Due<'a> {
     pub(crate) claim: Claim,
     pub(crate) units: u64,
-    pub(crate) of: &'a Definition,
+    pub(crate) of: &'a LimitDefinition,
 }
 
 impl Subject {
-    fn key(&self, of: Of) -> Option<Key> {
+    fn key(&self, of: Scope) -> Option<Key> {
         match of {
-            Of::All => Some(Key::default()),
-            Of::Customer => Some(self.customer.clone()),
-            Of::Title => Some(self.title.clone()),
-            Of::Class => Some(self.class.clone()),
-            Of::Viewer => self.viewer.clone(),
-            Of::Uplink => self.uplink.clone(),
-            Of::Box => self.server.clone(),
+            Scope::All => Some(Key::default()),
+            Scope::Customer => Some(self.customer.clone()),
+            Scope::Title => Some(self.title.clone()),
+            Scope::Class => Some(self.class.clone()),
+            Scope::Viewer => self.viewer.clone(),
+            Scope::Uplink => self.uplink.clone(),
+            Scope::Box => self.server.clone(),
         }
     }
 
     /// All that it falls under at this stage, by the names of limits: always the same order.
-    pub(crate) fn dues<'a>(&self, stage: Stage, all: &'a BTreeMap<Name, Definition>) -> Vec<Due<'a>> {
+    pub(crate) fn dues<'a>(&self, stage: Stage, all: &'a BTreeMap<Name, LimitDefinition>) -> Vec<Due<'a>> {
         all.values().filter_map(|of| self.due(stage, of)).collect()
     }
 
-    fn due<'a>(&self, stage: Stage, of: &'a Definition) -> Option<Due<'a>> {
+    fn due<'a>(&self, stage: Stage, of: &'a LimitDefinition) -> Option<Due<'a>> {
         let first = stage == Stage::Session;
         let applies = match (of.counts, stage) {
-            (Counts::Attempts, Stage::Attempt(before)) => before > 0,
-            (Counts::Attempts, Stage::Session) => false,
+            (Resource::Attempts, Stage::Attempt(before)) => before > 0,
+            (Resource::Attempts, Stage::Session) => false,
             // The first attempt is counted with the session where the box does not matter.
-            (Counts::SetUps, Stage::Attempt(before)) if !of.of.needs_box() => before > 0,
+            (Resource::SetUps, Stage::Attempt(before)) if !of.of.needs_box() => before > 0,
             _ => of.of.needs_box() != first,
         };
         let key = applies.then(|| self.key(of.of)).flatten()?;
@@ -81,7 +81,7 @@
             return None;
         }
         let customer = if of.weights.is_empty() { Key::default() } else { self.customer.clone() };
-        let units = if of.counts == Counts::Kbits { self.kbits } else { 1 };
+        let units = if of.counts == Resource::Kbits { self.kbits } else { 1 };
         Some(Due { claim: Claim { limit: of.name.clone(), key, customer }, units, of })
     }
 }
--- a/crates/fleet/quotas/src/gate.rs
+++ b/crates/fleet/quotas/src/admission_controller.rs
@@ -3,24 +3,24 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use crate::admission::{Stage, Subject, Taken};
+use crate::admission::{Reservation, Stage, Subject};
 use crate::front::Front;
-use crate::refusal::No;
-use crate::words::Claim;
+use crate::message::Claim;
+use crate::refusal::Refusal;
 
 type Clock = dyn Fn() -> Duration + Send + Sync;
 
 /// What admits at a front. Nothing here waits for the network: the lock is held for a look-up alone.
 #[derive(Clone)]
-pub struct Gate {
+pub struct AdmissionController {
     front: Arc<Mutex<Front>>,
     clock: Arc<Clock>,
 }
 
-impl Gate {
+impl AdmissionController {
     /// A gate; `clock` is the one that the front's machine goes by.
-    pub fn new(front: Front, clock: impl Fn() -> Duration + Send + Sync + 'static) -> Gate {
-        Gate { front: Arc::new(Mutex::new(front)), clock: Arc::new(clock) }
+    pub fn new(front: Front, clock: impl Fn() -> Duration + Send + Sync + 'static) -> AdmissionController {
+        AdmissionController { front: Arc::new(Mutex::new(front)), clock: Arc::new(clock) }
     }
 
     /// The machine, for whoever sends and hears for it.
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     /// The first limit, by name, that has no room.
-    pub fn admit(&self, subject: &Subject, stage: Stage) -> Result<Permit, No> {
+    pub fn admit(&self, subject: &Subject, stage: Stage) -> Result<Permit, Refusal> {
         let mut front = self.front();
         // After the lock was waited for: an account may have run out meanwhile.
         let now = self.now();
@@ -50,8 +50,8 @@
 /// What a session or an attempt took of its limits. Dropped, it gives that back.
 #[must_use]
 pub struct Permit {
-    taken: Option<Taken>,
-    gate: Gate,
+    taken: Option<Reservation>,
+    gate: AdmissionController,
 }
 
 impl Permit {
@@ -73,7 +73,7 @@
     fn drop(&mut self) {
         if let Some(taken) = self.taken.take() {
             let now = self.gate.now();
-            self.gate.front().give_back(now, taken);
+            self.gate.front().release(now, taken);
         }
     }
 }
--- a/crates/fleet/quotas/src/bounds.rs
+++ b/crates/fleet/quotas/src/bounds.rs
@@ -4,26 +4,26 @@
 
 use beechloft_leases::DriftBound;
 
-use crate::define::{Counts, Definition, Kind, MILLI, Rules};
+use crate::definition::{Enforcement, LimitDefinition, MILLI, QuotaParameters, Resource};
 
 /// How far a soft limit may be over, in units; nought for a hard one.
-pub fn soft_bound(of: &Definition) -> u64 {
+pub fn soft_bound(of: &LimitDefinition) -> u64 {
     match of.kind {
-        Kind::Hard => 0,
-        Kind::Soft { .. } => unseen(of).saturating_mul(u64::from(of.fronts.saturating_sub(1))),
+        Enforcement::Hard => 0,
+        Enforcement::Soft { .. } => unseen(of).saturating_mul(u64::from(of.fronts.saturating_sub(1))),
     }
 }
 
 /// What one front may grow by while the others have not heard of it.
-fn unseen(of: &Definition) -> u64 {
-    let Kind::Soft { over_milli } = of.kind else { return 0 };
+fn unseen(of: &LimitDefinition) -> u64 {
+    let Enforcement::Soft { over_milli } = of.kind else { return 0 };
     let over =
         of.units() / 1_000 * u64::from(over_milli) + of.units() % 1_000 * u64::from(over_milli) / 1_000;
     over / u64::from(of.fronts.saturating_sub(1)).max(1)
 }
 
 /// How fast a soft part grows: units a second at most, and units at once.
-pub fn soft_pace(of: &Definition, rules: &Rules, drift: DriftBound) -> (u64, u64) {
+pub fn soft_pace(of: &LimitDefinition, rules: &QuotaParameters, drift: DriftBound) -> (u64, u64) {
     let most = unseen(of);
     let cap = (most / 5).max(1).min(most);
     // A front hears of another's growth within twice the horizon, or one of the two stops to grow.
@@ -33,7 +33,7 @@
 }
 
 /// The most that a rate may admit in a window.
-pub fn rate_bound(of: &Definition, drift: DriftBound, window: Duration) -> u64 {
+pub fn rate_bound(of: &LimitDefinition, drift: DriftBound, window: Duration) -> u64 {
     let minted = u128::from(of.units()) * drift.longer(window).as_millis();
     let stored = u128::from(of.units()) * u128::from(of.burst_milli);
     let whole = (minted + stored).div_ceil(1_000 * u128::from(MILLI));
@@ -41,23 +41,23 @@
 }
 
 /// What one front can use at most while the others keep their least parts, in thousandths of the limit.
-pub fn one_hot_milli(of: &Definition) -> u64 {
+pub fn one_hot_milli(of: &LimitDefinition) -> u64 {
     let kept = of.least.saturating_mul(of.seats().saturating_sub(1));
     let rest = of.units().saturating_sub(kept);
     (u128::from(rest) * 1_000 / u128::from(of.units().max(1))) as u64
 }
 
 /// After so long a lowered limit is in force for all that comes new, and a lender has back what stands unused.
-pub fn in_force_after(rules: &Rules, drift: DriftBound) -> Duration {
+pub fn in_force_after(rules: &QuotaParameters, drift: DriftBound) -> Duration {
     drift.longer(Duration::from_millis(u64::from(rules.ttl_ms)))
 }
 
 /// What is promised of a limit, for people.
-pub fn lines(of: &Definition, rules: &Rules, drift: DriftBound) -> Vec<String> {
+pub fn lines(of: &LimitDefinition, rules: &QuotaParameters, drift: DriftBound) -> Vec<String> {
     let mut all = Vec::new();
     let whole = |units: u64| if of.counts.is_rate() { units as f64 / MILLI as f64 } else { units as f64 };
     match of.kind {
-        Kind::Hard => {
+        Enforcement::Hard => {
             let force = in_force_after(rules, drift).as_millis();
             all.push(format!(
                 "never over {} {}; lowered, it is in force after {force} ms; one front alone can use {:.3} of it",
@@ -83,7 +83,7 @@
                 ));
             }
         }
-        Kind::Soft { .. } => {
+        Enforcement::Soft { .. } => {
             let (pace, cap) = soft_pace(of, rules, drift);
             let bound = soft_bound(of);
             let hot = if pace == 0 { f64::INFINITY } else { of.units() as f64 / pace as f64 };
@@ -97,7 +97,7 @@
 }
 
 /// Whether a soft limit's `over` is enough for its fronts: each must be able to grow by one.
-pub fn soft_can_grow(of: &Definition) -> bool {
-    let one = if of.counts == Counts::Kbits { 1 } else { of.units() / of.limit.max(1) };
+pub fn soft_can_grow(of: &LimitDefinition) -> bool {
+    let one = if of.counts == Resource::Kbits { 1 } else { of.units() / of.limit.max(1) };
     of.is_hard() || unseen(of) >= 2 * one
 }
--- a/crates/fleet/quotas/src/define.rs
+++ b/crates/fleet/quotas/src/definition.rs
@@ -7,23 +7,23 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::words::Key;
+use crate::key::Key;
 
 /// Limits at most.
-pub const MOST_LIMITS: usize = 64;
+pub const MAX_LIMITS: usize = 64;
 /// Customers with weights at one limit.
-pub const MOST_WEIGHTS: usize = 256;
+pub const MAX_WEIGHTS: usize = 256;
 /// The most that a limit can be.
-pub const MOST: u64 = 1 << 40;
+pub const MAX_LIMIT: u64 = 1 << 40;
 /// Rates are counted in thousandths a second, so that a share of a small rate is more than nothing.
 pub const MILLI: u64 = 1_000;
 /// Fronts at most.
-pub const MOST_FRONTS: u32 = 4096;
+pub const MAX_FRONTS: u32 = 4096;
 
 /// What is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Counts {
+pub enum Resource {
     /// Sessions at once.
     Sessions,
     /// Kbit/s at once: the highest that each session may be given.
@@ -34,17 +34,17 @@
     Attempts,
 }
 
-impl Counts {
+impl Resource {
     /// Whether it is counted a second rather than at once.
     pub fn is_rate(self) -> bool {
-        matches!(self, Counts::SetUps | Counts::Attempts)
+        matches!(self, Resource::SetUps | Resource::Attempts)
     }
 }
 
 /// Of whom.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Of {
+pub enum Scope {
     /// Of all together.
     All,
     /// Of a customer.
@@ -61,17 +61,17 @@
     Box,
 }
 
-impl Of {
+impl Scope {
     /// Whether it is known only once a box was chosen.
     pub fn needs_box(self) -> bool {
-        matches!(self, Of::Uplink | Of::Box)
+        matches!(self, Scope::Uplink | Scope::Box)
     }
 }
 
 /// How a limit is kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum Enforcement {
     /// Never over.
     Hard,
     /// Over by at most this many thousandths of it.
@@ -83,21 +83,21 @@
 
 /// A limit.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Definition {
+pub struct LimitDefinition {
     /// Its name.
     pub name: Name,
     /// Settings are version 0; the topic's offset is above.
     pub version: u64,
     /// What it counts.
-    pub counts: Counts,
+    pub counts: Resource,
     /// Of whom.
-    pub of: Of,
+    pub of: Scope,
     /// Only of this one; none: of each by itself.
     pub only: Option<Key>,
     /// How many at most: sessions, kbit/s, or a second.
     pub limit: u64,
     /// How it is kept.
-    pub kind: Kind,
+    pub kind: Enforcement,
     /// Each front has this much of it at least: sessions, kbit/s, or thousandths a second.
     pub least: u64,
     /// Customers' weights; empty: nobody has a part of its own.
@@ -116,9 +116,9 @@
 
 /// What is wrong with a definition; `key` of the settings that says it.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Unsound {
+pub enum DefinitionError {
     /// Out of bounds.
-    #[error("{0} is out of range: 1 to {MOST}")]
+    #[error("{0} is out of range: 1 to {MAX_LIMIT}")]
     Limit(u64),
     /// The least parts of all fronts are more than the limit.
     #[error(
@@ -141,7 +141,7 @@
     #[error("weights divide a limit between customers; one of a customer or a viewer has nothing to divide")]
     Weights,
     /// A weight out of bounds.
-    #[error("a weight is from 1 to 1000000, and there are {MOST_WEIGHTS} at most")]
+    #[error("a weight is from 1 to 1000000, and there are {MAX_WEIGHTS} at most")]
     Weight,
     /// No part of a thousand.
     #[error("{0} thousandths are not a part of the whole")]
@@ -156,7 +156,7 @@
     #[error("{0} ms of burst is out of range: 0 to 60000")]
     Burst(u32),
     /// Too many fronts, or none.
-    #[error("{0} fronts are out of range: 1 to {MOST_FRONTS}")]
+    #[error("{0} fronts are out of range: 1 to {MAX_FRONTS}")]
     Fronts(u32),
     /// A set-up's time out of bounds.
     #[error("{0} ms are out of range: 100 to 600000")]
@@ -169,35 +169,35 @@
     SoftWeights,
 }
 
-impl Unsound {
+impl DefinitionError {
     /// The settings' key at fault.
     pub fn key(&self) -> &'static str {
         match self {
-            Unsound::Limit(_) => "limit",
-            Unsound::Least { .. } | Unsound::LeastOfEach => "least",
-            Unsound::Weights | Unsound::Weight | Unsound::SoftWeights => "weights",
-            Unsound::Part(_) => "keep",
-            Unsound::Over => "over",
-            Unsound::Longest(_) => "longest_s",
-            Unsound::Burst(_) => "burst_ms",
-            Unsound::Only => "key",
-            Unsound::Fronts(_) => "fronts",
-            Unsound::Settle(_) => "settle_ms",
+            DefinitionError::Limit(_) => "limit",
+            DefinitionError::Least { .. } | DefinitionError::LeastOfEach => "least",
+            DefinitionError::Weights | DefinitionError::Weight | DefinitionError::SoftWeights => "weights",
+            DefinitionError::Part(_) => "keep",
+            DefinitionError::Over => "over",
+            DefinitionError::Longest(_) => "longest_s",
+            DefinitionError::Burst(_) => "burst_ms",
+            DefinitionError::Only => "key",
+            DefinitionError::Fronts(_) => "fronts",
+            DefinitionError::Settle(_) => "settle_ms",
         }
     }
 }
 
-impl Definition {
+impl LimitDefinition {
     /// A hard limit with nothing special.
-    pub fn hard(name: Name, counts: Counts, of: Of, limit: u64) -> Definition {
-        Definition {
+    pub fn hard(name: Name, counts: Resource, of: Scope, limit: u64) -> LimitDefinition {
+        LimitDefinition {
             name,
             version: 0,
             counts,
             of,
             only: None,
             limit,
-            kind: Kind::Hard,
+            kind: Enforcement::Hard,
             least: 0,
             weights: BTreeMap::new(),
             keep_milli: 0,
@@ -215,7 +215,7 @@
 
     /// Whether the ledger holds it.
     pub fn is_hard(&self) -> bool {
-        self.kind == Kind::Hard
+        self.kind == Enforcement::Hard
     }
 
     /// Least parts that there may be at once: one for each front, and for each customer that has a weight.
@@ -224,49 +224,54 @@
     }
 
     /// What is wrong with it; all of it.
-    pub fn faults(&self) -> Vec<Unsound> {
+    pub fn validate(&self) -> Vec<DefinitionError> {
         let mut all = Vec::new();
-        if self.limit == 0 || self.limit > MOST {
-            all.push(Unsound::Limit(self.limit));
+        if self.limit == 0 || self.limit > MAX_LIMIT {
+            all.push(DefinitionError::Limit(self.limit));
         }
         let sum = self.least.saturating_mul(self.seats());
         if sum > self.units() {
-            all.push(Unsound::Least { least: self.least, seats: self.seats(), sum, limit: self.units() });
+            all.push(DefinitionError::Least {
+                least: self.least,
+                seats: self.seats(),
+                sum,
+                limit: self.units(),
+            });
         }
-        if self.fronts == 0 || self.fronts > MOST_FRONTS {
-            all.push(Unsound::Fronts(self.fronts));
+        if self.fronts == 0 || self.fronts > MAX_FRONTS {
+            all.push(DefinitionError::Fronts(self.fronts));
         }
         if !(100..=600_000).contains(&self.settle_ms) {
-            all.push(Unsound::Settle(self.settle_ms));
+            all.push(DefinitionError::Settle(self.settle_ms));
         }
-        if self.least > 0 && self.of == Of::Viewer {
-            all.push(Unsound::LeastOfEach);
+        if self.least > 0 && self.of == Scope::Viewer {
+            all.push(DefinitionError::LeastOfEach);
         }
         if !self.weights.is_empty() {
-            if matches!(self.of, Of::Customer | Of::Viewer) {
-                all.push(Unsound::Weights);
+            if matches!(self.of, Scope::Customer | Scope::Viewer) {
+                all.push(DefinitionError::Weights);
             }
             if !self.is_hard() {
-                all.push(Unsound::SoftWeights);
+                all.push(DefinitionError::SoftWeights);
             }
         }
-        if self.weights.len() > MOST_WEIGHTS || self.weights.values().any(|w| !(1..=1_000_000).contains(w)) {
-            all.push(Unsound::Weight);
+        if self.weights.len() > MAX_WEIGHTS || self.weights.values().any(|w| !(1..=1_000_000).contains(w)) {
+            all.push(DefinitionError::Weight);
         }
         if self.keep_milli > 1_000 {
-            all.push(Unsound::Part(self.keep_milli));
+            all.push(DefinitionError::Part(self.keep_milli));
         }
-        if matches!(self.kind, Kind::Soft { over_milli } if over_milli == 0) {
-            all.push(Unsound::Over);
+        if matches!(self.kind, Enforcement::Soft { over_milli } if over_milli == 0) {
+            all.push(DefinitionError::Over);
         }
         if !(1_000..=604_800_000).contains(&self.longest_ms) {
-            all.push(Unsound::Longest(self.longest_ms));
+            all.push(DefinitionError::Longest(self.longest_ms));
         }
         if self.burst_milli > 60_000 {
-            all.push(Unsound::Burst(self.burst_milli));
+            all.push(DefinitionError::Burst(self.burst_milli));
         }
-        if self.of == Of::All && self.only.is_some() {
-            all.push(Unsound::Only);
+        if self.of == Scope::All && self.only.is_some() {
+            all.push(DefinitionError::Only);
         }
         all
     }
@@ -283,20 +288,20 @@
     }
 }
 
-impl fmt::Display for Counts {
+impl fmt::Display for Resource {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Counts::Sessions => "sessions",
-            Counts::Kbits => "kbit/s",
-            Counts::SetUps => "set-ups a second",
-            Counts::Attempts => "further attempts a second",
+            Resource::Sessions => "sessions",
+            Resource::Kbits => "kbit/s",
+            Resource::SetUps => "set-ups a second",
+            Resource::Attempts => "further attempts a second",
         })
     }
 }
 
 /// What all limits share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Rules {
+pub struct QuotaParameters {
     /// Fronts at most; more than that may find no least part.
     pub fronts: u32,
     /// A front's account runs for so long each time, milliseconds.
@@ -307,18 +312,18 @@
     pub horizon_ms: u32,
 }
 
-impl Default for Rules {
-    fn default() -> Rules {
-        Rules { fronts: 8, ttl_ms: 2_000, settle_ms: 10_000, horizon_ms: 3_000 }
+impl Default for QuotaParameters {
+    fn default() -> QuotaParameters {
+        QuotaParameters { fronts: 8, ttl_ms: 2_000, settle_ms: 10_000, horizon_ms: 3_000 }
     }
 }
 
 /// Times that can't hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Untimely {
+pub enum QuotaParametersError {
     /// The account's time.
     #[error(
-        "{ttl_ms} ms leave {left_ms} ms after a drift of {ppm} ppm, and {LEAST_MS} are needed to renew it"
+        "{ttl_ms} ms leave {left_ms} ms after a drift of {ppm} ppm, and {MIN_USABLE_TTL_MS} are needed to renew it"
     )]
     Short {
         /// As set.
@@ -329,26 +334,26 @@
         ppm: u32,
     },
     /// Too many fronts.
-    #[error("{0} fronts are out of range: 1 to {MOST_FRONTS}")]
+    #[error("{0} fronts are out of range: 1 to {MAX_FRONTS}")]
     Fronts(u32),
 }
 
 /// What must be left of an account's time once the drift is off.
-const LEAST_MS: u64 = 450;
+const MIN_USABLE_TTL_MS: u64 = 450;
 
-impl Rules {
+impl QuotaParameters {
     /// Whether an account can be renewed in time.
     ///
     /// # Errors
     /// The time is under what the drift allows, or there are too many fronts.
-    pub fn check(&self, drift: DriftBound) -> Result<(), Untimely> {
+    pub fn check(&self, drift: DriftBound) -> Result<(), QuotaParametersError> {
         let ttl = std::time::Duration::from_millis(u64::from(self.ttl_ms));
         let left_ms = drift.shorter(ttl).as_millis() as u64;
-        if left_ms < LEAST_MS {
-            return Err(Untimely::Short { ttl_ms: self.ttl_ms, left_ms, ppm: drift.as_ppm() });
+        if left_ms < MIN_USABLE_TTL_MS {
+            return Err(QuotaParametersError::Short { ttl_ms: self.ttl_ms, left_ms, ppm: drift.as_ppm() });
         }
-        if self.fronts == 0 || self.fronts > MOST_FRONTS {
-            return Err(Untimely::Fronts(self.fronts));
+        if self.fronts == 0 || self.fronts > MAX_FRONTS {
+            return Err(QuotaParametersError::Fronts(self.fronts));
         }
         Ok(())
     }
--- a/crates/fleet/quotas/src/times.rs
+++ b/crates/fleet/quotas/src/expiry_timers.rs
@@ -5,9 +5,9 @@
 
 use beechloft_leases::DriftBound;
 
+use crate::fault_injection::Fault;
 use crate::ledger::Ledger;
-use crate::planted::Fault;
-use crate::words::{AccountId, Command, Event, OrphanId};
+use crate::message::{AccountId, Command, Event, OrphanId};
 
 /// What was put into the log may be lost; again after this.
 const AGAIN: Duration = Duration::from_secs(1);
@@ -30,7 +30,7 @@
 
 /// Times of all accounts and orphans, while this keeper leads.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Times {
+pub struct ExpiryTimers {
     drift: DriftBound,
     leads: bool,
     accounts: BTreeMap<AccountId, Deadline>,
@@ -38,20 +38,20 @@
     fault: Option<Fault>,
 }
 
-impl Times {
+impl ExpiryTimers {
     /// Counts nothing yet.
-    pub fn new(drift: DriftBound) -> Times {
-        Times { drift, leads: false, accounts: BTreeMap::new(), orphans: BTreeMap::new(), fault: None }
+    pub fn new(drift: DriftBound) -> ExpiryTimers {
+        ExpiryTimers { drift, leads: false, accounts: BTreeMap::new(), orphans: BTreeMap::new(), fault: None }
     }
 
-    /// Plants a fault.
-    #[cfg(feature = "planted")]
-    pub fn plant(&mut self, fault: Fault) {
+    /// Injects a fault.
+    #[cfg(feature = "fault_injection")]
+    pub fn inject(&mut self, fault: Fault) {
         self.fault = Some(fault);
     }
 
-    fn planted(&self, fault: Fault) -> bool {
-        cfg!(feature = "planted") && self.fault == Some(fault)
+    fn has_fault(&self, fault: Fault) -> bool {
+        cfg!(feature = "fault_injection") && self.fault == Some(fault)
     }
 
     /// This keeper begins to lead, or its state came anew as a whole while it leads. All accounts have their full time again, as it
@@ -63,7 +63,7 @@
         for (id, ..) in ledger.accounts() {
             self.count(now, ledger, id);
         }
-        if self.planted(Fault::NoTimeAnew) {
+        if self.has_fault(Fault::TtlNotRestartedOnElection) {
             self.accounts.values_mut().for_each(|d| d.at = now);
         }
         for (id, _) in ledger.orphans() {
@@ -98,7 +98,7 @@
     }
 
     fn longer(&self, span: Duration) -> Duration {
-        if self.planted(Fault::NoDrift) { span } else { self.drift.longer(span) }
+        if self.has_fault(Fault::DriftIgnored) { span } else { self.drift.longer(span) }
     }
 
     fn count(&mut self, now: Duration, ledger: &Ledger, id: AccountId) {
--- a/crates/fleet/quotas/src/planted.rs
+++ b/crates/fleet/quotas/src/fault_injection.rs
@@ -4,33 +4,33 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Fault {
     /// What a lost front held is free at once.
-    FreeAtOnce,
+    OrphanFreedAtOnce,
     /// A lost front's share counts for what it had last said that it used.
-    LastWord,
+    OrphanCountsLastReport,
     /// A front counts its account's time from when the answer came.
-    CountsFromArrival,
+    TtlFromArrival,
     /// Accounts run out without the drift, fronts count on all of the time.
-    NoDrift,
+    DriftIgnored,
     /// A recall counts before the front has said that it holds less.
-    RecallAtOnce,
+    RecallCountedAtOnce,
     /// What a front ends is given back twice.
     ReleasedTwice,
     /// A lowered limit goes on lending up to the one before it.
-    LoweredLends,
+    LoweredLimitLent,
     /// Nothing is kept for fronts that have not their least part yet.
-    LeastForgotten,
+    MinSharesNotReserved,
     /// A new leader gives accounts no time again.
-    NoTimeAnew,
+    TtlNotRestartedOnElection,
     /// An answer to a request that was overtaken is taken.
-    OldAnswer,
+    StaleAnswerAccepted,
     /// Boxes are asked while set-ups of the lost front may be on their way.
-    SurveyAtOnce,
+    SurveyedAtOnce,
     /// An older request is done after a newer one.
-    OldRequest,
+    StaleRequestApplied,
     /// A front that closes says what it uses and goes on admitting.
-    ClosesLate,
+    AdmitsWhileClosing,
     /// A soft part grows at any pace.
-    GrowsAtOnce,
+    SoftShareGrowsAtOnce,
     /// A front that hears from nobody keeps its soft part.
-    NoHorizon,
+    HorizonIgnored,
 }
--- a/crates/fleet/quotas/src/front/admit.rs
+++ b/crates/fleet/quotas/src/front/admit.rs
@@ -6,14 +6,14 @@
 
 use super::slot::Slot;
 use super::{Front, State};
-use crate::admission::{Due, Stage, Subject, Taken};
-use crate::define::{Definition, MILLI};
-use crate::planted::Fault;
-use crate::refusal::{No, Why};
-use crate::words::{Claim, Key};
+use crate::admission::{Due, Reservation, Stage, Subject};
+use crate::definition::{LimitDefinition, MILLI};
+use crate::fault_injection::Fault;
+use crate::message::{Claim, Key};
+use crate::refusal::{Refusal, RefusalReason};
 
 /// Counters at one front.
-const MOST_SLOTS: usize = 1 << 16;
+const MAX_SLOTS: usize = 1 << 16;
 /// Soft rates count what was taken for so long.
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     /// The first limit that has no room.
-    pub fn take(&mut self, now: Duration, subject: &Subject, stage: Stage) -> Result<Taken, No> {
+    pub fn take(&mut self, now: Duration, subject: &Subject, stage: Stage) -> Result<Reservation, Refusal> {
         self.now = self.now.max(now);
         let now = self.now;
         self.pass(now);
@@ -40,8 +40,8 @@
             && self.state != State::Idle
             && let Ok(limit) = Name::try_from("fleet/limits".to_owned())
         {
-            let again = SECOND + self.about(SECOND);
-            return Err(No { limit, key: Key::default(), why: Why::NoAccount, again });
+            let again = SECOND + self.jittered(SECOND);
+            return Err(Refusal { limit, key: Key::default(), why: RefusalReason::NoAccount, again });
         }
         let definitions = std::mem::take(&mut self.definitions);
         let dues = subject.dues(stage, &definitions);
@@ -52,7 +52,7 @@
                 let held = dues.iter().filter_map(|due| self.hold(now, due)).collect();
                 self.next_live += 1;
                 self.live.insert(self.next_live, Live { subject: subject.clone(), stage, held });
-                Ok(Taken(self.next_live))
+                Ok(Reservation(self.next_live))
             }
         };
         self.definitions = definitions;
@@ -60,12 +60,12 @@
     }
 
     /// What was taken is over.
-    pub fn give_back(&mut self, now: Duration, taken: Taken) {
+    pub fn release(&mut self, now: Duration, taken: Reservation) {
         self.now = self.now.max(now);
         let Some(live) = self.live.remove(&taken.0) else { return };
         for (claim, units) in live.held {
-            let units = if self.planted(Fault::ReleasedTwice) { 2 * units } else { units };
-            let hard = self.definitions.get(&claim.limit).is_none_or(Definition::is_hard);
+            let units = if self.has_fault(Fault::ReleasedTwice) { 2 * units } else { units };
+            let hard = self.definitions.get(&claim.limit).is_none_or(LimitDefinition::is_hard);
             if hard {
                 let Some(slot) = self.slots.get_mut(&claim) else { continue };
                 slot.used = slot.used.saturating_sub(units);
@@ -73,7 +73,7 @@
                 // What ends while the limit does not fit is nobody's here.
                 self.urgent |= slot.closed || slot.recall > 0;
             } else {
-                self.soft.give_back(&claim, units);
+                self.soft.release(&claim, units);
                 if let Some(slot) = self.slots.get_mut(&claim) {
                     slot.lately.freed(self.now);
                 }
@@ -82,8 +82,8 @@
     }
 
     /// What was taken of hard limits that count what plays at once.
-    pub fn claims(&self, taken: &Taken) -> Vec<(Claim, u64)> {
-        let hard = |c: &Claim| self.definitions.get(&c.limit).is_some_and(Definition::is_hard);
+    pub fn claims(&self, taken: &Reservation) -> Vec<(Claim, u64)> {
+        let hard = |c: &Claim| self.definitions.get(&c.limit).is_some_and(LimitDefinition::is_hard);
         let held = self.live.get(&taken.0).into_iter().flat_map(|l| &l.held);
         held.filter(|(c, _)| hard(c)).cloned().collect()
     }
@@ -94,24 +94,24 @@
     }
 
     /// Why there is no room, if there is none.
-    fn look(&mut self, now: Duration, open: bool, due: &Due<'_>) -> Option<Why> {
+    fn look(&mut self, now: Duration, open: bool, due: &Due<'_>) -> Option<RefusalReason> {
         let Due { claim, units, of } = due;
         if !of.is_hard() {
             let units = if of.counts.is_rate() { MILLI } else { *units };
-            return (!self.soft.fits(now, of, claim, units)).then_some(Why::Full);
+            return (!self.soft.fits(now, of, claim, units)).then_some(RefusalReason::Full);
         }
         if !open {
-            return Some(Why::NoAccount);
+            return Some(RefusalReason::NoAccount);
         }
-        let Some(slot) = self.slots.get_mut(claim) else { return Some(Why::Full) };
+        let Some(slot) = self.slots.get_mut(claim) else { return Some(RefusalReason::Full) };
         if slot.closed {
-            return Some(Why::Lowered);
+            return Some(RefusalReason::Lowered);
         }
         if of.counts.is_rate() {
             slot.bucket.set(now, slot.share, of.burst_milli);
-            return (!slot.bucket.has(now, *units)).then_some(Why::Rate);
+            return (!slot.bucket.has(now, *units)).then_some(RefusalReason::Rate);
         }
-        (*units > slot.room()).then_some(Why::Full)
+        (*units > slot.room()).then_some(RefusalReason::Full)
     }
 
     /// Takes what was found to be there; what is to be given back later.
@@ -137,37 +137,37 @@
         Some((claim.clone(), *units))
     }
 
-    fn refuse(&mut self, now: Duration, due: &Due<'_>, why: Why) -> No {
+    fn refuse(&mut self, now: Duration, due: &Due<'_>, why: RefusalReason) -> Refusal {
         let (limit, key) = (due.claim.limit.clone(), due.claim.key.clone());
         let known = self.slots.contains_key(&due.claim);
-        if !known && self.slots.len() >= MOST_SLOTS {
-            return No { limit, key, why, again: SECOND };
+        if !known && self.slots.len() >= MAX_SLOTS {
+            return Refusal { limit, key, why, again: SECOND };
         }
         if !known {
             // Nobody has come for this one yet: it is asked for at once.
-            self.gap = super::GAP.min(self.gap);
+            self.gap = super::MIN_REPORT_INTERVAL.min(self.gap);
         }
         let slot = self.slots.entry(due.claim.clone()).or_insert_with(|| Slot::new(now));
         slot.lacked(now, due.units);
-        let first = slot.bucket.wait().filter(|_| why == Why::Rate).unwrap_or_default();
+        let first = slot.bucket.wait().filter(|_| why == RefusalReason::Rate).unwrap_or_default();
         let again = slot.lately.again(now, first, &mut self.rng);
         self.urgent = true;
-        No { limit, key, why, again }
+        Refusal { limit, key, why, again }
     }
 
     /// Soft rates: what was taken more than a second ago counts no more.
     pub(super) fn pass(&mut self, now: Duration) {
         while self.passing.front().is_some_and(|p| p.0 <= now) {
             if let Some((_, claim, units)) = self.passing.pop_front() {
-                self.soft.give_back(&claim, units);
+                self.soft.release(&claim, units);
             }
         }
     }
 
-    pub(super) fn define(&mut self, definition: Definition) {
+    pub(super) fn define(&mut self, definition: LimitDefinition) {
         let known = self.definitions.get(&definition.name).map(|d| d.version);
         let older = known.or_else(|| self.undefined.get(&definition.name).copied());
-        if older.is_some_and(|v| v >= definition.version) || !definition.faults().is_empty() {
+        if older.is_some_and(|v| v >= definition.version) || !definition.validate().is_empty() {
             return;
         }
         self.undefined.remove(&definition.name);
@@ -176,7 +176,7 @@
     }
 
     /// The ledger's limits: they stand, whatever settings say.
-    pub(super) fn limits(&mut self, all: Vec<Definition>, revision: u64) {
+    pub(super) fn limits(&mut self, all: Vec<LimitDefinition>, revision: u64) {
         self.declares.retain(|own| all.iter().all(|d| d.name != own.name));
         self.definitions.retain(|name, _| all.iter().any(|d| d.name == *name));
         self.definitions.extend(all.into_iter().map(|d| (d.name.clone(), d)));
@@ -203,7 +203,7 @@
         }
         for live in self.live.values_mut() {
             for (claim, units) in live.held.drain(..) {
-                self.soft.give_back(&claim, units);
+                self.soft.release(&claim, units);
             }
             let dues = live.subject.dues(live.stage, &definitions);
             for due in dues.into_iter().filter(|d| !d.of.counts.is_rate()) {
--- a/crates/fleet/quotas/src/front/slot.rs
+++ b/crates/fleet/quotas/src/front/slot.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use crate::bucket::Bucket;
-use crate::define::{Definition, MILLI};
+use crate::definition::{LimitDefinition, MILLI};
+use crate::message::ShareReport;
 use crate::refusal::Lately;
-use crate::words::Said;
 
 /// A slot of one key among many is let go after it was not used for so long.
 const FORGET: Duration = Duration::from_secs(30);
@@ -60,7 +60,7 @@
     }
 
     /// What it would hold: what it uses, an eighth above, and what came of late; a rate by what came.
-    fn want(&self, of: &Definition) -> u64 {
+    fn want(&self, of: &LimitDefinition) -> u64 {
         if of.counts.is_rate() {
             return (self.pace + self.pace / 4).max(of.least);
         }
@@ -68,7 +68,7 @@
         self.used.saturating_add(room).max(of.least)
     }
 
-    fn roll(&mut self, now: Duration, of: &Definition) {
+    fn roll(&mut self, now: Duration, of: &LimitDefinition) {
         let passed = now.saturating_sub(self.rolled_at).as_millis().max(1) as u64;
         if of.counts.is_rate() {
             let seen = (self.came + self.lacked).saturating_mul(MILLI * 1_000) / passed;
@@ -83,7 +83,7 @@
     pub(super) fn say(
         &mut self,
         now: Duration,
-        of: &Definition,
+        of: &LimitDefinition,
         patience: Duration,
     ) -> Option<(u64, u64, u64)> {
         let used = if of.counts.is_rate() { 0 } else { self.used };
@@ -141,11 +141,11 @@
 }
 
 /// Whether there is one for each of many keys.
-pub(super) fn keyed(of: &Definition) -> bool {
-    of.only.is_none() && of.of != crate::define::Of::All || !of.weights.is_empty()
+pub(super) fn keyed(of: &LimitDefinition) -> bool {
+    of.only.is_none() && of.of != crate::definition::Scope::All || !of.weights.is_empty()
 }
 
 /// A line of a request.
-pub(super) fn said(claim: &crate::words::Claim, (hold, used, want): (u64, u64, u64)) -> Said {
-    Said { claim: claim.clone(), hold, used, want }
+pub(super) fn said(claim: &crate::message::Claim, (hold, used, want): (u64, u64, u64)) -> ShareReport {
+    ShareReport { claim: claim.clone(), hold, used, want }
 }
--- a/crates/fleet/quotas/src/ledger.rs
+++ b/crates/fleet/quotas/src/ledger/mod.rs
@@ -6,22 +6,23 @@
 
 use beechloft_leases::Name;
 
-use crate::define::{Definition, MOST_LIMITS};
-use crate::planted::Fault;
-use crate::tally::Share;
-use crate::words::{
-    AccountId, Answer, Claim, Command, Event, FrontId, MOST_LINES, Op, OrphanId, Request, Said, Told, Unable,
+use crate::definition::{LimitDefinition, MAX_LIMITS};
+use crate::fault_injection::Fault;
+use crate::message::{
+    AccountId, Answer, Claim, Command, Event, FrontId, MAX_REPORTS, Op, OrphanId, Rejection, Request,
+    ShareGrant, ShareReport,
 };
+use crate::tally::Share;
 
 use state::{Account, Last};
 pub use state::{Ledger, LedgerError, Orphan};
 
 /// Accounts at most.
-const MOST_ACCOUNTS: usize = 8192;
+const MAX_ACCOUNTS: usize = 8192;
 /// Shares of one account.
-const MOST_SHARES: usize = 4096;
+const MAX_SHARES: usize = 4096;
 /// Fronts whose last answer is kept, so that a request sent again is not done twice.
-const MOST_LAST: usize = 8192;
+const MAX_LAST_ANSWERS: usize = 8192;
 /// The shortest and the longest time of an account, milliseconds.
 const TTL_MS: std::ops::RangeInclusive<u32> = 100..=3_600_000;
 
@@ -60,18 +61,18 @@
             if request.seq == last.seq {
                 return last.answer.clone();
             }
-            if request.seq < last.seq && !self.planted(Fault::OldRequest) {
-                return Answer::Unable(Unable::Overtaken);
+            if request.seq < last.seq && !self.has_fault(Fault::StaleRequestApplied) {
+                return Answer::Rejected(Rejection::Superseded);
             }
         }
-        let answer = self.operate(request.front, &request.op, events).unwrap_or_else(Answer::Unable);
+        let answer = self.operate(request.front, &request.op, events).unwrap_or_else(Answer::Rejected);
         self.remember(request, &answer);
         answer
     }
 
     /// Keeps the last answer of a front. Past the bound the one that was heard of least lately goes, if it has no account.
     fn remember(&mut self, request: &Request, answer: &Answer) {
-        if self.last.len() >= MOST_LAST && !self.last.contains_key(&request.front) {
+        if self.last.len() >= MAX_LAST_ANSWERS && !self.last.contains_key(&request.front) {
             let idle = self.last.iter().filter(|(front, _)| !self.by_front.contains_key(front));
             if let Some(oldest) = idle.min_by_key(|(_, l)| l.done).map(|(front, _)| *front) {
                 self.last.remove(&oldest);
@@ -81,16 +82,17 @@
         self.last.insert(request.front, last);
     }
 
-    fn operate(&mut self, front: FrontId, op: &Op, events: &mut Vec<Event>) -> Result<Answer, Unable> {
+    fn operate(&mut self, front: FrontId, op: &Op, events: &mut Vec<Event>) -> Result<Answer, Rejection> {
         match op {
             Op::Open { ttl_ms, tagged } => self.open(front, *ttl_ms, *tagged, events),
             Op::Settle { account, lines } => {
                 self.own(front, *account)?;
-                if lines.len() > MOST_LINES {
-                    return Err(Unable::TooMany);
+                if lines.len() > MAX_REPORTS {
+                    return Err(Rejection::TooManyEntries);
                 }
                 self.renew(*account, events);
-                let mut told: Vec<Told> = lines.iter().map(|said| self.settle(*account, said)).collect();
+                let mut told: Vec<ShareGrant> =
+                    lines.iter().map(|said| self.settle(*account, said)).collect();
                 // A front that has its account for longer must have heard what is over, whether it says anything of it or not:
                 // a lowered limit is in force an account's time after it was lowered because of this.
                 let unsaid =
@@ -118,19 +120,19 @@
                 self.own(front, *account)?;
                 self.renew(*account, events);
                 // What settings say stands only until the topic says something else.
-                self.define(&Definition { version: 0, ..definition.clone() }, events);
+                self.define(&LimitDefinition { version: 0, ..definition.clone() }, events);
                 Ok(Answer::Declared)
             }
             Op::Orphans => {
                 let settled = self.orphans.iter().filter(|(_, o)| o.tagged && self.is_settled(o));
-                Ok(Answer::Orphans(settled.take(MOST_LINES).map(|(id, o)| (*id, o.front)).collect()))
+                Ok(Answer::Orphans(settled.take(MAX_REPORTS).map(|(id, o)| (*id, o.front)).collect()))
             }
         }
     }
 
-    fn own(&self, front: FrontId, account: AccountId) -> Result<(), Unable> {
+    fn own(&self, front: FrontId, account: AccountId) -> Result<(), Rejection> {
         let own = self.accounts.get(&account).is_some_and(|a| a.front == front);
-        if own { Ok(()) } else { Err(Unable::NoAccount) }
+        if own { Ok(()) } else { Err(Rejection::NoAccount) }
     }
 
     fn renew(&mut self, account: AccountId, events: &mut Vec<Event>) {
@@ -146,13 +148,13 @@
         ttl_ms: u32,
         tagged: bool,
         events: &mut Vec<Event>,
-    ) -> Result<Answer, Unable> {
+    ) -> Result<Answer, Rejection> {
         if !TTL_MS.contains(&ttl_ms) {
-            return Err(Unable::Time);
+            return Err(Rejection::TtlOutOfRange);
         }
         let before = self.by_front.get(&front).copied();
-        if before.is_none() && self.accounts.len() >= MOST_ACCOUNTS {
-            return Err(Unable::TooMany);
+        if before.is_none() && self.accounts.len() >= MAX_ACCOUNTS {
+            return Err(Rejection::TooManyEntries);
         }
         self.next += 1;
         let id = AccountId(self.next);
@@ -181,7 +183,7 @@
         }
         events.push(Event::Renewed(id));
         let shares = self.accounts.get(&id).into_iter().flat_map(|a| &a.shares);
-        let told = |(claim, s): (&Claim, &Share)| Told {
+        let told = |(claim, s): (&Claim, &Share)| ShareGrant {
             claim: claim.clone(),
             share: s.share,
             recall: 0,
@@ -191,14 +193,14 @@
     }
 
     /// What a front is to hear of a share of which it says nothing.
-    fn tell(&self, account: AccountId, claim: &Claim) -> Option<Told> {
+    fn tell(&self, account: AccountId, claim: &Claim) -> Option<ShareGrant> {
         let definition = self.definitions.get(&claim.limit)?;
         let own = self.share_of(account, claim);
         let mut tally = self.tally(claim);
         tally.take(definition, &claim.customer, own);
         let turn = tally.turn(definition, &claim.customer, own, self.limit(definition), false);
         let idle = turn.recall == 0 && !turn.closed;
-        (!idle).then(|| Told {
+        (!idle).then(|| ShareGrant {
             claim: claim.clone(),
             share: own.share,
             recall: turn.recall,
@@ -206,20 +208,20 @@
         })
     }
 
-    fn limit(&self, of: &Definition) -> u64 {
-        let before = self.planted(Fault::LoweredLends).then(|| self.highest.get(&of.name)).flatten();
+    fn limit(&self, of: &LimitDefinition) -> u64 {
+        let before = self.has_fault(Fault::LoweredLimitLent).then(|| self.highest.get(&of.name)).flatten();
         before.copied().unwrap_or(0).max(of.units())
     }
 
     /// Does what a front says of one share.
-    fn settle(&mut self, account: AccountId, said: &Said) -> Told {
+    fn settle(&mut self, account: AccountId, said: &ShareReport) -> ShareGrant {
         let claim = &said.claim;
-        let none = Told { claim: claim.clone(), share: 0, recall: 0, closed: true };
+        let none = ShareGrant { claim: claim.clone(), share: 0, recall: 0, closed: true };
         let Some(definition) = self.definitions.get(&claim.limit).filter(|d| d.is_hard()).cloned() else {
             return none;
         };
         let is_new = self.accounts.get(&account).is_none_or(|a| !a.shares.contains_key(claim));
-        if is_new && self.accounts.get(&account).is_some_and(|a| a.shares.len() >= MOST_SHARES) {
+        if is_new && self.accounts.get(&account).is_some_and(|a| a.shares.len() >= MAX_SHARES) {
             return none;
         }
         let before = self.share_of(account, claim);
@@ -232,14 +234,14 @@
         };
         self.set_share(account, claim, Share::default());
         let limit = self.limit(&definition);
-        let no_least = self.planted(Fault::LeastForgotten);
+        let no_least = self.has_fault(Fault::MinSharesNotReserved);
         let turn = self.tally(claim).turn(&definition, &claim.customer, own, limit, no_least);
         own.share += turn.grant;
-        if self.planted(Fault::RecallAtOnce) {
+        if self.has_fault(Fault::RecallCountedAtOnce) {
             own.share -= turn.recall.min(own.share);
         }
         self.set_share(account, claim, own);
-        Told { claim: claim.clone(), share: own.share, recall: turn.recall, closed: turn.closed }
+        ShareGrant { claim: claim.clone(), share: own.share, recall: turn.recall, closed: turn.closed }
     }
 
     /// An account is over. What it held stays counted, but for rates: nothing of them outlives their front.
@@ -253,8 +255,8 @@
             self.set_share(id, &claim, Share::default());
             let at_once = self.definitions.get(&claim.limit).is_some_and(|d| !d.counts.is_rate());
             let stays = match &left {
-                _ if !at_once || self.planted(Fault::FreeAtOnce) => 0,
-                _ if self.planted(Fault::LastWord) => share.used.min(share.share),
+                _ if !at_once || self.has_fault(Fault::OrphanFreedAtOnce) => 0,
+                _ if self.has_fault(Fault::OrphanCountsLastReport) => share.used.min(share.share),
                 Some(left) => left.get(&claim).copied().unwrap_or(0).min(share.share),
                 // Whatever it had said that it uses: it may have admitted up to its share since.
                 None => share.share,
@@ -281,20 +283,20 @@
         orphan: OrphanId,
         taken: &[(Claim, u64)],
         events: &mut Vec<Event>,
-    ) -> Result<Answer, Unable> {
-        if taken.len() > MOST_LINES {
-            return Err(Unable::TooMany);
+    ) -> Result<Answer, Rejection> {
+        if taken.len() > MAX_REPORTS {
+            return Err(Rejection::TooManyEntries);
         }
         let mut told = Vec::new();
         for (claim, units) in taken {
-            let lost = self.orphans.get(&orphan).ok_or(Unable::NoOrphan)?;
+            let lost = self.orphans.get(&orphan).ok_or(Rejection::NoOrphan)?;
             let moved = lost.units.get(claim).copied().unwrap_or(0).min(*units);
             self.lessen(orphan, claim, moved);
             let mut share = self.share_of(account, claim);
             (share.share, share.used, share.want) =
                 (share.share + moved, share.used + moved, share.want + moved);
             self.set_share(account, claim, share);
-            told.push(Told {
+            told.push(ShareGrant {
                 claim: claim.clone(),
                 share: share.share,
                 recall: 0,
@@ -310,11 +312,11 @@
         id: OrphanId,
         left: &[(Claim, u64)],
         events: &mut Vec<Event>,
-    ) -> Result<Answer, Unable> {
-        let orphan = self.orphans.get(&id).ok_or(Unable::NoOrphan)?;
+    ) -> Result<Answer, Rejection> {
+        let orphan = self.orphans.get(&id).ok_or(Rejection::NoOrphan)?;
         // Before its time some of its set-ups may have been on their way when boxes were asked.
         if !orphan.tagged || !self.is_settled(orphan) {
-            return Err(Unable::NoOrphan);
+            return Err(Rejection::NoOrphan);
         }
         let left: BTreeMap<&Claim, u64> = left.iter().map(|(c, n)| (c, *n)).collect();
         let over: Vec<(Claim, u64)> = (orphan.units.iter())
@@ -337,11 +339,11 @@
         self.forget_if_empty(id, events);
     }
 
-    fn define(&mut self, definition: &Definition, events: &mut Vec<Event>) {
+    fn define(&mut self, definition: &LimitDefinition, events: &mut Vec<Event>) {
         let known = self.definitions.get(&definition.name);
         let older = known.map(|d| d.version).or_else(|| self.undefined.get(&definition.name).copied());
-        let many = known.is_none() && self.definitions.len() + self.undefined.len() >= MOST_LIMITS;
-        if many || older.is_some_and(|v| v >= definition.version) || !definition.faults().is_empty() {
+        let many = known.is_none() && self.definitions.len() + self.undefined.len() >= MAX_LIMITS;
+        if many || older.is_some_and(|v| v >= definition.version) || !definition.validate().is_empty() {
             return;
         }
         // What was counted in another way can't go on as shares of this.
--- a/crates/fleet/quotas/src/ledger/state.rs
+++ b/crates/fleet/quotas/src/ledger/state.rs
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::define::Definition;
-use crate::planted::Fault;
+use crate::definition::LimitDefinition;
+use crate::fault_injection::Fault;
+use crate::message::{AccountId, Answer, Claim, Event, FrontId, Key, OrphanId};
 use crate::tally::{Share, Tally};
-use crate::words::{AccountId, Answer, Claim, Event, FrontId, Key, OrphanId};
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct Account {
@@ -49,7 +49,7 @@
 /// The ledger of all hard limits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub struct Ledger {
-    pub(super) definitions: BTreeMap<Name, Definition>,
+    pub(super) definitions: BTreeMap<Name, LimitDefinition>,
     /// Limits that are no more, and as of which version, so that an older word does not bring them back.
     pub(super) undefined: BTreeMap<Name, u64>,
     /// The most that each limit was.
@@ -75,14 +75,14 @@
 }
 
 impl Ledger {
-    /// Plants a fault.
-    #[cfg(feature = "planted")]
-    pub fn plant(&mut self, fault: Fault) {
+    /// Injects a fault.
+    #[cfg(feature = "fault_injection")]
+    pub fn inject(&mut self, fault: Fault) {
         self.fault = Some(fault);
     }
 
-    pub(crate) fn planted(&self, fault: Fault) -> bool {
-        cfg!(feature = "planted") && self.fault == Some(fault)
+    pub(crate) fn has_fault(&self, fault: Fault) -> bool {
+        cfg!(feature = "fault_injection") && self.fault == Some(fault)
     }
 
     /// The state as bytes.
@@ -106,7 +106,7 @@
     }
 
     /// All limits.
-    pub fn definitions(&self) -> impl Iterator<Item = &Definition> {
+    pub fn definitions(&self) -> impl Iterator<Item = &LimitDefinition> {
         self.definitions.values()
     }
 
@@ -169,11 +169,11 @@
 
     /// Whether whatever its front had sent has come to its box or never will.
     pub(super) fn is_settled(&self, orphan: &Orphan) -> bool {
-        orphan.aged_ms >= self.settles_at(orphan) || self.planted(Fault::SurveyAtOnce)
+        orphan.aged_ms >= self.settles_at(orphan) || self.has_fault(Fault::SurveyedAtOnce)
     }
 
     pub(super) fn is_over(&self, claim: &Claim) -> bool {
-        let limit = self.definitions.get(&claim.limit).map_or(0, Definition::units);
+        let limit = self.definitions.get(&claim.limit).map_or(0, LimitDefinition::units);
         self.sum(&claim.limit, &claim.key) > limit
     }
 
@@ -212,7 +212,7 @@
         self.with_tally(claim, |tally, of| tally.orphan(of, &claim.customer, units, up));
     }
 
-    fn with_tally(&mut self, claim: &Claim, change: impl FnOnce(&mut Tally, &Definition)) {
+    fn with_tally(&mut self, claim: &Claim, change: impl FnOnce(&mut Tally, &LimitDefinition)) {
         let Some(of) = self.definitions.get(&claim.limit) else { return };
         let key = (claim.limit.clone(), claim.key.clone());
         let tally = self.tallies.entry(key.clone()).or_default();
--- a/crates/fleet/quotas/src/lib.rs
+++ b/crates/fleet/quotas/src/lib.rs
@@ -1,38 +1,41 @@
-//! Limits that hold for all fronts together: sessions and kbit/s at once, set-ups and further attempts a second, of customers,
-//! titles, classes, viewers, uplinks and boxes.
+//! Limits that hold for all fronts together: concurrent sessions and kbit/s, and rates of set-ups and of further attempts, per
+//! customer, title, class, viewer, uplink and media server.
 //!
-//! A **hard** limit is never over: the [`Ledger`] is replicated state that holds the sum, a front holds a share under lease
-//! ([`Front`]) and admits from it without asking. What a lost front admitted counts until it is proved to be over. A **soft** limit is kept by
-//! parts that fronts tell each other by gossip ([`soft`]), and is over by at most a bound that follows from settings ([`bounds`]).
+//! A **hard** limit is never exceeded: the [`Ledger`] is replicated state that holds the sum, and a front holds a share under a
+//! lease ([`Front`]) and admits from it without a request. What a lost front admitted counts until it is proved to be over. A
+//! **soft** limit is divided into shares that fronts report to each other by gossip ([`soft`]), and is exceeded by at most a bound
+//! that follows from the settings ([`bounds`]).
 //!
-//! There is no I/O here and no clock: whoever drives these machines passes the time in. `docs/limits.md` has the argument.
+//! There is no I/O here and no clock: the caller passes the time. `docs/limits.md` has the argument.
 // Not reworked yet, see docs/ROADMAP.md.
 #![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 mod admission;
+mod admission_controller;
 pub mod bounds;
 mod bucket;
-pub mod define;
+pub mod definition;
+mod expiry_timers;
+mod fault_injection;
 mod front;
-mod gate;
+mod key;
 mod ledger;
-mod planted;
+mod message;
 mod refusal;
 pub mod soft;
 pub mod tag;
 mod tally;
-mod times;
-mod words;
 
-pub use admission::{Stage, Subject, Taken};
-pub use define::{Counts, Definition, Kind, Of, Rules};
-pub use front::{Front, FrontInput, FrontOutput, FrontSettings, Standing};
-pub use gate::{Gate, Permit};
+pub use admission::{Reservation, Stage, Subject};
+pub use admission_controller::{AdmissionController, Permit};
+pub use definition::{Enforcement, LimitDefinition, QuotaParameters, Resource, Scope};
+pub use expiry_timers::ExpiryTimers;
+pub use fault_injection::Fault;
+pub use front::{Front, FrontInput, FrontOutput, FrontSettings, ShareUsage};
 pub use ledger::{Ledger, LedgerError, Orphan};
-pub use planted::Fault;
-pub use refusal::{No, Why};
-pub use times::Times;
-pub use words::{
-    AccountId, Answer, Claim, Command, Event, FrontId, Heard, Key, Op, OrphanId, Request, Said, Told, Unable,
+pub use message::{
+    AccountId, Answer, Claim, Command, Event, FrontId, Key, Op, OrphanId, Rejection, Request, Response,
+    ShareGrant, ShareReport,
 };
+pub use refusal::{Refusal, RefusalReason};
--- a/crates/fleet/quotas/src/refusal.rs
+++ b/crates/fleet/quotas/src/refusal.rs
@@ -6,11 +6,11 @@
 use rand::{Rng, RngExt};
 use thiserror::Error;
 
-use crate::words::Key;
+use crate::key::Key;
 
 /// Why somebody is not admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Why {
+pub enum RefusalReason {
     /// This front's share is in use.
     Full,
     /// More is over than the limit allows since it was lowered.
@@ -24,13 +24,13 @@
 /// Not admitted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("the limit '{limit}' of '{key}' is reached")]
-pub struct No {
+pub struct Refusal {
     /// Which limit.
     pub limit: Name,
     /// Whose.
     pub key: Key,
     /// Why.
-    pub why: Why,
+    pub why: RefusalReason,
     /// Come again after this.
     pub again: Duration,
 }
--- a/crates/fleet/quotas/src/soft.rs
+++ b/crates/fleet/quotas/src/soft.rs
@@ -8,25 +8,25 @@
 use serde::{Deserialize, Serialize};
 
 use crate::bounds;
-use crate::define::{Definition, Rules};
-use crate::planted::Fault;
-use crate::words::{Claim, FrontId};
+use crate::definition::{LimitDefinition, QuotaParameters};
+use crate::fault_injection::Fault;
+use crate::message::{Claim, FrontId};
 
-/// Parts in one row.
-pub const MOST_PARTS: usize = 256;
+/// Maximum number of shares in one report.
+pub const MAX_SOFT_SHARES: usize = 256;
 /// Rows that are kept.
-const MOST_ROWS: usize = 4096;
+const MAX_PEERS: usize = 4096;
 
 /// What a front says of itself: its parts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
-pub struct Row {
+pub struct SoftShares {
     /// Its part of each claim, in units.
     pub parts: BTreeMap<Claim, u64>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Seen {
-    row: Row,
+    row: SoftShares,
     /// Not said later than this, by this front's clock.
     made: Duration,
     forget_ms: u64,
@@ -48,8 +48,8 @@
 
 /// A front's soft parts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Parts {
-    rules: Rules,
+pub struct SoftLimits {
+    rules: QuotaParameters,
     drift: DriftBound,
     own: BTreeMap<Claim, Own>,
     rows: BTreeMap<FrontId, Seen>,
@@ -57,27 +57,28 @@
     fault: Option<Fault>,
 }
 
-impl Parts {
+impl SoftLimits {
     /// No part yet.
-    pub fn new(rules: Rules, drift: DriftBound) -> Parts {
+    pub fn new(rules: QuotaParameters, drift: DriftBound) -> SoftLimits {
         let (own, rows) = (BTreeMap::new(), BTreeMap::new());
-        Parts { rules, drift, own, rows, changed: true, fault: None }
+        SoftLimits { rules, drift, own, rows, changed: true, fault: None }
     }
 
-    /// Plants a fault.
-    #[cfg(feature = "planted")]
-    pub fn plant(&mut self, fault: Fault) {
+    /// Injects a fault.
+    #[cfg(feature = "fault_injection")]
+    pub fn inject(&mut self, fault: Fault) {
         self.fault = Some(fault);
     }
 
-    fn planted(&self, fault: Fault) -> bool {
-        cfg!(feature = "planted") && self.fault == Some(fault)
+    fn has_fault(&self, fault: Fault) -> bool {
+        cfg!(feature = "fault_injection") && self.fault == Some(fault)
     }
 
     /// Another front's row came, which was said so long ago at most.
-    pub fn heard(&mut self, now: Duration, from: FrontId, row: Row, age: Duration, forget_ms: u64) {
+    pub fn heard(&mut self, now: Duration, from: FrontId, row: SoftShares, age: Duration, forget_ms: u64) {
         let made = now.saturating_sub(age);
-        if self.rows.len() >= MOST_ROWS && !self.rows.contains_key(&from) || row.parts.len() > MOST_PARTS {
+        if self.rows.len() >= MAX_PEERS && !self.rows.contains_key(&from) || row.parts.len() > MAX_SOFT_SHARES
+        {
             return;
         }
         if self.rows.get(&from).is_none_or(|seen| seen.made <= made) {
@@ -86,17 +87,17 @@
     }
 
     /// This front's row, if it has changed since it was last taken.
-    pub fn row(&mut self) -> Option<Row> {
+    pub fn row(&mut self) -> Option<SoftShares> {
         if !std::mem::take(&mut self.changed) {
             return None;
         }
         let parts = self.own.iter().filter(|(_, o)| o.part > 0).map(|(c, o)| (c.clone(), o.part));
-        Some(Row { parts: parts.take(MOST_PARTS).collect() })
+        Some(SoftShares { parts: parts.take(MAX_SOFT_SHARES).collect() })
     }
 
     /// Whether it has heard from more than half of all fronts within the horizon, itself among them.
     pub fn hears(&self, now: Duration) -> bool {
-        if self.planted(Fault::NoHorizon) {
+        if self.has_fault(Fault::HorizonIgnored) {
             return true;
         }
         let horizon = self.drift.shorter(Duration::from_millis(u64::from(self.rules.horizon_ms)));
@@ -104,7 +105,7 @@
         2 * (fresh as u64 + 1) > u64::from(self.rules.fronts)
     }
 
-    fn others(&self, of: &Definition, claim: &Claim) -> u64 {
+    fn others(&self, of: &LimitDefinition, claim: &Claim) -> u64 {
         let counted = |s: &Seen| s.row.parts.get(claim).copied().unwrap_or(0).max(of.least);
         let known: u64 = self.rows.values().map(counted).sum();
         // What is kept for those that have not been heard of.
@@ -113,11 +114,11 @@
     }
 
     /// Whether so many units more fit into this front's part, which grows for them if it may.
-    pub(crate) fn fits(&mut self, now: Duration, of: &Definition, claim: &Claim, units: u64) -> bool {
+    pub(crate) fn fits(&mut self, now: Duration, of: &LimitDefinition, claim: &Claim, units: u64) -> bool {
         self.forget(now);
         let hears = self.hears(now);
         let others = self.others(of, claim);
-        let at_once = self.planted(Fault::GrowsAtOnce);
+        let at_once = self.has_fault(Fault::SoftShareGrowsAtOnce);
         let (pace, cap) = bounds::soft_pace(of, &self.rules, self.drift);
         let own = self.own.entry(claim.clone()).or_default();
         if !own.begun {
@@ -147,14 +148,14 @@
         own.idle_since = None;
     }
 
-    pub(crate) fn give_back(&mut self, claim: &Claim, units: u64) {
+    pub(crate) fn release(&mut self, claim: &Claim, units: u64) {
         if let Some(own) = self.own.get_mut(claim) {
             own.used = own.used.saturating_sub(units);
         }
     }
 
     /// Lets go what stands unused, and what a front that is cut off may not keep.
-    pub fn look(&mut self, now: Duration, all: &BTreeMap<beechloft_leases::Name, Definition>) {
+    pub fn look(&mut self, now: Duration, all: &BTreeMap<beechloft_leases::Name, LimitDefinition>) {
         self.forget(now);
         let hears = self.hears(now);
         let mut changed = false;
--- a/crates/fleet/quotas/src/tag.rs
+++ b/crates/fleet/quotas/src/tag.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use crate::words::{Claim, FrontId};
+use crate::message::{Claim, FrontId};
 
 /// Letters of a tag at most; a longer one is none.
-pub const MOST_TAG: usize = 4096;
+pub const MAX_TAG_LEN: usize = 4096;
 
 /// A session's tag: letters and digits alone.
 pub fn write(front: FrontId, claims: &[(Claim, u64)]) -> Option<String> {
@@ -16,12 +16,12 @@
     for byte in bytes {
         write!(text, "{byte:02x}").ok()?;
     }
-    (text.len() <= MOST_TAG).then_some(text)
+    (text.len() <= MAX_TAG_LEN).then_some(text)
 }
 
 /// Reads what [`write()`] wrote; none: it is no tag.
 pub fn read(text: &str) -> Option<(FrontId, Vec<(Claim, u64)>)> {
-    if text.len() > MOST_TAG || !text.len().is_multiple_of(2) || !text.is_ascii() {
+    if text.len() > MAX_TAG_LEN || !text.len().is_multiple_of(2) || !text.is_ascii() {
         return None;
     }
     let byte = |at: usize| u8::from_str_radix(text.get(at..at + 2)?, 16).ok();
@@ -49,7 +49,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::words::Key;
+    use crate::message::Key;
     use beechloft_leases::Name;
 
     #[test]
--- a/crates/fleet/quotas/src/tally.rs
+++ b/crates/fleet/quotas/src/tally.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use crate::define::Definition;
-use crate::words::Key;
+use crate::definition::LimitDefinition;
+use crate::key::Key;
 
 /// What one front holds of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, serde::Serialize, serde::Deserialize)]
@@ -53,7 +53,7 @@
 
 impl Tally {
     /// Whether fronts that hold some of it are to hear so, whatever they say: it is over its limit, or others lack some.
-    pub(crate) fn is_pressed(&self, of: &Definition) -> bool {
+    pub(crate) fn is_pressed(&self, of: &LimitDefinition) -> bool {
         self.sum > of.units() || self.unmet > 0
     }
 
@@ -61,7 +61,7 @@
         self.sum == 0 && self.unmet == 0
     }
 
-    fn change(&mut self, of: &Definition, customer: &Key, share: Share, up: bool) {
+    fn change(&mut self, of: &LimitDefinition, customer: &Key, share: Share, up: bool) {
         let by = |sum: &mut u64, n: u64| *sum = if up { *sum + n } else { sum.saturating_sub(n) };
         by(&mut self.sum, share.share);
         by(&mut self.leasts, share.share.min(of.least));
@@ -77,16 +77,16 @@
         }
     }
 
-    pub(crate) fn add(&mut self, of: &Definition, customer: &Key, share: Share) {
+    pub(crate) fn add(&mut self, of: &LimitDefinition, customer: &Key, share: Share) {
         self.change(of, customer, share, true);
     }
 
-    pub(crate) fn take(&mut self, of: &Definition, customer: &Key, share: Share) {
+    pub(crate) fn take(&mut self, of: &LimitDefinition, customer: &Key, share: Share) {
         self.change(of, customer, share, false);
     }
 
     /// What a lost front's units count for: the sum, and nothing else.
-    pub(crate) fn orphan(&mut self, of: &Definition, customer: &Key, units: u64, up: bool) {
+    pub(crate) fn orphan(&mut self, of: &LimitDefinition, customer: &Key, units: u64, up: bool) {
         let by = |sum: &mut u64| *sum = if up { *sum + units } else { sum.saturating_sub(units) };
         by(&mut self.sum);
         if !of.weights.is_empty() {
@@ -95,7 +95,7 @@
     }
 
     /// Whether another customer lacks something of its own part.
-    fn lenders(&self, of: &Definition, but: &Key) -> u64 {
+    fn lenders(&self, of: &LimitDefinition, but: &Key) -> u64 {
         let lacks = |(key, c): (&Key, &OfCustomer)| {
             let part = of.part(key).unwrap_or(0);
             if key == but { 0 } else { c.unmet.min(part.saturating_sub(c.sum)) }
@@ -104,7 +104,7 @@
     }
 
     /// What is kept of others' parts and never lent.
-    fn kept(&self, of: &Definition, but: &Key) -> u64 {
+    fn kept(&self, of: &LimitDefinition, but: &Key) -> u64 {
         if of.keep_milli == 0 {
             return 0;
         }
@@ -118,7 +118,7 @@
     /// What comes of a front's word. `own` is its share as it now says, and is not among the sums.
     pub(crate) fn turn(
         &self,
-        of: &Definition,
+        of: &LimitDefinition,
         customer: &Key,
         own: Share,
         limit: u64,
@@ -158,7 +158,14 @@
     }
 
     /// How much a customer may have of what is free, and how much of what it has is lent to it and wanted back.
-    fn by_weight(&self, of: &Definition, customer: &Key, own: Share, first: u64, avail: u64) -> (u64, u64) {
+    fn by_weight(
+        &self,
+        of: &LimitDefinition,
+        customer: &Key,
+        own: Share,
+        first: u64,
+        avail: u64,
+    ) -> (u64, u64) {
         let Some(part) = of.part(customer) else { return (avail, 0) };
         let its = self.customers.get(customer).map_or(0, |c| c.sum) + own.share + first;
         let within = part.saturating_sub(its);
--- a/crates/fleet/quotas/tests/encodings.rs
+++ b/crates/fleet/quotas/tests/encodings.rs
@@ -7,10 +7,10 @@
 use std::fmt::Debug;
 
 use beechloft_leases::Name;
-use beechloft_quotas::soft::Row;
+use beechloft_quotas::soft::SoftShares;
 use beechloft_quotas::{
-    AccountId, Answer, Claim, Command, Counts, Definition, Event, FrontId, Heard, Key, Kind, Ledger, Of, Op,
-    OrphanId, Request, Said, Told, Unable, tag,
+    AccountId, Answer, Claim, Command, Enforcement, Event, FrontId, Key, Ledger, LimitDefinition, Op,
+    OrphanId, Rejection, Request, Resource, Response, Scope, ShareGrant, ShareReport, tag,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -57,8 +57,8 @@
     Claim { limit: name(limit), key: Key::of(key), customer: Key::of(customer) }
 }
 
-fn definition(counts: Counts, of: Of, kind: Kind) -> Definition {
-    Definition {
+fn definition(counts: Resource, of: Scope, kind: Enforcement) -> LimitDefinition {
+    LimitDefinition {
         name: name("limit"),
         version: 300,
         counts,
@@ -76,23 +76,27 @@
     }
 }
 
-fn definitions() -> Vec<Definition> {
-    let soft = Kind::Soft { over_milli: 150 };
+fn definitions() -> Vec<LimitDefinition> {
+    let soft = Enforcement::Soft { over_milli: 150 };
     vec![
-        definition(Counts::Sessions, Of::All, Kind::Hard),
-        definition(Counts::Kbits, Of::Customer, soft),
-        definition(Counts::SetUps, Of::Title, Kind::Hard),
-        definition(Counts::Attempts, Of::Class, soft),
-        definition(Counts::Sessions, Of::Viewer, Kind::Hard),
-        definition(Counts::Sessions, Of::Uplink, Kind::Hard),
-        Definition { only: None, weights: [].into(), ..definition(Counts::Sessions, Of::Box, Kind::Hard) },
+        definition(Resource::Sessions, Scope::All, Enforcement::Hard),
+        definition(Resource::Kbits, Scope::Customer, soft),
+        definition(Resource::SetUps, Scope::Title, Enforcement::Hard),
+        definition(Resource::Attempts, Scope::Class, soft),
+        definition(Resource::Sessions, Scope::Viewer, Enforcement::Hard),
+        definition(Resource::Sessions, Scope::Uplink, Enforcement::Hard),
+        LimitDefinition {
+            only: None,
+            weights: [].into(),
+            ..definition(Resource::Sessions, Scope::Box, Enforcement::Hard)
+        },
     ]
 }
 
 fn operations() -> Vec<Op> {
     let account = AccountId(300);
     let claims = || vec![(claim("sessions", "", ""), 129), (claim("titles", "a", "ann"), 1)];
-    let line = Said { claim: claim("sessions", "k", "ann"), hold: 300, used: 200, want: 400 };
+    let line = ShareReport { claim: claim("sessions", "k", "ann"), hold: 300, used: 200, want: 400 };
     vec![
         Op::Open { ttl_ms: 2_000, tagged: true },
         Op::Settle { account, lines: vec![line] },
@@ -101,7 +105,7 @@
         Op::Counted { orphan: OrphanId(7), left: claims() },
         Op::Orphans,
         Op::Limits { account },
-        Op::Declare { account, definition: definition(Counts::Kbits, Of::Class, Kind::Hard) },
+        Op::Declare { account, definition: definition(Resource::Kbits, Scope::Class, Enforcement::Hard) },
     ]
 }
 
@@ -114,14 +118,14 @@
     let others = [
         Command::Expire { account: AccountId(300), renewals: 129 },
         Command::Age { orphan: OrphanId(301), from_ms: 128, by_ms: 4_000 },
-        Command::Define(definition(Counts::Sessions, Of::All, Kind::Hard)),
+        Command::Define(definition(Resource::Sessions, Scope::All, Enforcement::Hard)),
         Command::Undefine(name("limit"), 301),
     ];
     requests().into_iter().map(Command::Request).chain(others).collect()
 }
 
 fn answers() -> Vec<Answer> {
-    let told = || vec![Told { claim: claim("sessions", "", ""), share: 300, recall: 2, closed: true }];
+    let told = || vec![ShareGrant { claim: claim("sessions", "", ""), share: 300, recall: 2, closed: true }];
     vec![
         Answer::Opened(AccountId(300), told()),
         Answer::Settled(told(), 128),
@@ -131,17 +135,17 @@
         Answer::Adopted(told()),
         Answer::Counted,
         Answer::Orphans(vec![(OrphanId(1), FrontId(300))]),
-        Answer::Unable(Unable::NoAccount),
-        Answer::Unable(Unable::NoOrphan),
-        Answer::Unable(Unable::Time),
-        Answer::Unable(Unable::Overtaken),
-        Answer::Unable(Unable::TooMany),
+        Answer::Rejected(Rejection::NoAccount),
+        Answer::Rejected(Rejection::NoOrphan),
+        Answer::Rejected(Rejection::TtlOutOfRange),
+        Answer::Rejected(Rejection::Superseded),
+        Answer::Rejected(Rejection::TooManyEntries),
     ]
 }
 
-fn responses() -> Vec<Heard> {
-    let response = |(seq, answer)| Heard::Answer { front: FrontId(77), seq, answer };
-    (1..).zip(answers()).map(response).chain([Heard::Again]).collect()
+fn responses() -> Vec<Response> {
+    let response = |(seq, answer)| Response::Answer { front: FrontId(77), seq, answer };
+    (1..).zip(answers()).map(response).chain([Response::Retry]).collect()
 }
 
 fn events() -> Vec<Event> {
@@ -157,8 +161,8 @@
     ]
 }
 
-fn row() -> Row {
-    Row { parts: [(claim("soft", "", ""), 300), (claim("soft", "k", "ann"), 1)].into() }
+fn row() -> SoftShares {
+    SoftShares { parts: [(claim("soft", "", ""), 300), (claim("soft", "k", "ann"), 1)].into() }
 }
 
 #[test]
@@ -179,7 +183,7 @@
     let encoded: Vec<String> =
         definitions().iter().map(|each| serde_json::to_string(each).expect("encodes")).collect();
     assert_same(&encoded, DEFINITIONS);
-    let decode = |line| serde_json::from_str::<Definition>(line).expect("the fixture decodes");
+    let decode = |line| serde_json::from_str::<LimitDefinition>(line).expect("the fixture decodes");
     assert_eq!(DEFINITIONS.lines().map(decode).collect::<Vec<_>>(), definitions());
 }
 
@@ -194,29 +198,29 @@
 /// A ledger with definitions, an undefined limit, accounts with shares, orphans of two ages, and the last answers.
 fn ledger() -> Ledger {
     let mut ledger = Ledger::default();
-    let hard = |text: &str, counts| Definition {
+    let hard = |text: &str, counts| LimitDefinition {
         version: 1,
         fronts: 4,
         least: 1,
-        ..Definition::hard(name(text), counts, Of::All, 1_000)
+        ..LimitDefinition::hard(name(text), counts, Scope::All, 1_000)
     };
-    let weighted = Definition {
-        of: Of::Title,
+    let weighted = LimitDefinition {
+        of: Scope::Title,
         weights: [(Key::of("ann"), 3), (Key::of("bob"), 1)].into(),
         keep_milli: 500,
-        ..hard("titles", Counts::Sessions)
+        ..hard("titles", Resource::Sessions)
     };
     let all = [
-        hard("sessions", Counts::Sessions),
-        hard("set-ups", Counts::SetUps),
+        hard("sessions", Resource::Sessions),
+        hard("set-ups", Resource::SetUps),
         weighted,
-        hard("old", Counts::Kbits),
+        hard("old", Resource::Kbits),
     ];
     for each in all {
         ledger.apply(&Command::Define(each));
     }
     ledger.apply(&Command::Undefine(name("old"), 2));
-    let line = |text: &str, key: &str, customer: &str, want| Said {
+    let line = |text: &str, key: &str, customer: &str, want| ShareReport {
         claim: claim(text, key, customer),
         hold: 500,
         used: want / 2,
--- a/crates/fleet/quotas/tests/explored.rs
+++ b/crates/fleet/quotas/tests/explored.rs
@@ -10,8 +10,9 @@
 use beechloft_leases::{DriftBound, Name};
 use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
 use beechloft_quotas::{
-    Answer, Claim, Command, Counts, Definition, Fault, Front, FrontId, FrontInput, FrontOutput,
-    FrontSettings, Heard, Key, Ledger, Of, Op, Request, Rules, Stage, Subject, Taken, Times,
+    Answer, Claim, Command, ExpiryTimers, Fault, Front, FrontId, FrontInput, FrontOutput, FrontSettings, Key,
+    Ledger, LimitDefinition, Op, QuotaParameters, Request, Reservation, Resource, Response, Scope, Stage,
+    Subject,
 };
 use siphasher::sip128::SipHasher13;
 
@@ -33,13 +34,13 @@
 struct World {
     steps: u32,
     ledger: Arc<Ledger>,
-    times: Arc<Times>,
+    times: Arc<ExpiryTimers>,
     fronts: Vec<Arc<Front>>,
     lives: u64,
     asked: Vec<Arc<Request>>,
     told: Vec<Arc<(FrontId, u64, Answer)>>,
     /// Sessions at boxes: whose, and what its front would give back.
-    plays: Vec<(FrontId, Taken)>,
+    plays: Vec<(FrontId, Reservation)>,
     surveyed: u64,
     left: Left,
 }
@@ -85,7 +86,7 @@
     }
 
     fn front(&self, id: u64) -> Front {
-        let rules = Rules { fronts: 3, ttl_ms: TTL_MS, settle_ms: 100, horizon_ms: 1_000 };
+        let rules = QuotaParameters { fronts: 3, ttl_ms: TTL_MS, settle_ms: 100, horizon_ms: 1_000 };
         let set = FrontSettings { rules, drift: self.drift(), tagged: true, seed: 7 };
         Front::new(FrontId(id), set)
     }
@@ -122,7 +123,7 @@
     fn tell(&self, w: &mut World, told: &(FrontId, u64, Answer)) {
         let (front, seq, answer) = told.clone();
         if let Some(n) = w.fronts.iter().position(|f| f.id() == front) {
-            self.input(w, n, FrontInput::Heard(Heard::Answer { front, seq, answer }));
+            self.input(w, n, FrontInput::Response(Response::Answer { front, seq, answer }));
         }
     }
 
@@ -151,12 +152,12 @@
 
     fn start(&self) -> World {
         let mut ledger = Ledger::default();
-        let mut times = Times::new(self.drift());
-        let definition = Definition {
+        let mut times = ExpiryTimers::new(self.drift());
+        let definition = LimitDefinition {
             fronts: 3,
             settle_ms: 100,
             longest_ms: 1_000,
-            ..Definition::hard(name(), Counts::Sessions, Of::All, LIMIT)
+            ..LimitDefinition::hard(name(), Resource::Sessions, Scope::All, LIMIT)
         };
         ledger.apply(&Command::Define(definition));
         times.begin(self.clock(self.rates.0, 0), &ledger);
@@ -192,9 +193,9 @@
         // The second lacks some.
         self.come(&mut w, 1);
         if let Some(fault) = self.fault {
-            Arc::make_mut(&mut w.ledger).plant(fault);
-            Arc::make_mut(&mut w.times).plant(fault);
-            w.fronts.iter_mut().for_each(|f| Arc::make_mut(f).plant(fault));
+            Arc::make_mut(&mut w.ledger).inject(fault);
+            Arc::make_mut(&mut w.times).inject(fault);
+            w.fronts.iter_mut().for_each(|f| Arc::make_mut(f).inject(fault));
         }
         w
     }
@@ -260,7 +261,7 @@
                 let (id, taken) = w.plays.remove(*at);
                 let now = self.clock(self.rates.1, w.steps);
                 if let Some(n) = w.fronts.iter().position(|f| f.id() == id) {
-                    Arc::make_mut(&mut w.fronts[n]).give_back(now, taken);
+                    Arc::make_mut(&mut w.fronts[n]).release(now, taken);
                 }
             }
             Event::Kill(n) => {
@@ -305,7 +306,7 @@
         }
         w.asked.iter().map(|m| of(&**m)).collect::<BTreeSet<u64>>().hash(into);
         w.told.iter().map(|m| of(&**m)).collect::<BTreeSet<u64>>().hash(into);
-        let mut plays: BTreeMap<FrontId, Vec<&Taken>> = BTreeMap::new();
+        let mut plays: BTreeMap<FrontId, Vec<&Reservation>> = BTreeMap::new();
         w.plays.iter().for_each(|(id, t)| plays.entry(*id).or_default().push(t));
         plays.values_mut().for_each(|p| p.sort());
         plays.hash(into);
--- a/crates/fleet/quotas/tests/seeds.rs
+++ b/crates/fleet/quotas/tests/seeds.rs
@@ -7,29 +7,29 @@
 
 use std::collections::BTreeMap;
 
-use beechloft_quotas::{Counts, Definition, Fault, Key, Kind, Of, Rules};
+use beechloft_quotas::{Enforcement, Fault, Key, LimitDefinition, QuotaParameters, Resource, Scope};
 use support::{World, ms, name};
 
 const FRONTS: usize = 6;
 
-fn rules(fronts: usize) -> Rules {
-    Rules { fronts: fronts as u32, ttl_ms: 2_000, settle_ms: 400, horizon_ms: 2_000 }
+fn rules(fronts: usize) -> QuotaParameters {
+    QuotaParameters { fronts: fronts as u32, ttl_ms: 2_000, settle_ms: 400, horizon_ms: 2_000 }
 }
 
-fn limit(text: &str, counts: Counts, limit: u64, fronts: usize) -> Definition {
-    Definition {
+fn limit(text: &str, counts: Resource, limit: u64, fronts: usize) -> LimitDefinition {
+    LimitDefinition {
         fronts: fronts as u32,
         settle_ms: 400,
         longest_ms: 8_000,
-        ..Definition::hard(name(text), counts, Of::All, limit)
+        ..LimitDefinition::hard(name(text), counts, Scope::All, limit)
     }
 }
 
-fn all(fronts: usize) -> Vec<Definition> {
+fn all(fronts: usize) -> Vec<LimitDefinition> {
     vec![
-        Definition { least: 2, ..limit("sessions", Counts::Sessions, 60, fronts) },
-        limit("kbits", Counts::Kbits, 7_000, fronts),
-        Definition { least: 500, burst_milli: 500, ..limit("set-ups", Counts::SetUps, 80, fronts) },
+        LimitDefinition { least: 2, ..limit("sessions", Resource::Sessions, 60, fronts) },
+        limit("kbits", Resource::Kbits, 7_000, fronts),
+        LimitDefinition { least: 500, burst_milli: 500, ..limit("set-ups", Resource::SetUps, 80, fronts) },
     ]
 }
 
@@ -59,7 +59,11 @@
             8 => w.late = ms([5, 100, 600][w.below(3)]),
             9 => {
                 let to = [20, 60, 60, 100][w.below(4)];
-                let d = Definition { version, least: 2, ..limit("sessions", Counts::Sessions, to, fronts) };
+                let d = LimitDefinition {
+                    version,
+                    least: 2,
+                    ..limit("sessions", Resource::Sessions, to, fronts)
+                };
                 version += 1;
                 w.define(d.clone());
                 let some = w.below(fronts);
@@ -109,17 +113,17 @@
 #[test]
 fn each_planted_fault_is_found() {
     let faults = [
-        Fault::FreeAtOnce,
-        Fault::LastWord,
-        Fault::NoDrift,
-        Fault::RecallAtOnce,
+        Fault::OrphanFreedAtOnce,
+        Fault::OrphanCountsLastReport,
+        Fault::DriftIgnored,
+        Fault::RecallCountedAtOnce,
         Fault::ReleasedTwice,
-        Fault::LoweredLends,
-        Fault::NoTimeAnew,
-        Fault::OldAnswer,
-        Fault::SurveyAtOnce,
-        Fault::OldRequest,
-        Fault::ClosesLate,
+        Fault::LoweredLimitLent,
+        Fault::TtlNotRestartedOnElection,
+        Fault::StaleAnswerAccepted,
+        Fault::SurveyedAtOnce,
+        Fault::StaleRequestApplied,
+        Fault::AdmitsWhileClosing,
     ];
     let mut missed = Vec::new();
     for fault in faults {
@@ -135,7 +139,7 @@
 #[test]
 fn a_lost_front_costs_its_room_until_boxes_were_asked_and_not_for_good() {
     let run = |surveys: bool| {
-        let mut w = World::new(3, 3, rules(3), vec![limit("sessions", Counts::Sessions, 90, 3)], None);
+        let mut w = World::new(3, 3, rules(3), vec![limit("sessions", Resource::Sessions, 90, 3)], None);
         (w.surveys, w.life) = (surveys, (60_000, 60_000));
         w.hosts[0].demand = 200.0;
         w.run(ms(3_000));
@@ -161,7 +165,7 @@
 #[test]
 fn one_hot_front_has_nearly_all_within_two_seconds() {
     for fronts in [8, 300] {
-        let sessions = Definition { least: 1, ..limit("sessions", Counts::Sessions, 10_000, fronts) };
+        let sessions = LimitDefinition { least: 1, ..limit("sessions", Resource::Sessions, 10_000, fronts) };
         let mut w = World::new(5, fronts, rules(fronts), vec![sessions], None);
         w.life = (60_000, 60_000);
         w.run(ms(3_000));
@@ -177,7 +181,7 @@
 #[test]
 fn a_limit_is_used_at_three_hundred_fronts_with_uneven_demand() {
     let fronts = 300;
-    let sessions = Definition { least: 1, ..limit("sessions", Counts::Sessions, 10_000, fronts) };
+    let sessions = LimitDefinition { least: 1, ..limit("sessions", Resource::Sessions, 10_000, fronts) };
     let mut w = World::new(6, fronts, rules(fronts), vec![sessions], None);
     w.life = (4_000, 12_000);
     // Drawn unevenly: the n-th has a demand in proportion to 1/n; together half as much again as the limit bears.
@@ -207,7 +211,7 @@
             7,
             8,
             rules(8),
-            vec![Definition { least: 5, ..limit("sessions", Counts::Sessions, 100, 8) }],
+            vec![LimitDefinition { least: 5, ..limit("sessions", Resource::Sessions, 100, 8) }],
             fault,
         );
         w.life = (60_000, 60_000);
@@ -226,13 +230,13 @@
     };
     let sound = admitted(None);
     assert!(sound[1..].iter().all(|n| *n >= 5) && sound[0] >= 60, "{sound:?}");
-    let planted = admitted(Some(Fault::LeastForgotten));
+    let planted = admitted(Some(Fault::MinSharesNotReserved));
     assert!(planted[1..].iter().any(|n| *n < 5), "{planted:?}");
 }
 
 #[test]
 fn customers_with_weights_lend_and_have_it_back() {
-    let mut d = limit("sessions", Counts::Sessions, 120, 2);
+    let mut d = limit("sessions", Resource::Sessions, 120, 2);
     d.weights = BTreeMap::from([(Key::of("market"), 2), (Key::of("school"), 1)]);
     let mut w = World::new(8, 2, rules(2), vec![d], None);
     w.life = (800, 1_600);
@@ -244,7 +248,7 @@
     w.hosts[0].demand = 400.0;
     // Unused room within an account's time, what plays as it ends.
     w.run(ms(2_000 + 1_600 + 2_000));
-    let share = |w: &World, n: usize| w.hosts[n].front.standings().iter().map(|s| s.share).sum::<u64>();
+    let share = |w: &World, n: usize| w.hosts[n].front.share_usages().iter().map(|s| s.share).sum::<u64>();
     let (market, school) = (share(&w, 0), share(&w, 1));
     assert!(market >= 74 && school <= 44, "market {market}, school {school}");
     assert_eq!(w.breach, None);
@@ -252,7 +256,7 @@
 
 #[test]
 fn a_lowered_limit_cuts_nobody_and_admits_nobody_until_it_fits() {
-    let mut w = World::new(9, 3, rules(3), vec![limit("sessions", Counts::Sessions, 90, 3)], None);
+    let mut w = World::new(9, 3, rules(3), vec![limit("sessions", Resource::Sessions, 90, 3)], None);
     w.life = (3_000, 6_000);
     for n in 0..3 {
         w.hosts[n].demand = 100.0;
@@ -260,7 +264,7 @@
     w.run(ms(2_000));
     let plays = w.plays_of("sessions");
     assert!(plays >= 80, "{plays}");
-    w.define(Definition { version: 1, ..limit("sessions", Counts::Sessions, 30, 3) });
+    w.define(LimitDefinition { version: 1, ..limit("sessions", Resource::Sessions, 30, 3) });
     w.run(ms(2_200));
     // It is in force: whoever comes is refused until it fits.
     let admitted = |w: &World| w.hosts.iter().map(|h| h.admitted).sum::<u64>();
@@ -276,12 +280,12 @@
     assert_eq!(w.breach, None);
 }
 
-fn soft(fronts: usize, over_milli: u32) -> Definition {
-    Definition {
-        kind: Kind::Soft { over_milli },
+fn soft(fronts: usize, over_milli: u32) -> LimitDefinition {
+    LimitDefinition {
+        kind: Enforcement::Soft { over_milli },
         least: 2,
         longest_ms: 60_000,
-        ..limit("soft", Counts::Sessions, 400, fronts)
+        ..limit("soft", Resource::Sessions, 400, fronts)
     }
 }
 
@@ -320,7 +324,7 @@
     }
     println!("over by {over} at most of 200 allowed; {} used on average", used / 30);
     assert!(used / 30 >= 150, "{used}");
-    for (fault, over_milli) in [(Fault::GrowsAtOnce, 200), (Fault::NoHorizon, 500)] {
+    for (fault, over_milli) in [(Fault::SoftShareGrowsAtOnce, 200), (Fault::HorizonIgnored, 500)] {
         let found = (0..30).find_map(|seed| Some((seed, run_soft(seed, over_milli, Some(fault)).0?)));
         println!("{fault:?}: {found:?}");
         assert!(found.is_some(), "{fault:?}");
--- a/crates/fleet/quotas/tests/support/mod.rs
+++ b/crates/fleet/quotas/tests/support/mod.rs
@@ -6,10 +6,11 @@
 use std::time::Duration;
 
 use beechloft_leases::{DriftBound, Name};
-use beechloft_quotas::soft::Row;
+use beechloft_quotas::soft::SoftShares;
 use beechloft_quotas::{
-    Answer, Claim, Command, Counts, Definition, Fault, Front, FrontId, FrontInput, FrontOutput,
-    FrontSettings, Heard, Key, Ledger, Of, Op, Request, Rules, Stage, Subject, Taken, Times,
+    Answer, Claim, Command, ExpiryTimers, Fault, Front, FrontId, FrontInput, FrontOutput, FrontSettings, Key,
+    Ledger, LimitDefinition, Op, QuotaParameters, Request, Reservation, Resource, Response, Scope, Stage,
+    Subject,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -43,7 +44,7 @@
     /// Newcomers a second.
     pub demand: f64,
     owed: f64,
-    sessions: Vec<(u64, Taken)>,
+    sessions: Vec<(u64, Reservation)>,
     pub cut: bool,
     pub admitted: u64,
     pub refused: u64,
@@ -55,8 +56,8 @@
 #[derive(Debug, Clone)]
 enum Ahead {
     Request(Request),
-    Heard(usize, FrontId, Heard),
-    Row(usize, FrontId, Row, Duration),
+    Response(usize, FrontId, Response),
+    SoftShares(usize, FrontId, SoftShares, Duration),
     Over(usize, FrontId, u64),
 }
 
@@ -70,10 +71,10 @@
 pub struct World {
     pub now: Duration,
     rng: ChaCha8Rng,
-    pub rules: Rules,
+    pub rules: QuotaParameters,
     drift: DriftBound,
     pub ledger: Ledger,
-    times: Times,
+    times: ExpiryTimers,
     leader_rate: f64,
     pub leads: bool,
     pub hosts: Vec<Host>,
@@ -88,7 +89,7 @@
     pub life: (u64, u64),
     /// Limits as committed, and since when.
     stood: BTreeMap<Name, Vec<(Duration, u64)>>,
-    pub definitions: Vec<Definition>,
+    pub definitions: Vec<LimitDefinition>,
     rates: BTreeMap<Claim, VecDeque<Duration>>,
     playing: BTreeMap<Claim, u64>,
     pub breach: Option<String>,
@@ -111,17 +112,17 @@
     pub fn new(
         seed: u64,
         fronts: usize,
-        rules: Rules,
-        definitions: Vec<Definition>,
+        rules: QuotaParameters,
+        definitions: Vec<LimitDefinition>,
         fault: Option<Fault>,
     ) -> World {
         let drift = DriftBound::ppm(PPM).expect("within bounds");
         #[allow(unused_mut)]
         let mut ledger = Ledger::default();
-        let mut times = Times::new(drift);
+        let mut times = ExpiryTimers::new(drift);
         if let Some(fault) = fault {
-            ledger.plant(fault);
-            times.plant(fault);
+            ledger.inject(fault);
+            times.inject(fault);
         }
         let mut w = World {
             now: Duration::from_secs(1),
@@ -184,7 +185,7 @@
         let set = FrontSettings { rules: self.rules, drift: self.drift, tagged: true, seed: self.lives };
         let mut front = Front::new(id, set);
         if let Some(fault) = self.fault {
-            front.plant(fault);
+            front.inject(fault);
         }
         for d in &self.definitions {
             front.handle(Duration::ZERO, FrontInput::Define(d.clone()));
@@ -209,7 +210,7 @@
         }
     }
 
-    pub fn define(&mut self, definition: Definition) {
+    pub fn define(&mut self, definition: LimitDefinition) {
         let name = definition.name.clone();
         let at = (self.now, definition.units());
         self.stood.entry(name.clone()).or_default().push(at);
@@ -219,7 +220,7 @@
     }
 
     /// The definition reaches a front, as it would through the topic.
-    pub fn tell(&mut self, n: usize, definition: Definition) {
+    pub fn tell(&mut self, n: usize, definition: LimitDefinition) {
         self.input(n, FrontInput::Define(definition));
     }
 
@@ -260,16 +261,16 @@
         let spread = f64::from(PPM) / 1e6;
         self.leader_rate = 1.0 + self.rng.random_range(-spread..=spread);
         self.leads = true;
-        self.times = Times::new(self.drift);
+        self.times = ExpiryTimers::new(self.drift);
         if let Some(fault) = self.fault {
-            self.times.plant(fault);
+            self.times.inject(fault);
         }
         let now = self.leader_now();
         self.times.begin(now, &self.ledger);
         // What is kept in memory alone is had anew from a snapshot.
         let mut read = Ledger::read(&self.ledger.write()).expect("a ledger");
         if let Some(fault) = self.fault {
-            read.plant(fault);
+            read.inject(fault);
         }
         assert_eq!(read, self.ledger, "a ledger reads as it was written");
         self.ledger = read;
@@ -321,7 +322,7 @@
                         self.deliver(Ahead::Request(request));
                     }
                 }
-                FrontOutput::Row(row) => {
+                FrontOutput::SoftShares(row) => {
                     let from = self.hosts[n].id;
                     self.rows(n, from, &row);
                 }
@@ -333,12 +334,12 @@
     }
 
     /// Gossip: a row reaches all that are not cut off, some time later.
-    fn rows(&mut self, from: usize, id: FrontId, row: &Row) {
+    fn rows(&mut self, from: usize, id: FrontId, row: &SoftShares) {
         for to in 0..self.hosts.len() {
             if to != from && self.hosts[to].cut == self.hosts[from].cut {
                 let after = ms(self.rng.random_range(20..400));
                 let made = self.now;
-                self.put(after, Ahead::Row(to, id, row.clone(), made));
+                self.put(after, Ahead::SoftShares(to, id, row.clone(), made));
             }
         }
     }
@@ -347,8 +348,9 @@
     pub fn refresh(&mut self) {
         for n in 0..self.hosts.len() {
             if self.hosts[n].up {
-                let parts = self.hosts[n].front.standings().into_iter().map(|s| (s.claim, s.share)).collect();
-                let (id, row) = (self.hosts[n].id, Row { parts });
+                let parts =
+                    self.hosts[n].front.share_usages().into_iter().map(|s| (s.claim, s.share)).collect();
+                let (id, row) = (self.hosts[n].id, SoftShares { parts });
                 self.rows(n, id, &row);
             }
         }
@@ -366,13 +368,13 @@
     }
 
     fn claims(&self, n: usize) -> Vec<(Claim, u64)> {
-        let of = |d: &Definition| {
+        let of = |d: &LimitDefinition| {
             let key = match d.of {
-                Of::Customer => self.hosts[n].customer.clone(),
+                Scope::Customer => self.hosts[n].customer.clone(),
                 _ => Key::default(),
             };
             let customer = if d.weights.is_empty() { Key::default() } else { self.hosts[n].customer.clone() };
-            let units = if d.counts == Counts::Kbits { 100 } else { 1 };
+            let units = if d.counts == Resource::Kbits { 100 } else { 1 };
             (Claim { limit: d.name.clone(), key, customer }, units)
         };
         self.definitions.iter().map(of).collect()
@@ -439,7 +441,7 @@
         }
     }
 
-    fn minted(&mut self, of: &Definition, claim: &Claim) {
+    fn minted(&mut self, of: &LimitDefinition, claim: &Claim) {
         let window = Duration::from_secs(1);
         let most = if of.is_hard() {
             beechloft_quotas::bounds::rate_bound(of, self.drift, window)
@@ -468,7 +470,7 @@
     /// It closes its account, as one that is told to end does, and another comes up in its place.
     pub fn leave(&mut self, n: usize) {
         self.input(n, FrontInput::Close);
-        if self.fault == Some(Fault::ClosesLate) {
+        if self.fault == Some(Fault::AdmitsWhileClosing) {
             for _ in 0..20 {
                 self.come(n);
             }
@@ -544,34 +546,34 @@
                 let (front, seq) = (request.front, request.seq);
                 let first = !self.log.iter().rev().take(4096).any(|l| (l.0, l.1) == (front, seq));
                 let Some(answer) = self.apply(&Command::Request(request)) else { return };
-                if first && answer != Answer::Unable(beechloft_quotas::Unable::Overtaken) {
+                if first && answer != Answer::Rejected(beechloft_quotas::Rejection::Superseded) {
                     self.log.push((front, seq, self.now));
                 }
                 self.check_sums();
                 let Some(n) = self.hosts.iter().position(|h| h.id == front) else { return };
                 if !self.hosts[n].cut {
-                    self.deliver(Ahead::Heard(n, front, Heard::Answer { front, seq, answer }));
+                    self.deliver(Ahead::Response(n, front, Response::Answer { front, seq, answer }));
                 }
             }
-            Ahead::Heard(n, front, heard) if self.hosts[n].id == front => {
+            Ahead::Response(n, front, heard) if self.hosts[n].id == front => {
                 if self.hosts[n].stopped_until > self.now {
                     // It waits in the stopped process's socket.
                     let after = self.hosts[n].stopped_until - self.now;
-                    return self.put(after, Ahead::Heard(n, front, heard));
+                    return self.put(after, Ahead::Response(n, front, heard));
                 }
-                if let Heard::Answer { seq, .. } = &heard
+                if let Response::Answer { seq, .. } = &heard
                     && let Some(seen) = self.history.get_mut(&(front, *seq))
                 {
                     seen.answered.get_or_insert(self.now);
                 }
-                self.input(n, FrontInput::Heard(heard));
+                self.input(n, FrontInput::Response(heard));
             }
-            Ahead::Row(n, from, row, made) => {
+            Ahead::SoftShares(n, from, row, made) => {
                 let age = self.now - made;
-                self.input(n, FrontInput::Row(from, row, age));
+                self.input(n, FrontInput::SoftShares(from, row, age));
             }
             Ahead::Over(n, front, id) => self.over(n, front, id),
-            Ahead::Heard(..) => {}
+            Ahead::Response(..) => {}
         }
     }
 
@@ -595,7 +597,7 @@
         if let Some(at) = at {
             let (_, taken) = self.hosts[n].sessions.swap_remove(at);
             let local = self.local(n);
-            self.hosts[n].front.give_back(local, taken);
+            self.hosts[n].front.release(local, taken);
             let due = self.hosts[n].front.next_due().unwrap_or(Duration::MAX);
             self.hosts[n].wake = due;
         }
@@ -604,8 +606,11 @@
     /// What might be admitted by now, were all shares used: those of fronts whose accounts run by their own clocks, a stopped
     /// process's too, as it may go on at any moment; and what plays for all others.
     fn check_shares(&mut self) {
-        for d in
-            self.definitions.clone().iter().filter(|d| d.of == Of::All && d.is_hard() && d.weights.is_empty())
+        for d in self
+            .definitions
+            .clone()
+            .iter()
+            .filter(|d| d.of == Scope::All && d.is_hard() && d.weights.is_empty())
         {
             let key = Key::default();
             let claim = Claim { limit: d.name.clone(), key: key.clone(), customer: key };
@@ -629,7 +634,7 @@
     /// The ledger's sums are what its shares say, and are over no limit that has not been lowered.
     fn check_sums(&mut self) {
         for d in &self.definitions {
-            if d.of != Of::All || !d.is_hard() {
+            if d.of != Scope::All || !d.is_hard() {
                 continue;
             }
             let (kept, anew) =
--- a/crates/fleet/replica/src/components/quotas.rs
+++ b/crates/fleet/replica/src/components/quotas.rs
@@ -5,7 +5,9 @@
 
 use beechloft_consensus::{Chunk, RequestError};
 use beechloft_leases::ReplicaId;
-use beechloft_quotas::{Command, Definition, Fault, FrontId, Heard, Ledger, LedgerError, Times};
+use beechloft_quotas::{
+    Command, ExpiryTimers, Fault, FrontId, Ledger, LedgerError, LimitDefinition, Response,
+};
 
 use super::{ApplyContext, Component};
 use crate::input::ClientId;
@@ -28,7 +30,7 @@
 pub(crate) struct QuotasComponent {
     ledger: Ledger,
     /// Present while this replica is the leader.
-    times: Option<Times>,
+    times: Option<ExpiryTimers>,
     fault: Option<Fault>,
 }
 
@@ -53,7 +55,7 @@
     pub fn inject_fault(&mut self, fault: Fault) {
         self.fault = Some(fault);
         #[cfg(feature = "fault_injection")]
-        self.ledger.plant(fault);
+        self.ledger.inject(fault);
     }
 
     pub fn ledger(&self) -> &Ledger {
@@ -75,8 +77,8 @@
         let version = offset.saturating_add(1);
         let command = match value {
             None => Command::Undefine(name, version),
-            Some(bytes) => match serde_json::from_slice::<Definition>(bytes) {
-                Ok(d) if d.name == name => Command::Define(Definition { version, ..d }),
+            Some(bytes) => match serde_json::from_slice::<LimitDefinition>(bytes) {
+                Ok(d) if d.name == name => Command::Define(LimitDefinition { version, ..d }),
                 _ => return,
             },
         };
@@ -103,7 +105,7 @@
             out.push(ReplicaOutput::QuotaEvent(event));
         }
         if let (Some(PendingQuotaRequest::Request(client, front, seq)), Some(answer)) = (pending, answer) {
-            out.push(ReplicaOutput::QuotaResponse(client, Heard::Answer { front, seq, answer }));
+            out.push(ReplicaOutput::QuotaResponse(client, Response::Answer { front, seq, answer }));
         }
     }
 
@@ -123,10 +125,10 @@
     /// A new leader restarts the time of all accounts, because it does not know when its predecessor did.
     fn leadership_changed(&mut self, context: ApplyContext) {
         self.times = context.is_leader.then(|| {
-            let mut times = Times::new(context.drift);
+            let mut times = ExpiryTimers::new(context.drift);
             #[cfg(feature = "fault_injection")]
             if let Some(fault) = self.fault {
-                times.plant(fault);
+                times.inject(fault);
             }
             times.begin(context.now, &self.ledger);
             times
@@ -134,7 +136,7 @@
     }
 
     fn next_due(&self) -> Option<Duration> {
-        self.times.as_ref().and_then(Times::next_due)
+        self.times.as_ref().and_then(ExpiryTimers::next_due)
     }
 
     fn due_commands(&mut self, now: Duration) -> Vec<Command> {
--- a/crates/fleet/replica/src/output.rs
+++ b/crates/fleet/replica/src/output.rs
@@ -34,7 +34,7 @@
     /// A change of the placement.
     PlacementEvent(beechloft_placement::Event),
     /// The response to a front node's quota request.
-    QuotaResponse(ClientId, beechloft_quotas::Heard),
+    QuotaResponse(ClientId, beechloft_quotas::Response),
     /// A change of the quotas.
     QuotaEvent(beechloft_quotas::Event),
     /// The outcome of a [`ReplicaInput::Raft`](crate::ReplicaInput::Raft) request.
--- a/crates/fleet/replica/tests/encoding/snapshot.rs
+++ b/crates/fleet/replica/tests/encoding/snapshot.rs
@@ -12,7 +12,7 @@
 use beechloft_leases::DriftBound;
 use beechloft_placement::names::{AskId, BoxId, DiskId, Life, Order, Revision, Version};
 use beechloft_placement::{Answer, Command as PlacementCommand, Outcome, Renew, Step};
-use beechloft_quotas::{Claim, Definition, Key, Kind, Of, Op as QuotaOp, Said};
+use beechloft_quotas::{Claim, Enforcement, Key, LimitDefinition, Op as QuotaOp, Scope, ShareReport};
 use beechloft_replica::{ClientId, Command, Replica, ReplicaInput, ReplicaOutput};
 use beechloft_topic::{Epoch, Expect, TopicCommand, TopicOp};
 
@@ -121,12 +121,12 @@
     let open = QuotaOp::Open { ttl_ms: 9_000, tagged: true };
     single.apply(Command::Quotas(beechloft_quotas::Command::Request(quota_request(1, open))));
     let account = single.replica.quotas().accounts().next().map(|account| account.0).expect("an account");
-    let hard = Definition { of: Of::Title, only: None, kind: Kind::Hard, ..definition() };
+    let hard = LimitDefinition { of: Scope::Title, only: None, kind: Enforcement::Hard, ..definition() };
     let declare_limit = QuotaOp::Declare { account, definition: hard };
     single.apply(Command::Quotas(beechloft_quotas::Command::Request(quota_request(2, declare_limit))));
     let customer = Key::of("ann");
     let claim = Claim { limit: name("limit"), key: customer.clone(), customer };
-    let lines = vec![Said { claim, hold: 0, used: 2, want: 30 }];
+    let lines = vec![ShareReport { claim, hold: 0, used: 2, want: 30 }];
     let settle = QuotaOp::Settle { account, lines };
     single.apply(Command::Quotas(beechloft_quotas::Command::Request(quota_request(3, settle))));
     for (_, operate) in operate() {
--- a/crates/fleet/replica/tests/encoding/values.rs
+++ b/crates/fleet/replica/tests/encoding/values.rs
@@ -9,7 +9,9 @@
 use beechloft_placement::plan::inventory::{BoxLine, RackLine};
 use beechloft_placement::words::request::{First, OnLoss, WhenFull};
 use beechloft_placement::{Operate, Quota, Renew, Room, Rules, Step, Titles, What};
-use beechloft_quotas::{AccountId, Claim, Counts, Definition, Kind, Of, OrphanId, Said};
+use beechloft_quotas::{
+    AccountId, Claim, Enforcement, LimitDefinition, OrphanId, Resource, Scope, ShareReport,
+};
 use beechloft_replica::Command;
 use beechloft_topic::{
     Epoch, Expect, Key, Offset, PublisherId, Record, Session, Terms, TopicCommand, TopicOp, TopicRequest,
@@ -85,15 +87,15 @@
     ]
 }
 
-pub fn definition() -> Definition {
-    Definition {
+pub fn definition() -> LimitDefinition {
+    LimitDefinition {
         name: name("limit"),
         version: 4,
-        counts: Counts::Sessions,
-        of: Of::Customer,
+        counts: Resource::Sessions,
+        of: Scope::Customer,
         only: Some(beechloft_quotas::Key::of("ann")),
         limit: 1_000,
-        kind: Kind::Soft { over_milli: 100 },
+        kind: Enforcement::Soft { over_milli: 100 },
         least: 2,
         weights: [(beechloft_quotas::Key::of("ann"), 3)].into(),
         keep_milli: 250,
@@ -114,7 +116,7 @@
     let claim =
         || Claim { limit: name("limit"), key: beechloft_quotas::Key::of("k"), customer: Default::default() };
     let request = |op| QuotaCommand::Request(quota_request(8, op));
-    let lines = vec![Said { claim: claim(), hold: 300, used: 2, want: 301 }];
+    let lines = vec![ShareReport { claim: claim(), hold: 300, used: 2, want: 301 }];
     let commands = [
         ("limits-open", request(Op::Open { ttl_ms: 9_000, tagged: true })),
         ("limits-settle", request(Op::Settle { account, lines })),
--- a/crates/front/server/src/admission.rs
+++ b/crates/front/server/src/admission.rs
@@ -7,7 +7,7 @@
 
 use beechloft_config::Service;
 use beechloft_http::client::CallError;
-use beechloft_quotas::{FrontId, Gate, Key, No, Permit, Stage, Subject, tag};
+use beechloft_quotas::{AdmissionController, FrontId, Key, Permit, Refusal, Stage, Subject, tag};
 use beechloft_session::SessionController;
 use beechloft_session::api::{LoadReport, Micros, Outcome, ServerId, SessionId};
 use beechloft_session::catalog::Title;
@@ -32,12 +32,12 @@
     /// A quota of that media server is exhausted; the attempt counts as one that never ran.
     AtServer(Box<Input>),
     /// No further attempt may be made: the client is answered.
-    Entirely(Box<(No, [Input; 2])>),
+    Entirely(Box<(Refusal, [Input; 2])>),
 }
 
 /// The quotas at a front.
 pub(crate) struct Admission {
-    gate: Gate,
+    gate: AdmissionController,
     incarnation: FrontId,
     service: Service,
     permits: BTreeMap<SessionId, SessionPermits>,
@@ -48,7 +48,7 @@
 }
 
 impl Admission {
-    pub(crate) fn new(gate: Gate, service: Service) -> Admission {
+    pub(crate) fn new(gate: AdmissionController, service: Service) -> Admission {
         let incarnation = gate.front().id();
         let (permits, waiting, ending) = Default::default();
         Admission { gate, incarnation, service, permits, waiting, ending }
@@ -60,7 +60,7 @@
         controller: &SessionController,
         request: &SessionRequest,
         client: Option<Key>,
-    ) -> Result<(), No> {
+    ) -> Result<(), Refusal> {
         // What is answered without a session is not counted; an offer sent again is counted once.
         let title = controller.catalog().title(&request.title);
         let Some(title) = title.filter(|_| !controller.is_repeat(request)) else { return Ok(()) };
@@ -126,7 +126,7 @@
         }
     }
 
-    fn denied(&self, no: No, now: Micros, attempt: AttemptId, server: ServerId) -> Denied {
+    fn denied(&self, no: Refusal, now: Micros, attempt: AttemptId, server: ServerId) -> Denied {
         let never_ran = Input::AttemptEnded {
             attempt,
             server,
@@ -198,7 +198,7 @@
     }
 }
 
-fn log_denied(session: SessionId, no: &No) {
+fn log_denied(session: SessionId, no: &Refusal) {
     let session = format_args!("{:016x}", session.0);
     let retry_after_ms = u64::try_from(no.again.as_millis()).unwrap_or(u64::MAX);
     info!(
@@ -208,7 +208,7 @@
 }
 
 /// When a rejected client is to retry, as the session controller says it.
-pub(crate) fn retry_after(no: &No) -> Micros {
+pub(crate) fn retry_after(no: &Refusal) -> Micros {
     Micros(u64::try_from(no.again.as_micros()).unwrap_or(u64::MAX))
 }
 
--- a/crates/front/server/src/http.rs
+++ b/crates/front/server/src/http.rs
@@ -8,7 +8,7 @@
 use beechloft_http::message::HeadError;
 use beechloft_http::server::{Handler, Link, Reply};
 use beechloft_http::{Method, Request, Response, StatusCode, header, sse, wait};
-use beechloft_quotas::{Key, No};
+use beechloft_quotas::{Key, Refusal};
 use beechloft_session::api::{Micros, ServerId, SessionId};
 use beechloft_session::io::{Answer, Input, Protocol, Secret, SessionRequest};
 use beechloft_whep::answer::{self, SessionCall};
@@ -42,7 +42,7 @@
     /// The session controller's answer.
     Answer(Answer),
     /// A quota of the fleet is exhausted.
-    QuotaExceeded(No),
+    QuotaExceeded(Refusal),
     /// The client has left.
     ClientLeft,
 }
@@ -54,7 +54,7 @@
 }
 
 /// A rejection that names the quota (RFC 9457).
-fn quota_exceeded(no: &No) -> Response {
+fn quota_exceeded(no: &Refusal) -> Response {
     let retry_after_ms = u64::try_from(no.again.as_millis()).unwrap_or(u64::MAX);
     let problem = serde_json::json!({
         "type": "about:blank", "title": "a limit is reached", "status": 503,
--- a/crates/front/server/src/messages.rs
+++ b/crates/front/server/src/messages.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use beechloft_quotas::{Gate, Key, No};
+use beechloft_quotas::{AdmissionController, Key, Refusal};
 use beechloft_session::Exchange;
 use beechloft_session::api::{Micros, ServerId, SessionId, SlotAssignment};
 use beechloft_session::io::{Answer, AttemptId, Input, Output, RequestId, Secret, SessionRequest};
@@ -55,7 +55,7 @@
     /// The answer; nothing comes after it.
     Answer(Answer),
     /// A quota of the fleet is exhausted; nothing comes after it.
-    QuotaExceeded(No),
+    QuotaExceeded(Refusal),
 }
 
 /// What a front knows and holds.
@@ -97,5 +97,5 @@
     /// Takes evidence of media servers, and filters by it what the policy is offered.
     pub observer: Option<Box<dyn Observer>>,
     /// Admits by quotas that hold for all fronts.
-    pub gate: Option<Gate>,
+    pub gate: Option<AdmissionController>,
 }
