--- a/crates/front/config/src/front/mod.rs
+++ b/crates/front/config/src/front/mod.rs
@@ -1,22 +1,30 @@
-//! One front: where it listens, where its list comes from, its bounds and logs.
+//! One front: where it listens, where its endpoint list comes from, its bounds and logs.
 
-use std::net::SocketAddr;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 use std::time::Duration;
 
 use beechloft::api::{Settings, ZoneId};
+use beechloft_config_reader::{self as config_reader, ConfigErrors, Section};
 use beechloft_http::Limits;
 use beechloft_http::server::Sizes;
 use beechloft_session::catalog::{MediaServerEntry, TitleEntry};
 
-use crate::list;
+use crate::endpoint_list;
+use crate::narrow::{narrow, narrow_index};
 use crate::service::{self, Service};
-use beechloft_config_reader::{self as config_reader, ConfigErrors, Section};
 
-/// Where the list comes from.
+/// Stands in for an address that is missing or can't be read; a fault is reported then.
+const UNSET_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+/// How long a connection to a media server may take, if the settings say nothing.
+const DEFAULT_CONNECT_TIME: Duration = Duration::from_millis(250);
+/// How long a call to a media server may take, if the settings say nothing.
+const DEFAULT_CALL_TIME: Duration = Duration::from_millis(2000);
+
+/// Where the endpoint list comes from.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ListSource {
-    /// A list service that pushes changes.
+    /// A service that pushes changes.
     Pushed {
         /// Where it listens.
         address: SocketAddr,
@@ -44,7 +52,7 @@
     }
 }
 
-/// Everything a front is told.
+/// The settings of a front.
 #[derive(Debug, Clone)]
 pub struct FrontSettings {
     /// Where it listens.
@@ -57,11 +65,11 @@
     pub service: Service,
     /// For the policy, complete.
     pub settings: Settings,
-    /// Whether its number, or of how many, is written there.
+    /// Whether its slot, or the number of slots, is written there.
     pub numbered: bool,
     /// Seed of its random numbers; none: drawn at the start.
     pub seed: Option<u64>,
-    /// Where the list comes from.
+    /// Where the endpoint list comes from.
     pub list: ListSource,
     /// Bounds of its sockets.
     pub sizes: Sizes,
@@ -73,101 +81,117 @@
     pub log: LogSettings,
 }
 
-/// Reads a front's settings file; all its faults, if it has any.
+/// Reads a front's settings file.
+///
+/// # Errors
+/// All faults of the file, if it has any.
 pub fn parse(text: &str) -> Result<FrontSettings, ConfigErrors> {
     config_reader::read(text, FrontSettings::of)
 }
 
 impl FrontSettings {
-    /// Reads a front's sections of a file that may say more.
+    /// Reads a front's sections of a file that may have more.
     pub fn of(top: &Section<'_>) -> FrontSettings {
-        front(top)
+        let service = service::service(&top.section("service"));
+        let front = top.section("front");
+        if !front.has("listen") {
+            front.report("listen", "missing");
+        }
+        let servers = top.section("boxes");
+        FrontSettings {
+            listen: front.address("listen").unwrap_or(UNSET_ADDRESS),
+            sip: front.address("sip"),
+            sip_control: true,
+            settings: policy_settings(&front, &service),
+            numbered: front.has("number") || front.has("of"),
+            seed: front.integer("seed", 0..=u64::MAX),
+            list: list_source(&top.section("list"), &service),
+            sizes: sizes(&top.section("sockets")),
+            connect_time: servers.millis("connect_ms", 1..=60_000).unwrap_or(DEFAULT_CONNECT_TIME),
+            call_time: servers.millis("call_ms", 1..=60_000).unwrap_or(DEFAULT_CALL_TIME),
+            log: log(&top.section("log")),
+            service,
+        }
     }
 }
 
-fn front(top: &Section<'_>) -> FrontSettings {
-    let service = service::service(&top.section("service"));
-    let f = top.section("front");
-    if !f.has("listen") {
-        f.report("listen", "missing");
-    }
-    let listen = f.address("listen").unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
-    let fronts = f.integer("of", 1..=100_000).unwrap_or(1);
-    let number = f.integer("number", 0..=100_000).unwrap_or(0);
-    if number >= fronts {
-        f.report("number", format!("fronts are counted from 0, and there are {fronts}"));
+/// The service's settings with this front's slot and zone.
+fn policy_settings(front: &Section<'_>, service: &Service) -> Settings {
+    let front_count = front.integer("of", 1..=100_000).unwrap_or(1);
+    let slot = front.integer("number", 0..=100_000).unwrap_or(0);
+    if slot >= front_count {
+        front.report("number", format!("fronts are counted from 0, and there are {front_count}"));
     }
-    let zone = ZoneId(f.index("zone", &service.zones, "zone").unwrap_or(0) as u16);
-    let settings =
-        Settings { front_count: fronts as u32, slot: number as u32, zone, ..service.settings.clone() };
-    let b = top.section("boxes");
-    FrontSettings {
-        listen,
-        sip: f.address("sip"),
-        sip_control: true,
-        settings,
-        numbered: f.has("number") || f.has("of"),
-        seed: f.integer("seed", 0..=u64::MAX),
-        list: list_source(&top.section("list"), &service),
-        sizes: sizes(&top.section("sockets")),
-        connect_time: b.millis("connect_ms", 1..=60_000).unwrap_or(Duration::from_millis(250)),
-        call_time: b.millis("call_ms", 1..=60_000).unwrap_or(Duration::from_millis(2000)),
-        log: log(&top.section("log")),
-        service,
+    let zone = front.index("zone", &service.zones, "zone").unwrap_or(0);
+    Settings {
+        front_count: narrow(front_count),
+        slot: narrow(slot),
+        zone: ZoneId(narrow_index(zone)),
+        ..service.settings.clone()
     }
 }
 
-fn list_source(s: &Section<'_>, service: &Service) -> ListSource {
-    if !s.has("url") {
-        let (boxes, titles) = list::written(s, service);
-        if s.has("cache") {
-            s.report("cache", "a list written here needs no copy");
-        }
-        if boxes.is_empty() {
-            s.report("", "either url or boxes is needed");
-        }
-        return ListSource::Written(boxes, titles);
+fn list_source(section: &Section<'_>, service: &Service) -> ListSource {
+    if !section.has("url") {
+        return written_list(section, service);
     }
     for key in ["boxes", "titles"] {
-        if s.has(key) {
-            s.report(key, "the list comes from url; it can't be written here as well");
+        if section.has(key) {
+            section.report(key, "the list comes from url; it can't be written here as well");
         }
     }
-    let url = s.required_text("url");
-    let parsed = url.strip_prefix("http://").and_then(|rest| {
-        let (host, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
-        Some((host.parse().ok()?, if path.is_empty() { "/" } else { path }.to_owned()))
-    });
+    let url = section.required_text("url");
+    let parsed = address_and_path(&url);
     if parsed.is_none() {
-        s.report("url", format!("'{url}' is not http:// with an address, a port and a path"));
+        section.report("url", format!("'{url}' is not http:// with an address, a port and a path"));
+    }
+    let (address, path) = parsed.unwrap_or_else(|| (UNSET_ADDRESS, "/".into()));
+    ListSource::Pushed { address, path, cache: section.text("cache").map(PathBuf::from) }
+}
+
+fn written_list(section: &Section<'_>, service: &Service) -> ListSource {
+    let (servers, titles) = endpoint_list::written(section, service);
+    if section.has("cache") {
+        section.report("cache", "a list written here needs no copy");
     }
-    let (address, path) = parsed.unwrap_or_else(|| (SocketAddr::from(([127, 0, 0, 1], 0)), "/".into()));
-    ListSource::Pushed { address, path, cache: s.text("cache").map(PathBuf::from) }
+    if servers.is_empty() {
+        section.report("", "either url or boxes is needed");
+    }
+    ListSource::Written(servers, titles)
+}
+
+fn address_and_path(url: &str) -> Option<(SocketAddr, String)> {
+    let rest = url.strip_prefix("http://")?;
+    let (host, path) = rest.split_at(rest.find('/').unwrap_or(rest.len()));
+    let path = if path.is_empty() { "/" } else { path };
+    Some((host.parse().ok()?, path.to_owned()))
 }
 
-fn sizes(s: &Section<'_>) -> Sizes {
-    let d = Sizes::default();
-    let l = &d.limits;
+fn sizes(section: &Section<'_>) -> Sizes {
+    let defaults = Sizes::default();
+    let limits = &defaults.limits;
+    let count = |key, range, default| section.integer(key, range).map_or(default, narrow);
+    let stack_kb = section.integer("stack_kb", 64..=8192);
     Sizes {
-        connections: s.integer("connections", 1..=100_000).map_or(d.connections, |n| n as usize),
-        stack: s.integer("stack_kb", 64..=8192).map_or(d.stack, |kb| kb as usize * 1024),
+        connections: count("connections", 1..=100_000, defaults.connections),
+        stack: stack_kb.map_or(defaults.stack, |kb| narrow::<usize>(kb) * 1024),
         limits: Limits {
-            head_bytes: s.integer("head_bytes", 1024..=1_048_576).map_or(l.head_bytes, |n| n as usize),
-            body_bytes: s.integer("body_bytes", 1024..=16_777_216).map_or(l.body_bytes, |n| n as usize),
-            head_time: s.millis("head_ms", 10..=600_000).unwrap_or(l.head_time),
-            body_time: s.millis("body_ms", 10..=600_000).unwrap_or(l.body_time),
-            idle_time: s.millis("idle_ms", 10..=3_600_000).unwrap_or(l.idle_time),
-            write_time: s.millis("write_ms", 10..=600_000).unwrap_or(l.write_time),
-            ..l.clone()
+            head_bytes: count("head_bytes", 1024..=1_048_576, limits.head_bytes),
+            body_bytes: count("body_bytes", 1024..=16_777_216, limits.body_bytes),
+            head_time: section.millis("head_ms", 10..=600_000).unwrap_or(limits.head_time),
+            body_time: section.millis("body_ms", 10..=600_000).unwrap_or(limits.body_time),
+            idle_time: section.millis("idle_ms", 10..=3_600_000).unwrap_or(limits.idle_time),
+            write_time: section.millis("write_ms", 10..=600_000).unwrap_or(limits.write_time),
+            ..limits.clone()
         },
     }
 }
 
-fn log(s: &Section<'_>) -> LogSettings {
-    let json = s.choice("format", &[("human", false), ("json", true)]).unwrap_or(false);
-    let levels = ["error", "warn", "info", "debug", "trace"].map(|l| (l, l));
-    let mut filter = s.choice("level", &levels).unwrap_or("info").to_owned();
-    let parts = s.section("parts");
+fn log(section: &Section<'_>) -> LogSettings {
+    let json = section.choice("format", &[("human", false), ("json", true)]).unwrap_or(false);
+    let levels = ["error", "warn", "info", "debug", "trace"].map(|level| (level, level));
+    let mut filter = section.choice("level", &levels).unwrap_or("info").to_owned();
+    let parts = section.section("parts");
     for part in ["core", "list", "boxes", "http"] {
         if let Some(level) = parts.choice(part, &levels) {
             filter.push_str(&format!(",{part}={level}"));
--- a/crates/front/config/src/lib.rs
+++ b/crates/front/config/src/lib.rs
@@ -1,12 +1,11 @@
-//! Settings in YAML. Every key is checked; `beechloft check` says all faults of a file at once, each with its line.
+//! Settings in YAML. Every key is checked; `beechloft check` reports all errors of a file at once, each with its line.
 //!
-//! The settings describe a deployment and this front's place in it. What the decision module decides is not in them.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::wildcard_imports)]
+//! The settings describe a deployment and this front's place in it. What the policy decides is not in them.
 #![forbid(unsafe_code)]
 
+mod endpoint_list;
 pub mod front;
-pub mod list;
+mod narrow;
 pub mod service;
 
 pub use front::FrontSettings;
--- a/crates/front/discovery/src/lib.rs
+++ b/crates/front/discovery/src/lib.rs
@@ -1,9 +1,7 @@
-//! The media server list as it travels: JSON in server-sent events, `snapshot` (all there is) and `change` (what changed).
+//! Messages of the endpoint list: JSON in server-sent events, `snapshot` (the complete list) and `change` (what changed).
 //!
-//! A line that can't be used is left out and said, and the rest of its message holds: one operator's slip must not
+//! An entry that can't be used is left out and reported, and the rest of its message holds: one operator's slip must not
 //! cost a front its list.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::wildcard_imports)]
 #![forbid(unsafe_code)]
 
 pub mod cache;
@@ -13,10 +11,11 @@
 use std::net::SocketAddr;
 
 use beechloft_config::Service;
-use beechloft_session::api::*;
+use beechloft_session::api::{ClassId, EndpointState, Micros, ServerId, ServerType, TenantId, ZoneId};
 use beechloft_session::catalog::{EndpointUpdate, MediaServerEntry, TitleEntry};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
+use thiserror::Error;
 
 /// Event name of a whole list.
 pub const SNAPSHOT: &str = "snapshot";
@@ -25,11 +24,11 @@
 /// Path of the stream at a list service.
 pub const PATH: &str = "/list";
 /// Longest message, bytes.
-pub const BYTES: usize = 32 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 32 * 1024 * 1024;
 
 /// A media server in a message.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct BoxText {
+pub struct MediaServerJson {
     /// Its number.
     pub id: u32,
     /// Its name.
@@ -62,7 +61,7 @@
 
 /// A title in a message.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TitleText {
+pub struct TitleJson {
     /// Its name.
     pub name: String,
     /// Name of its class.
@@ -93,7 +92,7 @@
 
 /// A message read.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Read {
+pub struct ReadMessage {
     /// For the session controller.
     pub update: EndpointUpdate,
     /// Lines left out, and why.
@@ -113,80 +112,118 @@
 }
 
 /// Reads the lines of a message, with the names of a deployment.
-pub fn read(form: Form, message: &Message, service: &Service) -> Read {
+pub fn read(form: Form, message: &Message, service: &Service) -> ReadMessage {
     let mut faults = Vec::new();
-    let servers =
-        message.boxes.iter().filter_map(|v| kept(box_line(v, service), "box", v, &mut faults)).collect();
-    let titles =
-        message.titles.iter().filter_map(|v| kept(title_line(v, service), "title", v, &mut faults)).collect();
+    let servers = message
+        .boxes
+        .iter()
+        .filter_map(|value| keep_valid(media_server(value, service), "box", value, &mut faults));
+    let servers = servers.collect();
+    let titles = message
+        .titles
+        .iter()
+        .filter_map(|value| keep_valid(title(value, service), "title", value, &mut faults));
+    let titles = titles.collect();
     let update = match form {
         Form::Snapshot { cached } => EndpointUpdate::Snapshot { cached, servers, titles },
         Form::Change => EndpointUpdate::Change {
             servers,
             titles,
-            removed: message.gone.iter().map(|g| g.as_str().into()).collect(),
+            removed: message.gone.iter().map(|name| name.as_str().into()).collect(),
         },
     };
-    Read { update, faults }
+    ReadMessage { update, faults }
 }
 
-fn kept<T>(line: Result<T, String>, what: &str, value: &Value, faults: &mut Vec<String>) -> Option<T> {
-    let fault = match line {
-        Ok(line) => return Some(line),
-        Err(fault) => fault,
-    };
-    let name = value.get("name").and_then(Value::as_str).unwrap_or("without a name");
-    faults.push(format!("{what} {name} is left out: {fault}"));
-    None
+/// Why an entry can't be used.
+#[derive(Debug, Error)]
+enum EntryError {
+    /// It is not the stated JSON.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// A name that the deployment does not have.
+    #[error("no {what} is called '{name}'")]
+    UnknownName { what: &'static str, name: String },
+    /// A title without a name.
+    #[error("it needs a name")]
+    NoName,
+    /// Not an address.
+    #[error("'{0}' is no address with a port")]
+    Address(String),
+    /// A rack that the deployment does not have.
+    #[error("rack {rack} of {racks}")]
+    Rack { rack: u16, racks: u32 },
+    /// Not a size.
+    #[error("size {0}")]
+    Size(f64),
+}
+
+fn keep_valid<T>(
+    entry: Result<T, EntryError>,
+    what: &str,
+    value: &Value,
+    faults: &mut Vec<String>,
+) -> Option<T> {
+    match entry {
+        Ok(entry) => Some(entry),
+        Err(error) => {
+            let name = value.get("name").and_then(Value::as_str).unwrap_or("without a name");
+            faults.push(format!("{what} {name} is left out: {error}"));
+            None
+        }
+    }
 }
 
-fn position(names: &[String], name: &str, what: &str) -> Result<usize, String> {
-    names.iter().position(|n| n == name).ok_or_else(|| format!("no {what} is called '{name}'"))
+/// The index of a name among those of the deployment.
+fn index_of<T: TryFrom<usize>>(names: &[String], name: &str, what: &'static str) -> Result<T, EntryError> {
+    let index = names.iter().position(|known| known == name);
+    let narrowed = index.and_then(|index| T::try_from(index).ok());
+    narrowed.ok_or_else(|| EntryError::UnknownName { what, name: name.to_owned() })
 }
 
-fn box_line(value: &Value, service: &Service) -> Result<MediaServerEntry, String> {
-    let b = BoxText::deserialize(value).map_err(|e| e.to_string())?;
-    let state = match b.state.as_str() {
+fn media_server(value: &Value, service: &Service) -> Result<MediaServerEntry, EntryError> {
+    let json = MediaServerJson::deserialize(value)?;
+    let state = match json.state.as_str() {
         "ready" => EndpointState::Ready,
         "draining" => EndpointState::Draining,
         "gone" => EndpointState::Removed,
-        other => return Err(format!("no state is called '{other}'")),
+        other => return Err(EntryError::UnknownName { what: "state", name: other.to_owned() }),
     };
-    for address in [Some(&b.address), b.sip.as_ref()].into_iter().flatten() {
-        address.parse::<SocketAddr>().map_err(|_| format!("'{address}' is no address with a port"))?;
+    for address in [Some(&json.address), json.sip.as_ref()].into_iter().flatten() {
+        address.parse::<SocketAddr>().map_err(|_| EntryError::Address(address.clone()))?;
     }
-    if u32::from(b.rack) >= service.settings.racks {
-        return Err(format!("rack {} of {}", b.rack, service.settings.racks));
+    if u32::from(json.rack) >= service.settings.racks {
+        return Err(EntryError::Rack { rack: json.rack, racks: service.settings.racks });
     }
-    if !b.size.is_finite() || b.size < 0.0 {
-        return Err(format!("size {}", b.size));
+    if !json.size.is_finite() || json.size < 0.0 {
+        return Err(EntryError::Size(json.size));
     }
     Ok(MediaServerEntry {
-        id: ServerId(b.id),
-        name: b.name.into(),
-        url: b.address.into(),
-        sip: b.sip.map(Into::into),
+        id: ServerId(json.id),
+        name: json.name.into(),
+        url: json.address.into(),
+        sip: json.sip.map(Into::into),
         state,
-        rack: b.rack,
-        zone: ZoneId(position(&service.zones, &b.zone, "zone")? as u16),
-        kind: ServerType(position(&service.kinds, &b.kind, "kind")? as u8),
-        started: Micros(b.started_us),
-        size: b.size,
+        rack: json.rack,
+        zone: ZoneId(index_of(&service.zones, &json.zone, "zone")?),
+        kind: ServerType(index_of(&service.kinds, &json.kind, "kind")?),
+        started: Micros(json.started_us),
+        size: json.size,
     })
 }
 
-fn title_line(value: &Value, service: &Service) -> Result<TitleEntry, String> {
-    let t = TitleText::deserialize(value).map_err(|e| e.to_string())?;
-    if t.name.is_empty() {
-        return Err("it needs a name".into());
+fn title(value: &Value, service: &Service) -> Result<TitleEntry, EntryError> {
+    let json = TitleJson::deserialize(value)?;
+    if json.name.is_empty() {
+        return Err(EntryError::NoName);
     }
-    let tenant = if t.tenant.is_empty() { 0 } else { position(&service.tenants, &t.tenant, "tenant")? };
+    let tenant = if json.tenant.is_empty() { 0 } else { index_of(&service.tenants, &json.tenant, "tenant")? };
     Ok(TitleEntry {
-        name: t.name.into(),
-        class: ClassId(position(&service.classes, &t.class, "class")? as u16),
-        tenant: TenantId(tenant as u16),
-        holders: t.holders.into_iter().map(ServerId).collect(),
-        length: t.length_s.filter(|s| s.is_finite()).map(Micros::from_secs),
+        name: json.name.into(),
+        class: ClassId(index_of(&service.classes, &json.class, "class")?),
+        tenant: TenantId(tenant),
+        holders: json.holders.into_iter().map(ServerId).collect(),
+        length: json.length_s.filter(|seconds| seconds.is_finite()).map(Micros::from_secs),
     })
 }
 
--- a/crates/front/discovery/src/tests.rs
+++ b/crates/front/discovery/src/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of the messages of the endpoint list.
 
 use super::*;
+use beechloft_session::api::Settings;
 use serde_json::json;
 
 pub(crate) fn service() -> Service {
--- a/crates/front/server/src/endpoint_list.rs
+++ b/crates/front/server/src/endpoint_list.rs
@@ -7,7 +7,7 @@
 
 use beechloft_config::front::ListSource;
 use beechloft_discovery::mirror::Mirror;
-use beechloft_discovery::{BYTES, CHANGE, Form, Message, SNAPSHOT, cache};
+use beechloft_discovery::{CHANGE, Form, MAX_MESSAGE_BYTES, Message, SNAPSHOT, cache};
 use beechloft_http::client::{CallError, Conn, Stream};
 use beechloft_http::sse::{Event, Parser};
 use beechloft_http::{Method, Request, header};
@@ -141,7 +141,7 @@
 
     /// Reads until the stream breaks or falls silent.
     fn read(&mut self, stream: &mut Stream) -> CallError {
-        let mut parser = Parser::new(BYTES);
+        let mut parser = Parser::new(MAX_MESSAGE_BYTES);
         let mut events = Vec::new();
         let mut received_at = Instant::now();
         loop {
--- a/crates/testing/fakes/src/fleet.rs
+++ b/crates/testing/fakes/src/fleet.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use beechloft_checker::Recorder;
-use beechloft_discovery::{BoxText, TitleText};
+use beechloft_discovery::{MediaServerJson, TitleJson};
 
 use crate::boxes::{BoxSpec, StandBox, Warming};
 use crate::fault::Fault;
@@ -70,7 +70,7 @@
     racks: Arc<Racks>,
     /// The list service.
     pub list: ListService,
-    lines: Mutex<BTreeMap<u32, BoxText>>,
+    lines: Mutex<BTreeMap<u32, MediaServerJson>>,
 }
 
 impl Fleet {
@@ -94,7 +94,7 @@
                 seed: spec.seed.wrapping_add(u64::from(id).wrapping_mul(0x9e37_79b9)),
             };
             let started = StandBox::start(box_spec, racks.clone(), recorder.clone(), true)?;
-            let line = BoxText {
+            let line = MediaServerJson {
                 id,
                 name: format!("box-{id}.{}", b.zone),
                 address: started.address().to_string(),
@@ -109,10 +109,10 @@
             lines.insert(id, line);
             boxes.insert(id, started);
         }
-        let titles: Vec<TitleText> = spec
+        let titles: Vec<TitleJson> = spec
             .titles
             .iter()
-            .map(|t| TitleText {
+            .map(|t| TitleJson {
                 name: t.name.clone(),
                 class: t.class.clone(),
                 tenant: String::new(),
@@ -140,12 +140,12 @@
         &self.racks
     }
 
-    fn lines(&self) -> MutexGuard<'_, BTreeMap<u32, BoxText>> {
+    fn lines(&self) -> MutexGuard<'_, BTreeMap<u32, MediaServerJson>> {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Lines of all boxes as listed.
-    pub fn listed(&self) -> Vec<BoxText> {
+    pub fn listed(&self) -> Vec<MediaServerJson> {
         self.lines().values().cloned().collect()
     }
 
--- a/crates/testing/fakes/src/list.rs
+++ b/crates/testing/fakes/src/list.rs
@@ -9,7 +9,7 @@
 
 use beechloft_checker::{Recorder, What};
 use beechloft_discovery::mirror::Mirror;
-use beechloft_discovery::{BoxText, CHANGE, Message, PATH, SNAPSHOT, TitleText};
+use beechloft_discovery::{CHANGE, MediaServerJson, Message, PATH, SNAPSHOT, TitleJson};
 use beechloft_http::server::{Handler, Link, Reply, Server, Sizes};
 use beechloft_http::{Method, Request, Response, StatusCode, header, sse, wait};
 use beechloft_whep::{EVENTS, media_server};
@@ -71,13 +71,13 @@
     }
 
     /// Publishes boxes.
-    pub fn boxes(&self, boxes: &[BoxText]) {
+    pub fn boxes(&self, boxes: &[MediaServerJson]) {
         let boxes = boxes.iter().filter_map(|b| serde_json::to_value(b).ok()).collect();
         self.publish(Message { boxes, ..Message::default() });
     }
 
     /// Publishes titles.
-    pub fn titles(&self, titles: &[TitleText]) {
+    pub fn titles(&self, titles: &[TitleJson]) {
         let titles = titles.iter().filter_map(|t| serde_json::to_value(t).ok()).collect();
         self.publish(Message { titles, ..Message::default() });
     }
