--- a/crates/cli/src/fleet_membership.rs
+++ b/crates/cli/src/fleet_membership.rs
@@ -11,7 +11,7 @@
 };
 use beechloft_leases::SlotShare;
 use beechloft_membership::MemberKind;
-use beechloft_quotas::Gate;
+use beechloft_quotas::AdmissionController;
 use beechloft_server::evidence::Observer;
 use beechloft_server::{FleetHooks, MediaServers};
 use beechloft_session::api::SlotAssignment;
@@ -122,7 +122,7 @@
     }
 
     /// What admits by limits that hold for all fronts, if there are any.
-    pub fn gate(&self) -> Option<Gate> {
+    pub fn gate(&self) -> Option<AdmissionController> {
         self.limiter.as_ref().map(QuotaClient::gate)
     }
 
@@ -154,7 +154,7 @@
         let (wants, may) = (Arc::clone(&self.agent), Arc::clone(&self.agent));
         let waits = self.agent.restart().map(|r| r.wait);
         beechloft_event_loop::FleetHooks {
-            numbered: self.numbers(),
+            slot_assignment: self.numbers(),
             may_stop: Box::new(move || may.may_end()),
             request_stop: Box::new(move || wants.want_turn()),
             max_stop_wait: waits,
