--- a/crates/fleet/consensus/tests/explored.rs
+++ b/crates/fleet/consensus/tests/explored.rs
@@ -1,10 +1,8 @@
-//! Every order of deliveries, copies, crashes with and without the disk, elections, proposals and changes of three members,
+//! Every order of deliveries, duplicates, crashes with and without the disk, elections, proposals and changes of three members,
 //! up to a depth, with the real machines. Messages that are never delivered are lost ones.
 //!
-//! Time is left out in the way that allows most: all times are nought, so that any member may ask for votes at any moment,
+//! Time is budget out in the way that allows most: all times are nought, so that any member may ask for votes at any moment,
 //! whatever it has heard, and consent to stand is always had. What holds so holds whatever clocks do.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
@@ -20,252 +18,248 @@
 use beechloft_model_checker::{
     Counterexample, Exploration, FingerprintHasher, Limits, Model, explore, hash_unordered, insert_unique,
 };
-use support::{Laws, Memory, members};
+use support::{Invariants, MemoryStorage, members};
 
-const NOUGHT: Duration = Duration::ZERO;
+const ZERO: Duration = Duration::ZERO;
 
-/// What may happen how often.
+/// How often each kind of event may still happen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Left {
-    stands: u8,
+struct EventBudget {
+    elections: u8,
     crashes: u8,
-    copies: u8,
+    duplicates: u8,
     proposals: u8,
     changes: u8,
     losses: u8,
-    empties: u8,
+    erasures: u8,
 }
 
 #[derive(Debug, Clone)]
-struct World {
-    /// Shared between states that differ elsewhere, like all that is large here.
-    hosts: BTreeMap<NodeId, Arc<(Raft, Memory)>>,
-    /// Messages on their way, each once.
-    on_way: Vec<Arc<Message>>,
-    laws: Arc<Laws>,
-    left: Left,
+struct ClusterState {
+    /// Shared between states that differ elsewhere, like all large fields.
+    processes: BTreeMap<NodeId, Arc<(Raft, MemoryStorage)>>,
+    /// Messages in flight, without duplicates.
+    in_flight: Vec<Arc<Message>>,
+    invariants: Arc<Invariants>,
+    budget: EventBudget,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Event {
     Deliver(Arc<Message>),
-    /// It stays on its way: a copy comes later.
-    Copy(Arc<Message>),
-    /// Its receiver crashes with it handled and nothing saved, and starts again.
+    /// It is delivered and stays in flight: a duplicate arrives later.
+    Duplicate(Arc<Message>),
+    /// The receiver crashes after it has handled the message and before anything is saved, and restarts.
     DeliverCrash(Arc<Message>),
     Crash(NodeId),
-    /// What must never be done: the disk is emptied, and the member starts under its old id.
-    Empty(NodeId),
-    /// The member is lost with its disk.
+    /// What must never be done: the storage is erased, and the node restarts under its old id.
+    EraseStorage(NodeId),
+    /// The node is lost with its storage.
     Lose(NodeId),
-    /// It gives up what it is, and asks for votes.
-    Stand(NodeId),
+    /// The node gives up its role and starts an election.
+    StartElection(NodeId),
     Propose(NodeId),
-    Change(NodeId, MembershipChange),
+    ChangeMembership(NodeId, MembershipChange),
 }
 
-struct Small {
-    left: Left,
+struct ClusterModel {
+    budget: EventBudget,
     fault: Option<Fault>,
-    /// Who may ask for votes.
-    may_stand: Vec<NodeId>,
-    /// What has happened before the exploration begins.
-    before: Vec<Vec<Event>>,
+    /// The nodes that may start elections.
+    candidates: Vec<NodeId>,
+    /// The events before each initial state.
+    histories: Vec<Vec<Event>>,
 }
 
 fn settings() -> Settings {
-    // One entry a message, so that logs part at any place.
-    Settings {
-        election_timeout: NOUGHT,
-        heartbeat_interval: NOUGHT,
-        max_message_bytes: 1,
-        ..Settings::default()
-    }
+    // One entry a message, so that logs diverge at any index.
+    Settings { election_timeout: ZERO, heartbeat_interval: ZERO, max_message_bytes: 1, ..Settings::default() }
 }
 
-impl Small {
-    fn process(&self, id: NodeId, disk: &Memory) -> Raft {
+impl ClusterModel {
+    fn start_node(&self, id: NodeId, disk: &MemoryStorage) -> Raft {
         #[allow(unused_mut)]
-        let mut raft = Raft::new(id, settings(), disk.0.clone(), 0, NOUGHT);
+        let mut raft = Raft::new(id, settings(), disk.0.clone(), 0, ZERO);
         if let Some(fault) = self.fault {
             raft.inject_fault(fault);
         }
         raft
     }
 
-    fn new_world(&self) -> World {
-        let disk = Memory(PersistentState::first(members(3)));
-        let host = |id| Arc::new((self.process(id, &disk), disk.clone()));
-        let hosts = members(3).voters().map(|id| (id, host(id))).collect();
-        World { hosts, on_way: Vec::new(), laws: Arc::default(), left: self.left }
+    fn initial_state(&self) -> ClusterState {
+        let disk = MemoryStorage(PersistentState::first(members(3)));
+        let process = |id| Arc::new((self.start_node(id, &disk), disk.clone()));
+        let processes = members(3).voters().map(|id| (id, process(id))).collect();
+        ClusterState { processes, in_flight: Vec::new(), invariants: Arc::default(), budget: self.budget }
     }
 
-    fn hear(&self, w: &mut World, id: NodeId, input: Input, crash: bool) {
-        let Some(host) = w.hosts.get_mut(&id) else { return };
-        let (raft, disk) = Arc::make_mut(host);
+    fn handle(&self, state: &mut ClusterState, id: NodeId, input: Input, crash: bool) {
+        let Some(process) = state.processes.get_mut(&id) else { return };
+        let (raft, disk) = Arc::make_mut(process);
         let mut out = PendingOutputs::default();
-        raft.handle(NOUGHT, input, &mut out);
+        raft.handle(ZERO, input, &mut out);
         if crash {
             let early = out.crash();
-            *raft = self.process(id, &disk.clone());
-            return early.into_iter().for_each(|m| insert_unique(&mut w.on_way, m));
+            *raft = self.start_node(id, &disk.clone());
+            return early.into_iter().for_each(|m| insert_unique(&mut state.in_flight, m));
         }
         let Ok(released) = out.persist(disk);
         if raft.is_leader() {
-            Arc::make_mut(&mut w.laws).leads(raft);
+            Arc::make_mut(&mut state.invariants).check_leader(raft);
         }
         let term = raft.status().term;
         for entry in &released.committed_entries {
-            Arc::make_mut(&mut w.laws).commits(id, term, entry);
+            Arc::make_mut(&mut state.invariants).check_commit(id, term, entry);
         }
-        released.messages.into_iter().for_each(|m| insert_unique(&mut w.on_way, m));
+        released.messages.into_iter().for_each(|m| insert_unique(&mut state.in_flight, m));
     }
 
-    fn stand(&self, w: &mut World, id: NodeId) {
-        if w.hosts.get(&id).is_some_and(|h| h.0.is_leader()) {
-            // With no time to hear anybody it steps down.
-            self.hear(w, id, Input::Tick, false);
+    fn start_election(&self, state: &mut ClusterState, id: NodeId) {
+        if state.processes.get(&id).is_some_and(|h| h.0.is_leader()) {
+            // With a timeout of zero it has no quorum and steps down.
+            self.handle(state, id, Input::Tick, false);
         }
-        let before = w.on_way.clone();
-        self.hear(w, id, Input::Tick, false);
-        // Consent to stand is always had, so its messages need not be followed.
-        w.on_way = before;
-        let Some(host) = w.hosts.get(&id) else { return };
-        let status = host.0.status();
+        let before = state.in_flight.clone();
+        self.handle(state, id, Input::Tick, false);
+        // Pre-votes are always granted, so their messages need not be explored.
+        state.in_flight = before;
+        let Some(process) = state.processes.get(&id) else { return };
+        let status = process.0.status();
         let consent = MessageBody::PreVoteResponse(true);
         for from in status.members.voters().filter(|v| *v != id) {
             let message = Message { from, to: id, term: Term(status.term.0 + 1), body: consent.clone() };
-            self.hear(w, id, Input::Message(message), false);
+            self.handle(state, id, Input::Message(message), false);
         }
     }
 }
 
-impl Model for Small {
-    type State = World;
+impl Model for ClusterModel {
+    type State = ClusterState;
     type Action = Event;
 
-    fn initial_states(&self) -> Vec<World> {
+    fn initial_states(&self) -> Vec<ClusterState> {
         let mut starts = Vec::new();
-        for before in &self.before {
-            let mut world = self.new_world();
-            before.iter().for_each(|e| self.step(&mut world, e));
-            world.left = self.left;
-            // What was said in earlier terms than the newest is lost: it would only be in the way.
-            let newest = world.hosts.values().map(|h| h.0.status().term).max();
-            world.on_way.retain(|m| Some(m.term) >= newest);
-            starts.push(world);
+        for before in &self.histories {
+            let mut state = self.initial_state();
+            before.iter().for_each(|e| self.step(&mut state, e));
+            state.budget = self.budget;
+            // Messages of earlier terms than the latest are lost, to keep the exploration small.
+            let newest = state.processes.values().map(|h| h.0.status().term).max();
+            state.in_flight.retain(|m| Some(m.term) >= newest);
+            starts.push(state);
         }
         starts
     }
 
-    fn actions(&self, w: &World) -> Vec<Event> {
-        let mut all: Vec<Event> = w.on_way.iter().cloned().map(Event::Deliver).collect();
-        if w.left.copies > 0 {
-            all.extend(w.on_way.iter().cloned().map(Event::Copy));
+    fn actions(&self, state: &ClusterState) -> Vec<Event> {
+        let mut all: Vec<Event> = state.in_flight.iter().cloned().map(Event::Deliver).collect();
+        if state.budget.duplicates > 0 {
+            all.extend(state.in_flight.iter().cloned().map(Event::Duplicate));
         }
-        if w.left.crashes > 0 {
-            all.extend(w.on_way.iter().cloned().map(Event::DeliverCrash));
-            all.extend(w.hosts.keys().map(|id| Event::Crash(*id)));
+        if state.budget.crashes > 0 {
+            all.extend(state.in_flight.iter().cloned().map(Event::DeliverCrash));
+            all.extend(state.processes.keys().map(|id| Event::Crash(*id)));
         }
-        if w.left.empties > 0 {
-            all.extend(w.hosts.keys().map(|id| Event::Empty(*id)));
+        if state.budget.erasures > 0 {
+            all.extend(state.processes.keys().map(|id| Event::EraseStorage(*id)));
         }
-        if w.left.losses > 0 {
-            all.extend(w.hosts.keys().map(|id| Event::Lose(*id)));
+        if state.budget.losses > 0 {
+            all.extend(state.processes.keys().map(|id| Event::Lose(*id)));
         }
-        for (id, host) in &w.hosts {
-            let raft = &host.0;
-            if w.left.stands > 0 && self.may_stand.contains(id) {
-                all.push(Event::Stand(*id));
+        for (id, process) in &state.processes {
+            let raft = &process.0;
+            if state.budget.elections > 0 && self.candidates.contains(id) {
+                all.push(Event::StartElection(*id));
             }
-            if raft.is_leader() && w.left.proposals > 0 {
+            if raft.is_leader() && state.budget.proposals > 0 {
                 all.push(Event::Propose(*id));
             }
-            if raft.is_leader() && w.left.changes > 0 {
+            if raft.is_leader() && state.budget.changes > 0 {
                 let others = raft.status().members;
                 let others = others.voters().filter(|v| v != id);
-                all.extend(others.map(|other| Event::Change(*id, MembershipChange::Remove(other))));
+                all.extend(others.map(|other| Event::ChangeMembership(*id, MembershipChange::Remove(other))));
             }
         }
         all
     }
 
-    fn step(&self, w: &mut World, event: &Event) {
+    fn step(&self, state: &mut ClusterState, event: &Event) {
         match event {
-            Event::Deliver(m) | Event::DeliverCrash(m) => w.on_way.retain(|x| x != m),
+            Event::Deliver(m) | Event::DeliverCrash(m) => state.in_flight.retain(|x| x != m),
             _ => {}
         }
-        let left = &mut w.left;
+        let budget = &mut state.budget;
         match event {
-            Event::Deliver(m) => self.hear(w, m.to, Input::Message((**m).clone()), false),
-            Event::Copy(m) => {
-                left.copies -= 1;
-                self.hear(w, m.to, Input::Message((**m).clone()), false);
+            Event::Deliver(m) => self.handle(state, m.to, Input::Message((**m).clone()), false),
+            Event::Duplicate(m) => {
+                budget.duplicates -= 1;
+                self.handle(state, m.to, Input::Message((**m).clone()), false);
             }
             Event::DeliverCrash(m) => {
-                left.crashes -= 1;
-                self.hear(w, m.to, Input::Message((**m).clone()), true);
+                budget.crashes -= 1;
+                self.handle(state, m.to, Input::Message((**m).clone()), true);
             }
             Event::Crash(id) => {
-                left.crashes = left.crashes.saturating_sub(1);
-                if let Some(host) = w.hosts.get_mut(id) {
-                    let disk = host.1.clone();
-                    *host = Arc::new((self.process(*id, &disk), disk));
+                budget.crashes = budget.crashes.saturating_sub(1);
+                if let Some(process) = state.processes.get_mut(id) {
+                    let disk = process.1.clone();
+                    *process = Arc::new((self.start_node(*id, &disk), disk));
                 }
             }
-            Event::Empty(id) => {
-                left.empties -= 1;
-                let disk = Memory(PersistentState::first(members(3)));
-                let raft = self.process(*id, &disk);
-                w.hosts.insert(*id, Arc::new((raft, disk)));
+            Event::EraseStorage(id) => {
+                budget.erasures -= 1;
+                let disk = MemoryStorage(PersistentState::first(members(3)));
+                let raft = self.start_node(*id, &disk);
+                state.processes.insert(*id, Arc::new((raft, disk)));
             }
             Event::Lose(id) => {
-                left.losses -= 1;
-                w.hosts.remove(id);
+                budget.losses -= 1;
+                state.processes.remove(id);
             }
-            Event::Stand(id) => {
-                left.stands = left.stands.saturating_sub(1);
-                self.stand(w, *id);
+            Event::StartElection(id) => {
+                budget.elections = budget.elections.saturating_sub(1);
+                self.start_election(state, *id);
             }
             Event::Propose(id) => {
-                left.proposals = left.proposals.saturating_sub(1);
-                let command: Arc<[u8]> = Arc::from([left.proposals]);
-                self.hear(w, *id, Input::Propose(RequestId(0), command), false);
+                budget.proposals = budget.proposals.saturating_sub(1);
+                let command: Arc<[u8]> = Arc::from([budget.proposals]);
+                self.handle(state, *id, Input::Propose(RequestId(0), command), false);
             }
-            Event::Change(id, change) => {
-                left.changes = left.changes.saturating_sub(1);
-                self.hear(w, *id, Input::ChangeMembership(RequestId(0), change.clone()), false);
+            Event::ChangeMembership(id, change) => {
+                budget.changes = budget.changes.saturating_sub(1);
+                self.handle(state, *id, Input::ChangeMembership(RequestId(0), change.clone()), false);
             }
         }
     }
 
-    fn fingerprint(&self, w: &World, into: &mut FingerprintHasher) {
-        w.left.hash(into);
-        w.laws.hash(into);
-        for (id, host) in &w.hosts {
-            let (raft, disk) = &**host;
+    fn fingerprint(&self, state: &ClusterState, into: &mut FingerprintHasher) {
+        state.budget.hash(into);
+        state.invariants.hash(into);
+        for (id, process) in &state.processes {
+            let (raft, disk) = &**process;
             (id, raft, disk.0.hard_state, &disk.0.entries).hash(into);
         }
-        hash_unordered(&w.on_way, into);
+        hash_unordered(&state.in_flight, into);
     }
 
-    fn violation(&self, w: &World) -> Option<String> {
-        let mut laws = (*w.laws).clone();
-        laws.match_logs(w.hosts.values().map(|h| &h.0));
-        laws.breach
+    fn violation(&self, state: &ClusterState) -> Option<String> {
+        let mut invariants = (*state.invariants).clone();
+        invariants.check_log_matching(state.processes.values().map(|h| &h.0));
+        invariants.violation
     }
 }
 
-const SOME: Left = Left { stands: 2, crashes: 1, copies: 1, proposals: 1, changes: 0, losses: 1, empties: 0 };
+const DEFAULT_BUDGET: EventBudget =
+    EventBudget { elections: 2, crashes: 1, duplicates: 1, proposals: 1, changes: 0, losses: 1, erasures: 0 };
 
 fn run(
-    left: Left,
+    budget: EventBudget,
     fault: Option<Fault>,
-    before: Vec<Vec<Event>>,
+    histories: Vec<Vec<Event>>,
     limits: Limits,
 ) -> Result<Exploration, Counterexample<Event>> {
-    let may_stand = members(3).voters().collect();
-    explore(&Small { left, fault, may_stand, before }, limits)
+    let candidates = members(3).voters().collect();
+    explore(&ClusterModel { budget, fault, candidates, histories }, limits)
 }
 
 fn limits(depth: usize, states: usize) -> Limits {
@@ -278,7 +272,7 @@
     let (id, by, term) = (NodeId(id), NodeId(by), Term(term));
     let last = LogPosition { term: Term(last.0), index: Index(last.1) };
     vec![
-        Event::Stand(id),
+        Event::StartElection(id),
         Event::Deliver(Arc::new(Message {
             from: id,
             to: by,
@@ -290,48 +284,51 @@
 }
 
 /// The paper's figure 8 with three members, up to where the first leads again: it has an entry of its first term that nobody
-/// else has, and another leader's entry of a later term stands at the same place elsewhere.
+/// else has, and another leader's entry of a later term elections at the same place elsewhere.
 fn figure_8() -> Vec<Event> {
     let mut all = elected(1, 3, 1, (0, 0));
     // The second knows the first term by its own standing in it, and takes the next.
-    all.push(Event::Stand(NodeId(2)));
+    all.push(Event::StartElection(NodeId(2)));
     all.extend(elected(2, 3, 2, (0, 0)));
-    all.push(Event::Stand(NodeId(1)));
+    all.push(Event::StartElection(NodeId(1)));
     all.extend(elected(1, 3, 3, (1, 1)));
     all
 }
 
 /// What the explorer starts from: nothing, a leader, and figure 8.
-fn starts() -> Vec<Vec<Event>> {
+fn initial_histories() -> Vec<Vec<Event>> {
     vec![Vec::new(), elected(1, 2, 1, (0, 0)), figure_8()]
 }
 
 #[test]
-fn every_order_of_events_keeps_the_laws() {
-    let seen = run(SOME, None, starts(), limits(5, 400_000)).expect("the laws hold");
+fn invariants_hold_in_every_order_of_events() {
+    let seen = run(DEFAULT_BUDGET, None, initial_histories(), limits(5, 400_000)).expect("no violation");
     println!("{seen:?}");
     assert!(seen.complete && seen.states > 10_000, "{seen:?}");
-    let changes = Left { changes: 2, crashes: 0, copies: 0, losses: 0, ..SOME };
-    let seen = run(changes, None, starts(), limits(5, 400_000)).expect("the laws hold");
-    println!("{seen:?}");
-    assert!(seen.complete, "{seen:?}");
+    let changes = EventBudget { changes: 2, crashes: 0, duplicates: 0, losses: 0, ..DEFAULT_BUDGET };
+    let with_changes = run(changes, None, initial_histories(), limits(5, 400_000)).expect("no violation");
+    println!("{with_changes:?}");
+    assert!(with_changes.complete, "{with_changes:?}");
 }
 
 /// Outside CI: `cargo test --release -p beechloft-consensus --test explored -- --ignored --nocapture`.
 #[test]
 #[ignore = "millions of states, minutes"]
-fn every_order_of_events_keeps_the_laws_deeper() {
-    for (left, depth) in [(SOME, 8), (Left { changes: 2, crashes: 0, copies: 0, losses: 0, ..SOME }, 8)] {
-        let seen = run(left, None, starts(), Limits { depth, states: 1_500_000, threads: 8 });
-        println!("{:?}", seen.expect("the laws hold"));
+fn invariants_hold_in_every_order_of_events_deeper() {
+    for (budget, depth) in [
+        (DEFAULT_BUDGET, 8),
+        (EventBudget { changes: 2, crashes: 0, duplicates: 0, losses: 0, ..DEFAULT_BUDGET }, 8),
+    ] {
+        let seen = run(budget, None, initial_histories(), Limits { depth, states: 1_500_000, threads: 8 });
+        println!("{:?}", seen.expect("no violation"));
     }
 }
 
-fn found(small: &Small, depth: usize) -> Counterexample<Event> {
-    let found = explore(small, limits(depth, 400_000)).expect_err("the fault is found");
+fn find_violation(model: &ClusterModel, depth: usize) -> Counterexample<Event> {
+    let found = explore(model, limits(depth, 400_000)).expect_err("the fault is found");
     println!(
         "{:?}: {} in {} events, {} states",
-        small.fault,
+        model.fault,
         found.violation,
         found.trace.len(),
         found.states
@@ -339,45 +336,52 @@
     found
 }
 
-fn has_fault(fault: Fault, left: Left, may_stand: &[u64], before: Vec<Event>) -> Small {
-    let may_stand = may_stand.iter().map(|id| NodeId(*id)).collect();
-    Small { left, fault: Some(fault), may_stand, before: vec![before] }
+fn model_with_fault(
+    fault: Fault,
+    budget: EventBudget,
+    candidates: &[u64],
+    history: Vec<Event>,
+) -> ClusterModel {
+    let candidates = candidates.iter().map(|id| NodeId(*id)).collect();
+    ClusterModel { budget, fault: Some(fault), candidates, histories: vec![history] }
 }
 
-const STANDS: Left =
-    Left { stands: 2, crashes: 0, copies: 0, proposals: 0, changes: 0, losses: 0, empties: 0 };
+const ELECTIONS: EventBudget =
+    EventBudget { elections: 2, crashes: 0, duplicates: 0, proposals: 0, changes: 0, losses: 0, erasures: 0 };
 
 #[test]
-fn a_vote_that_does_not_last_is_found() {
-    let small = has_fault(Fault::VoteUnsaved, Left { crashes: 1, ..STANDS }, &[1, 2, 3], Vec::new());
-    assert!(found(&small, 8).violation.contains("two leaders"));
+fn a_vote_sent_before_it_is_durable_is_detected() {
+    let model =
+        model_with_fault(Fault::VoteUnsaved, EventBudget { crashes: 1, ..ELECTIONS }, &[1, 2, 3], Vec::new());
+    assert!(find_violation(&model, 8).violation.contains("two leaders"));
 }
 
 #[test]
-fn entries_that_leave_before_they_last_are_found() {
-    let left = Left { stands: 1, crashes: 1, ..STANDS };
-    found(&has_fault(Fault::EntriesUnsaved, left, &[2], elected(1, 2, 1, (0, 0))), 10);
+fn entries_acknowledged_before_they_are_durable_are_detected() {
+    let budget = EventBudget { elections: 1, crashes: 1, ..ELECTIONS };
+    find_violation(&model_with_fault(Fault::EntriesUnsaved, budget, &[2], elected(1, 2, 1, (0, 0))), 10);
 }
 
 #[test]
-fn an_older_terms_entry_counted_as_committed_is_found() {
-    found(&has_fault(Fault::CommitsOlderTerm, STANDS, &[2], figure_8()), 12);
+fn committing_an_entry_of_an_older_term_by_its_copies_is_detected() {
+    find_violation(&model_with_fault(Fault::CommitsOlderTerm, ELECTIONS, &[2], figure_8()), 12);
 }
 
 #[test]
-fn an_emptied_disk_under_the_old_id_is_found() {
-    let mut small = has_fault(Fault::VoteUnsaved, Left { empties: 1, ..STANDS }, &[1, 2], Vec::new());
-    small.fault = None;
-    assert!(found(&small, 8).violation.contains("two leaders"));
+fn an_erased_storage_under_the_old_id_is_detected() {
+    let mut model =
+        model_with_fault(Fault::VoteUnsaved, EventBudget { erasures: 1, ..ELECTIONS }, &[1, 2], Vec::new());
+    model.fault = None;
+    assert!(find_violation(&model, 8).violation.contains("two leaders"));
 }
 
 #[test]
-fn two_changes_at_once_are_found() {
-    let small = has_fault(
+fn two_membership_changes_at_once_are_detected() {
+    let model = model_with_fault(
         Fault::ChangesTogether,
-        Left { changes: 2, ..STANDS },
+        EventBudget { changes: 2, ..ELECTIONS },
         &[1, 2, 3],
         elected(1, 2, 1, (0, 0)),
     );
-    found(&small, 10);
+    find_violation(&model, 10);
 }
--- a/crates/fleet/consensus/tests/support/mod.rs
+++ b/crates/fleet/consensus/tests/support/mod.rs
@@ -1,24 +1,29 @@
-//! Members in one process under one clock, a network that loses, delays, doubles and overtakes, crashes at any moment, and
-//! what must hold whatever happens.
+//! A simulated cluster: nodes in one process under one true clock, a network that loses, delays, duplicates and reorders messages,
+//! crashes at any moment, and the invariants that must hold.
 #![allow(dead_code)]
 
+mod invariants;
+mod state_machine;
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
 use beechloft_consensus::{
-    Chunk, Entry, Fault, Index, Input, LogPosition, Membership, MembershipChange, Message, NodeId, Payload,
-    PendingOutputs, PersistentState, Raft, Ready, RequestId, Settings, SnapshotData, StateUpdate, Storage,
-    Term,
+    Chunk, Fault, Index, Input, Membership, MembershipChange, Message, NodeId, PendingOutputs,
+    PersistentState, Raft, Ready, RequestId, Settings, SnapshotData, StateUpdate, Storage,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+pub use invariants::Invariants;
+use state_machine::{fold, state_of};
+
 /// A disk that keeps all of it.
 #[derive(Debug, Clone, Default)]
-pub struct Memory(pub PersistentState);
+pub struct MemoryStorage(pub PersistentState);
 
-impl Storage for Memory {
+impl Storage for MemoryStorage {
     type Error = std::convert::Infallible;
 
     fn save(&mut self, save: &StateUpdate) -> Result<(), Self::Error> {
@@ -27,91 +32,9 @@
     }
 }
 
-/// What must hold over all members and all time. The first breach is kept.
-#[derive(Debug, Clone, Default, Hash)]
-pub struct Laws {
-    leaders: BTreeMap<Term, NodeId>,
-    /// In which term each place was first committed.
-    committed_in: BTreeMap<Index, Term>,
-    /// What was committed, by place.
-    pub committed: BTreeMap<Index, Entry>,
-    pub breach: Option<String>,
-}
-
-impl Laws {
-    fn breaks(&mut self, why: String) {
-        self.breach.get_or_insert(why);
-    }
-
-    /// Election safety: at most one leader in a term. Leader completeness: it has all that was committed before its term.
-    pub fn leads(&mut self, raft: &Raft) {
-        let (id, term) = (raft.status().id, raft.status().term);
-        let known = self.leaders.contains_key(&term);
-        let first = *self.leaders.entry(term).or_insert(id);
-        if first != id {
-            self.breaks(format!("two leaders in {term:?}: {first} and {id}"));
-        }
-        if known {
-            return;
-        }
-        for (index, entry) in &self.committed {
-            let before = self.committed_in.get(index).is_some_and(|t| *t < term);
-            if before && *index >= raft.first_index() && raft.entry(*index) != Some(entry) {
-                let why = format!("{id} leads in {term:?} without {:?}, which was committed", entry.at);
-                return self.breaks(why);
-            }
-        }
-    }
-
-    /// State-machine safety: one entry at a place, for ever.
-    pub fn commits(&mut self, id: NodeId, term: Term, entry: &Entry) {
-        match self.committed.get(&entry.at.index) {
-            Some(other) if other != entry => {
-                let (a, b) = (other.at, entry.at);
-                self.breaks(format!("{id} commits {b:?} where {a:?} was committed"));
-            }
-            Some(_) => {}
-            None => {
-                self.committed.insert(entry.at.index, entry.clone());
-                self.committed_in.insert(entry.at.index, term);
-            }
-        }
-    }
-
-    /// The last place that anybody has committed.
-    pub fn last(&self) -> Index {
-        self.committed.last_key_value().map_or(Index(0), |e| *e.0)
-    }
-
-    /// Log matching: where two logs have the same place and term, all before it is the same.
-    pub fn match_logs<'a>(&mut self, all: impl Iterator<Item = &'a Raft> + Clone) {
-        for a in all.clone() {
-            for b in all.clone() {
-                let (sa, sb) = (a.status(), b.status());
-                if sa.id >= sb.id {
-                    continue;
-                }
-                let mut same = false;
-                let mut at = sa.last.index.min(sb.last.index);
-                while at >= a.first_index().max(b.first_index()) && at.0 > 0 {
-                    let (Some(x), Some(y)) = (a.entry(at), b.entry(at)) else { break };
-                    if same && x != y {
-                        self.breaks(format!(
-                            "logs of {} and {} differ at {at:?} below a match",
-                            sa.id, sb.id
-                        ));
-                    }
-                    same |= x.at == y.at;
-                    at = Index(at.0 - 1);
-                }
-            }
-        }
-    }
-}
-
-pub struct Host {
+pub struct Process {
     pub raft: Raft,
-    pub disk: Memory,
+    pub disk: MemoryStorage,
     pub up: bool,
     /// Its clock runs at this rate.
     pub rate: f64,
@@ -121,7 +44,7 @@
     pub state: u64,
 }
 
-enum Ahead {
+enum ScheduledEvent {
     Deliver(Message),
     Tick(NodeId, u32),
     Restart(NodeId),
@@ -129,27 +52,27 @@
 
 /// How much goes wrong, in a thousand.
 #[derive(Debug, Clone, Copy)]
-pub struct Weather {
+pub struct NetworkFaults {
     pub lost: u32,
-    pub doubled: u32,
-    pub late: u32,
+    pub duplicated: u32,
+    pub delayed: u32,
     /// A crash right after an input, before its save.
     pub crash: u32,
 }
 
-pub struct Cluster {
-    pub hosts: BTreeMap<NodeId, Host>,
+pub struct SimulatedCluster {
+    pub processes: BTreeMap<NodeId, Process>,
     pub now: Duration,
-    pub laws: Laws,
-    pub weather: Weather,
+    pub invariants: Invariants,
+    pub faults: NetworkFaults,
     /// Nothing goes from the one to the other.
     pub cut: BTreeSet<(NodeId, NodeId)>,
-    pub dice: ChaCha8Rng,
+    pub rng: ChaCha8Rng,
     pub settings: Settings,
     fault: Option<Fault>,
-    ahead: BTreeMap<(Duration, u64), Ahead>,
-    put: u64,
-    tickets: u64,
+    scheduled: BTreeMap<(Duration, u64), ScheduledEvent>,
+    last_event_id: u64,
+    last_request: u64,
     /// Reads that are out: what had been committed when they came.
     reads: BTreeMap<RequestId, Index>,
     pub read: usize,
@@ -170,20 +93,20 @@
     Membership::of((1..=n).map(|i| (NodeId(i), format!("m{i}"))))
 }
 
-impl Cluster {
-    pub fn new(voters: u64, seed: u64, fault: Option<Fault>) -> Cluster {
-        let mut cluster = Cluster {
-            hosts: BTreeMap::new(),
+impl SimulatedCluster {
+    pub fn new(voters: u64, seed: u64, fault: Option<Fault>) -> SimulatedCluster {
+        let mut cluster = SimulatedCluster {
+            processes: BTreeMap::new(),
             now: Duration::ZERO,
-            laws: Laws::default(),
-            weather: Weather { lost: 0, doubled: 0, late: 0, crash: 0 },
+            invariants: Invariants::default(),
+            faults: NetworkFaults { lost: 0, duplicated: 0, delayed: 0, crash: 0 },
             cut: BTreeSet::new(),
-            dice: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             settings: settings(),
             fault,
-            ahead: BTreeMap::new(),
-            put: 0,
-            tickets: 0,
+            scheduled: BTreeMap::new(),
+            last_event_id: 0,
+            last_request: 0,
             reads: BTreeMap::new(),
             read: 0,
             messages: 0,
@@ -195,99 +118,104 @@
     }
 
     pub fn add(&mut self, id: NodeId, stored: PersistentState) {
-        let rate = self.dice.random_range(0.95..1.05);
-        let disk = Memory(stored);
-        let raft = self.process(id, &disk, rate);
-        let host = Host { raft, disk, up: true, rate, start: 0, applied: Index(0), state: 0 };
-        self.hosts.insert(id, host);
-        self.wake(id);
+        let rate = self.rng.random_range(0.95..1.05);
+        let disk = MemoryStorage(stored);
+        let raft = self.start_node(id, &disk, rate);
+        let process = Process { raft, disk, up: true, rate, start: 0, applied: Index(0), state: 0 };
+        self.processes.insert(id, process);
+        self.schedule_tick(id);
     }
 
-    fn process(&mut self, id: NodeId, disk: &Memory, rate: f64) -> Raft {
+    fn start_node(&mut self, id: NodeId, disk: &MemoryStorage, rate: f64) -> Raft {
         let now = self.now.mul_f64(rate);
         #[allow(unused_mut)]
-        let mut raft = Raft::new(id, self.settings, disk.0.clone(), self.dice.random(), now);
+        let mut raft = Raft::new(id, self.settings, disk.0.clone(), self.rng.random(), now);
         if let Some(fault) = self.fault {
             raft.inject_fault(fault);
         }
         raft
     }
 
-    fn put(&mut self, after: Duration, what: Ahead) {
-        self.put += 1;
-        self.ahead.insert((self.now + after, self.put), what);
+    fn schedule(&mut self, after: Duration, what: ScheduledEvent) {
+        self.last_event_id += 1;
+        self.scheduled.insert((self.now + after, self.last_event_id), what);
     }
 
-    fn wake(&mut self, id: NodeId) {
-        let host = &self.hosts[&id];
-        let due = host.raft.next_due().div_f64(host.rate);
-        let start = host.start;
-        self.put(due.saturating_sub(self.now) + Duration::from_micros(1), Ahead::Tick(id, start));
+    fn schedule_tick(&mut self, id: NodeId) {
+        let process = &self.processes[&id];
+        let due = process.raft.next_due().div_f64(process.rate);
+        let start = process.start;
+        self.schedule(
+            due.saturating_sub(self.now) + Duration::from_micros(1),
+            ScheduledEvent::Tick(id, start),
+        );
     }
 
     fn chance(&mut self, in_thousand: u32) -> bool {
-        self.dice.random_range(0..1000) < in_thousand
+        self.rng.random_range(0..1000) < in_thousand
     }
 
     fn send(&mut self, message: Message) {
         self.messages += 1;
-        if self.cut.contains(&(message.from, message.to)) || self.chance(self.weather.lost) {
+        if self.cut.contains(&(message.from, message.to)) || self.chance(self.faults.lost) {
             return;
         }
-        let copies = 1 + u32::from(self.chance(self.weather.doubled));
-        for _ in 0..copies {
-            let most = if self.chance(self.weather.late) { 2_000 } else { 20 };
-            let after = Duration::from_micros(self.dice.random_range(200..most * 1000));
-            self.put(after, Ahead::Deliver(message.clone()));
+        let duplicates = 1 + u32::from(self.chance(self.faults.duplicated));
+        for _ in 0..duplicates {
+            let most = if self.chance(self.faults.delayed) { 2_000 } else { 20 };
+            let after = Duration::from_micros(self.rng.random_range(200..most * 1000));
+            self.schedule(after, ScheduledEvent::Deliver(message.clone()));
         }
     }
 
     /// Lets time pass.
-    pub fn pass(&mut self, span: Duration) {
+    pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
-        while let Some(entry) = self.ahead.first_entry().filter(|e| e.key().0 <= end) {
+        while let Some(entry) = self.scheduled.first_entry().filter(|e| e.key().0 <= end) {
             let ((at, _), what) = entry.remove_entry();
             self.now = at;
             match what {
-                Ahead::Deliver(message) => {
+                ScheduledEvent::Deliver(message) => {
                     let to = message.to;
-                    self.hear(to, Input::Message(message));
+                    self.handle(to, Input::Message(message));
                 }
-                Ahead::Tick(id, start) if self.hosts.get(&id).is_some_and(|h| h.start == start && h.up) => {
-                    self.hear(id, Input::Tick);
-                    self.wake(id);
+                ScheduledEvent::Tick(id, start)
+                    if self.processes.get(&id).is_some_and(|h| h.start == start && h.up) =>
+                {
+                    self.handle(id, Input::Tick);
+                    self.schedule_tick(id);
                 }
-                Ahead::Tick(..) => {}
-                Ahead::Restart(id) => self.restart(id),
+                ScheduledEvent::Tick(..) => {}
+                ScheduledEvent::Restart(id) => self.restart(id),
             }
-            if self.laws.breach.is_some() {
+            if self.invariants.violation.is_some() {
                 return;
             }
         }
         self.now = end;
     }
 
-    pub fn hear(&mut self, id: NodeId, input: Input) {
-        let crash = self.chance(self.weather.crash);
-        let Some(host) = self.hosts.get_mut(&id).filter(|h| h.up) else { return };
+    pub fn handle(&mut self, id: NodeId, input: Input) {
+        let crash = self.chance(self.faults.crash);
+        let Some(process) = self.processes.get_mut(&id).filter(|h| h.up) else { return };
         let mut out = PendingOutputs::default();
-        host.raft.handle(self.now.mul_f64(host.rate), input, &mut out);
+        process.raft.handle(self.now.mul_f64(process.rate), input, &mut out);
         if crash {
             for message in out.crash() {
                 self.send(message);
             }
             self.stop(id);
-            let after = Duration::from_millis(self.dice.random_range(1..2_000));
-            return self.put(after, Ahead::Restart(id));
+            let after = Duration::from_millis(self.rng.random_range(1..2_000));
+            return self.schedule(after, ScheduledEvent::Restart(id));
         }
-        let Ok(released) = out.persist(&mut host.disk);
-        if host.raft.is_leader() {
-            self.laws.leads(&host.raft);
+        let Ok(released) = out.persist(&mut process.disk);
+        if process.raft.is_leader() {
+            self.invariants.check_leader(&process.raft);
         }
-        self.take(id, released);
+        self.process_ready(id, released);
     }
 
-    fn take(&mut self, id: NodeId, released: Ready) {
+    fn process_ready(&mut self, id: NodeId, released: Ready) {
         let Ready {
             messages,
             installed_snapshot: restored,
@@ -296,35 +224,36 @@
             reads,
             membership: _,
         } = released;
-        let host = self.hosts.get_mut(&id).expect("it spoke");
-        let term = host.raft.status().term;
+        let process = self.processes.get_mut(&id).expect("it spoke");
+        let term = process.raft.status().term;
         if let Some(snapshot) = restored {
-            host.applied = snapshot.at.index;
-            host.state = state_of(&snapshot.state);
+            process.applied = snapshot.at.index;
+            process.state = state_of(&snapshot.state);
         }
         for entry in &committed {
-            if entry.at.index <= host.applied {
+            if entry.at.index <= process.applied {
                 continue;
             }
-            if entry.at.index != Index(host.applied.0 + 1) {
-                self.laws.breach.get_or_insert(format!("{id} skips to {:?}", entry.at));
+            if entry.at.index != Index(process.applied.0 + 1) {
+                self.invariants.violation.get_or_insert(format!("{id} skips to {:?}", entry.at));
             }
-            host.applied = entry.at.index;
-            host.state = fold(host.state, entry);
-            self.laws.commits(id, term, entry);
+            process.applied = entry.at.index;
+            process.state = fold(process.state, entry);
+            self.invariants.check_commit(id, term, entry);
         }
-        let (applied, state) = (host.applied, host.state);
-        let expected = self.laws.committed.range(..=applied).fold(0, |s, (_, e)| fold(s, e));
-        if applied.0 as usize == self.laws.committed.range(..=applied).count() && state != expected {
-            self.laws.breach.get_or_insert(format!("{id}'s state at {applied:?} is another's"));
+        let (applied, state) = (process.applied, process.state);
+        let expected = self.invariants.committed.range(..=applied).fold(0, |s, (_, e)| fold(s, e));
+        let committed_count = self.invariants.committed.range(..=applied).count() as u64;
+        if applied.0 == committed_count && state != expected {
+            self.invariants.violation.get_or_insert(format!("{id}'s state at {applied:?} is another's"));
         }
-        for (ticket, answer) in reads {
-            let before = self.reads.remove(&ticket);
+        for (request, answer) in reads {
+            let before = self.reads.remove(&request);
             if let (Ok(()), Some(before)) = (answer, before) {
                 self.read += 1;
                 if applied < before {
                     let why = format!("{id} reads at {applied:?} what was {before:?} when it was asked");
-                    self.laws.breach.get_or_insert(why);
+                    self.invariants.violation.get_or_insert(why);
                 }
             }
         }
@@ -332,98 +261,83 @@
     }
 
     pub fn stop(&mut self, id: NodeId) {
-        if let Some(host) = self.hosts.get_mut(&id) {
-            host.up = false;
-            host.start += 1;
+        if let Some(process) = self.processes.get_mut(&id) {
+            process.up = false;
+            process.start += 1;
         }
     }
 
     pub fn restart(&mut self, id: NodeId) {
-        let Some(host) = self.hosts.get(&id).filter(|h| !h.up) else { return };
-        let (disk, rate) = (host.disk.clone(), host.rate);
-        let raft = self.process(id, &disk, rate);
-        let host = self.hosts.get_mut(&id).expect("it is there");
-        (host.applied, host.state) =
+        let Some(stopped) = self.processes.get(&id).filter(|h| !h.up) else { return };
+        let (disk, rate) = (stopped.disk.clone(), stopped.rate);
+        let raft = self.start_node(id, &disk, rate);
+        let process = self.processes.get_mut(&id).expect("it is there");
+        (process.applied, process.state) =
             raft.snapshot().map_or((Index(0), 0), |s| (s.at.index, state_of(&s.state)));
-        (host.raft, host.up) = (raft, true);
-        self.wake(id);
+        (process.raft, process.up) = (raft, true);
+        self.schedule_tick(id);
     }
 
     /// Its disk is lost: it never comes back.
     pub fn lose(&mut self, id: NodeId) {
-        self.hosts.remove(&id);
+        self.processes.remove(&id);
     }
 
     pub fn leader(&self) -> Option<NodeId> {
-        let leads = |h: &&Host| h.up && h.raft.is_leader();
-        self.hosts.values().filter(leads).max_by_key(|h| h.raft.status().term).map(|h| h.raft.status().id)
+        let leads = |h: &&Process| h.up && h.raft.is_leader();
+        self.processes.values().filter(leads).max_by_key(|h| h.raft.status().term).map(|h| h.raft.status().id)
     }
 
-    pub fn ticket(&mut self) -> RequestId {
-        self.tickets += 1;
-        RequestId(self.tickets)
+    pub fn next_request(&mut self) -> RequestId {
+        self.last_request += 1;
+        RequestId(self.last_request)
     }
 
     /// Asks a member to take a command.
     pub fn propose(&mut self, id: NodeId) {
-        let ticket = self.ticket();
-        let command: Arc<[u8]> = ticket.0.to_be_bytes().into();
-        self.hear(id, Input::Propose(ticket, command));
+        let request = self.next_request();
+        let command: Arc<[u8]> = request.0.to_be_bytes().into();
+        self.handle(id, Input::Propose(request, command));
     }
 
     /// Asks a member to read.
-    pub fn ask(&mut self, id: NodeId) {
-        let ticket = self.ticket();
-        self.reads.insert(ticket, self.laws.last());
-        self.hear(id, Input::Read(ticket));
+    pub fn read(&mut self, id: NodeId) {
+        let request = self.next_request();
+        self.reads.insert(request, self.invariants.last());
+        self.handle(id, Input::Read(request));
     }
 
     pub fn change(&mut self, change: MembershipChange) {
         if let Some(leader) = self.leader() {
-            let ticket = self.ticket();
-            self.hear(leader, Input::ChangeMembership(ticket, change));
+            let request = self.next_request();
+            self.handle(leader, Input::ChangeMembership(request, change));
         }
     }
 
     /// Takes a snapshot of a member's state.
     pub fn compact(&mut self, id: NodeId) {
-        let Some(host) = self.hosts.get(&id) else { return };
-        let (applied, state) = (host.applied, host.state.to_be_bytes());
+        let Some(process) = self.processes.get(&id) else { return };
+        let (applied, state) = (process.applied, process.state.to_be_bytes());
         // In two pieces, of which one changes each time.
         let state = [Chunk::new(&b"state"[..]), Chunk::new(state.to_vec())].to_vec();
-        self.hear(id, Input::Compact(applied, SnapshotData::new(state)));
+        self.handle(id, Input::Compact(applied, SnapshotData::new(state)));
     }
 
     /// Members as the newest leader has them.
     pub fn membership(&self) -> Membership {
-        self.leader().map(|l| self.hosts[&l].raft.status().members).unwrap_or_default()
+        self.leader().map(|l| self.processes[&l].raft.status().members).unwrap_or_default()
     }
 
     pub fn check_logs(&mut self) {
-        let hosts = &self.hosts;
-        self.laws.match_logs(hosts.values().map(|h| &h.raft));
+        let processes = &self.processes;
+        self.invariants.check_log_matching(processes.values().map(|h| &h.raft));
     }
 
     /// All goes well from now on.
     pub fn heal(&mut self) {
-        self.weather = Weather { lost: 0, doubled: 0, late: 0, crash: 0 };
+        self.faults = NetworkFaults { lost: 0, duplicated: 0, delayed: 0, crash: 0 };
         self.cut.clear();
-        let down: Vec<NodeId> = self.hosts.iter().filter(|(_, h)| !h.up).map(|(id, _)| *id).collect();
+        let down: Vec<NodeId> = self.processes.iter().filter(|(_, h)| !h.up).map(|(id, _)| *id).collect();
         down.into_iter().for_each(|id| self.restart(id));
     }
 }
-
-fn fold(state: u64, entry: &Entry) -> u64 {
-    let of = match &entry.payload {
-        Payload::Command(c) => c.iter().fold(7, |h: u64, b| h.wrapping_mul(31).wrapping_add(u64::from(*b))),
-        Payload::Noop => 1,
-        Payload::Membership(m) => 2 + m.iter().count() as u64,
-    };
-    let LogPosition { term, index } = entry.at;
-    (state ^ of ^ (term.0 << 32) ^ index.0).wrapping_mul(0x0100_0000_01b3)
-}
-
-fn state_of(state: &SnapshotData) -> u64 {
-    let bytes = state.to_bytes();
-    bytes.strip_prefix(b"state").and_then(|b| b.try_into().ok()).map_or(0, u64::from_be_bytes)
-}
