--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -14,7 +14,7 @@
 use std::process::Stdio;
 use std::time::{Duration, Instant};
 
-use beechloft_fault_proxy::{Mood, Relay, Way};
+use beechloft_fault_proxy::{DirectionFault, LinkFault, TcpProxy};
 use lin::{Answered, Asked, Op};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
@@ -284,19 +284,22 @@
     let (leader, holder, token) = (fleet.leader(5), fleet.holder(), *fleet.tokens().last().expect("an act"));
     let others = |leader| (0..5).filter(move |n| *n != leader);
     for n in others(leader) {
-        fleet.way(leader, n, Way::cut());
-        fleet.way(5 + holder, n, Way::cut());
+        fleet.way(leader, n, LinkFault::partition());
+        fleet.way(5 + holder, n, LinkFault::partition());
     }
     for c in (0..4).filter(|c| *c != holder) {
-        fleet.way(5 + c, leader, Way::cut());
+        fleet.way(5 + c, leader, LinkFault::partition());
     }
     fleet.another_holds(token, "the cut");
     fleet.heal();
     fleet.goes_on("the cut's healing");
 
     // One way: the leader is heard and hears nobody; then it hears and is not heard.
-    let cut = Mood { cut: true, ..Mood::default() };
-    for way in [Way { back: cut, ..Way::default() }, Way { there: cut, ..Way::default() }] {
+    let cut = DirectionFault { blocked: true, ..DirectionFault::default() };
+    for way in [
+        LinkFault { reverse: cut, ..LinkFault::default() },
+        LinkFault { forward: cut, ..LinkFault::default() },
+    ] {
         let leader = fleet.leader(5);
         others(leader).for_each(|n| fleet.way(leader, n, way));
         std::thread::sleep(Duration::from_millis(2 * TTL_MS));
@@ -307,17 +310,17 @@
 
     // The leader's links are late by more than the lease's time.
     let leader = fleet.leader(5);
-    others(leader).for_each(|n| fleet.way(leader, n, Way::late(Duration::from_millis(2_000))));
+    others(leader).for_each(|n| fleet.way(leader, n, LinkFault::delayed(Duration::from_millis(2_000))));
     std::thread::sleep(Duration::from_millis(2 * TTL_MS));
     fleet.goes_on("late links");
     fleet.heal();
     fleet.goes_on("their healing");
 
     // All links trickle, and all connections are reset again and again.
-    let slow = Mood { trickle: Some(20_000), ..Mood::default() };
-    fleet.relays.values().for_each(|r| r.set(Way { there: slow, back: slow }));
+    let slow = DirectionFault { bytes_per_second: Some(20_000), ..DirectionFault::default() };
+    fleet.relays.values().for_each(|r| r.set_fault(LinkFault { forward: slow, reverse: slow }));
     for _ in 0..5 {
-        fleet.relays.values().for_each(Relay::reset);
+        fleet.relays.values().for_each(TcpProxy::close_connections);
         std::thread::sleep(Duration::from_millis(300));
     }
     fleet.goes_on("links that trickle and break");
--- a/crates/cli/tests/fronts.rs
+++ b/crates/cli/tests/fronts.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use beechloft_fault_proxy::udp::{self, Mood};
+use beechloft_fault_proxy::udp::{self, DatagramFault};
 use rustix::process::Signal;
 use serde_json::Value;
 use support::{Process, beechloft, kept_addresses, until};
@@ -22,7 +22,7 @@
     fronts: Vec<(SocketAddr, SocketAddr)>,
     processes: BTreeMap<usize, Process>,
     /// Between each two members, by who sends first: places of keepers, then of fronts.
-    relays: BTreeMap<(usize, usize), udp::Relay>,
+    relays: BTreeMap<(usize, usize), udp::UdpProxy>,
     more: String,
     /// There are no keepers but the fronts themselves.
     fronts_keep: bool,
@@ -347,16 +347,17 @@
     for from in &places {
         for to in places.iter().filter(|to| *to != from) {
             let seed = (from * 100 + to) as u64;
-            let relay = udp::Relay::start(fleet.member(*to), seed).expect("a relay");
+            let relay = udp::UdpProxy::start(fleet.member(*to), seed).expect("a relay");
             fleet.relays.insert((*from, *to), relay);
         }
     }
-    let set = |fleet: &Fleet, of: &dyn Fn(usize, usize) -> Mood| {
+    let set = |fleet: &Fleet, of: &dyn Fn(usize, usize) -> DatagramFault| {
         for ((from, to), relay) in &fleet.relays {
-            relay.set(udp::Way { there: of(*from, *to), back: of(*to, *from) });
+            relay.set_fault(udp::DatagramLinkFault { forward: of(*from, *to), reverse: of(*to, *from) });
         }
     };
-    let poor = Mood { lost: 100, doubled: 200, late: Duration::from_millis(60) };
+    let poor =
+        DatagramFault { loss_per_mille: 100, duplicate_per_mille: 200, max_delay: Duration::from_millis(60) };
     set(&fleet, &|_, _| poor);
     fleet.start_all();
     fleet.see_each_other(&places);
@@ -366,7 +367,7 @@
     fleet.see_each_other(&[0, 1, 2, 3, 4, 5, 6]);
 
     // One is heard by nobody and hears all others: it is gone for them, and comes back.
-    let mute = |from: usize, _: usize| if from == 6 { Mood::cut() } else { poor };
+    let mute = |from: usize, _: usize| if from == 6 { DatagramFault::drop_all() } else { poor };
     set(&fleet, &mute);
     let six = fleet.member(6);
     until(|| match [0, 3, 5].iter().any(|p| fleet.seen(*p).contains(&six)) {
@@ -377,11 +378,11 @@
     fleet.see_each_other(&[0, 1, 2, 3, 4, 5, 6]);
 
     // The two zones are parted, know what is left of them, and find each other again.
-    let zones = |from: usize, to: usize| if from % 2 == to % 2 { poor } else { Mood::cut() };
+    let zones = |from: usize, to: usize| if from % 2 == to % 2 { poor } else { DatagramFault::drop_all() };
     set(&fleet, &zones);
     fleet.see_each_other(&[0, 2, 4, 6]);
     fleet.see_each_other(&[1, 3, 5]);
-    set(&fleet, &|_, _| Mood::default());
+    set(&fleet, &|_, _| DatagramFault::default());
     fleet.see_each_other(&[0, 1, 2, 3, 4, 5, 6]);
 
     // Told to end: it says so, and is gone for all at once and suspected by nobody.
@@ -390,7 +391,7 @@
     let five = fleet.member(5).to_string();
     let lines = fleet.lines(&["fleet", "members"], 3);
     assert!(lines.iter().any(|l| l["address"] == five.as_str() && l["life"] == "left"), "{lines:?}");
-    let passed: u64 = fleet.relays.values().map(|r| r.passed().came).sum();
+    let passed: u64 = fleet.relays.values().map(|r| r.counts().received).sum();
     assert!(passed > 200, "{passed} datagrams went by way of the relays");
 }
 
--- a/crates/cli/tests/support/keepers.rs
+++ b/crates/cli/tests/support/keepers.rs
@@ -6,7 +6,7 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-use beechloft_fault_proxy::{Relay, Way};
+use beechloft_fault_proxy::{LinkFault, TcpProxy};
 use serde_json::Value;
 
 use super::{PATIENCE, Process, beechloft, kept_addresses};
@@ -22,7 +22,7 @@
     /// More lines of the keepers' section.
     pub more: String,
     /// Between each two: who opens the connection (keepers first, then candidates) and the keeper that it leads to.
-    pub relays: BTreeMap<(usize, usize), Relay>,
+    pub relays: BTreeMap<(usize, usize), TcpProxy>,
 }
 
 impl Fleet {
@@ -50,7 +50,7 @@
         // All keepers that are to be, and as many candidates as any test has.
         for from in 0..keepers + relayed {
             for to in (0..keepers).filter(|to| relayed > 0 && *to != from) {
-                fleet.relays.insert((from, to), Relay::start(fleet.addresses[to]).expect("a relay"));
+                fleet.relays.insert((from, to), TcpProxy::start(fleet.addresses[to]).expect("a relay"));
             }
         }
         for n in 0..keepers {
@@ -72,7 +72,7 @@
             format!("fleet:\n  name: test\n  keepers: [{}]\n  drift_ppm: 20000\n", list.join(", "));
         let rate = keeper.map_or(1.005, |n| 0.995 + 0.005 * (n % 3) as f64);
         text += &format!("  test_clock_rate: {rate}\n");
-        let of = |r: &((usize, usize), &Relay)| Some(r.0.0) == from;
+        let of = |r: &((usize, usize), &TcpProxy)| Some(r.0.0) == from;
         let by = self.relays.iter().map(|(k, r)| (*k, r)).filter(of);
         let via: Vec<String> =
             by.map(|((_, to), r)| format!("'{}={}'", self.addresses[to], r.address())).collect();
@@ -156,17 +156,17 @@
     }
 
     /// Between two, whoever opened the connection: what `from` says to `to` and the way back.
-    pub fn way(&self, from: usize, to: usize, way: Way) {
+    pub fn way(&self, from: usize, to: usize, way: LinkFault) {
         if let Some(relay) = self.relays.get(&(from, to)) {
-            relay.set(way);
+            relay.set_fault(way);
         }
         if let Some(relay) = self.relays.get(&(to, from)) {
-            relay.set(Way { there: way.back, back: way.there });
+            relay.set_fault(LinkFault { forward: way.reverse, reverse: way.forward });
         }
     }
 
     pub fn heal(&self) {
-        self.relays.values().for_each(|r| r.set(Way::default()));
+        self.relays.values().for_each(|r| r.set_fault(LinkFault::default()));
     }
 
     /// A keeper's disk is emptied, and it starts again.
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use beechloft_fault_proxy::ports::Port;
+use beechloft_fault_proxy::ports::ReservedPort;
 use rustix::process::{Pid, Signal, kill_process_group};
 
 /// Long enough for anything that is to happen.
@@ -47,9 +47,9 @@
 
 /// Addresses that are kept for processes until the test ends, whether they run or not.
 pub fn kept_addresses(count: usize) -> Vec<SocketAddr> {
-    static KEPT: Mutex<Vec<Port>> = Mutex::new(Vec::new());
-    let ports = Port::draw_all(count).expect("ports");
-    let all = ports.iter().map(Port::address).collect();
+    static KEPT: Mutex<Vec<ReservedPort>> = Mutex::new(Vec::new());
+    let ports = ReservedPort::reserve_all(count).expect("ports");
+    let all = ports.iter().map(ReservedPort::address).collect();
     KEPT.lock().expect("no test fails while it draws").extend(ports);
     all
 }
--- a/crates/cli/tests/topic.rs
+++ b/crates/cli/tests/topic.rs
@@ -12,7 +12,7 @@
 use beechloft_checker::topic::{Recorded, Verdict};
 use beechloft_coordinator::FleetSettings;
 use beechloft_fakes::topic::{Pace, Reader, Writer};
-use beechloft_fault_proxy::{Mood, Way};
+use beechloft_fault_proxy::{DirectionFault, LinkFault};
 use beechloft_topic::Name;
 use rustix::process::Signal;
 use support::keepers::{Fleet, text_of};
@@ -161,8 +161,11 @@
     trial.goes_on("the start");
 
     // The leader is heard and hears nobody of the other keepers, then the reverse; all who write and follow reach it.
-    let cut = Mood { cut: true, ..Mood::default() };
-    for way in [Way { back: cut, ..Way::default() }, Way { there: cut, ..Way::default() }] {
+    let cut = DirectionFault { blocked: true, ..DirectionFault::default() };
+    for way in [
+        LinkFault { reverse: cut, ..LinkFault::default() },
+        LinkFault { forward: cut, ..LinkFault::default() },
+    ] {
         let leader = trial.fleet.leader(KEEPERS);
         (0..KEEPERS).filter(|n| *n != leader).for_each(|n| trial.fleet.way(leader, n, way));
         trial.goes_on("a cut one way");
@@ -173,15 +176,15 @@
     // A keeper that does not lead is cut off from the others, and still reached by those who follow: it tells of its silence, and
     // they leave it for another.
     let behind = (trial.fleet.leader(KEEPERS) + 1) % KEEPERS;
-    (0..KEEPERS).filter(|n| *n != behind).for_each(|n| trial.fleet.way(behind, n, Way::cut()));
+    (0..KEEPERS).filter(|n| *n != behind).for_each(|n| trial.fleet.way(behind, n, LinkFault::partition()));
     trial.goes_on("a keeper cut off from the others");
     trial.fleet.heal();
 
     // All links are late and break again and again.
-    let late = Mood { late: Duration::from_millis(30), ..Mood::default() };
-    trial.fleet.relays.values().for_each(|r| r.set(Way { there: late, back: late }));
+    let late = DirectionFault { delay: Duration::from_millis(30), ..DirectionFault::default() };
+    trial.fleet.relays.values().for_each(|r| r.set_fault(LinkFault { forward: late, reverse: late }));
     for _ in 0..4 {
-        trial.fleet.relays.values().for_each(|r| r.reset());
+        trial.fleet.relays.values().for_each(|r| r.close_connections());
         std::thread::sleep(Duration::from_millis(500));
     }
     trial.goes_on("links that are late and break");
@@ -205,7 +208,7 @@
     trial.goes_on("the start");
     // After two writers and two readers.
     let sleeper = KEEPERS + 4;
-    (0..KEEPERS).for_each(|n| trial.fleet.way(sleeper, n, Way::cut()));
+    (0..KEEPERS).for_each(|n| trial.fleet.way(sleeper, n, LinkFault::partition()));
     let asleep = trial.readers[2].complete_to();
     let before = trial.record.lock().caught_up("r2");
     let horizons = |trial: &Trial| -> BTreeSet<u64> {
--- a/crates/cli/tests/verdicts.rs
+++ b/crates/cli/tests/verdicts.rs
@@ -19,8 +19,8 @@
 use beechloft_fakes::fault::Fault;
 use beechloft_fakes::fleet::{Fleet, FleetBox, FleetSpec, TitleSpec};
 use beechloft_fakes::player::{self, Wish};
-use beechloft_fault_proxy::udp::{self, Mood};
-use beechloft_fault_proxy::{Relay, Way};
+use beechloft_fault_proxy::udp::{self, DatagramFault};
+use beechloft_fault_proxy::{LinkFault, TcpProxy};
 use beechloft_http::client::Pool;
 use support::{Process, beechloft, kept_addresses, until};
 
@@ -60,8 +60,8 @@
     members: Vec<SocketAddr>,
     listens: Vec<SocketAddr>,
     processes: Vec<Process>,
-    to_boxes: BTreeMap<(usize, u32), Relay>,
-    to_fronts: BTreeMap<(usize, usize), udp::Relay>,
+    to_boxes: BTreeMap<(usize, u32), TcpProxy>,
+    to_fronts: BTreeMap<(usize, usize), udp::UdpProxy>,
     end: Arc<AtomicBool>,
     players: Vec<JoinHandle<()>>,
 }
@@ -132,10 +132,10 @@
         for n in 0..FRONTS {
             for id in (1..=BOXES).filter(|id| zone_of_box(*id) != zone(n)) {
                 let to = self.boxes.get(id).expect("a box").address();
-                self.to_boxes.insert((n, id), Relay::start(to).expect("a relay"));
+                self.to_boxes.insert((n, id), TcpProxy::start(to).expect("a relay"));
             }
             for m in (0..FRONTS).filter(|m| zone(*m) != zone(n)) {
-                self.to_fronts.insert((n, m), udp::Relay::start(self.members[m], 1).expect("a relay"));
+                self.to_fronts.insert((n, m), udp::UdpProxy::start(self.members[m], 1).expect("a relay"));
             }
         }
     }
@@ -145,13 +145,17 @@
         let concerned = |a: &str, b: &str| a == cut || b == cut;
         for ((n, id), relay) in &self.to_boxes {
             if concerned(zone(*n), zone_of_box(*id)) {
-                relay.set(if is_cut { Way::cut() } else { Way::default() });
-                relay.reset();
+                relay.set_fault(if is_cut { LinkFault::partition() } else { LinkFault::default() });
+                relay.close_connections();
             }
         }
         for ((n, m), relay) in &self.to_fronts {
             if concerned(zone(*n), zone(*m)) {
-                relay.set(udp::Way::both(if is_cut { Mood::cut() } else { Mood::default() }));
+                relay.set_fault(udp::DatagramLinkFault::symmetric(if is_cut {
+                    DatagramFault::drop_all()
+                } else {
+                    DatagramFault::default()
+                }));
             }
         }
     }
@@ -208,7 +212,7 @@
         );
         for id in 1..=BOXES {
             let direct = self.boxes.get(id).expect("a box").address();
-            let address = self.to_boxes.get(&(n, id)).map_or(direct, Relay::address);
+            let address = self.to_boxes.get(&(n, id)).map_or(direct, TcpProxy::address);
             let _ = writeln!(
                 text,
                 "    - {{id: {id}, name: box-{id}, address: \"{address}\", rack: 0, zone: {}, kind: small}}",
--- a/crates/testing/fakes/tests/topic_planted.rs
+++ b/crates/testing/fakes/tests/topic_planted.rs
@@ -12,8 +12,8 @@
 use beechloft_checker::topic::{Recorded, Verdict};
 use beechloft_coordinator::{CoordinatorServer, FleetSettings};
 use beechloft_fakes::topic::{Pace, Reader, Writer};
-use beechloft_fault_proxy::ports::Port;
-use beechloft_fault_proxy::{Relay, Way};
+use beechloft_fault_proxy::ports::ReservedPort;
+use beechloft_fault_proxy::{LinkFault, TcpProxy};
 use beechloft_topic::{Fault, Name};
 
 const KEEPERS: usize = 3;
@@ -32,7 +32,7 @@
 
 struct Fleet {
     _dir: tempfile::TempDir,
-    _ports: Vec<Port>,
+    _ports: Vec<ReservedPort>,
     addresses: Vec<SocketAddr>,
     end: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
@@ -41,8 +41,8 @@
 impl Fleet {
     fn new(retention_ms: u32, fault: Option<Fault>) -> Fleet {
         let dir = tempfile::tempdir().expect("a folder");
-        let ports = Port::draw_all(KEEPERS).expect("ports");
-        let addresses: Vec<SocketAddr> = ports.iter().map(Port::address).collect();
+        let ports = ReservedPort::reserve_all(KEEPERS).expect("ports");
+        let addresses: Vec<SocketAddr> = ports.iter().map(ReservedPort::address).collect();
         let end = Arc::new(AtomicBool::new(false));
         let mut threads = Vec::new();
         for (n, address) in addresses.iter().enumerate() {
@@ -84,7 +84,8 @@
         .enumerate()
         .map(|(n, pace)| Writer::start(&set, &name, &format!("w{n}"), *pace, &record).expect("it starts"))
         .collect();
-    let relays: Vec<Relay> = fleet.addresses.iter().map(|a| Relay::start(*a).expect("a relay")).collect();
+    let relays: Vec<TcpProxy> =
+        fleet.addresses.iter().map(|a| TcpProxy::start(*a).expect("a relay")).collect();
     let via: Vec<String> =
         fleet.addresses.iter().zip(&relays).map(|(a, r)| format!("'{a}={}'", r.address())).collect();
     let by_relays = settings(&fleet.addresses, &format!("  test_via: [{}]\n", via.join(", ")));
@@ -97,8 +98,8 @@
     while readers[2].complete_to().is_none_or(|to| to < 1_500) && began.elapsed() < Duration::from_secs(30) {
         thread::sleep(Duration::from_millis(20));
     }
-    relays.iter().for_each(|r| r.set(Way::cut()));
-    relays.iter().for_each(Relay::reset);
+    relays.iter().for_each(|r| r.set_fault(LinkFault::partition()));
+    relays.iter().for_each(TcpProxy::close_connections);
     let until = Instant::now() + sleep;
     let mut late = 0;
     while Instant::now() < until {
@@ -106,7 +107,7 @@
         readers.push(reader(&set, &format!("late-{late}"), 0));
         thread::sleep(Duration::from_millis(400));
     }
-    relays.iter().for_each(|r| r.set(Way::default()));
+    relays.iter().for_each(|r| r.set_fault(LinkFault::default()));
     thread::sleep(Duration::from_secs(1));
     writers.into_iter().for_each(Writer::finish);
     let needs = record.lock().highest().map_or(0, |h| h + 1);
--- a/crates/testing/fault-proxy/src/udp.rs
+++ b/crates/testing/fault-proxy/src/udp.rs
@@ -1,4 +1,4 @@
-//! The same for datagrams: cut, late, lost, doubled, out of order, by a seed.
+//! A UDP proxy that drops, duplicates, delays and reorders datagrams, by a seed.
 
 use std::collections::{BTreeMap, BinaryHeap};
 use std::io;
@@ -12,152 +12,160 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::STACK;
+use crate::STACK_BYTES;
 
-/// Datagrams that wait, at most; what comes beyond is lost, as in any queue.
-const QUEUE: usize = 4_096;
-/// Senders that are kept apart, at most.
-const MOST_SENDERS: usize = 256;
-const LOOK: Duration = Duration::from_millis(100);
+/// All of a thousand.
+const PER_MILLE: u32 = 1_000;
+/// How many datagrams are queued at most; any more are lost.
+const MAX_QUEUED: usize = 4_096;
+/// How many senders are told apart at most; datagrams of any more are lost.
+const MAX_SENDERS: usize = 256;
+const MAX_REQUEST_BYTES: usize = 65_536;
+const MAX_RESPONSE_BYTES: usize = 8_192;
+/// How often threads check whether the proxy has been dropped.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What happens to the datagrams of one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Mood {
-    /// Of a thousand, so many are lost; all: nothing passes.
-    pub lost: u32,
-    /// Of a thousand, so many come twice.
-    pub doubled: u32,
-    /// Each is late by up to this, so that they overtake each other.
-    pub late: Duration,
+pub struct DatagramFault {
+    /// How many of a thousand are lost.
+    pub loss_per_mille: u32,
+    /// How many of a thousand are duplicated.
+    pub duplicate_per_mille: u32,
+    /// Each is delayed by a random time up to this, so that they are reordered.
+    pub max_delay: Duration,
 }
 
-impl Mood {
+impl DatagramFault {
     /// Nothing passes.
-    pub fn cut() -> Mood {
-        Mood { lost: 1_000, ..Mood::default() }
+    pub fn drop_all() -> DatagramFault {
+        DatagramFault { loss_per_mille: PER_MILLE, ..DatagramFault::default() }
     }
 }
 
-/// Both directions, as whoever sends to the relay sees them.
+/// The faults of both directions, from the point of view of whoever sends to the proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Way {
-    /// To the process behind the relay.
-    pub there: Mood,
-    /// Back.
-    pub back: Mood,
+pub struct DatagramLinkFault {
+    /// To the target.
+    pub forward: DatagramFault,
+    /// From the target.
+    pub reverse: DatagramFault,
 }
 
-impl Way {
-    /// Both directions alike.
-    pub fn both(mood: Mood) -> Way {
-        Way { there: mood, back: mood }
+impl DatagramLinkFault {
+    /// The same faults in both directions.
+    pub fn symmetric(fault: DatagramFault) -> DatagramLinkFault {
+        DatagramLinkFault { forward: fault, reverse: fault }
     }
 }
 
-/// How many datagrams did what.
+/// How many datagrams the proxy has handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Passed {
-    /// Came to the relay.
-    pub came: u64,
-    /// Left it, copies counted.
-    pub left: u64,
+pub struct DatagramCounts {
+    /// Received, from both sides.
+    pub received: u64,
+    /// Sent on, duplicates included.
+    pub forwarded: u64,
 }
 
-/// A datagram on its way out, by when it leaves: the earliest first.
-struct Late {
-    at: Instant,
+/// A datagram that waits until it is due. The greatest is the one that is due first.
+struct QueuedDatagram {
+    due_at: Instant,
     order: u64,
     from: Arc<UdpSocket>,
     to: SocketAddr,
     bytes: Vec<u8>,
 }
 
-impl PartialEq for Late {
-    fn eq(&self, other: &Late) -> bool {
+impl PartialEq for QueuedDatagram {
+    fn eq(&self, other: &QueuedDatagram) -> bool {
         self.order == other.order
     }
 }
 
-impl Eq for Late {}
+impl Eq for QueuedDatagram {}
 
-impl PartialOrd for Late {
-    fn partial_cmp(&self, other: &Late) -> Option<std::cmp::Ordering> {
+impl PartialOrd for QueuedDatagram {
+    fn partial_cmp(&self, other: &QueuedDatagram) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Late {
-    fn cmp(&self, other: &Late) -> std::cmp::Ordering {
-        (other.at, other.order).cmp(&(self.at, self.order))
+impl Ord for QueuedDatagram {
+    fn cmp(&self, other: &QueuedDatagram) -> std::cmp::Ordering {
+        (other.due_at, other.order).cmp(&(self.due_at, self.order))
     }
 }
 
-struct Shared {
-    way: Mutex<Way>,
+struct ProxyState {
+    fault: Mutex<DatagramLinkFault>,
     rng: Mutex<ChaCha8Rng>,
-    queue: Sender<Late>,
-    came: AtomicU64,
-    left: AtomicU64,
-    end: AtomicBool,
+    queue: Sender<QueuedDatagram>,
+    received: AtomicU64,
+    forwarded: AtomicU64,
+    stopped: AtomicBool,
 }
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Shared {
-    fn over(&self) -> bool {
-        self.end.load(Ordering::Relaxed)
+impl ProxyState {
+    fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::Relaxed)
     }
 
-    /// Draws what becomes of a datagram, and queues its copies.
-    fn pass(&self, there: bool, from: &Arc<UdpSocket>, to: SocketAddr, bytes: &[u8]) {
-        let order = self.came.fetch_add(1, Ordering::Relaxed);
-        let way = *lock(&self.way);
-        let mood = if there { way.there } else { way.back };
+    /// Draws what happens to a datagram, and queues its copies.
+    fn enqueue(&self, fault: DatagramFault, from: &Arc<UdpSocket>, to: SocketAddr, bytes: &[u8]) {
+        let order = self.received.fetch_add(1, Ordering::Relaxed);
         let mut rng = lock(&self.rng);
-        if rng.random_range(0..1_000) < mood.lost {
+        if rng.random_range(0..PER_MILLE) < fault.loss_per_mille {
             return;
         }
-        let copies = 1 + u32::from(rng.random_range(0..1_000) < mood.doubled);
-        for _ in 0..copies {
-            let late = Duration::from_micros(rng.random_range(0..=mood.late.as_micros() as u64));
-            let (at, from, bytes) = (Instant::now() + late, Arc::clone(from), bytes.to_vec());
-            // A full queue: lost.
-            let _ = self.queue.try_send(Late { at, order, from, to, bytes });
+        let is_duplicated = rng.random_range(0..PER_MILLE) < fault.duplicate_per_mille;
+        let max_delay_us = u64::try_from(fault.max_delay.as_micros()).unwrap_or(u64::MAX);
+        for _ in 0..1 + u32::from(is_duplicated) {
+            let delay = Duration::from_micros(rng.random_range(0..=max_delay_us));
+            let due_at = Instant::now() + delay;
+            let datagram =
+                QueuedDatagram { due_at, order, from: Arc::clone(from), to, bytes: bytes.to_vec() };
+            // It is lost if the queue is full.
+            let _ = self.queue.try_send(datagram);
         }
     }
 }
 
-/// A relay to one address. It ends when it is dropped.
-pub struct Relay {
+/// A proxy to one address. Dropping it stops it.
+pub struct UdpProxy {
     address: SocketAddr,
-    shared: Arc<Shared>,
+    state: Arc<ProxyState>,
 }
 
-impl Relay {
-    /// Begins to listen on a free port of loopback.
+impl UdpProxy {
+    /// Starts to listen on a free port of loopback, without faults. The seed determines what is drawn.
     ///
     /// # Errors
-    /// No port or no thread.
-    pub fn start(to: SocketAddr, seed: u64) -> io::Result<Relay> {
+    /// No port can be bound, or no thread started.
+    pub fn start(target: SocketAddr, seed: u64) -> io::Result<UdpProxy> {
         let socket = Arc::new(UdpSocket::bind("127.0.0.1:0")?);
-        socket.set_read_timeout(Some(LOOK))?;
+        socket.set_read_timeout(Some(POLL_INTERVAL))?;
         let address = socket.local_addr()?;
-        let (queue, waiting) = bounded(QUEUE);
-        let shared = Arc::new(Shared {
-            way: Mutex::default(),
+        let (queue, queued) = bounded(MAX_QUEUED);
+        let state = Arc::new(ProxyState {
+            fault: Mutex::default(),
             rng: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
             queue,
-            came: AtomicU64::new(0),
-            left: AtomicU64::new(0),
-            end: AtomicBool::new(false),
+            received: AtomicU64::new(0),
+            forwarded: AtomicU64::new(0),
+            stopped: AtomicBool::new(false),
         });
-        let its = Arc::clone(&shared);
-        thread::Builder::new().stack_size(STACK).spawn(move || give(&its, &waiting))?;
-        let its = Arc::clone(&shared);
-        thread::Builder::new().stack_size(STACK).spawn(move || there(&its, &socket, to))?;
-        Ok(Relay { address, shared })
+        let sending = Arc::clone(&state);
+        thread::Builder::new().stack_size(STACK_BYTES).spawn(move || send_queued(&sending, &queued))?;
+        let receiving = Arc::clone(&state);
+        thread::Builder::new()
+            .stack_size(STACK_BYTES)
+            .spawn(move || receive_requests(&receiving, &socket, target))?;
+        Ok(UdpProxy { address, state })
     }
 
     /// Where it listens.
@@ -165,138 +173,95 @@
         self.address
     }
 
-    /// From now on.
-    pub fn set(&self, way: Way) {
-        *lock(&self.shared.way) = way;
+    /// Sets the faults from now on.
+    pub fn set_fault(&self, fault: DatagramLinkFault) {
+        *lock(&self.state.fault) = fault;
     }
 
-    /// How many did what.
-    pub fn passed(&self) -> Passed {
-        let (came, left) = (&self.shared.came, &self.shared.left);
-        Passed { came: came.load(Ordering::Relaxed), left: left.load(Ordering::Relaxed) }
+    /// How many datagrams it has handled so far.
+    pub fn counts(&self) -> DatagramCounts {
+        let (received, forwarded) = (&self.state.received, &self.state.forwarded);
+        DatagramCounts {
+            received: received.load(Ordering::Relaxed),
+            forwarded: forwarded.load(Ordering::Relaxed),
+        }
     }
 }
 
-impl Drop for Relay {
+impl Drop for UdpProxy {
     fn drop(&mut self) {
-        self.shared.end.store(true, Ordering::Relaxed);
+        self.state.stopped.store(true, Ordering::Relaxed);
     }
 }
 
-/// What is sent to the relay; each sender has a socket of its own behind it, so that answers find their way.
-fn there(shared: &Arc<Shared>, socket: &Arc<UdpSocket>, to: SocketAddr) {
-    let mut behind: BTreeMap<SocketAddr, Arc<UdpSocket>> = BTreeMap::new();
-    let mut bytes = [0; 65_536];
-    while !shared.over() {
-        let Ok((n, sender)) = socket.recv_from(&mut bytes) else { continue };
-        if !behind.contains_key(&sender) {
-            if behind.len() >= MOST_SENDERS {
-                continue;
-            }
-            let Ok(its) = UdpSocket::bind("127.0.0.1:0").map(Arc::new) else { continue };
-            let _ = its.set_read_timeout(Some(LOOK));
-            let (all, near, far) = (Arc::clone(shared), Arc::clone(socket), Arc::clone(&its));
-            let answers = move || back(&all, &near, &far, sender);
-            if thread::Builder::new().stack_size(STACK).spawn(answers).is_err() {
+/// Receives what is sent to the proxy. Each sender has a socket of its own towards the target, so that responses can be
+/// returned to it.
+fn receive_requests(state: &Arc<ProxyState>, socket: &Arc<UdpSocket>, target: SocketAddr) {
+    let mut by_sender: BTreeMap<SocketAddr, Arc<UdpSocket>> = BTreeMap::new();
+    let mut buffer = [0; MAX_REQUEST_BYTES];
+    while !state.is_stopped() {
+        let Ok((count, sender)) = socket.recv_from(&mut buffer) else { continue };
+        if !by_sender.contains_key(&sender) {
+            if by_sender.len() >= MAX_SENDERS {
                 continue;
             }
-            behind.insert(sender, its);
+            let Ok(outgoing) = open_outgoing(state, socket, sender) else { continue };
+            by_sender.insert(sender, outgoing);
         }
-        if let Some(its) = behind.get(&sender) {
-            shared.pass(true, its, to, &bytes[..n]);
+        if let Some(outgoing) = by_sender.get(&sender) {
+            let fault = lock(&state.fault).forward;
+            state.enqueue(fault, outgoing, target, &buffer[..count]);
         }
     }
 }
 
-fn back(shared: &Shared, near: &Arc<UdpSocket>, far: &UdpSocket, to: SocketAddr) {
-    let mut bytes = [0; 8_192];
-    while !shared.over() {
-        if let Ok((n, _)) = far.recv_from(&mut bytes) {
-            shared.pass(false, near, to, &bytes[..n]);
+/// Opens the socket of a sender towards the target, and starts to return the responses.
+fn open_outgoing(
+    state: &Arc<ProxyState>,
+    socket: &Arc<UdpSocket>,
+    sender: SocketAddr,
+) -> io::Result<Arc<UdpSocket>> {
+    let outgoing = UdpSocket::bind("127.0.0.1:0").map(Arc::new)?;
+    let _ = outgoing.set_read_timeout(Some(POLL_INTERVAL));
+    let (shared, incoming, responding) = (Arc::clone(state), Arc::clone(socket), Arc::clone(&outgoing));
+    thread::Builder::new()
+        .stack_size(STACK_BYTES)
+        .spawn(move || receive_responses(&shared, &incoming, &responding, sender))?;
+    Ok(outgoing)
+}
+
+fn receive_responses(
+    state: &ProxyState,
+    incoming: &Arc<UdpSocket>,
+    outgoing: &UdpSocket,
+    sender: SocketAddr,
+) {
+    let mut buffer = [0; MAX_RESPONSE_BYTES];
+    while !state.is_stopped() {
+        if let Ok((count, _)) = outgoing.recv_from(&mut buffer) {
+            let fault = lock(&state.fault).reverse;
+            state.enqueue(fault, incoming, sender, &buffer[..count]);
         }
     }
 }
 
-fn give(shared: &Shared, waiting: &Receiver<Late>) {
-    let mut late: BinaryHeap<Late> = BinaryHeap::new();
-    while !shared.over() {
-        let due = late.peek().map_or(LOOK, |l| l.at.saturating_duration_since(Instant::now()).min(LOOK));
-        match waiting.recv_timeout(due) {
-            Ok(one) => late.push(one),
+/// Sends each queued datagram when it is due.
+fn send_queued(state: &ProxyState, queued: &Receiver<QueuedDatagram>) {
+    let mut by_due_time: BinaryHeap<QueuedDatagram> = BinaryHeap::new();
+    while !state.is_stopped() {
+        let until_due = by_due_time.peek().map_or(POLL_INTERVAL, |next| {
+            next.due_at.saturating_duration_since(Instant::now()).min(POLL_INTERVAL)
+        });
+        match queued.recv_timeout(until_due) {
+            Ok(datagram) => by_due_time.push(datagram),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        while late.peek().is_some_and(|l| l.at <= Instant::now()) {
-            let Some(one) = late.pop() else { break };
-            if one.from.send_to(&one.bytes, one.to).is_ok() {
-                shared.left.fetch_add(1, Ordering::Relaxed);
+        while by_due_time.peek().is_some_and(|next| next.due_at <= Instant::now()) {
+            let Some(datagram) = by_due_time.pop() else { break };
+            if datagram.from.send_to(&datagram.bytes, datagram.to).is_ok() {
+                state.forwarded.fetch_add(1, Ordering::Relaxed);
             }
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn pair() -> (UdpSocket, UdpSocket, Relay) {
-        let (a, b) = (UdpSocket::bind("127.0.0.1:0"), UdpSocket::bind("127.0.0.1:0"));
-        let (a, b) = (a.expect("a port"), b.expect("a port"));
-        for socket in [&a, &b] {
-            socket.set_read_timeout(Some(Duration::from_millis(300))).expect("set");
-        }
-        let relay = Relay::start(b.local_addr().expect("an address"), 1).expect("it starts");
-        (a, b, relay)
-    }
-
-    /// What comes until nothing comes any more.
-    fn all(socket: &UdpSocket) -> Vec<u16> {
-        let (mut got, mut bytes) = (Vec::new(), [0; 8]);
-        while let Ok((2, _)) = socket.recv_from(&mut bytes) {
-            got.push(u16::from_be_bytes([bytes[0], bytes[1]]));
-        }
-        got
-    }
-
-    fn send(a: &UdpSocket, relay: &Relay, n: std::ops::Range<u16>) {
-        for n in n {
-            a.send_to(&n.to_be_bytes(), relay.address()).expect("sent");
-        }
-    }
-
-    #[test]
-    fn datagrams_pass_both_ways_until_a_direction_is_cut() {
-        let (a, b, relay) = pair();
-        send(&a, &relay, 0..10);
-        assert_eq!(all(&b), (0..10).collect::<Vec<_>>());
-        send(&a, &relay, 10..11);
-        let mut bytes = [0; 8];
-        let (n, from) = b.recv_from(&mut bytes).expect("it comes");
-        b.send_to(&bytes[..n], from).expect("sent");
-        assert_eq!(all(&a), [10]);
-        relay.set(Way { there: Mood::cut(), ..Way::default() });
-        send(&a, &relay, 0..10);
-        b.send_to(&[0, 9], from).expect("sent");
-        assert_eq!((all(&b), all(&a)), (vec![], vec![9]));
-        relay.set(Way { back: Mood::cut(), ..Way::default() });
-        send(&a, &relay, 0..3);
-        b.send_to(&[0, 9], from).expect("sent");
-        assert_eq!((all(&b), all(&a)), (vec![0, 1, 2], vec![]));
-    }
-
-    #[test]
-    fn datagrams_are_lost_doubled_and_overtake_each_other() {
-        let (a, b, relay) = pair();
-        let mood = Mood { lost: 300, doubled: 300, late: Duration::from_millis(30) };
-        relay.set(Way::both(mood));
-        for part in 0..4 {
-            send(&a, &relay, part * 100..part * 100 + 100);
-            thread::sleep(Duration::from_millis(20));
-        }
-        let got = all(&b);
-        let distinct: std::collections::BTreeSet<u16> = got.iter().copied().collect();
-        assert!(distinct.len() > 200 && distinct.len() < 360, "{} of 400", distinct.len());
-        assert!(got.len() > distinct.len() + 20, "none came twice");
-        assert!(got.windows(2).any(|w| w[1] < w[0]), "none overtook another");
-    }
-}
--- a/crates/testing/scenario/src/fronts.rs
+++ b/crates/testing/scenario/src/fronts.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use beechloft_checker::{Recorder, What};
-use beechloft_fault_proxy::ports::Port;
+use beechloft_fault_proxy::ports::ReservedPort;
 use beechloft_http::client::Pool;
 use beechloft_http::{Method, Request};
 
@@ -40,7 +40,7 @@
     number: u32,
     address: SocketAddr,
     sip: SocketAddr,
-    _ports: [Port; 2],
+    _ports: [ReservedPort; 2],
     program: PathBuf,
     settings: PathBuf,
     log: PathBuf,
@@ -61,7 +61,7 @@
     ) -> io::Result<Self> {
         let Place { list, program, folder, seed, recorder } = *place;
         // Kept for the front while it is down as well.
-        let ports = [Port::draw()?, Port::draw()?];
+        let ports = [ReservedPort::reserve()?, ReservedPort::reserve()?];
         let [address, sip] = [ports[0].address(), ports[1].address()];
         let settings = folder.join(format!("front-{number}.yaml"));
         let zone = &day.fronts[number as usize].zone;
--- a/crates/testing/scenario/src/keepers/mod.rs
+++ b/crates/testing/scenario/src/keepers/mod.rs
@@ -18,8 +18,8 @@
 use beechloft_checker::{Recorder, What};
 use beechloft_coordinator::FleetSettings;
 use beechloft_fakes::resource::Resource;
-use beechloft_fault_proxy::Relay;
-use beechloft_fault_proxy::ports::Port;
+use beechloft_fault_proxy::TcpProxy;
+use beechloft_fault_proxy::ports::ReservedPort;
 use serde_json::json;
 
 use self::group::Group;
@@ -40,12 +40,12 @@
     program: PathBuf,
     folder: PathBuf,
     addresses: Vec<SocketAddr>,
-    _ports: Vec<Port>,
+    _ports: Vec<ReservedPort>,
     keepers: Vec<Option<Group>>,
     candidates: Vec<Option<Group>>,
     ended_at: Vec<Option<Instant>>,
     /// From a process to a keeper: keepers come first, then candidates, then fronts.
-    relays: BTreeMap<(usize, usize), Relay>,
+    relays: BTreeMap<(usize, usize), TcpProxy>,
     resource: Resource,
     recorder: Recorder,
     asks: FleetSettings,
@@ -67,14 +67,14 @@
         folder: &Path,
         recorder: &Recorder,
     ) -> io::Result<Keepers> {
-        let ports = Port::draw_all(spec.count as usize)?;
-        let addresses: Vec<SocketAddr> = ports.iter().map(Port::address).collect();
+        let ports = ReservedPort::reserve_all(spec.count as usize)?;
+        let addresses: Vec<SocketAddr> = ports.iter().map(ReservedPort::address).collect();
         let all = addresses.len() + spec.candidates as usize + fronts;
         let all = all + spec.topic.as_ref().map_or(0, TopicSpec::places);
         let mut relays = BTreeMap::new();
         for from in 0..all {
             for (to, address) in addresses.iter().enumerate().filter(|(to, _)| *to != from) {
-                relays.insert((from, to), Relay::start(*address)?);
+                relays.insert((from, to), TcpProxy::start(*address)?);
             }
         }
         let mut made = Keepers {
--- a/crates/testing/scenario/src/keepers/troubles.rs
+++ b/crates/testing/scenario/src/keepers/troubles.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use beechloft_checker::What;
-use beechloft_fault_proxy::{Mood, Way};
+use beechloft_fault_proxy::{DirectionFault, LinkFault};
 use rustix::process::Signal;
 
 use super::Keepers;
@@ -27,21 +27,21 @@
     }
 
     /// Between a keeper and all others: what others say to it, and what it says.
-    fn way(&self, keeper: usize, heard: Mood, says: Mood) {
+    fn way(&self, keeper: usize, heard: DirectionFault, says: DirectionFault) {
         for ((from, to), relay) in &self.relays {
             if *to == keeper {
-                relay.set(Way { there: heard, back: says });
+                relay.set_fault(LinkFault { forward: heard, reverse: says });
             } else if *from == keeper {
-                relay.set(Way { there: says, back: heard });
+                relay.set_fault(LinkFault { forward: says, reverse: heard });
             }
         }
     }
 
     /// From a process that is no keeper to all keepers but one.
     fn cut(&self, place: usize, but: Option<usize>, cut: bool) {
-        let way = if cut { Way::cut() } else { Way::default() };
+        let way = if cut { LinkFault::partition() } else { LinkFault::default() };
         let of = |k: &(usize, usize)| k.0 == place && Some(k.1) != but;
-        self.relays.iter().filter(|(k, _)| of(k)).for_each(|(_, r)| r.set(way));
+        self.relays.iter().filter(|(k, _)| of(k)).for_each(|(_, r)| r.set_fault(way));
     }
 
     /// A trouble begins.
@@ -49,7 +49,7 @@
     /// # Errors
     /// A process can't be started.
     pub fn begin(&mut self, trouble: usize, between: &Between) -> io::Result<()> {
-        let cut = Mood { cut: true, ..Mood::default() };
+        let cut = DirectionFault { blocked: true, ..DirectionFault::default() };
         let chosen = match between {
             Between::KillKeeper(which) => self.choose(*which).map(|n| {
                 self.keepers[n] = None;
@@ -64,11 +64,11 @@
                 None
             }
             Between::CutKeeper { which, one_way } => self.choose(*which).map(|n| {
-                self.way(n, if *one_way { Mood::default() } else { cut }, cut);
+                self.way(n, if *one_way { DirectionFault::default() } else { cut }, cut);
                 Chosen::Keeper(n)
             }),
             Between::SlowKeeper(which, by) => self.choose(*which).map(|n| {
-                let late = Mood { late: *by, ..Mood::default() };
+                let late = DirectionFault { delay: *by, ..DirectionFault::default() };
                 self.way(n, late, late);
                 Chosen::Keeper(n)
             }),
@@ -78,7 +78,7 @@
                     let place = self.addresses.len() + holder;
                     self.cut(place, Some(n), true);
                     if let Some(relay) = self.relays.get(&(place, n)) {
-                        relay.set(Way::default());
+                        relay.set_fault(LinkFault::default());
                     }
                 }
                 Chosen::Keeper(n)
@@ -111,7 +111,7 @@
     /// A process can't be started.
     pub fn end(&mut self, trouble: usize, between: &Between) -> io::Result<()> {
         let Some(chosen) = self.chosen.remove(&trouble) else { return Ok(()) };
-        let none = Mood::default();
+        let none = DirectionFault::default();
         match (between, chosen) {
             (Between::KillKeeper(_), Chosen::Keeper(n)) => self.start_keeper(n)?,
             (Between::StopKeeper(_), Chosen::Keeper(n)) => self.signal(n, Signal::CONT),
@@ -124,7 +124,7 @@
                 self.way(n, none, none)
             }
             (Between::CutLeaderWithHolder, Chosen::Keeper(_)) => {
-                self.relays.values().for_each(|r| r.set(Way::default()));
+                self.relays.values().for_each(|r| r.set_fault(LinkFault::default()));
             }
             (Between::KillHolder, Chosen::Candidate(n)) => self.ended_at[n] = Some(Instant::now()),
             (Between::StopHolder, Chosen::Candidate(n)) => {
