--- a/crates/testing/fleet-simulation/src/lib.rs
+++ b/crates/testing/fleet-simulation/src/lib.rs
@@ -1,15 +1,15 @@
 //! Many front nodes in one process under one simulated clock: the real state machines, a network that only delays, and
-//! media servers that count. It shows what is harmless in one front node and harmful in all of them: probes, new
-//! connections and set-ups on cold media servers, all at the same instant. The same seed gives the same run.
+//! media servers that count what they receive.
 //!
-//! [`Fleet`] moves time on and carries messages; [`media`] has the media servers and their counts; [`settings`] the
-//! platform's settings as text.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
+//! It shows what is harmless in one front node and harmful in all of them at the same instant: health checks, new
+//! connections, and set-ups on media servers that started lately. The same seed gives the same run.
+//!
+//! [`Cluster`] holds the clock, the network and the viewers; [`media_server`] the media servers and their counts;
+//! [`settings`] the settings of the platform.
 #![forbid(unsafe_code)]
 
-mod fleet;
-pub mod media;
+mod cluster;
+pub mod media_server;
 pub mod settings;
 
-pub use fleet::{Fleet, Sum};
+pub use cluster::{Cluster, Totals};
--- /dev/null
+++ b/crates/testing/fleet-simulation/src/media_server.rs
@@ -0,0 +1,175 @@
+//! Media servers that accept every set-up, and count what they receive.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+use beechloft::api::Micros;
+use beechloft_protocol::CallId;
+use beechloft_protocol::bus::{Endpoint, Status};
+
+use crate::settings::ClusterSettings;
+
+/// Servers that share the third byte of their addresses.
+const SERVERS_PER_SUBNET: u16 = 200;
+const PORT: u16 = 2905;
+
+/// A set-up that a media server received.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct SetUpReceived {
+    /// When it was received.
+    pub at: Micros,
+    /// The front node that sent it.
+    pub front_node: usize,
+    /// When it was sent.
+    pub sent_at: Micros,
+}
+
+/// A connection that a front node opened to a media server.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ConnectionOpened {
+    /// When it was opened.
+    pub at: Micros,
+    /// The front node.
+    pub front_node: usize,
+}
+
+/// How many connections were opened within a time.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct OpenedConnections {
+    /// Front nodes that opened any.
+    pub front_nodes: usize,
+    /// Connections that were opened.
+    pub connections: usize,
+}
+
+/// Set-ups that a cold media server received within one overload window.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
+pub struct ColdWindow {
+    /// Of all front nodes.
+    pub total: usize,
+    /// Of front nodes that knew of the server's start when they sent them.
+    pub informed: usize,
+}
+
+/// A media server.
+#[derive(Debug, Clone)]
+pub struct MediaServer {
+    /// Its number; its name, cell and address follow from it.
+    pub number: u16,
+    /// Its state on the list.
+    pub status: Status,
+    /// Whether its process runs.
+    pub is_running: bool,
+    /// When its process started; none if that is long ago.
+    pub started_at: Option<Micros>,
+    /// Its sessions, with the front node of each.
+    pub sessions: BTreeMap<CallId, usize>,
+    /// All set-ups that it received, in the order of their sending.
+    pub set_ups: Vec<SetUpReceived>,
+    /// All connections that were opened to it.
+    pub connections: Vec<ConnectionOpened>,
+    /// When it received health checks.
+    pub health_checks: Vec<Micros>,
+    /// The front nodes that know of its process's start, and since when: from the list, from the end of the process
+    /// before, or from the list at their own start.
+    pub start_known_since: BTreeMap<usize, Micros>,
+}
+
+impl MediaServer {
+    /// A server whose process started long ago.
+    pub fn warm(number: u16) -> MediaServer {
+        MediaServer {
+            number,
+            status: Status::Ready,
+            is_running: true,
+            started_at: None,
+            sessions: BTreeMap::new(),
+            set_ups: Vec::new(),
+            connections: Vec::new(),
+            health_checks: Vec::new(),
+            start_known_since: BTreeMap::new(),
+        }
+    }
+
+    /// A server whose process starts now.
+    pub fn cold(number: u16, now: Micros) -> MediaServer {
+        MediaServer { started_at: Some(now), ..MediaServer::warm(number) }
+    }
+
+    /// Its name.
+    pub fn name(&self) -> String {
+        format!("s-{:08x}", self.number)
+    }
+
+    /// The address that it listens on.
+    pub fn address(&self) -> SocketAddr {
+        let [_, subnet] = (self.number / SERVERS_PER_SUBNET).to_be_bytes();
+        let [_, host] = (self.number % SERVERS_PER_SUBNET + 1).to_be_bytes();
+        SocketAddr::from(([127, 9, subnet, host], PORT))
+    }
+
+    /// Its endpoint on the list.
+    pub fn endpoint(&self, settings: &ClusterSettings) -> Endpoint {
+        Endpoint {
+            name: self.name(),
+            address: self.address().to_string(),
+            zone: ["a", "b"][usize::from(self.number) % 2].into(),
+            kind: "small".into(),
+            cell: self.number % settings.cells,
+            status: self.status,
+            weight: 1.0,
+            started_ms: self.started_at.map_or(0, |at| at.0 / 1000),
+        }
+    }
+
+    /// Its sessions relative to its capacity.
+    pub fn utilization(&self, settings: &ClusterSettings) -> f64 {
+        self.sessions.len() as f64 / f64::from(settings.streams)
+    }
+
+    /// The maximum of set-ups that it received within an overload window while it was cold. A server that may have started
+    /// before the cluster did is cold for the cluster from `since`.
+    pub fn max_set_ups_while_cold(&self, since: Micros, settings: &ClusterSettings) -> usize {
+        let start = self.started_at.unwrap_or(since);
+        let cold_period = start..start + Micros(settings.cold_period_us);
+        let window = Micros(settings.overload_window_us);
+        let received: Vec<Micros> =
+            self.set_ups.iter().map(|set_up| set_up.at).filter(|at| cold_period.contains(at)).collect();
+        let within_window =
+            |from: &Micros| received.iter().filter(|at| *at >= from && **at - *from < window).count();
+        received.iter().map(within_window).max().unwrap_or(0)
+    }
+
+    /// The overload windows from each set-up that it received while it was cold, in order.
+    pub fn cold_windows(&self, settings: &ClusterSettings) -> Vec<ColdWindow> {
+        let Some(start) = self.started_at else { return Vec::new() };
+        let cold_period = start..start + Micros(settings.cold_period_us);
+        let received: Vec<&SetUpReceived> =
+            self.set_ups.iter().filter(|set_up| cold_period.contains(&set_up.at)).collect();
+        let window_from = |first: &&SetUpReceived| {
+            let window = first.at..first.at + Micros(settings.overload_window_us);
+            let within: Vec<&&SetUpReceived> =
+                received.iter().filter(|set_up| window.contains(&set_up.at)).collect();
+            let informed = within.iter().filter(|set_up| self.sender_knew_start(set_up)).count();
+            ColdWindow { total: within.len(), informed }
+        };
+        received.iter().map(window_from).collect()
+    }
+
+    fn sender_knew_start(&self, set_up: &SetUpReceived) -> bool {
+        let known_since = self.start_known_since.get(&set_up.front_node);
+        known_since.is_some_and(|since| *since <= set_up.sent_at)
+    }
+
+    /// The connections that were opened from a time until before another.
+    pub fn connections_opened(&self, from: Micros, to: Micros) -> OpenedConnections {
+        let opened: Vec<usize> = self
+            .connections
+            .iter()
+            .filter(|connection| (from..to).contains(&connection.at))
+            .map(|connection| connection.front_node)
+            .collect();
+        let front_nodes: BTreeSet<&usize> = opened.iter().collect();
+        OpenedConnections { front_nodes: front_nodes.len(), connections: opened.len() }
+    }
+}
--- a/crates/testing/fleet-simulation/tests/machine_hash/driver.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/driver.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use beechloft::api::{Micros, SlotAssignment};
-use beechloft_fleet_simulation::settings::Terms;
+use beechloft_fleet_simulation::settings::{ClusterSettings, SessionClass};
 use beechloft_front_node::{AttemptFailure, Input, Node, NodeLimits, Output, ViewerConnection};
 use beechloft_protocol::attributes::Attributes;
 use beechloft_protocol::bus::{Endpoint, Status, Topology};
@@ -39,7 +39,7 @@
 
 pub struct Driver {
     rng: ChaCha8Rng,
-    terms: Terms,
+    settings: ClusterSettings,
     node: Node,
     now: Micros,
     endpoints: Vec<Endpoint>,
@@ -57,18 +57,21 @@
 
 impl Driver {
     pub fn new(seed: u64) -> Driver {
-        let terms = Terms {
-            fronts: 3,
+        let settings = ClusterSettings {
+            front_nodes: 3,
             cells: 4,
             streams: 30,
-            cold_us: 2_000_000,
-            fall_us: 1_000_000,
+            cold_period_us: 2_000_000,
+            overload_window_us: 1_000_000,
             reporting: if seed.is_multiple_of(2) { "pull" } else { "piggyback" },
-            classes: &[("stall-video", 1.0), ("banner", 2.0)],
-            ..Terms::default()
+            classes: &[
+                SessionClass { name: "stall-video", rate_scale: 1.0 },
+                SessionClass { name: "banner", rate_scale: 2.0 },
+            ],
+            ..ClusterSettings::default()
         };
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let node = fresh_node(&terms, &mut rng);
+        let node = fresh_node(&settings, &mut rng);
         let record = Record {
             hash: 0xcbf2_9ce4_8422_2325,
             inputs: [0; INPUT_KINDS],
@@ -78,7 +81,7 @@
         };
         Driver {
             rng,
-            terms,
+            settings,
             node,
             now: Micros(1_700_000_000_000_000),
             endpoints: (0..SERVERS).map(endpoint).collect(),
@@ -425,7 +428,7 @@
 
     /// The front node starts again: a new machine, to which viewers name the sessions that play.
     fn restart(&mut self) {
-        self.node = fresh_node(&self.terms, &mut self.rng);
+        self.node = fresh_node(&self.settings, &mut self.rng);
         let playing = std::mem::take(&mut self.playing);
         let names = std::mem::take(&mut self.servers);
         self.attempts.clear();
@@ -454,8 +457,8 @@
     }
 }
 
-fn fresh_node(terms: &Terms, rng: &mut ChaCha8Rng) -> Node {
-    let settings = beechloft_settings::parse(terms.text(1).as_bytes()).expect("settings");
+fn fresh_node(settings: &ClusterSettings, rng: &mut ChaCha8Rng) -> Node {
+    let settings = beechloft_settings::parse(settings.settings_json(1).as_bytes()).expect("settings");
     let bounds = NodeLimits {
         answer_margin: Micros(20_000),
         health_check_timeout: Micros(250_000),
