--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -4,49 +4,52 @@
 
 mod support;
 
-use beechloft::api::*;
-use support::*;
+use beechloft::api::{
+    Action, CellId, Endpoint, EndpointState, Event, Feedback, Outcome, Request, Rung, ServerId, SessionId,
+    Settings,
+};
+use support::{Front, MILLIS, SECONDS, entry, request, set_up, set_ups, settings};
 
 const SERVERS: u32 = 300;
 const SESSIONS: u64 = 3_000;
 
 /// A front with 300 servers in 30 racks, all of which hold the title, and thousands of sessions.
-fn large(fronts: u32) -> Front {
+fn large_service(fronts: u32) -> Front {
     let set = Settings { cells: SERVERS, racks: 30, front_count: fronts, total_link_kb: None, ..settings() };
     let place = |n: u32| Endpoint { cell: CellId(n as u16), ..entry(n, EndpointState::Ready, 0) };
     let mut front = Front::with_list(set, (0..SERVERS).map(place).collect());
     for id in 0..SESSIONS {
-        front.hand_over(1_000_000 + id, id as u32 % SERVERS);
+        front.adopt(1_000_000 + id, id as u32 % SERVERS);
     }
     front
 }
 
-fn everywhere(id: u64, now: u64) -> Event {
+fn request_held_everywhere(id: u64, now: u64) -> Event {
     Event::Request(Request { cell_count: SERVERS, ..request(id, now) })
 }
 
 /// Steps of work that something takes.
-fn cost(f: &mut Front, act: impl FnOnce(&mut Front) -> Vec<Action>) -> u64 {
-    let before = f.policy.work();
-    act(f);
-    f.policy.work() - before
+fn cost(front: &mut Front, act: impl FnOnce(&mut Front) -> Vec<Action>) -> u64 {
+    let before = front.policy.work();
+    act(front);
+    front.policy.work() - before
 }
 
 /// Found on the grown deployments: what a holder costs grew with the number of servers, an outcome with sessions.
 #[test]
 fn the_work_of_a_decision_is_bounded() {
-    for use_heard in [0.3, 2.0] {
-        let mut f = large(250);
+    for utilization in [0.3, 2.0] {
+        let mut front = large_service(250);
         for server in 0..SERVERS {
-            f.note(server, Feedback::LinkUtilization(use_heard));
+            front.feedback(server, Feedback::LinkUtilization(utilization));
         }
-        f.tick();
+        front.tick();
         for id in 0..50 {
-            let steps = cost(&mut f, |f| f.send(everywhere(id, f.now)));
+            let steps = cost(&mut front, |front| front.send(request_held_everywhere(id, front.now)));
             assert!(steps > 0 && steps <= 20 * u64::from(SERVERS), "{steps} steps for a request");
         }
         for id in 0..50 {
-            let steps = cost(&mut f, |f| f.ended(1_000_000 + id, id as u32, Outcome::Ok, true));
+            let steps = cost(&mut front, |front| front.ended(1_000_000 + id, id as u32, Outcome::Ok, true));
             assert!((1..=3).contains(&steps), "{steps} steps for an outcome");
         }
     }
@@ -56,14 +59,14 @@
 #[test]
 fn sessions_step_up_at_any_number_of_fronts() {
     for fronts in [2, 250] {
-        let mut f = Front::new(Settings { front_count: fronts, ..settings() });
-        f.hand_over(1, 0);
+        let mut front = Front::new(Settings { front_count: fronts, ..settings() });
+        front.adopt(1, 0);
         let mut ups = 0;
         for _ in 0..60 {
-            f.wait(500 * MS);
-            f.note(0, Feedback::LinkUtilization(0.2));
-            f.note(0, Feedback::UplinkUtilization(0.2));
-            ups += f.tick().iter().filter(|a| matches!(a, Action::SetRung { .. })).count();
+            front.advance(500 * MILLIS);
+            front.feedback(0, Feedback::LinkUtilization(0.2));
+            front.feedback(0, Feedback::UplinkUtilization(0.2));
+            ups += front.tick().iter().filter(|a| matches!(a, Action::SetRung { .. })).count();
         }
         assert!(ups > 0, "{fronts} fronts");
     }
@@ -80,16 +83,16 @@
         front_count: 1,
         ..settings()
     };
-    let mut f = Front::new(big);
-    (1..=100).for_each(|id| f.hand_over(id, 0));
-    f.wait(10 * S);
-    f.note(0, Feedback::LinkUtilization(0.1));
-    f.note(0, Feedback::UplinkUtilization(0.1));
+    let mut front = Front::new(big);
+    (1..=100).for_each(|id| front.adopt(id, 0));
+    front.advance(10 * SECONDS);
+    front.feedback(0, Feedback::LinkUtilization(0.1));
+    front.feedback(0, Feedback::UplinkUtilization(0.1));
     let mut most = 0;
     let ups: usize = (0..20)
         .map(|_| {
-            f.wait(500 * MS);
-            let ups = f.tick().iter().filter(|a| matches!(a, Action::SetRung { .. })).count();
+            front.advance(500 * MILLIS);
+            let ups = front.tick().iter().filter(|a| matches!(a, Action::SetRung { .. })).count();
             most = most.max(ups);
             ups
         })
@@ -103,15 +106,15 @@
 fn many_fronts_together_relieve_a_full_link_by_about_the_excess() {
     let mut steps = 0;
     for seed in 0..200 {
-        let mut f = Front::seeded(Settings { front_count: 200, ..settings() }, seed);
-        f.hand_over(1, 0);
-        f.send(Event::FeedbackReceived {
+        let mut front = Front::seeded(Settings { front_count: 200, ..settings() }, seed);
+        front.adopt(1, 0);
+        front.send(Event::FeedbackReceived {
             session: SessionId(1),
             server: ServerId(0),
             feedback: Feedback::Rung(Rung(3)),
         });
-        f.note(0, Feedback::LinkUtilization(1.5));
-        steps += f.tick().iter().filter(|a| matches!(a, Action::SetRung { .. })).count();
+        front.feedback(0, Feedback::LinkUtilization(1.5));
+        steps += front.tick().iter().filter(|a| matches!(a, Action::SetRung { .. })).count();
     }
     // Each has 2,000 of 15,000 kB a second and takes its part of 5,500 too many, in steps of 1,000 kB.
     assert!((60..=195).contains(&steps), "{steps} of 200 fronts stepped");
@@ -119,19 +122,19 @@
 
 /// A front that has hardly a session of its own must neither think the fleet empty nor full.
 #[test]
-fn what_is_heard_weighs_more_than_a_sample_of_one_in_many() {
+fn reports_weigh_more_than_own_sessions_of_one_front_in_many() {
     let sent = |heard: f64| {
-        let mut f = large(250);
+        let mut front = large_service(250);
         for id in 0..SESSIONS {
-            f.ended(1_000_000 + id, id as u32 % SERVERS, Outcome::Ok, true);
+            front.ended(1_000_000 + id, id as u32 % SERVERS, Outcome::Ok, true);
         }
         for server in 0..60 {
-            f.note(server, Feedback::LinkUtilization(heard));
-            f.note(server, Feedback::UplinkUtilization(heard));
+            front.feedback(server, Feedback::LinkUtilization(heard));
+            front.feedback(server, Feedback::UplinkUtilization(heard));
         }
-        f.tick();
-        let event = everywhere(1, f.now);
-        set_up(&f.send(event)).is_some()
+        front.tick();
+        let event = request_held_everywhere(1, front.now);
+        set_up(&front.send(event)).is_some()
     };
     assert!(sent(0.3), "there is room");
     assert!(!sent(1.2), "all that is heard of is full");
@@ -139,7 +142,7 @@
 
 /// Odd but possible input at this size: nothing crashes, and each request gets a set-up or one answer at once.
 #[test]
-fn odd_lists_reports_and_fronts_are_taken_as_they_come() {
+fn unusual_lists_reports_and_front_counts_are_handled() {
     for fronts in [0, 1, 250] {
         let set = Settings { cells: 40, racks: 30, front_count: fronts, ..settings() };
         // Out of order, with gaps, and every third server named twice, the second time as gone.
@@ -150,24 +153,27 @@
                 list.push(Endpoint { cell: CellId((n % 40) as u16), ..entry(n, EndpointState::Removed, 0) });
             }
         }
-        let mut f = Front::with_list(set, list);
-        f.wait(20 * S);
-        f.note(5, Feedback::LinkUtilization(0.9));
-        f.note(100_000, Feedback::UplinkUtilization(9e9));
+        let mut front = Front::with_list(set, list);
+        front.advance(20 * SECONDS);
+        front.feedback(5, Feedback::LinkUtilization(0.9));
+        front.feedback(100_000, Feedback::UplinkUtilization(9e9));
         for (id, holders, home) in [(1, 40, 7), (2, 0, 7), (3, 4_000_000, 3), (4, 3, u32::MAX)] {
-            let now = f.now;
-            let actions =
-                f.send(Event::Request(Request { cell_count: holders, first_cell: home, ..request(id, now) }));
+            let now = front.now;
+            let actions = front.send(Event::Request(Request {
+                cell_count: holders,
+                first_cell: home,
+                ..request(id, now)
+            }));
             let answers =
                 actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))).count();
             assert_eq!(set_ups(&actions) + answers, 1, "holders {holders}, fronts {fronts}: {actions:?}");
             assert!(holders > 0 || answers == 1, "no server holds the title");
             if let Some((server, _)) = set_up(&actions) {
                 assert!(server % 5 != 0 && server % 3 != 0, "server {server} is not there");
-                let again = f.ended(id, server, Outcome::Reset, false);
+                let again = front.ended(id, server, Outcome::Reset, false);
                 assert_ne!(set_up(&again).map(|s| s.0), Some(server));
             }
         }
-        f.tick();
+        front.tick();
     }
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_module_keeps_its_size_and_width() {
+fn the_policy_keeps_its_size_and_width() {
     let texts: Vec<String> = policy().iter().map(|f| text(f)).collect();
     let lines: usize = texts.iter().map(|t| t.lines().filter(|l| !l.trim().is_empty()).count()).sum();
     assert!((300..=830).contains(&lines), "{lines} lines");
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn each_file_of_the_module_is_named() {
+fn each_file_of_the_policy_is_listed() {
     let named: BTreeSet<PathBuf> = policy().into_iter().collect();
     let folder = std::fs::read_dir(root().join("src/policy")).expect("the module's folder");
     let there: BTreeSet<PathBuf> = folder.map(|f| f.expect("an entry").path()).collect();
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_module_names_its_api_file_first() {
+fn the_policy_names_its_api_file_first() {
     let first = text(&policy()[0]);
     assert!(first.lines().take(5).any(|l| l.contains("src/api.rs")));
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,11 +1,15 @@
 //! A small driver for the module's tests: settings, servers, and a front that only records.
 #![allow(dead_code)]
 
-use beechloft::api::*;
+use beechloft::api::{
+    Action, Attempt, BitrateLadder, Capabilities, CellId, Class, Discovery, Endpoint, EndpointState, Event,
+    Feedback, Idempotency, LoadReport, LoadReporting, Micros, Outcome, Request, Rung, ServerId, ServerType,
+    SessionId, Settings, SlowStart, TimerToken, TitleId, UpdateKind, WeightMeaning, ZoneId,
+};
 use beechloft::policy::Policy;
 
-pub const MS: u64 = 1_000;
-pub const S: u64 = 1_000_000;
+pub const MILLIS: u64 = 1_000;
+pub const SECONDS: u64 = 1_000_000;
 
 pub fn settings() -> Settings {
     Settings {
@@ -23,7 +27,7 @@
         link_kb_per_weight: Some(10_000.0),
         mean_uplink_kb: Some(18_000.0),
         admission_limit: Some(1.2),
-        feedback_delay: Micros(S),
+        feedback_delay: Micros(SECONDS),
         front_count: 2,
         slot: 0,
         zone: ZoneId(0),
@@ -34,14 +38,14 @@
             max_attempts: 4,
             health_checks: false,
             cancel: true,
-            max_retry_after: Some(Micros(500 * MS)),
+            max_retry_after: Some(Micros(500 * MILLIS)),
         },
         retry_budget: None,
         slow_start: SlowStart {
-            warm_up: Micros(12 * S),
+            warm_up: Micros(12 * SECONDS),
             initial_fraction: 0.4,
             overload_factor: 2.5,
-            overload_window: Micros(2 * S),
+            overload_window: Micros(2 * SECONDS),
         },
         health_check_price: 0.01,
         migration_price: 0.1,
@@ -51,8 +55,8 @@
 
 pub fn class(effect: Idempotency) -> Class {
     Class {
-        latency_objective: Micros(800 * MS),
-        deadline: Micros(4 * S),
+        latency_objective: Micros(800 * MILLIS),
+        deadline: Micros(4 * SECONDS),
         idempotency: effect,
         utility: 1.0,
         rate_scale: 1.0,
@@ -82,7 +86,7 @@
         title: TitleId(7),
         cell_count: 4,
         max_rung: Rung(3),
-        deadline: Micros(now + 4 * S),
+        deadline: Micros(now + 4 * SECONDS),
         ..Request::default()
     }
 }
@@ -95,14 +99,14 @@
 impl Front {
     /// A front in service: four servers listed and known to be up.
     pub fn new(settings: Settings) -> Self {
-        let mut front = Front::started_anew(settings);
-        front.hand_over(1_000_000, 0);
+        let mut front = Front::restarted(settings);
+        front.adopt(1_000_000, 0);
         front.ended(1_000_000, 0, Outcome::Ok, true);
         front
     }
 
     /// A front that has just started and knows nothing but its cached list of four servers.
-    pub fn started_anew(settings: Settings) -> Self {
+    pub fn restarted(settings: Settings) -> Self {
         Front::seeded(settings, 1)
     }
 
@@ -118,13 +122,13 @@
     }
 
     fn from_start(policy: Policy, list: Vec<Endpoint>) -> Self {
-        let mut front = Front { policy, now: 100 * S };
+        let mut front = Front { policy, now: 100 * SECONDS };
         front.send(Event::EndpointsUpdated { kind: UpdateKind::Cached, endpoints: list });
         front
     }
 
     /// Hands over a session that plays already.
-    pub fn hand_over(&mut self, id: u64, server: u32) {
+    pub fn adopt(&mut self, id: u64, server: u32) {
         let req = Request { deadline: Micros(0), ..request(id, 0) };
         self.send(Event::SessionAdopted { request: req, server: ServerId(server) });
     }
@@ -135,14 +139,14 @@
         out
     }
 
-    pub fn ask(&mut self, id: u64) -> Vec<Action> {
+    pub fn request(&mut self, id: u64) -> Vec<Action> {
         let req = request(id, self.now);
         self.send(Event::Request(req))
     }
 
     pub fn started(&mut self, id: u64, server: u32) -> Vec<Action> {
         let (session, server) = (SessionId(id), ServerId(server));
-        self.send(Event::Started { session, attempt: Attempt(0), server, elapsed: Micros(80 * MS) })
+        self.send(Event::Started { session, attempt: Attempt(0), server, elapsed: Micros(80 * MILLIS) })
     }
 
     pub fn ended(&mut self, id: u64, server: u32, outcome: Outcome, closed: bool) -> Vec<Action> {
@@ -152,19 +156,19 @@
             server: ServerId(server),
             outcome,
             is_final: closed,
-            elapsed: Micros(10 * MS),
+            elapsed: Micros(10 * MILLIS),
             report: LoadReport::default(),
         })
     }
 
-    pub fn list(&mut self, n: u32, state: EndpointState, started: u64) -> Vec<Action> {
+    pub fn update_endpoint(&mut self, n: u32, state: EndpointState, started: u64) -> Vec<Action> {
         self.send(Event::EndpointsUpdated {
             kind: UpdateKind::Delta,
             endpoints: vec![entry(n, state, started)],
         })
     }
 
-    pub fn note(&mut self, server: u32, note: Feedback) {
+    pub fn feedback(&mut self, server: u32, note: Feedback) {
         self.send(Event::FeedbackReceived {
             session: SessionId(0),
             server: ServerId(server),
@@ -172,7 +176,7 @@
         });
     }
 
-    pub fn wait(&mut self, us: u64) {
+    pub fn advance(&mut self, us: u64) {
         self.now += us;
     }
 
@@ -193,11 +197,11 @@
     actions.iter().filter(|a| matches!(a, Action::StartAttempt { .. })).count()
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail(..)))
 }
 
@@ -207,3 +211,11 @@
         _ => None,
     })
 }
+
+/// Plays a session at once and gives its server and rung.
+pub fn play(front: &mut Front, id: u64) -> Option<(u32, u8)> {
+    let actions = front.request(id);
+    let (server, _) = set_up(&actions)?;
+    front.started(id, server);
+    Some((server, rung(&actions).expect("a rung comes before the set-up")))
+}
--- a/tests/support/customers.rs
+++ b/tests/support/random_settings.rs
@@ -1,13 +1,16 @@
 //! Settings as any customer might have them, drawn by chance.
 
-use beechloft::api::*;
+use beechloft::api::{
+    BitrateLadder, Capabilities, Class, DedupScope, Discovery, Idempotency, LoadReporting, Micros,
+    RetryBudget, Rung, Settings, Tenant,
+};
 use proptest::prelude::*;
 
-use crate::support::{MS, class, settings};
+use crate::support::{MILLIS, class, settings};
 
 /// Settings of any customer: what the drawn settings change in the usual ones.
 #[derive(Debug, Clone)]
-pub struct Odd {
+pub struct RandomSettings {
     kind: u8,
     classes: usize,
     deadline_ms: u64,
@@ -20,7 +23,7 @@
     attempts: u32,
 }
 
-pub fn odd() -> impl Strategy<Value = Odd> {
+pub fn random_settings() -> impl Strategy<Value = RandomSettings> {
     let deadline = prop_oneof![2 => Just(4_000), 1 => Just(200), 1 => Just(20_000), 1 => 200..20_000u64];
     let window = prop_oneof![2 => Just(2_000), 2 => 0..400u64, 1 => 400..20_000u64];
     let budget = prop_oneof![1 => Just(None), 2 => (0.0..3.0f64, 0.0..0.5f64, 1..4_000u64).prop_map(Some)];
@@ -28,24 +31,26 @@
     let cells = prop_oneof![3 => Just(4), 1 => Just(1), 1 => 0..9u32];
     let rest = (seats, cells, any::<bool>(), 1..5u32);
     (0..4u8, 1..10usize, deadline, window, any::<bool>(), budget, rest).prop_map(
-        |(kind, classes, deadline_ms, window_ms, zones, budget, (seats, cells, ask, attempts))| Odd {
-            kind,
-            classes,
-            deadline_ms,
-            window_ms,
-            zones,
-            budget,
-            seats,
-            cells,
-            ask,
-            attempts,
+        |(kind, classes, deadline_ms, window_ms, zones, budget, (seats, cells, ask, attempts))| {
+            RandomSettings {
+                kind,
+                classes,
+                deadline_ms,
+                window_ms,
+                zones,
+                budget,
+                seats,
+                cells,
+                ask,
+                attempts,
+            }
         },
     )
 }
 
-pub fn settings_of(odd: &Odd) -> Settings {
-    let window = Micros(odd.window_ms * MS);
-    let deadline = Micros(odd.deadline_ms * MS);
+pub fn settings_from(random_settings: &RandomSettings) -> Settings {
+    let window = Micros(random_settings.window_ms * MILLIS);
+    let deadline = Micros(random_settings.deadline_ms * MILLIS);
     let one = |n: usize| {
         let effect = match n % 5 {
             0 => Idempotency::Idempotent,
@@ -56,24 +61,29 @@
         };
         let mut class = Class { deadline, latency_objective: Micros(deadline.0 / 5), ..class(effect) };
         if n % 3 == 1 {
-            (class.min_rung, class.max_rung, class.max_sessions_per_title) = (Rung(1), Rung(2), odd.seats);
+            (class.min_rung, class.max_rung, class.max_sessions_per_title) =
+                (Rung(1), Rung(2), random_settings.seats);
         }
         if n % 3 == 2 {
             class.shared_rate_fraction = 0.2;
         }
         class
     };
-    let mut s = Settings { classes: (0..odd.classes).map(one).collect(), cells: odd.cells, ..settings() };
-    s.retry_budget = odd.budget.map(|(free, share, ms)| RetryBudget {
+    let mut s = Settings {
+        classes: (0..random_settings.classes).map(one).collect(),
+        cells: random_settings.cells,
+        ..settings()
+    };
+    s.retry_budget = random_settings.budget.map(|(free, share, ms)| RetryBudget {
         min_retries: free,
         retry_ratio: share,
-        window: Micros(ms * MS),
+        window: Micros(ms * MILLIS),
     });
-    s.capabilities.max_attempts = odd.attempts;
-    if odd.ask {
+    s.capabilities.max_attempts = random_settings.attempts;
+    if random_settings.ask {
         s.discovery = Discovery::Subscribe;
     }
-    match odd.kind % 4 {
+    match random_settings.kind % 4 {
         0 => {}
         1 => {
             s.load_reporting = LoadReporting::InHealthChecks;
