--- a/crates/platform/event-loop/src/startup.rs
+++ b/crates/platform/event-loop/src/startup.rs
@@ -134,8 +134,8 @@
             .map(|class| class.deadline)
             .max()
             .unwrap_or_default(),
-        connect_timeout: parsed.connections.connect_within,
-        server_idle_timeout: parsed.connections.idle,
+        connect_timeout: parsed.connections.connect_timeout,
+        server_idle_timeout: parsed.connections.idle_timeout,
     });
     let node_limits = beechloft_front_node::NodeLimits {
         answer_margin: ANSWER_MARGIN,
--- a/crates/platform/front-node/src/directory.rs
+++ b/crates/platform/front-node/src/directory.rs
@@ -91,7 +91,7 @@
             },
             cell: api::CellId(e.cell),
             zone: api::ZoneId(at(&names.zones, &e.zone) as u16),
-            server_type: api::ServerType(at(&names.kinds, &e.kind) as u8),
+            server_type: api::ServerType(at(&names.server_types, &e.kind) as u8),
             started_at: Micros(e.started_ms.saturating_mul(1000)),
             weight: if e.weight.is_finite() { e.weight } else { 0.0 },
         };
--- a/crates/platform/front-node/src/node.rs
+++ b/crates/platform/front-node/src/node.rs
@@ -97,7 +97,7 @@
             choice: Policy::new(settings.clone(), seed),
             settings,
             names: parsed.names,
-            fields: parsed.fields,
+            fields: parsed.report_fields,
             bounds,
             now: Micros(0),
             directory: Directory::default(),
@@ -319,7 +319,7 @@
         let mut report = LoadReport::default();
         let Some(text) = text else { return report };
         for LoadValue { name, value } in beechloft_protocol::load::parse(text) {
-            let Some(at) = self.names.reported.iter().position(|n| n == name) else { continue };
+            let Some(at) = self.names.report_values.iter().position(|n| n == name) else { continue };
             match self.fields.get(at) {
                 Some(ReportField::Streams) => report.streams = Some(value),
                 Some(ReportField::LinkUtilization) => report.link_utilization = Some(value),
--- a/crates/platform/settings/src/lib.rs
+++ b/crates/platform/settings/src/lib.rs
@@ -1,286 +1,203 @@
-//! The platform's settings, as JSON, turned into the module's settings and what a driver needs besides.
+//! The platform's settings, as JSON, turned into the policy's settings and what a driver needs besides.
 //! Unknown keys are skipped. The simulator's adapter and the front node read the same text.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::too_many_lines)]
 #![forbid(unsafe_code)]
 
-use beechloft::api;
-use serde::Deserialize;
+mod json;
 
-#[derive(Deserialize)]
-#[serde(default)]
-struct Caps {
-    cancel: bool,
-    conn_idle_us: u64,
-    dial_timeout_us: u64,
-    max_attempts: u32,
-    max_retry_after_us: u64,
-    probes: bool,
-    retry_after: bool,
-}
-
-impl Default for Caps {
-    fn default() -> Self {
-        Caps {
-            cancel: false,
-            conn_idle_us: 30_000_000,
-            dial_timeout_us: 250_000,
-            max_attempts: u32::MAX,
-            max_retry_after_us: 0,
-            probes: false,
-            retry_after: false,
-        }
-    }
-}
-
-#[derive(Deserialize)]
-struct Class {
-    #[serde(default)]
-    name: String,
-    aim_us: u64,
-    deadline_us: u64,
-    effect: String,
-    #[serde(default)]
-    group: String,
-    #[serde(default)]
-    window_us: u64,
-    #[serde(default = "one")]
-    points: f64,
-}
-
-fn one() -> f64 {
-    1.0
-}
-
-#[derive(Deserialize, Default)]
-#[serde(default)]
-struct FamilyInfo {
-    all_links_kb: Option<f64>,
-    change_costs_s: f64,
-    floor_by_class: Vec<u8>,
-    guard: f64,
-    is_live: Vec<bool>,
-    join_adds: Option<f64>,
-    kind_streams: Vec<f64>,
-    link_unit_kb: Option<f64>,
-    places: u32,
-    rack_link_kb: Option<f64>,
-    rates_kb: Vec<f64>,
-    scale_by_class: Vec<f64>,
-    seats: Vec<u32>,
-    see_us: u64,
-    shelves: u32,
-    top_by_class: Vec<u8>,
-    worth_by_rung: Vec<f64>,
-}
+use beechloft::api::{self, Micros, Rung};
 
-#[derive(Deserialize, Default)]
-#[serde(default)]
-struct Prices {
-    moves: f64,
-    probe: f64,
-}
-
-#[derive(Deserialize, Default)]
-#[serde(default)]
-struct ReportingInfo {
-    how: String,
-    names: Vec<String>,
-}
-
-#[derive(Deserialize, Default)]
-#[serde(default)]
-struct Rules {
-    budget_free: Option<f64>,
-    extra_per_request: Option<f64>,
-    resend_span_us: Option<u64>,
-    cold_from: f64,
-    cold_us: u64,
-    fall_multiple: f64,
-    fall_us: u64,
-}
-
-#[derive(Deserialize)]
-struct Tenant {
-    quota_per_s: Option<f64>,
-}
-
-#[derive(Deserialize)]
-struct Setup {
-    #[serde(default)]
-    caps: Caps,
-    classes: Vec<Class>,
-    #[serde(default)]
-    discovery: String,
-    family_info: FamilyInfo,
-    #[serde(default = "unit")]
-    group_size: u32,
-    #[serde(default)]
-    kinds: Vec<String>,
-    #[serde(default)]
-    locality: u16,
-    #[serde(default)]
-    my_number: u32,
-    #[serde(default = "one")]
-    over_share_worth: f64,
-    #[serde(default)]
-    prices: Prices,
-    #[serde(default)]
-    reporting: ReportingInfo,
-    #[serde(default)]
-    rules: Rules,
-    #[serde(default)]
-    tenants: Vec<Tenant>,
-    #[serde(default)]
-    weights: String,
-    #[serde(default)]
-    zones: Vec<String>,
-}
+use json::{CapabilitiesJson, ClassJson, RulesJson, SettingsJson, VideoJson};
 
-fn unit() -> u32 {
-    1
-}
-
-/// What the settings call things; each name's position is the module's number for it.
+/// What the settings call things; each name's position is the policy's number for it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Names {
     /// Classes of sessions.
     pub classes: Vec<String>,
     /// Zones of the network.
     pub zones: Vec<String>,
-    /// Kinds of servers.
-    pub kinds: Vec<String>,
+    /// Types of servers.
+    pub server_types: Vec<String>,
     /// Values of a load report.
-    pub reported: Vec<String>,
+    pub report_values: Vec<String>,
 }
 
 /// Time limits of connections to servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Connections {
-    /// A connection that is not up by then counts as failed.
-    pub connect_within: api::Micros,
+    /// A connection that is not established by then counts as failed.
+    pub connect_timeout: Micros,
     /// A connection idle for so long is closed.
-    pub idle: api::Micros,
+    pub idle_timeout: Micros,
 }
 
 /// The settings, and what the values of a load report mean, in order.
 pub struct Parsed {
-    /// What the module is told.
+    /// The policy's settings.
     pub settings: api::Settings,
     /// Meaning of each value of a load report.
-    pub fields: Vec<api::ReportField>,
-    /// Names, for a driver that is told names.
+    pub report_fields: Vec<api::ReportField>,
+    /// Names, for a driver whose peers use names.
     pub names: Names,
     /// Limits of connections, for a driver that has some.
     pub connections: Connections,
 }
 
 /// Parses the settings text.
+///
+/// # Errors
+///
+/// When the text is not JSON, lacks a required key or has a value of another type.
 pub fn parse(text: &[u8]) -> Result<Parsed, serde_json::Error> {
-    let s: Setup = serde_json::from_slice(text)?;
-    let f = &s.family_info;
-    let steps = f.rates_kb.len().max(1) as u8;
-    let classes = s
-        .classes
-        .iter()
-        .enumerate()
-        .map(|(i, c)| api::Class {
-            latency_objective: api::Micros(c.aim_us),
-            deadline: api::Micros(c.deadline_us),
-            idempotency: match c.effect.as_str() {
-                "repeatable" => api::Idempotency::Idempotent,
-                "by_key" => api::Idempotency::Deduplicated {
-                    scope: match c.group.as_str() {
-                        "all" => api::DedupScope::All,
-                        "zone" | "same zone" => api::DedupScope::Zone,
-                        _ => api::DedupScope::Cell,
-                    },
-                    window: api::Micros(c.window_us),
-                },
-                _ => api::Idempotency::AtMostOnce,
-            },
-            utility: c.points,
-            rate_scale: f.scale_by_class.get(i).copied().unwrap_or(1.0),
-            min_rung: api::Rung(f.floor_by_class.get(i).copied().unwrap_or(0)),
-            max_rung: api::Rung(f.top_by_class.get(i).copied().unwrap_or(steps - 1).min(steps - 1)),
-            max_sessions_per_title: f.seats.get(i).copied().filter(|n| *n > 0),
-            shared_rate_fraction: match (f.is_live.get(i), f.join_adds) {
-                (Some(true), Some(j)) => j,
-                _ => 1.0,
-            },
-        })
-        .collect();
-    let fields = s.reporting.names.iter().map(|n| match n.as_str() {
-        "outstanding" => api::ReportField::Streams,
-        "utilization" | "x0" => api::ReportField::LinkUtilization,
-        "x1" => api::ReportField::UplinkUtilization,
-        _ => api::ReportField::Other,
-    });
-    let budget = match (s.rules.extra_per_request, s.rules.resend_span_us) {
-        (Some(share), Some(span)) => Some(api::RetryBudget {
-            min_retries: s.rules.budget_free.unwrap_or(0.0),
-            retry_ratio: share,
-            window: api::Micros(span),
-        }),
-        _ => None,
-    };
-    let settings = api::Settings {
-        classes,
-        tenants: s.tenants.iter().map(|t| api::Tenant { quota_per_s: t.quota_per_s }).collect(),
-        max_streams_by_type: f.kind_streams.iter().map(|n| *n as u32).collect(),
-        ladder: api::BitrateLadder {
-            rates_kb: f.rates_kb.clone(),
-            utility: f.worth_by_rung.clone(),
-            switch_cost_s: f.change_costs_s,
-        },
-        cells: f.places,
-        racks: f.shelves,
-        total_link_kb: f.all_links_kb,
-        link_kb_per_weight: f.link_unit_kb,
-        mean_uplink_kb: f.rack_link_kb.filter(|k| *k > 0.0),
-        admission_limit: Some(f.guard).filter(|g| *g > 0.0),
-        feedback_delay: api::Micros(f.see_us),
-        front_count: s.group_size,
-        slot: s.my_number,
-        zone: api::ZoneId(s.locality),
-        load_reporting: match s.reporting.how.as_str() {
-            "piggyback" => api::LoadReporting::InResponses,
-            "pull" => api::LoadReporting::InHealthChecks,
-            _ => api::LoadReporting::Disabled,
-        },
-        weight_meaning: match s.weights.as_str() {
-            "nominal" | "rough" => api::WeightMeaning::Capacity,
-            "live" => api::WeightMeaning::LoadAdjusted,
-            _ => api::WeightMeaning::Unset,
-        },
-        discovery: if s.discovery == "ask" { api::Discovery::Subscribe } else { api::Discovery::Push },
-        capabilities: api::Capabilities {
-            max_attempts: s.caps.max_attempts,
-            health_checks: s.caps.probes,
-            cancel: s.caps.cancel,
-            max_retry_after: s.caps.retry_after.then_some(api::Micros(s.caps.max_retry_after_us)),
-        },
-        retry_budget: budget,
-        slow_start: api::SlowStart {
-            warm_up: api::Micros(s.rules.cold_us),
-            initial_fraction: s.rules.cold_from,
-            overload_factor: s.rules.fall_multiple,
-            overload_window: api::Micros(s.rules.fall_us),
-        },
-        health_check_price: s.prices.probe,
-        migration_price: s.prices.moves,
-        over_quota_utility: s.over_share_worth,
-    };
-    let fields = fields.collect();
+    let json: SettingsJson = serde_json::from_slice(text)?;
+    let settings = settings(&json);
+    let report_fields = json.reporting.names.iter().map(|name| report_field(name)).collect();
     let connections = Connections {
-        connect_within: api::Micros(s.caps.dial_timeout_us),
-        idle: api::Micros(s.caps.conn_idle_us),
+        connect_timeout: Micros(json.capabilities.connect_timeout_us),
+        idle_timeout: Micros(json.capabilities.idle_timeout_us),
     };
     let names = Names {
-        classes: s.classes.into_iter().map(|c| c.name).collect(),
-        zones: s.zones,
-        kinds: s.kinds,
-        reported: s.reporting.names,
+        classes: json.classes.into_iter().map(|class| class.name).collect(),
+        zones: json.zones,
+        server_types: json.server_types,
+        report_values: json.reporting.names,
     };
-    Ok(Parsed { settings, fields, names, connections })
+    Ok(Parsed { settings, report_fields, names, connections })
+}
+
+fn settings(json: &SettingsJson) -> api::Settings {
+    let video = &json.video;
+    let classes = json.classes.iter().enumerate();
+    api::Settings {
+        classes: classes.map(|(index, class)| session_class(class, index, video)).collect(),
+        tenants: json.tenants.iter().map(|t| api::Tenant { quota_per_s: t.quota_per_s }).collect(),
+        max_streams_by_type: video.max_streams_by_type.iter().map(|count| whole(*count)).collect(),
+        ladder: api::BitrateLadder {
+            rates_kb: video.rates_kb.clone(),
+            utility: video.utility_by_rung.clone(),
+            switch_cost_s: video.switch_cost_s,
+        },
+        cells: video.cells,
+        racks: video.racks,
+        total_link_kb: video.total_link_kb,
+        link_kb_per_weight: video.link_kb_per_weight,
+        mean_uplink_kb: video.mean_uplink_kb.filter(|capacity| *capacity > 0.0),
+        admission_limit: Some(video.admission_limit).filter(|limit| *limit > 0.0),
+        feedback_delay: Micros(video.feedback_delay_us),
+        front_count: json.front_count,
+        slot: json.slot,
+        zone: api::ZoneId(json.zone),
+        load_reporting: load_reporting(&json.reporting.channel),
+        weight_meaning: weight_meaning(&json.weights),
+        discovery: discovery(&json.discovery),
+        capabilities: capabilities(&json.capabilities),
+        retry_budget: retry_budget(&json.rules),
+        slow_start: slow_start(&json.rules),
+        health_check_price: json.prices.health_check,
+        migration_price: json.prices.migration,
+        over_quota_utility: json.over_quota_utility,
+    }
+}
+
+fn session_class(class: &ClassJson, index: usize, video: &VideoJson) -> api::Class {
+    let highest = highest_rung(video);
+    let max_rung = video.max_rung_by_class.get(index).copied().unwrap_or(highest);
+    let is_live = video.is_live.get(index) == Some(&true);
+    api::Class {
+        latency_objective: Micros(class.latency_objective_us),
+        deadline: Micros(class.deadline_us),
+        idempotency: idempotency(class),
+        utility: class.utility,
+        rate_scale: video.rate_scale_by_class.get(index).copied().unwrap_or(1.0),
+        min_rung: Rung(video.min_rung_by_class.get(index).copied().unwrap_or(0)),
+        max_rung: Rung(max_rung.min(highest)),
+        max_sessions_per_title: video.max_sessions_by_class.get(index).copied().filter(|max| *max > 0),
+        shared_rate_fraction: video.shared_rate_fraction.filter(|_| is_live).unwrap_or(1.0),
+    }
+}
+
+fn idempotency(class: &ClassJson) -> api::Idempotency {
+    let scope = match class.scope.as_str() {
+        "all" => api::DedupScope::All,
+        "zone" | "same zone" => api::DedupScope::Zone,
+        _ => api::DedupScope::Cell,
+    };
+    match class.idempotency.as_str() {
+        "repeatable" => api::Idempotency::Idempotent,
+        "by_key" => api::Idempotency::Deduplicated { scope, window: Micros(class.window_us) },
+        _ => api::Idempotency::AtMostOnce,
+    }
+}
+
+/// The ladder's highest rung.
+#[expect(
+    clippy::cast_possible_truncation,
+    reason = "a ladder has a few rungs; the platform's rungs are bytes"
+)]
+fn highest_rung(video: &VideoJson) -> u8 {
+    video.rates_kb.len().max(1) as u8 - 1
+}
+
+/// A count that comes as a float.
+#[expect(clippy::cast_possible_truncation, reason = "rounded towards zero; casts from floats saturate")]
+fn whole(count: f64) -> u32 {
+    count as u32
+}
+
+fn report_field(name: &str) -> api::ReportField {
+    match name {
+        "outstanding" => api::ReportField::Streams,
+        "utilization" | "x0" => api::ReportField::LinkUtilization,
+        "x1" => api::ReportField::UplinkUtilization,
+        _ => api::ReportField::Other,
+    }
+}
+
+fn load_reporting(channel: &str) -> api::LoadReporting {
+    match channel {
+        "piggyback" => api::LoadReporting::InResponses,
+        "pull" => api::LoadReporting::InHealthChecks,
+        _ => api::LoadReporting::Disabled,
+    }
+}
+
+fn weight_meaning(weights: &str) -> api::WeightMeaning {
+    match weights {
+        "nominal" | "rough" => api::WeightMeaning::Capacity,
+        "live" => api::WeightMeaning::LoadAdjusted,
+        _ => api::WeightMeaning::Unset,
+    }
+}
+
+fn discovery(discovery: &str) -> api::Discovery {
+    match discovery {
+        "ask" => api::Discovery::Subscribe,
+        _ => api::Discovery::Push,
+    }
+}
+
+fn capabilities(json: &CapabilitiesJson) -> api::Capabilities {
+    api::Capabilities {
+        max_attempts: json.max_attempts,
+        health_checks: json.health_checks,
+        cancel: json.cancel,
+        max_retry_after: json.retry_after.then_some(Micros(json.max_retry_after_us)),
+    }
+}
+
+/// The retry budget, if both its ratio and its window are set.
+fn retry_budget(rules: &RulesJson) -> Option<api::RetryBudget> {
+    Some(api::RetryBudget {
+        min_retries: rules.min_retries.unwrap_or(0.0),
+        retry_ratio: rules.retry_ratio?,
+        window: Micros(rules.retry_window_us?),
+    })
+}
+
+fn slow_start(rules: &RulesJson) -> api::SlowStart {
+    api::SlowStart {
+        warm_up: Micros(rules.warm_up_us),
+        initial_fraction: rules.initial_fraction,
+        overload_factor: rules.overload_factor,
+        overload_window: Micros(rules.overload_window_us),
+    }
 }
--- a/crates/platform/settings/tests/parsing.rs
+++ b/crates/platform/settings/tests/parsing.rs
@@ -130,10 +130,10 @@
     assert_eq!(parsed.settings, expected);
     assert_eq!(parsed.names.classes, ["film", "match", "talk", "news", "", ""]);
     assert_eq!(parsed.names.zones, ["north", "south"]);
-    assert_eq!(parsed.names.kinds, ["small", "large"]);
-    assert_eq!(parsed.names.reported, ["outstanding", "utilization", "x0", "x1", "x2"]);
-    assert_eq!(parsed.connections.connect_within, api::Micros(32));
-    assert_eq!(parsed.connections.idle, api::Micros(31));
+    assert_eq!(parsed.names.server_types, ["small", "large"]);
+    assert_eq!(parsed.names.report_values, ["outstanding", "utilization", "x0", "x1", "x2"]);
+    assert_eq!(parsed.connections.connect_timeout, api::Micros(32));
+    assert_eq!(parsed.connections.idle_timeout, api::Micros(31));
     let fields = [
         api::ReportField::Streams,
         api::ReportField::LinkUtilization,
@@ -141,7 +141,7 @@
         api::ReportField::UplinkUtilization,
         api::ReportField::Other,
     ];
-    assert_eq!(parsed.fields, fields);
+    assert_eq!(parsed.report_fields, fields);
 }
 
 #[test]
@@ -155,9 +155,9 @@
         ..api::Settings::default()
     };
     assert_eq!(parsed.settings, expected);
-    assert_eq!(parsed.connections.connect_within, api::Micros(250_000));
-    assert_eq!(parsed.connections.idle, api::Micros(30_000_000));
-    assert!(parsed.fields.is_empty());
+    assert_eq!(parsed.connections.connect_timeout, api::Micros(250_000));
+    assert_eq!(parsed.connections.idle_timeout, api::Micros(30_000_000));
+    assert!(parsed.report_fields.is_empty());
 }
 
 #[test]
--- a/crates/platform/simhost/src/host.rs
+++ b/crates/platform/simhost/src/host.rs
@@ -59,7 +59,7 @@
                 Event::Born { prng, setup } => {
                     let parsed = setup::parse(&setup).map_err(|source| HostError::Setup { who, source })?;
                     let policy = Policy::new(parsed.settings, prng);
-                    self.instances.insert(who, Instance { policy, fields: parsed.fields });
+                    self.instances.insert(who, Instance { policy, fields: parsed.report_fields });
                 }
                 Event::Shutdown => {
                     self.instances.remove(&who);
