--- a/crates/platform/simhost/tests/codec.rs
+++ b/crates/platform/simhost/tests/codec.rs
@@ -1,6 +1,6 @@
 //! The codec against the examples of the wire's description, and against malformed input.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated, clippy::unwrap_used)]
+// Counts of a test are small.
+#![allow(clippy::cast_possible_truncation)]
 
 use beechloft_simhost::wire::{self, Action, Entry, Event, Visit, WireError};
 
@@ -9,9 +9,13 @@
     let mut out = Vec::new();
     for part in text.split_whitespace() {
         if let Some(n) = part.strip_prefix('+') {
-            out.resize(out.len() + n.parse::<usize>().unwrap(), 0);
+            out.resize(out.len() + n.parse::<usize>().expect("a count"), 0);
         } else {
-            out.extend((0..part.len()).step_by(2).map(|i| u8::from_str_radix(&part[i..i + 2], 16).unwrap()));
+            out.extend(
+                (0..part.len())
+                    .step_by(2)
+                    .map(|i| u8::from_str_radix(&part[i..i + 2], 16).expect("two hex digits")),
+            );
         }
     }
     out
@@ -29,7 +33,7 @@
 }
 
 fn event(body: &str, tail: &str) -> (u16, Event) {
-    wire::decode(&frame(1, body, tail)).unwrap().events.remove(0)
+    wire::decode(&frame(1, body, tail)).expect("a sound frame").events.remove(0)
 }
 
 const KNOCK: &str = "0400 0300 c4913a5df20d0600 00004040 107cf3d901648e2b 0000 00000000 640ad2557c3bf091 \
@@ -53,7 +57,7 @@
 
 #[test]
 fn an_empty_batch_and_its_reply() {
-    let batch = wire::decode(&bytes("5a5c800000000000 10000000 00000000")).unwrap();
+    let batch = wire::decode(&bytes("5a5c800000000000 10000000 00000000")).expect("a sound frame");
     assert_eq!((batch.now, batch.events.len()), (0x805c5a, 0));
     assert_eq!(wire::encode(&[]), bytes("08000000 00000000"));
 }
@@ -63,7 +67,7 @@
     let body = format!("{KNOCK} 0300 0300 4d00000000000000 +52 0700 0500 192b6f0e527f0700 +52");
     let input = frame(3, &body, "");
     assert_eq!(input[8..16], bytes("d0000000 03000000"));
-    let batch = wire::decode(&input).unwrap();
+    let batch = wire::decode(&input).expect("a sound frame");
     let knock = Event::Knock { visit: visit(0x60df25d3a91c4) };
     let withdrawn = Event::Withdrawn { txn: 0x77f520e6f2b19 };
     assert_eq!(batch.events, [(3, knock), (3, Event::Timer { cookie: 77 }), (5, withdrawn)]);
@@ -99,8 +103,8 @@
 
     let pressure = vec![f32::from_le_bytes([0x52, 0xb8, 0x1e, 0x3f]), 1.25];
     let checked = event("0d00 0300 f211902c 00 78050000 02 52b81e3f 0000a03f 00000000 00000000 +34", "");
-    let want = Event::Checked { server: 0x2c9011f2, reason: 0, pressure: pressure.clone() };
-    assert_eq!(checked, (3, want));
+    let checked_event = Event::Checked { server: 0x2c9011f2, reason: 0, pressure: pressure.clone() };
+    assert_eq!(checked, (3, checked_event));
 
     let outcome = event(
         "0600 0300 c4913a5df20d0600 074a1203 00 0000 01 44480000 02 52b81e3f 0000a03f 00000000 00000000 +23",
@@ -117,6 +121,8 @@
     };
     assert_eq!(outcome, (3, want));
 
+    let born = event("0b00 0300 0700000000000000 00000000 02000000 +44", "7b7d");
+    assert_eq!(born, (3, Event::Born { prng: 7, setup: b"{}".to_vec() }));
     assert_eq!(event("0c00 0300 +60", ""), (3, Event::Shutdown));
     let heard = event("0a00 0300 02000000 00000000 04000000 +48", "68692037");
     assert_eq!(heard, (3, Event::Heard { src: 2, payload: b"hi 7".to_vec() }));
@@ -127,7 +133,7 @@
     let body = "0800 0000 00000000 02000000 +52 0900 0300 02 2900000000000000 0000 +49";
     let tail = "02 0000 0000000000000000 00 0000 074a1203 0000803f
                 02 0000 20145d0000000000 00 0100 f211902c 0000c03f";
-    let batch = wire::decode(&frame(2, body, tail)).unwrap();
+    let batch = wire::decode(&frame(2, body, tail)).expect("a sound frame");
     let entry = |up_since_us, site, server, size| Entry {
         status: 2,
         place: 0,
--- a/crates/platform/simhost/tests/host.rs
+++ b/crates/platform/simhost/tests/host.rs
@@ -1,6 +1,4 @@
 //! Hosting: lists resolved in order, killed instances forgotten, instances kept apart.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::shadow_unrelated)]
 
 use beechloft_simhost::host::Host;
 use beechloft_simhost::wire::{Action, Batch, Entry, Event, Visit};
@@ -49,6 +47,10 @@
     }
 }
 
+fn handle(host: &mut Host, now: u64, events: Vec<(u16, Event)>) -> Vec<(u16, Action)> {
+    host.handle(Batch { now, events }).expect("a batch that can be handled")
+}
+
 fn relays(reply: &[(u16, Action)]) -> Vec<(u16, u64, u32)> {
     let relay = |(who, a): &(u16, Action)| match a {
         Action::Relay { txn, server, .. } => Some((*who, *txn, *server)),
@@ -60,22 +62,27 @@
 #[test]
 fn a_list_number_taken_over_within_a_batch_is_resolved_in_order() {
     let mut host = Host::default();
-    let events = vec![(0, table(1)), (3, born()), (3, list(2)), (0, table(2)), (4, born()), (4, list(2))];
-    host.handle(Batch { now: 50_000_000, events }).unwrap();
-    let events = vec![(3, knock(10)), (4, knock(11))];
-    let reply = host.handle(Batch { now: 50_010_000, events }).unwrap();
+    handle(
+        &mut host,
+        50_000_000,
+        vec![(0, table(1)), (3, born()), (3, list(2)), (0, table(2)), (4, born()), (4, list(2))],
+    );
+    let reply = handle(&mut host, 50_010_000, vec![(3, knock(10)), (4, knock(11))]);
     assert_eq!(relays(&reply), [(3, 10, 1), (4, 11, 2)]);
 }
 
 #[test]
 fn an_instance_killed_and_born_in_one_batch_knows_nothing_of_before() {
     let mut host = Host::default();
-    let events = vec![(0, table(1)), (3, born()), (3, list(2)), (3, knock(10))];
-    let reply = host.handle(Batch { now: 50_000_000, events }).unwrap();
-    assert_eq!(relays(&reply).len(), 1);
-    let events = vec![(3, Event::Shutdown), (0, table(2)), (3, born()), (3, list(2)), (3, knock(20))];
-    let reply = host.handle(Batch { now: 50_010_000, events }).unwrap();
-    assert_eq!(relays(&reply), [(3, 20, 2)], "only the new list counts");
+    let before =
+        handle(&mut host, 50_000_000, vec![(0, table(1)), (3, born()), (3, list(2)), (3, knock(10))]);
+    assert_eq!(relays(&before).len(), 1);
+    let after = handle(
+        &mut host,
+        50_010_000,
+        vec![(3, Event::Shutdown), (0, table(2)), (3, born()), (3, list(2)), (3, knock(20))],
+    );
+    assert_eq!(relays(&after), [(3, 20, 2)], "only the new list counts");
     let late = Event::Outcome {
         txn: 10,
         server: 1,
@@ -85,14 +92,14 @@
         spent_us: 5,
         pressure: vec![],
     };
-    let reply = host.handle(Batch { now: 50_020_000, events: vec![(3, late)] }).unwrap();
+    let reply = handle(&mut host, 50_020_000, vec![(3, late)]);
     assert!(reply.is_empty(), "a request of the killed instance is nobody's: {reply:?}");
 }
 
 #[test]
 fn events_for_an_instance_that_is_gone_are_ignored() {
     let mut host = Host::default();
-    let reply = host.handle(Batch { now: 1, events: vec![(7, knock(1)), (7, Event::Shutdown)] }).unwrap();
+    let reply = handle(&mut host, 1, vec![(7, knock(1)), (7, Event::Shutdown)]);
     assert!(reply.is_empty());
 }
 
@@ -103,6 +110,6 @@
     let mut events = vec![(0, table(1)), (3, born()), (3, list(2))];
     events.extend([f32::NAN, f32::INFINITY, -1.0].map(note));
     events.push((3, knock(10)));
-    let reply = host.handle(Batch { now: 50_000_000, events }).unwrap();
+    let reply = handle(&mut host, 50_000_000, events);
     assert_eq!(relays(&reply), [(3, 10, 1)]);
 }
