--- a/crates/fleet/coordinator/src/topics/follower.rs
+++ b/crates/fleet/coordinator/src/topics/follower.rs
@@ -8,7 +8,8 @@
 
 use beechloft_leases::Name;
 use beechloft_topic::{
-    Distrust, Key, Message, Offset, Subscriber, SubscriberInput, SubscriberOutput, SubscriberSettings, Told,
+    Key, Message, Offset, ProtocolViolation, Subscriber, SubscriberInput, SubscriberOutput,
+    SubscriberSettings, Told,
 };
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use tracing::{info, warn};
@@ -34,7 +35,7 @@
     /// It is not known to be complete any more, until it is caught up again.
     Behind,
     /// A keeper said what can't be; nothing of it was taken, and another keeper is asked.
-    ProtocolViolation(Distrust),
+    ProtocolViolation(ProtocolViolation),
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -201,7 +202,7 @@
                 FollowerEvent::CaughtUp(offset)
             }
             SubscriberOutput::Behind => FollowerEvent::Behind,
-            SubscriberOutput::Distrusted(why) => {
+            SubscriberOutput::ProtocolViolation(why) => {
                 warn!(topic = %self.topic, "a keeper's word can't be: {why}");
                 FollowerEvent::ProtocolViolation(why)
             }
--- a/crates/fleet/coordinator/src/wire/message.rs
+++ b/crates/fleet/coordinator/src/wire/message.rs
@@ -4,7 +4,7 @@
 use beechloft_leases::{self as leases, Name};
 use beechloft_placement as placement;
 use beechloft_quotas as quotas;
-use beechloft_topic::{Position, Told, TopicHeard, TopicRequest};
+use beechloft_topic::{Position, Told, TopicRequest, TopicResponse};
 use serde::{Deserialize, Serialize};
 
 use super::reports::{LeaseChange, LeaseInfo, MemberView, ReplicaStatus};
@@ -60,7 +60,7 @@
     /// A publisher's request.
     Publish(TopicRequest),
     /// The response to a [`Message::Publish`].
-    PublishResponse(TopicHeard),
+    PublishResponse(TopicResponse),
     /// Subscribes to a topic: the latest of each key, then each message. It replaces the connection's earlier subscription.
     Subscribe {
         /// The number of the subscription.
--- a/crates/fleet/coordinator/tests/wire_format.rs
+++ b/crates/fleet/coordinator/tests/wire_format.rs
@@ -14,8 +14,8 @@
 use beechloft_placement as placement;
 use beechloft_quotas as quotas;
 use beechloft_topic::{
-    Batch, Epoch, Offset, Position, PublisherId, Said, Session, Told, TopicAnswer, TopicAsk, TopicHeard,
-    TopicOp, TopicRequest,
+    Batch, Epoch, Offset, Position, PublisherId, Said, Session, Told, TopicAnswer, TopicOp, TopicRequest,
+    TopicRequestId, TopicResponse,
 };
 
 const FLEET: u64 = 0x0102_0304_0506_0708;
@@ -128,9 +128,9 @@
         topic: name("quotas"),
         op: TopicOp::Begin { epoch: Epoch(6) },
     };
-    let topic_heard = TopicHeard {
+    let topic_heard = TopicResponse {
         publisher: PublisherId(5),
-        ask: TopicAsk::Session(Epoch(6)),
+        ask: TopicRequestId::Session(Epoch(6)),
         answer: TopicAnswer::Began(Session(7)),
     };
     let position = Position { life: 1, next: Offset(2), base: Offset(3), seen: Offset(4) };
--- a/crates/fleet/replica/src/components/topics.rs
+++ b/crates/fleet/replica/src/components/topics.rs
@@ -5,8 +5,8 @@
 
 use beechloft_consensus::{Chunk, ChunkId, RequestError};
 use beechloft_topic::{
-    ChunkError, Fault, Layout, PublisherId, Retention, TopicAnswer, TopicAsk, TopicCommand, TopicHeard,
-    Topics,
+    ChunkError, Fault, Layout, PublisherId, Retention, TopicAnswer, TopicCommand, TopicRequestId,
+    TopicResponse, Topics,
 };
 
 use super::{ApplyContext, Component};
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum PendingTopicRequest {
     /// Waits for the answer to a publisher's request, by what identifies that answer.
-    Publish(ClientId, PublisherId, TopicAsk),
+    Publish(ClientId, PublisherId, TopicRequestId),
     /// No client: the replica proposed the command itself.
     Internal,
 }
@@ -134,7 +134,7 @@
         let answer = self.command(context, &command, out);
         if let (Some(PendingTopicRequest::Publish(client, publisher, ask)), Some(answer)) = (pending, answer)
         {
-            let response = TopicHeard { publisher, ask, answer };
+            let response = TopicResponse { publisher, ask, answer };
             out.push(ReplicaOutput::TopicResponse(client, response));
         }
     }
--- a/crates/fleet/replica/src/output.rs
+++ b/crates/fleet/replica/src/output.rs
@@ -2,7 +2,7 @@
 
 use beechloft_consensus::{LogPosition, Message, RequestError, RequestId};
 use beechloft_leases::{Event, Response, Table};
-use beechloft_topic::{PublisherId, TopicEvent, TopicHeard};
+use beechloft_topic::{PublisherId, TopicEvent, TopicResponse};
 
 use crate::input::ClientId;
 
@@ -22,7 +22,7 @@
     /// The subscription of a client ended, because this replica is no longer the leader and may be cut off.
     WatchEnded(ClientId),
     /// The response to a publisher.
-    TopicResponse(ClientId, TopicHeard),
+    TopicResponse(ClientId, TopicResponse),
     /// A publisher's request was rejected.
     TopicRequestRejected(ClientId, PublisherId, RequestError),
     /// A change of a topic.
--- a/crates/fleet/replica/tests/topics/world.rs
+++ b/crates/fleet/replica/tests/topics/world.rs
@@ -15,8 +15,8 @@
 use beechloft_topic::{
     Expect, Fault, Feed, Key, Offset, Outcome, Position, Publisher, PublisherId, PublisherInput,
     PublisherOutput, PublisherSettings, PublisherTicket, Record, Said, Subscriber, SubscriberInput,
-    SubscriberOutput, SubscriberSettings, Terms, Told, TopicCommand, TopicEvent, TopicHeard, TopicOp,
-    TopicRequest, Topics, Value,
+    SubscriberOutput, SubscriberSettings, Terms, Told, TopicCommand, TopicEvent, TopicOp, TopicRequest,
+    TopicResponse, Topics, Value,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -66,7 +66,7 @@
     KeeperTick(NodeId, u32),
     Restart(NodeId),
     Ask(NodeId, usize, TopicRequest),
-    Answer(usize, u64, Result<TopicHeard, Option<usize>>),
+    Answer(usize, u64, Result<TopicResponse, Option<usize>>),
     Subscribe(NodeId, usize, u64, Option<Position>, u64),
     Allow(NodeId, usize, u64, u64),
     Told(usize, Told),
@@ -402,7 +402,7 @@
         all.into_iter().for_each(|n| self.feed(id, n));
     }
 
-    fn answer(&mut self, client: ClientId, answer: Result<TopicHeard, Option<usize>>) {
+    fn answer(&mut self, client: ClientId, answer: Result<TopicResponse, Option<usize>>) {
         if self.chance(self.lost) {
             return;
         }
@@ -507,7 +507,7 @@
                 }
                 SubscriberOutput::CaughtUp(_) => self.caught_up += 1,
                 SubscriberOutput::Behind => self.subs[n].behind += 1,
-                SubscriberOutput::Distrusted(why) => self.breach(format!("{n} distrusts: {why}")),
+                SubscriberOutput::ProtocolViolation(why) => self.breach(format!("{n} distrusts: {why}")),
             }
         }
         self.check(n);
--- a/crates/fleet/topic/src/bits.rs
+++ b/crates/fleet/topic/src/bit_set/mod.rs
@@ -2,14 +2,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Bits, by place.
+/// BitSet, by place.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
-pub(crate) struct Bits {
+pub(crate) struct BitSet {
     words: Vec<u64>,
     len: u32,
 }
 
-impl Bits {
+impl BitSet {
     pub(crate) fn len(&self) -> usize {
         self.len as usize
     }
@@ -55,7 +55,7 @@
     }
 
     /// Whether there is a word for every bit and no bit behind the last one.
-    pub(crate) fn is_sound(&self) -> bool {
+    pub(crate) fn is_valid(&self) -> bool {
         let used = self.len() % 64;
         let words = self.words.len() == self.len().div_ceil(64);
         words && (used == 0 || self.words.last().is_none_or(|w| w >> used == 0))
@@ -63,27 +63,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn bits_are_found_where_they_were_set() {
-        let mut bits = Bits::default();
-        let set = |n: usize| n % 7 == 3 || n == 64 || n == 199;
-        (0..200).for_each(|n| bits.push(set(n)));
-        assert!(bits.is_sound() && bits.next(200).is_none() && !bits.get(200));
-        let mut found = Vec::new();
-        let mut at = 0;
-        while let Some(n) = bits.next(at) {
-            found.push(n);
-            at = n + 1;
-        }
-        assert_eq!(found, (0..200).filter(|n| set(*n)).collect::<Vec<_>>());
-        assert_eq!(bits.ones(), found.len());
-        assert!(bits.clear(64) && !bits.clear(64) && !bits.clear(900));
-        assert_eq!((bits.next(60), bits.ones()), (Some(66), found.len() - 1));
-        assert!(
-            !Bits { words: vec![1 << 9], len: 9 }.is_sound() && !Bits { words: vec![], len: 1 }.is_sound()
-        );
-    }
-}
+mod tests;
--- a/crates/fleet/topic/src/chunks.rs
+++ b/crates/fleet/topic/src/chunks.rs
@@ -10,14 +10,14 @@
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 
-use crate::bits::Bits;
+use crate::bit_set::BitSet;
+use crate::fault_injection::Fault;
 use crate::log::{Layout, Log, Slot};
 use crate::message::Message;
-use crate::planted::Fault;
+use crate::messages::{MAX_BYTES, Offset};
 use crate::segment::Segment;
 use crate::topic::{Parts, Topic};
 use crate::topics::Topics;
-use crate::words::{MOST_BYTES, Offset};
 
 /// A chunk's name: SHA-256 of its bytes, and how many they are.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -83,7 +83,7 @@
 /// The version that is written.
 const VERSION: u16 = 1;
 /// Bytes of a segment that is read, at most: one record beyond a segment's bound, with room for other bounds.
-const MOST_SEGMENT: u32 = 16 << 20;
+const MAX_SEGMENT_BYTES: u32 = 16 << 20;
 
 #[derive(Debug, Serialize, Deserialize)]
 struct First {
@@ -96,7 +96,7 @@
     parts: Parts,
     head: Offset,
     /// The segments, and which of their records are live; the last is the one that is written.
-    segments: Vec<(ChunkName, Bits)>,
+    segments: Vec<(ChunkName, BitSet)>,
 }
 
 impl Topics {
@@ -149,7 +149,7 @@
 }
 
 /// A planted fault: what is live is told from the order of all records that are there.
-fn forget_live(topic: &Topic, segments: &mut [(ChunkName, Bits)]) {
+fn forget_live(topic: &Topic, segments: &mut [(ChunkName, BitSet)]) {
     let mut last = BTreeMap::new();
     for message in topic.log.walk(Offset(0), true) {
         last.insert(message.key().to_vec(), message);
@@ -160,7 +160,7 @@
     };
     let mut all = topic.log.walk(Offset(0), true);
     for (_, bits) in segments {
-        let mut fresh = Bits::default();
+        let mut fresh = BitSet::default();
         (0..bits.len()).for_each(|_| fresh.push(all.next().is_some_and(|m| live(&m))));
         *bits = fresh;
     }
@@ -178,17 +178,17 @@
     let mut bytes = 0;
     for (expected, live) in written.segments {
         let (n, chunk) = rest.next().ok_or(ChunkError::Missing(chunks))?;
-        if expected.length > MOST_SEGMENT || expected != ChunkName::of(chunk) {
+        if expected.length > MAX_SEGMENT_BYTES || expected != ChunkName::of(chunk) {
             return Err(ChunkError::Other(n));
         }
         bytes += u64::from(expected.length);
         let segment = Segment::read(chunk.clone()).ok_or(ChunkError::Segment(n))?;
-        if !live.is_sound() || live.len() != segment.len() {
+        if !live.is_valid() || live.len() != segment.len() {
             return Err(wrong("a segment's records are not as many as are told of"));
         }
         read.push((segment, live));
     }
-    if bytes > 4 * MOST_BYTES {
+    if bytes > 4 * MAX_BYTES {
         return Err(wrong("its segments have too many bytes"));
     }
     let active = read.pop().ok_or_else(|| wrong("it has no segment"))?;
--- a/crates/fleet/topic/src/cleaner.rs
+++ b/crates/fleet/topic/src/cleaner.rs
@@ -4,12 +4,12 @@
 
 use std::sync::Arc;
 
-use crate::bits::Bits;
+use crate::bit_set::BitSet;
 use crate::log::{Log, Slot};
 use crate::segment::{Builder, Segment};
 
 /// Segments of a run at most.
-const MOST_RUN: usize = 16;
+const MAX_RUN: usize = 16;
 /// Segments without garbage are put together when so many fit into one: each record is copied seldom for that.
 const MANY: usize = 4;
 /// What a look at a record costs, in bytes copied.
@@ -90,7 +90,7 @@
     fn run(&self, from: usize, cleanable: usize) -> usize {
         let garbage = |size: usize, live: usize| (size - live) * 100 >= size * self.layout.garbage_percent;
         let (mut live, mut size, mut records, mut length) = (0, 0, 0, 0);
-        for slot in self.sealed.iter().take(cleanable).skip(from).take(MOST_RUN) {
+        for slot in self.sealed.iter().take(cleanable).skip(from).take(MAX_RUN) {
             let more = (live + slot.live_bytes, records + slot.live_records);
             if length > 0 && (more.0 > self.layout.segment_bytes || more.1 > self.layout.segment_records) {
                 break;
@@ -145,7 +145,7 @@
     /// Puts the copy in place. What was overtaken since it was copied is so in the copy too: the bits of the old segments say.
     fn replace(&mut self, copying: Copying) {
         let Copying { from, inputs, out, origins, .. } = copying;
-        let mut live = Bits::default();
+        let mut live = BitSet::default();
         for (input, record) in &origins {
             let slot = self.sealed.get(from + *input as usize);
             live.push(self.cleaner.stale || slot.is_some_and(|s| s.live.get(*record as usize)));
--- a/crates/fleet/topic/src/feed.rs
+++ b/crates/fleet/topic/src/feed.rs
@@ -7,19 +7,19 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::fault_injection::Fault;
 use crate::message::Message;
-use crate::planted::Fault;
+use crate::messages::Offset;
 use crate::topic::Topic;
-use crate::words::Offset;
 
 /// Messages of a batch at most.
-pub(crate) const MOST_MESSAGES: usize = 1024;
+pub(crate) const MAX_MESSAGES: usize = 1024;
 /// Bytes of a batch, about: one more message may come on top.
 const BATCH_BYTES: usize = 64 << 10;
 /// What a message counts beside its key and value, bytes.
 pub(crate) const MESSAGE_COST: u64 = 16;
 /// Messages looked at for one batch at most.
-const MOST_LOOKS: usize = 4096;
+const MAX_SCANNED: usize = 4096;
 
 /// What a subscriber says of itself when it comes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -242,7 +242,7 @@
                 got.hole = true;
                 break;
             }
-            let full = got.messages.len() >= MOST_MESSAGES || got.cost >= room || looks >= MOST_LOOKS;
+            let full = got.messages.len() >= MAX_MESSAGES || got.cost >= room || looks >= MAX_SCANNED;
             if full || (!got.messages.is_empty() && got.cost + cost(&message) > room) {
                 got.to = Some(last);
                 break;
--- a/crates/fleet/topic/src/lib.rs
+++ b/crates/fleet/topic/src/lib.rs
@@ -13,37 +13,40 @@
 #![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
-mod bits;
+mod bit_set;
 mod chunks;
 mod cleaner;
+mod fault_injection;
 mod feed;
 mod log;
 mod message;
-mod planted;
+mod messages;
 mod publisher;
+mod record;
 mod retention;
 mod segment;
 mod sessions;
 mod subscriber;
 mod topic;
 mod topics;
-mod words;
 
 pub use beechloft_leases::{DriftBound, Name};
 pub use chunks::{Chunk, ChunkError, ChunkName};
+pub use fault_injection::Fault;
 pub use feed::{Batch, Feed, Position, Said, Told};
 pub use log::Layout;
 pub use message::{Body, Message};
-pub use planted::Fault;
+pub use messages::{
+    Epoch, Expect, Offset, PublisherId, Refusal, Session, Terms, TopicAnswer, TopicCommand, TopicEvent,
+    TopicOp, TopicRequest, TopicRequestId, TopicResponse, Writers,
+};
 pub use publisher::{
     Outcome, Publisher, PublisherInput, PublisherOutput, PublisherSettings, PublisherTicket,
 };
+pub use record::{Key, MAX_KEY_BYTES, MAX_VALUE_BYTES, Record, RecordError, Value};
 pub use retention::Retention;
-pub use subscriber::{Distrust, Held, Subscriber, SubscriberInput, SubscriberOutput, SubscriberSettings};
+pub use subscriber::{
+    Held, ProtocolViolation, Subscriber, SubscriberInput, SubscriberOutput, SubscriberSettings,
+};
 pub use topic::Topic;
 pub use topics::Topics;
-pub use words::{
-    Epoch, Expect, Key, MOST_KEY, MOST_VALUE, Offset, PublisherId, Record, Refusal, Session, Terms,
-    TopicAnswer, TopicAsk, TopicCommand, TopicEvent, TopicHeard, TopicOp, TopicRequest, Value, WordError,
-    Writers,
-};
--- a/crates/fleet/topic/src/log.rs
+++ b/crates/fleet/topic/src/log.rs
@@ -4,11 +4,11 @@
 
 use std::sync::Arc;
 
-use crate::bits::Bits;
+use crate::bit_set::BitSet;
 use crate::cleaner::Cleaner;
 use crate::message::{Body, Message};
+use crate::messages::Offset;
 use crate::segment::{Builder, RECORD_HEAD, Segment};
-use crate::words::Offset;
 
 /// Sizes of one keeper's layout. They change no answer and no promise but for how far a subscriber may be behind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -46,14 +46,14 @@
 pub(crate) struct Slot {
     pub(crate) segment: Arc<Segment>,
     pub(crate) first: Offset,
-    pub(crate) live: Bits,
+    pub(crate) live: BitSet,
     pub(crate) live_bytes: usize,
     pub(crate) live_records: usize,
 }
 
 impl Slot {
     /// A segment with its bits; none: it has no record.
-    pub(crate) fn new(segment: Segment, live: Bits) -> Option<Slot> {
+    pub(crate) fn new(segment: Segment, live: BitSet) -> Option<Slot> {
         let first = segment.offset(0)?;
         let live_bytes = (0..segment.len()).filter(|n| live.get(*n)).map(|n| segment.record_size(n)).sum();
         let live_records = live.ones();
@@ -83,7 +83,7 @@
 struct Active {
     first: Offset,
     bodies: Vec<Body>,
-    live: Bits,
+    live: BitSet,
     bytes: usize,
 }
 
@@ -134,7 +134,7 @@
     pub(crate) fn restored(
         layout: Layout,
         sealed: Vec<Slot>,
-        (active, live): (Segment, Bits),
+        (active, live): (Segment, BitSet),
         head: Offset,
     ) -> Option<Log> {
         let count = active.len() as u64;
@@ -269,7 +269,7 @@
     }
 
     /// The segment that is written, as a chunk, and its bits.
-    pub(crate) fn active(&self) -> (Segment, &Bits) {
+    pub(crate) fn active(&self) -> (Segment, &BitSet) {
         (self.active.segment(), &self.active.live)
     }
 }
--- a/crates/fleet/topic/src/message.rs
+++ b/crates/fleet/topic/src/message/mod.rs
@@ -13,13 +13,14 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::words::{Bytes, Key, MOST_KEY, MOST_VALUE, Offset, Record, Value, WordError};
+use crate::messages::Offset;
+use crate::record::{Bytes, Key, MAX_KEY_BYTES, MAX_VALUE_BYTES, Record, RecordError, Value};
 
 const TOMBSTONE: u16 = 1 << 15;
 /// Bytes before the key.
 pub(crate) const BODY_HEAD: usize = 2;
 /// Bytes of a body at most.
-pub(crate) const MOST_BODY: usize = BODY_HEAD + MOST_KEY + MOST_VALUE;
+pub(crate) const MAX_BODY_BYTES: usize = BODY_HEAD + MAX_KEY_BYTES + MAX_VALUE_BYTES;
 
 /// Key and value of bytes that are a body; none: they are not.
 fn split(bytes: &[u8]) -> Option<(&[u8], Option<&[u8]>)> {
@@ -27,8 +28,8 @@
     let head = u16::from_le_bytes(*head);
     let (key, value) = rest.split_at_checked(usize::from(head & !TOMBSTONE))?;
     let tombstone = head & TOMBSTONE != 0;
-    let most = if tombstone { 0 } else { MOST_VALUE };
-    let sound = (1..=MOST_KEY).contains(&key.len()) && value.len() <= most;
+    let most = if tombstone { 0 } else { MAX_VALUE_BYTES };
+    let sound = (1..=MAX_KEY_BYTES).contains(&key.len()) && value.len() <= most;
     sound.then_some((key, (!tombstone).then_some(value)))
 }
 
@@ -117,9 +118,9 @@
 
 impl<'de> Deserialize<'de> for Body {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Body, D::Error> {
-        from.deserialize_bytes(Bytes(MOST_BODY, |bytes| {
+        from.deserialize_bytes(Bytes(MAX_BODY_BYTES, |bytes| {
             let whole: Arc<[u8]> = bytes.into();
-            Body::part(&whole, 0..bytes.len()).ok_or(WordError::Record)
+            Body::part(&whole, 0..bytes.len()).ok_or(RecordError::Record)
         }))
     }
 }
@@ -152,28 +153,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn record(key: &[u8], value: Option<&[u8]>) -> Record {
-        Record { key: Key::new(key).expect("a key"), value: value.map(|v| Value::new(v).expect("a value")) }
-    }
-
-    #[test]
-    fn a_body_reads_as_it_was_written_and_rubbish_does_not() {
-        for (key, value) in [(&b"k"[..], Some(&b""[..])), (&[7; 256], Some(&[1; 65_536])), (b"gone", None)] {
-            let body = Body::of(&record(key, value));
-            assert_eq!((body.key(), body.value()), (key, value));
-            let message = Message { offset: Offset(9), body };
-            let bytes = postcard::to_allocvec(&message).expect("bytes");
-            assert_eq!(postcard::from_bytes::<Message>(&bytes), Ok(message));
-        }
-        let rubbish: [&[u8]; 6] = [&[], &[1], &[0, 0], &[5, 0, 1], &[1, 0x80, 7, 7], &[0xff, 0x7f, 0]];
-        for bytes in rubbish {
-            assert!(Body::part(&bytes.into(), 0..bytes.len()).is_none(), "{bytes:?}");
-        }
-        assert!(Key::new(&[]).is_err() && Key::new(&[0; 257]).is_err() && Value::new(&[0; 65_537]).is_err());
-        let long = postcard::to_allocvec(&vec![0u8; 257]).expect("bytes");
-        assert!(postcard::from_bytes::<Key>(&long).is_err());
-    }
-}
+mod tests;
--- a/crates/fleet/topic/src/words.rs
+++ b/crates/fleet/topic/src/messages.rs
@@ -1,22 +1,15 @@
-//! What publishers, keepers and the log say of topics.
-
-use std::borrow::Borrow;
-use std::fmt;
-use std::sync::Arc;
+//! Requests of publishers, commands of the replicated log, and their answers and events.
 
 use beechloft_leases::Name;
-use serde::de::{Error, SeqAccess, Visitor};
-use serde::{Deserialize, Deserializer, Serialize, Serializer};
+use serde::{Deserialize, Serialize};
+
+use crate::record::Record;
 
-/// Bytes of a key at most.
-pub const MOST_KEY: usize = 256;
-/// Bytes of a value at most.
-pub const MOST_VALUE: usize = 64 << 10;
 /// Keys of one topic at most, deletions that are remembered counted.
-pub const MOST_KEYS: u32 = 1 << 20;
+pub const MAX_KEYS: u32 = 1 << 20;
 /// Bytes of one topic and of all topics at most: keys, latest values, and [`KEY_COST`] for each. With what is overtaken and not
 /// cleaned yet that stays within what a keeper's snapshot may have.
-pub const MOST_BYTES: u64 = 96 << 20;
+pub const MAX_BYTES: u64 = 96 << 20;
 /// What each key counts beside its bytes and those of its latest value.
 pub const KEY_COST: usize = 16;
 /// The shortest and the longest time for which deletions are remembered, milliseconds.
@@ -50,135 +43,6 @@
     }
 }
 
-/// What is wrong with a key, a value or a record.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum WordError {
-    /// A key's length.
-    #[error("a key has 1 to {MOST_KEY} bytes")]
-    Key,
-    /// A value's length.
-    #[error("a value has at most {MOST_VALUE} bytes")]
-    Value,
-    /// It is no record.
-    #[error("not a record")]
-    Record,
-}
-
-/// A key: 1 to 256 bytes.
-#[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key(Arc<[u8]>);
-
-impl Key {
-    /// A key of bytes.
-    ///
-    /// # Errors
-    /// None or too many.
-    pub fn new(bytes: &[u8]) -> Result<Key, WordError> {
-        if (1..=MOST_KEY).contains(&bytes.len()) { Ok(Key(bytes.into())) } else { Err(WordError::Key) }
-    }
-
-    /// Its bytes.
-    pub fn bytes(&self) -> &[u8] {
-        &self.0
-    }
-}
-
-impl Borrow<[u8]> for Key {
-    fn borrow(&self) -> &[u8] {
-        &self.0
-    }
-}
-
-impl fmt::Debug for Key {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "\"{}\"", self.0.escape_ascii())
-    }
-}
-
-impl Serialize for Key {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.serialize_bytes(&self.0)
-    }
-}
-
-impl<'de> Deserialize<'de> for Key {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Key, D::Error> {
-        from.deserialize_bytes(Bytes(MOST_KEY, Key::new))
-    }
-}
-
-/// A value: up to 64 KiB.
-#[derive(Clone, PartialEq, Eq, Hash)]
-pub struct Value(Arc<[u8]>);
-
-impl Value {
-    /// A value of bytes.
-    ///
-    /// # Errors
-    /// Too many.
-    pub fn new(bytes: &[u8]) -> Result<Value, WordError> {
-        if bytes.len() <= MOST_VALUE { Ok(Value(bytes.into())) } else { Err(WordError::Value) }
-    }
-
-    /// Its bytes.
-    pub fn bytes(&self) -> &[u8] {
-        &self.0
-    }
-}
-
-impl fmt::Debug for Value {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} bytes \"{}\"", self.0.len(), self.0[..self.0.len().min(24)].escape_ascii())
-    }
-}
-
-impl Serialize for Value {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.serialize_bytes(&self.0)
-    }
-}
-
-impl<'de> Deserialize<'de> for Value {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Value, D::Error> {
-        from.deserialize_bytes(Bytes(MOST_VALUE, Value::new))
-    }
-}
-
-/// Reads bytes of a bounded length at once.
-pub(crate) struct Bytes<T>(pub(crate) usize, pub(crate) fn(&[u8]) -> Result<T, WordError>);
-
-impl<'de, T> Visitor<'de> for Bytes<T> {
-    type Value = T;
-
-    fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "at most {} bytes", self.0)
-    }
-
-    fn visit_bytes<E: Error>(self, bytes: &[u8]) -> Result<T, E> {
-        (self.1)(bytes).map_err(E::custom)
-    }
-
-    fn visit_seq<A: SeqAccess<'de>>(self, mut from: A) -> Result<T, A::Error> {
-        let mut bytes = Vec::new();
-        while let Some(byte) = from.next_element()? {
-            if bytes.len() >= self.0 {
-                return Err(A::Error::invalid_length(bytes.len() + 1, &self));
-            }
-            bytes.push(byte);
-        }
-        (self.1)(&bytes).map_err(A::Error::custom)
-    }
-}
-
-/// What is to be written: a value of a key, or none, which deletes it.
-#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Record {
-    /// Of this key.
-    pub key: Key,
-    /// Its value from now on; none: it is deleted, and the message is a tombstone.
-    pub value: Option<Value>,
-}
-
 /// What must hold of the key for a record to be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub enum Expect {
@@ -253,7 +117,7 @@
 
 /// Names a request among all of its publisher's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum TopicAsk {
+pub enum TopicRequestId {
     /// For a session of this epoch. A late answer to one of an epoch before must not pass for it.
     Session(Epoch),
     /// For a message written, by this session and number.
@@ -262,10 +126,10 @@
 
 impl TopicRequest {
     /// What its answer is matched by.
-    pub fn ask(&self) -> TopicAsk {
+    pub fn ask(&self) -> TopicRequestId {
         match self.op {
-            TopicOp::Begin { epoch } => TopicAsk::Session(epoch),
-            TopicOp::Publish { session, seq, .. } => TopicAsk::Message(session, seq),
+            TopicOp::Begin { epoch } => TopicRequestId::Session(epoch),
+            TopicOp::Publish { session, seq, .. } => TopicRequestId::Message(session, seq),
         }
     }
 }
@@ -344,19 +208,19 @@
 
 /// What a publisher hears. It names who asked, as several may ask over one connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct TopicHeard {
+pub struct TopicResponse {
     /// Whose request.
     pub publisher: PublisherId,
     /// Which of its requests.
-    pub ask: TopicAsk,
+    pub ask: TopicRequestId,
     /// What became of it.
     pub answer: TopicAnswer,
 }
 
-impl TopicHeard {
+impl TopicResponse {
     /// The answer to a request.
-    pub fn to(request: &TopicRequest, answer: TopicAnswer) -> TopicHeard {
-        TopicHeard { publisher: request.publisher, ask: request.ask(), answer }
+    pub fn to(request: &TopicRequest, answer: TopicAnswer) -> TopicResponse {
+        TopicResponse { publisher: request.publisher, ask: request.ask(), answer }
     }
 }
 
--- a/crates/fleet/topic/src/publisher/words.rs
+++ b/crates/fleet/topic/src/publisher/interface.rs
@@ -2,7 +2,8 @@
 
 use std::time::Duration;
 
-use crate::words::{Epoch, Expect, Offset, Record, Refusal, TopicHeard, TopicRequest};
+use crate::messages::{Epoch, Expect, Offset, Refusal, TopicRequest, TopicResponse};
+use crate::record::Record;
 
 /// Times and bounds of a publisher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -47,7 +48,7 @@
         expect: Expect,
     },
     /// A keeper's answer.
-    Heard(TopicHeard),
+    Heard(TopicResponse),
     /// The keeper that was asked can't take it now, or does not lead: whoever carries the messages knows another.
     NotNow,
 }
--- a/crates/fleet/topic/src/publisher.rs
+++ b/crates/fleet/topic/src/publisher/mod.rs
@@ -8,15 +8,16 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::sessions::WINDOW;
-use crate::words::{
-    Epoch, Expect, PublisherId, Record, Refusal, Session, TopicAnswer, TopicAsk, TopicHeard, TopicOp,
-    TopicRequest, Value,
+use crate::messages::{
+    Epoch, Expect, PublisherId, Refusal, Session, TopicAnswer, TopicOp, TopicRequest, TopicRequestId,
+    TopicResponse,
 };
+use crate::record::{Record, Value};
+use crate::sessions::WINDOW;
 
-mod words;
+mod interface;
 
-pub use words::{Outcome, PublisherInput, PublisherOutput, PublisherSettings, PublisherTicket};
+pub use interface::{Outcome, PublisherInput, PublisherOutput, PublisherSettings, PublisherTicket};
 
 /// By what right it writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -170,13 +171,13 @@
         self.queue.push_back(Pending { ticket, record, expect, size, until, settled: false });
     }
 
-    fn heard(&mut self, heard: &TopicHeard, out: &mut Vec<PublisherOutput>) {
+    fn heard(&mut self, heard: &TopicResponse, out: &mut Vec<PublisherOutput>) {
         if heard.publisher != self.id {
             return;
         }
         match (self.state, heard.ask, heard.answer) {
             // Of this epoch's and no other's: messages numbered anew under an old session would be taken for old ones.
-            (State::Beginning, TopicAsk::Session(epoch), answer) if epoch == self.right.epoch() => {
+            (State::Beginning, TopicRequestId::Session(epoch), answer) if epoch == self.right.epoch() => {
                 match answer {
                     TopicAnswer::Began(session) => {
                         self.state = State::Open { session, first: 1, sent: 0 };
@@ -186,7 +187,7 @@
                     TopicAnswer::Written(_) => {}
                 }
             }
-            (State::Open { session, first, sent }, TopicAsk::Message(asked, seq), answer)
+            (State::Open { session, first, sent }, TopicRequestId::Message(asked, seq), answer)
                 if session == asked =>
             {
                 self.answered(first, sent, seq, answer, out);
--- a/crates/fleet/topic/src/retention.rs
+++ b/crates/fleet/topic/src/retention.rs
@@ -10,10 +10,10 @@
 
 use beechloft_leases::{DriftBound, Name};
 
-use crate::planted::Fault;
+use crate::fault_injection::Fault;
+use crate::messages::{Offset, TopicCommand};
 use crate::topic::Topic;
 use crate::topics::Topics;
-use crate::words::{Offset, TopicCommand};
 
 /// Marks of a topic at most; so the horizon moves in steps of an eighth of the retention, and deletions are remembered for up to
 /// that much longer.
--- a/crates/fleet/topic/src/segment.rs
+++ b/crates/fleet/topic/src/segment.rs
@@ -11,8 +11,8 @@
 use std::sync::{Arc, OnceLock};
 
 use crate::chunks::ChunkName;
-use crate::message::{Body, MOST_BODY, Message};
-use crate::words::Offset;
+use crate::message::{Body, MAX_BODY_BYTES, Message};
+use crate::messages::Offset;
 
 const MAGIC: [u8; 4] = *b"BLT\x01";
 /// Bytes before the first record.
@@ -96,7 +96,7 @@
         for _ in 0..count {
             let offset = u64_at(&bytes, from)?;
             let length = u32_at(&bytes, from + 8)? as usize;
-            if length > MOST_BODY || last.is_some_and(|l| l >= offset) {
+            if length > MAX_BODY_BYTES || last.is_some_and(|l| l >= offset) {
                 return None;
             }
             Body::part(&bytes, from + RECORD_HEAD..from + RECORD_HEAD + length)?;
--- a/crates/fleet/topic/src/subscriber/words.rs
+++ b/crates/fleet/topic/src/subscriber/interface.rs
@@ -7,7 +7,8 @@
 
 use crate::feed::{Position, Told};
 use crate::message::Message;
-use crate::words::{Key, Offset};
+use crate::messages::Offset;
+use crate::record::Key;
 
 /// Times and bounds of a subscriber.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -78,12 +79,12 @@
     /// It is not known to be complete any more: messages were left out on the way, or all comes anew.
     Behind,
     /// A keeper said what can't be. Nothing of it was taken.
-    Distrusted(Distrust),
+    ProtocolViolation(ProtocolViolation),
 }
 
 /// Why a keeper's word can't be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Distrust {
+pub enum ProtocolViolation {
     /// It goes on from where the last one did not end.
     #[error("the batch begins at {from:?}, and {expected:?} is to come next")]
     Gap {
--- a/crates/fleet/topic/src/subscriber.rs
+++ b/crates/fleet/topic/src/subscriber/mod.rs
@@ -8,14 +8,15 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::feed::{Batch, MOST_MESSAGES, Position, Said, Told};
+use crate::fault_injection::Fault;
+use crate::feed::{Batch, MAX_MESSAGES, Position, Said, Told};
 use crate::message::{Body, Message};
-use crate::planted::Fault;
-use crate::words::{Key, Offset};
+use crate::messages::Offset;
+use crate::record::Key;
 
-mod words;
+mod interface;
 
-pub use words::{Distrust, SubscriberInput, SubscriberOutput, SubscriberSettings};
+pub use interface::{ProtocolViolation, SubscriberInput, SubscriberOutput, SubscriberSettings};
 
 /// What is known of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -214,7 +215,7 @@
         };
         match taken {
             Err(why) => {
-                out.push(SubscriberOutput::Distrusted(why));
+                out.push(SubscriberOutput::ProtocolViolation(why));
                 self.leave(feed, out);
             }
             Ok(cost) if cost > 0 => self.allow(cost, out),
@@ -240,10 +241,15 @@
         }
     }
 
-    fn anew(&mut self, life: u64, base: Offset, out: &mut Vec<SubscriberOutput>) -> Result<u64, Distrust> {
+    fn anew(
+        &mut self,
+        life: u64,
+        base: Offset,
+        out: &mut Vec<SubscriberOutput>,
+    ) -> Result<u64, ProtocolViolation> {
         if let Some(at) = self.at.filter(|at| at.life == life && base < at.needs()) {
             // It would take us back to before what we know.
-            return Err(Distrust::Behind { head: base, needs: at.needs() });
+            return Err(ProtocolViolation::Behind { head: base, needs: at.needs() });
         }
         if self.at.is_some_and(|at| at.life != life) {
             // The group was founded anew: its offsets say nothing of the ones we know.
@@ -257,32 +263,32 @@
     }
 
     /// Looks at all of a batch before any of it is taken.
-    fn check(&self, batch: &Batch) -> Result<(), Distrust> {
-        let at = self.at.ok_or(Distrust::NotBegun)?;
+    fn check(&self, batch: &Batch) -> Result<(), ProtocolViolation> {
+        let at = self.at.ok_or(ProtocolViolation::NotBegun)?;
         if batch.from != at.next {
-            return Err(Distrust::Gap { from: batch.from, expected: at.next });
+            return Err(ProtocolViolation::Gap { from: batch.from, expected: at.next });
         }
         if batch.head < at.needs() && !self.planted(Fault::BehindServes) {
-            return Err(Distrust::Behind { head: batch.head, needs: at.needs() });
+            return Err(ProtocolViolation::Behind { head: batch.head, needs: at.needs() });
         }
-        if batch.to < batch.from || batch.to > batch.head || batch.messages.len() > MOST_MESSAGES {
-            return Err(Distrust::Order);
+        if batch.to < batch.from || batch.to > batch.head || batch.messages.len() > MAX_MESSAGES {
+            return Err(ProtocolViolation::Order);
         }
         let mut next = batch.from;
         for message in &batch.messages {
             if message.offset < next || message.offset >= batch.to {
-                return Err(Distrust::Order);
+                return Err(ProtocolViolation::Order);
             }
             next = message.offset.next();
             let held = self.keys.get(message.key());
             if let Some(held) = held.filter(|held| held.offset > message.offset) {
-                return Err(Distrust::Older { has: held.offset, told: message.offset });
+                return Err(ProtocolViolation::Older { has: held.offset, told: message.offset });
             }
         }
         Ok(())
     }
 
-    fn batch(&mut self, batch: Batch, out: &mut Vec<SubscriberOutput>) -> Result<u64, Distrust> {
+    fn batch(&mut self, batch: Batch, out: &mut Vec<SubscriberOutput>) -> Result<u64, ProtocolViolation> {
         self.check(&batch)?;
         let cost = batch.cost();
         let (whole, caught_up) = (batch.is_whole(), batch.is_caught_up());
--- a/crates/fleet/topic/src/topic.rs
+++ b/crates/fleet/topic/src/topic.rs
@@ -5,17 +5,18 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::fault_injection::Fault;
 use crate::log::{Layout, Log};
 use crate::message::{Body, Message};
-use crate::planted::Fault;
-use crate::sessions::{Seen, Sessions};
-use crate::words::{
-    Epoch, Expect, KEY_COST, Key, MOST_BYTES, MOST_KEYS, Offset, PublisherId, RETENTION_MS, Record, Refusal,
-    Session, Terms, TopicAnswer, Value,
+use crate::messages::{
+    Epoch, Expect, KEY_COST, MAX_BYTES, MAX_KEYS, Offset, PublisherId, RETENTION_MS, Refusal, Session, Terms,
+    TopicAnswer,
 };
+use crate::record::{Key, Record, Value};
+use crate::sessions::{Seen, Sessions};
 
 /// Deletions that one move of the horizon forgets at most; a further one goes on from there.
-const MOST_FORGOTTEN: usize = 4096;
+const MAX_FORGOTTEN: usize = 4096;
 
 /// The latest message of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -70,10 +71,10 @@
 }
 
 /// Whether terms can be kept.
-pub(crate) fn are_sound(terms: &Terms) -> bool {
+pub(crate) fn are_valid(terms: &Terms) -> bool {
     RETENTION_MS.contains(&terms.retention_ms)
-        && (1..=MOST_KEYS).contains(&terms.keys)
-        && (1..=MOST_BYTES).contains(&terms.bytes)
+        && (1..=MAX_KEYS).contains(&terms.keys)
+        && (1..=MAX_BYTES).contains(&terms.bytes)
 }
 
 impl Topic {
@@ -94,7 +95,7 @@
     /// A topic of what a snapshot has.
     pub(crate) fn restored(parts: Parts, log: Log) -> Result<Topic, &'static str> {
         let Parts { life, terms, horizon, sessions } = parts;
-        if !are_sound(&terms) || !sessions.is_sound() {
+        if !are_valid(&terms) || !sessions.is_valid() {
             return Err("its terms or sessions make no sense");
         }
         if horizon > log.head() {
@@ -294,9 +295,9 @@
             return None;
         }
         let mut gone: Vec<Offset> =
-            self.tombstones.range(..to).map(|(o, _)| *o).take(MOST_FORGOTTEN + 1).collect();
+            self.tombstones.range(..to).map(|(o, _)| *o).take(MAX_FORGOTTEN + 1).collect();
         // Only so many at once; the horizon then stands before the first that is left.
-        let reached = if gone.len() > MOST_FORGOTTEN { gone.pop().unwrap_or(to) } else { to };
+        let reached = if gone.len() > MAX_FORGOTTEN { gone.pop().unwrap_or(to) } else { to };
         for offset in gone {
             if let Some(key) = self.tombstones.remove(&offset)
                 && let Some(latest) = self.index.remove(&key)
--- a/crates/fleet/topic/src/topics.rs
+++ b/crates/fleet/topic/src/topics.rs
@@ -5,15 +5,15 @@
 
 use beechloft_leases::Name;
 
+use crate::fault_injection::Fault;
 use crate::log::Layout;
-use crate::planted::Fault;
-use crate::topic::{Topic, are_sound};
-use crate::words::{
-    MOST_BYTES, Offset, Refusal, Terms, TopicAnswer, TopicCommand, TopicEvent, TopicOp, TopicRequest,
+use crate::messages::{
+    MAX_BYTES, Offset, Refusal, Terms, TopicAnswer, TopicCommand, TopicEvent, TopicOp, TopicRequest,
 };
+use crate::topic::{Topic, are_valid};
 
 /// Topics at most.
-const MOST_TOPICS: usize = 64;
+const MAX_TOPICS: usize = 64;
 /// Bytes of work for one topic before the next one's turn.
 const TURN: usize = 16 << 10;
 /// Bytes of work that a look at a topic with nothing to clean counts as.
@@ -98,7 +98,7 @@
     }
 
     fn declare(&mut self, name: &Name, life: u64, terms: Terms) -> Result<Option<TopicEvent>, Refusal> {
-        if !are_sound(&terms) {
+        if !are_valid(&terms) {
             return Err(Refusal::Terms);
         }
         let event = Some(TopicEvent::Declared(name.clone(), terms));
@@ -107,7 +107,7 @@
             topic.set_terms(terms);
             return Ok(event.filter(|_| !same));
         }
-        if self.topics.len() >= MOST_TOPICS {
+        if self.topics.len() >= MAX_TOPICS {
             return Err(Refusal::TooManyTopics);
         }
         let mut topic = Topic::new(life, terms, self.layout);
@@ -118,7 +118,7 @@
 
     fn ask(&mut self, request: &TopicRequest) -> (TopicAnswer, Option<TopicEvent>) {
         let TopicRequest { publisher, topic: name, op } = request;
-        let room = MOST_BYTES.saturating_sub(self.topics.values().map(Topic::bytes).sum());
+        let room = MAX_BYTES.saturating_sub(self.topics.values().map(Topic::bytes).sum());
         let Some(topic) = self.topics.get_mut(name) else {
             return (TopicAnswer::Refused(Refusal::NoTopic), None);
         };
--- a/crates/fleet/topic/tests/explored.rs
+++ b/crates/fleet/topic/tests/explored.rs
@@ -194,7 +194,7 @@
                         w.breach = Some(format!("gone at {offset:?} after {last:?}"));
                     }
                 }
-                SubscriberOutput::Distrusted(why) => w.breach = Some(format!("distrusted: {why}")),
+                SubscriberOutput::ProtocolViolation(why) => w.breach = Some(format!("distrusted: {why}")),
                 SubscriberOutput::Leave(_) => w.feed = None,
                 SubscriberOutput::CaughtUp(_)
                 | SubscriberOutput::Behind
--- a/crates/fleet/topic/tests/simple.rs
+++ b/crates/fleet/topic/tests/simple.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use beechloft_topic::{
-    Batch, Distrust, Expect, Feed, Key, Layout, Message, Name, Offset, Outcome, Publisher, PublisherId,
-    PublisherInput, PublisherOutput, PublisherSettings, PublisherTicket, Record, Refusal, Said, Subscriber,
-    SubscriberInput, SubscriberOutput, SubscriberSettings, Terms, Told, TopicAnswer, TopicCommand,
-    TopicHeard, Topics, Value,
+    Batch, Expect, Feed, Key, Layout, Message, Name, Offset, Outcome, ProtocolViolation, Publisher,
+    PublisherId, PublisherInput, PublisherOutput, PublisherSettings, PublisherTicket, Record, Refusal, Said,
+    Subscriber, SubscriberInput, SubscriberOutput, SubscriberSettings, Terms, Told, TopicAnswer,
+    TopicCommand, TopicResponse, Topics, Value,
 };
 
 fn name() -> Name {
@@ -38,7 +38,7 @@
                 PublisherOutput::Send(request) => {
                     let answer: TopicAnswer =
                         topics.apply(&TopicCommand::Ask(request.clone())).0.expect("an answer");
-                    inputs.push(PublisherInput::Heard(TopicHeard::to(&request, answer)));
+                    inputs.push(PublisherInput::Heard(TopicResponse::to(&request, answer)));
                 }
                 PublisherOutput::Settled(_, outcome) => outcomes.push(outcome),
                 PublisherOutput::Fenced(epoch) => panic!("fenced by {epoch:?}"),
@@ -145,15 +145,15 @@
     let o = Offset;
     let batch = |from, to, head, messages| Batch { from: o(from), to: o(to), head: o(head), messages };
     let bad = [
-        (batch(3, 4, 9, vec![]), Distrust::Gap { from: o(3), expected: o(2) }),
-        (batch(0, 4, 9, vec![]), Distrust::Gap { from: o(0), expected: o(2) }),
-        (batch(2, 4, 4, vec![]), Distrust::Behind { head: o(4), needs: o(5) }),
-        (batch(2, 9, 8, vec![]), Distrust::Order),
-        (batch(2, 1, 8, vec![]), Distrust::Order),
-        (batch(2, 6, 8, vec![message(4, "x"), message(3, "y")]), Distrust::Order),
-        (batch(2, 6, 8, vec![message(4, "x"), message(4, "y")]), Distrust::Order),
-        (batch(2, 6, 8, vec![message(6, "x")]), Distrust::Order),
-        (batch(2, 6, 8, vec![message(1, "x")]), Distrust::Order),
+        (batch(3, 4, 9, vec![]), ProtocolViolation::Gap { from: o(3), expected: o(2) }),
+        (batch(0, 4, 9, vec![]), ProtocolViolation::Gap { from: o(0), expected: o(2) }),
+        (batch(2, 4, 4, vec![]), ProtocolViolation::Behind { head: o(4), needs: o(5) }),
+        (batch(2, 9, 8, vec![]), ProtocolViolation::Order),
+        (batch(2, 1, 8, vec![]), ProtocolViolation::Order),
+        (batch(2, 6, 8, vec![message(4, "x"), message(3, "y")]), ProtocolViolation::Order),
+        (batch(2, 6, 8, vec![message(4, "x"), message(4, "y")]), ProtocolViolation::Order),
+        (batch(2, 6, 8, vec![message(6, "x")]), ProtocolViolation::Order),
+        (batch(2, 6, 8, vec![message(1, "x")]), ProtocolViolation::Order),
     ];
     for (bad, why) in bad {
         let mut subscriber = Subscriber::new(name(), SubscriberSettings::default(), 1);
@@ -164,7 +164,7 @@
         assert!(hear(&mut subscriber, 1, Said::Still).is_empty(), "it has not asked yet");
         subscriber.handle(Duration::from_secs(9), SubscriberInput::Start);
         let early = hear(&mut subscriber, 1, Said::Batch(batch(0, 0, 0, vec![])));
-        assert!(early.contains(&SubscriberOutput::Distrusted(Distrust::NotBegun)));
+        assert!(early.contains(&SubscriberOutput::ProtocolViolation(ProtocolViolation::NotBegun)));
         subscriber.handle(Duration::from_secs(10), SubscriberInput::Tick);
         hear(&mut subscriber, 2, Said::Anew { life: 7, base: o(5) });
         let first = Said::Batch(batch(0, 2, 5, vec![message(1, "x")]));
@@ -172,7 +172,11 @@
         // Of a subscription that was given up.
         assert!(hear(&mut subscriber, 1, Said::Batch(batch(2, 5, 5, vec![]))).is_empty());
         let outputs = hear(&mut subscriber, 2, Said::Batch(bad.clone()));
-        assert_eq!(outputs, [SubscriberOutput::Distrusted(why), SubscriberOutput::Leave(2)], "{bad:?}");
+        assert_eq!(
+            outputs,
+            [SubscriberOutput::ProtocolViolation(why), SubscriberOutput::Leave(2)],
+            "{bad:?}"
+        );
         assert_eq!(subscriber.position().map(|at| (at.next, at.base)), Some((o(2), o(5))));
         assert_eq!(subscriber.get(b"x").map(|held| held.offset), Some(o(1)));
     }
--- a/crates/fleet/topic/tests/support/mod.rs
+++ b/crates/fleet/topic/tests/support/mod.rs
@@ -11,7 +11,7 @@
     DriftBound, Expect, Fault, Feed, Key, Layout, Name, Offset, Outcome, Publisher, PublisherId,
     PublisherInput, PublisherOutput, PublisherSettings, PublisherTicket, Record, Retention, Said, Subscriber,
     SubscriberInput, SubscriberOutput, SubscriberSettings, Terms, Told, TopicAnswer, TopicCommand,
-    TopicEvent, TopicHeard, TopicOp, TopicRequest, Topics, Value,
+    TopicEvent, TopicOp, TopicRequest, TopicResponse, Topics, Value,
 };
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -102,7 +102,7 @@
     pub subs: Vec<Sub>,
     pub pubs: Vec<Pub>,
     asks: Vec<TopicRequest>,
-    answers: Vec<(usize, TopicHeard)>,
+    answers: Vec<(usize, TopicResponse)>,
     pub acts: BTreeMap<u64, Act>,
     tickets: u64,
     pub now: Duration,
@@ -321,7 +321,7 @@
             }
         }
         if let Some(answer) = answer {
-            let heard = TopicHeard::to(request, answer);
+            let heard = TopicResponse::to(request, answer);
             let whose = self.pubs.iter().position(|p| p.machine.id() == request.publisher);
             if let Some(n) = whose {
                 let copies = u32::from(!self.chance(self.lost)) + u32::from(self.chance(self.doubled));
@@ -371,7 +371,7 @@
                 }
                 SubscriberOutput::CaughtUp(_) => self.caught_up += 1,
                 SubscriberOutput::Behind => self.subs[n].behind += 1,
-                SubscriberOutput::Distrusted(why) => self.breach(format!("{n} distrusts: {why}")),
+                SubscriberOutput::ProtocolViolation(why) => self.breach(format!("{n} distrusts: {why}")),
             }
         }
         self.check(n);
--- a/crates/fleet/topic/tests/writers.rs
+++ b/crates/fleet/topic/tests/writers.rs
@@ -10,7 +10,7 @@
 use beechloft_topic::{
     DriftBound, Epoch, Expect, Fault, Layout, Offset, Outcome, Publisher, PublisherId, PublisherInput,
     PublisherOutput, PublisherSettings, PublisherTicket, Record, Retention, Terms, TopicAnswer, TopicCommand,
-    TopicEvent, TopicHeard, TopicOp, TopicRequest, Topics, Value, Writers,
+    TopicEvent, TopicOp, TopicRequest, TopicResponse, Topics, Value, Writers,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -26,7 +26,7 @@
     let terms = Terms { writers: Writers::One, ..Terms::default() };
     topics.apply(&TopicCommand::Declare { topic: name(), life: 1, terms });
     let mut writers: Vec<Publisher> = Vec::new();
-    let (mut asks, mut answers) = (Vec::<TopicRequest>::new(), Vec::<TopicHeard>::new());
+    let (mut asks, mut answers) = (Vec::<TopicRequest>::new(), Vec::<TopicResponse>::new());
     let (mut now, mut tickets, mut written) = (Duration::ZERO, 0, 0);
     // The highest token that was told to have begun, or has written.
     let mut highest = 0;
@@ -71,7 +71,7 @@
                 highest = token;
             }
             if dice.random_range(0..6) > 0 {
-                answers.extend(answer.map(|a| TopicHeard::to(&request, a)));
+                answers.extend(answer.map(|a| TopicResponse::to(&request, a)));
             }
         }
         if !answers.is_empty() {
