--- a/crates/platform/event-loop/src/event_bus/mod.rs
+++ b/crates/platform/event-loop/src/event_bus/mod.rs
@@ -24,7 +24,7 @@
 use crate::limits::SocketLimits;
 use crate::tokens::TokenAllocator;
 use response::{Response, ResponseError};
-use retry::RetryPolicy;
+use retry::{RequestFailure, RetryPolicy};
 use sequence::{EventOutcome, EventSequence};
 
 /// A response's head, and each event, is whole this long after its first byte, or the connection is closed: a byte now and
@@ -133,7 +133,10 @@
     /// Closes the connection and retries later. A partial event was not handled, and comes again.
     fn fail(&mut self, now: Micros, registry: &Registry) {
         let connection = self.close(registry);
-        let has_received = connection.as_ref().is_some_and(|c| c.has_received);
+        let failure = match &connection {
+            Some(open) if open.has_received => RequestFailure::Disconnected,
+            _ => RequestFailure::NoResponse,
+        };
         let outlasted_silence = |c: &Connection| {
             c.response.is_accepted() && c.last_received_at - c.opened_at > self.limits.bus_silence_timeout
         };
@@ -141,7 +144,7 @@
             // It worked for longer than a dead one would have: an ordinary disconnect.
             self.retry.forget_failures();
         }
-        self.retry.schedule(now, has_received);
+        self.retry.schedule(now, failure);
     }
 
     /// Connects if that is due, and closes a connection that makes no progress.
--- a/crates/platform/event-loop/src/event_bus/retry.rs
+++ b/crates/platform/event-loop/src/event_bus/retry.rs
@@ -18,11 +18,20 @@
 /// fault, and each request is one of hundreds of front nodes.
 const SUSPICION_WAIT_MAX: Micros = Micros(60_000_000);
 
+/// How a request failed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum RequestFailure {
+    /// Nothing came on the connection, or there was none.
+    NoResponse,
+    /// Something came, but the connection is over.
+    Disconnected,
+}
+
 /// Decides when the event bus is requested next.
 pub(super) struct RetryPolicy {
     connect_at: Micros,
     /// Waits after connections on which nothing came.
-    refused: ExponentialBackoff,
+    no_response: ExponentialBackoff,
     /// Waits after responses without new events.
     fruitless: ExponentialBackoff,
     /// Waits from a suspicion to the request.
@@ -38,7 +47,7 @@
         let fruitless_max = FRUITLESS_RETRY_MAX.max(limits.bus_retry_max);
         RetryPolicy {
             connect_at: Micros(0),
-            refused: backoff(limits.bus_retry_min, limits.bus_retry_max, 0),
+            no_response: backoff(limits.bus_retry_min, limits.bus_retry_max, 0),
             fruitless: backoff(limits.bus_retry_min, fruitless_max, 1),
             suspicion: backoff(SUSPICION_WAIT_MIN, SUSPICION_WAIT_MAX, 2),
             suspicion_due: None,
@@ -54,13 +63,16 @@
 
     /// The next wait is as short as the first.
     pub fn forget_failures(&mut self) {
-        self.refused.reset();
+        self.no_response.reset();
         self.fruitless.reset();
     }
 
-    /// Schedules the request after a failure. `has_received`: anything came on the connection.
-    pub fn schedule(&mut self, now: Micros, has_received: bool) {
-        let backoff = if has_received { &mut self.fruitless } else { &mut self.refused };
+    /// Schedules the request after a failure.
+    pub fn schedule(&mut self, now: Micros, failure: RequestFailure) {
+        let backoff = match failure {
+            RequestFailure::NoResponse => &mut self.no_response,
+            RequestFailure::Disconnected => &mut self.fruitless,
+        };
         self.connect_at = now + backoff.next_delay();
     }
 
--- a/crates/platform/event-loop/src/event_loop/mod.rs
+++ b/crates/platform/event-loop/src/event_loop/mod.rs
@@ -19,6 +19,7 @@
 use beechloft::api::Micros;
 use beechloft_clock::Clock;
 use beechloft_front_node::{Counts, Input, Node};
+use beechloft_protocol::bus::InitialEvents;
 use beechloft_protocol::config::Environment;
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Token};
@@ -82,6 +83,23 @@
     Stopped,
 }
 
+/// A poll that watches the listener and the signals.
+fn watch(listener: &mut TcpListener, signals: &mut Signals) -> io::Result<Poll> {
+    let poll = Poll::new()?;
+    poll.registry().register(listener, LISTENER, Interest::READABLE)?;
+    signals.watch(poll.registry())?;
+    Ok(poll)
+}
+
+/// The list of media servers that the configuration contains.
+fn initial_input(events: InitialEvents) -> Input {
+    let unread: usize = events.batch.iter().map(|event| event.skipped.count).sum();
+    if unread > 0 {
+        warn!(unread, "lines of the list at the start can't be read");
+    }
+    Input::InitialTopologies(events.batch.into_iter().filter_map(|event| event.topology).collect())
+}
+
 impl EventLoop {
     /// Reads the configuration and starts to listen.
     ///
@@ -97,18 +115,10 @@
         let (node, limits) = build_node(&config)?;
         let mut listener =
             TcpListener::bind(config.listen).map_err(StartError::io("the address can't be listened on"))?;
-        let poll = Poll::new().map_err(StartError::io("no poll"))?;
-        poll.registry()
-            .register(&mut listener, LISTENER, Interest::READABLE)
-            .and_then(|()| signals.watch(poll.registry()))
-            .map_err(StartError::io("no poll"))?;
+        let poll = watch(&mut listener, &mut signals).map_err(StartError::io("no poll"))?;
         info!(name = config.name, listen = %config.listen, sockets = config.limits.sockets, "front node starts");
         let seed = config.seed();
-        let unread: usize = config.initial_events.batch.iter().map(|event| event.skipped.count).sum();
-        if unread > 0 {
-            warn!(unread, "lines of the list at the start can't be read");
-        }
-        let known = config.initial_events.batch.into_iter().filter_map(|event| event.topology).collect();
+        let last_event_id = config.initial_events.offset;
         Ok(EventLoop {
             config_path: config_path.to_owned(),
             time,
@@ -119,10 +129,10 @@
             signals,
             viewers: ViewerConnections::new(limits),
             servers: ServerConnections::new(limits),
-            event_bus: EventBusClient::new(config.bus, config.initial_events.offset, limits, seed),
+            event_bus: EventBusClient::new(config.bus, last_event_id, limits, seed),
             limits,
             tokens: TokenAllocator::default(),
-            inputs: VecDeque::from([Input::InitialTopologies(known)]),
+            inputs: VecDeque::from([initial_input(config.initial_events)]),
             unread: BTreeSet::new(),
             next_sweep_at: Micros(0),
             next_state_log_at: Micros(0),
--- a/crates/platform/event-loop/src/servers/connect.rs
+++ b/crates/platform/event-loop/src/servers/connect.rs
@@ -10,6 +10,25 @@
 use super::{ServerConnections, ServerContext};
 use crate::buffered_stream::BufferedStream;
 
+/// Why a connection to a media server was not established.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum ConnectFailure {
+    /// The media server's machine refused it: no process listens there.
+    Refused,
+    /// Nothing came back, or the network reported an error.
+    Unreachable,
+}
+
+impl ConnectFailure {
+    pub fn of(error: &io::Error) -> ConnectFailure {
+        if error.kind() == ErrorKind::ConnectionRefused {
+            ConnectFailure::Refused
+        } else {
+            ConnectFailure::Unreachable
+        }
+    }
+}
+
 /// Whether an error of `connect` is this machine's own, as for want of descriptors or ports: it says nothing about the media
 /// server.
 fn is_local(error: &io::Error) -> bool {
@@ -45,7 +64,7 @@
                 Err(AttemptFailure::NotSent)
             }
             Err(e) => {
-                self.connect_failed(incarnation, e.kind() == ErrorKind::ConnectionRefused, context);
+                self.connect_failed(incarnation, ConnectFailure::of(&e), context);
                 Err(AttemptFailure::NoConnection)
             }
         }
@@ -94,11 +113,12 @@
     pub(super) fn connect_failed(
         &mut self,
         incarnation: ServerIncarnation,
-        refused: bool,
+        failure: ConnectFailure,
         context: &mut ServerContext<'_>,
     ) {
         let Some(state) = self.incarnations.get_mut(&incarnation) else { return };
         state.reconnect_at = context.now + self.limits.reconnect_interval;
+        let refused = failure == ConnectFailure::Refused;
         if refused {
             state.discard_unsent();
             self.connection_refused |= !state.suspected && state.close_by.is_none();
--- a/crates/platform/event-loop/src/servers/receive.rs
+++ b/crates/platform/event-loop/src/servers/receive.rs
@@ -1,12 +1,11 @@
 //! What comes from media servers.
 
-use std::io::ErrorKind;
-
 use beechloft_front_node::{AttemptFailure, Input};
 use beechloft_protocol::CallId;
 use beechloft_protocol::server::{FromServer, ServerMessage};
 use mio::Token;
 
+use super::connect::ConnectFailure;
 use super::connection::{Queued, ServerConnection};
 use super::{ServerConnections, ServerContext};
 use crate::buffered_stream::ReadOutcome;
@@ -42,7 +41,7 @@
             None => false,
             Some(Err(e)) => {
                 self.close(token, AttemptFailure::NoConnection, context);
-                self.connect_failed(incarnation, e.kind() == ErrorKind::ConnectionRefused, context);
+                self.connect_failed(incarnation, ConnectFailure::of(&e), context);
                 false
             }
             Some(Ok(())) => {
--- a/crates/platform/event-loop/src/servers/sweep.rs
+++ b/crates/platform/event-loop/src/servers/sweep.rs
@@ -3,6 +3,7 @@
 use beechloft::api::Micros;
 use beechloft_front_node::{AttemptFailure, ServerIncarnation};
 
+use super::connect::ConnectFailure;
 use super::incarnation::IncarnationState;
 use super::{ServerConnections, ServerContext};
 
@@ -25,7 +26,7 @@
                 continue;
             };
             self.close(token, AttemptFailure::NoConnection, context);
-            self.connect_failed(incarnation, false, context);
+            self.connect_failed(incarnation, ConnectFailure::Unreachable, context);
         }
     }
 
--- a/crates/platform/event-loop/src/viewers/messages.rs
+++ b/crates/platform/event-loop/src/viewers/messages.rs
@@ -80,7 +80,10 @@
     pub fn waits_for(&mut self, conn: ViewerConnection, id: CallId, context: &mut ViewerContext<'_>) -> bool {
         let token = viewer_token(conn);
         self.read_ahead(token, context);
-        let is_release = |input: &Input| matches!(input, Input::ViewerMessage(_, FromViewer::Release(released)) if *released == id);
+        let is_release = |input: &Input| match input {
+            Input::ViewerMessage(_, FromViewer::Release(released)) => *released == id,
+            _ => false,
+        };
         let connected = self.connections.get(&token).is_some_and(|connection| !connection.client_closed);
         connected && !context.inputs.iter().any(is_release)
     }
--- a/crates/platform/event-loop/tests/sockets.rs
+++ b/crates/platform/event-loop/tests/sockets.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use std::io::Write;
-use std::net::Shutdown;
+use std::net::{Shutdown, SocketAddr};
 use std::time::{Duration, Instant};
 
 use beechloft_protocol::CallId;
@@ -110,10 +110,8 @@
     front.stop();
 }
 
-#[test]
-fn malformed_input_is_refused_or_its_connection_closed_without_affecting_others() {
-    let front = RunningFrontNode::start(&[ServerBehavior::Accept]);
-    let started = Instant::now();
+/// Bytes that are no message, half a message, and a connection without any bytes: the front node closes each in time.
+fn assert_malformed_bytes_close_their_connections(front: SocketAddr) {
     let malformed: [&[u8]; 5] = [
         &[0, 0],
         &[0xff, 0xff, 1],
@@ -122,27 +120,36 @@
         b"GET / HTTP/1.1\r\n\r\n",
     ];
     for bytes in malformed {
-        let mut viewer = ViewerClient::connect(front.addr);
+        let mut viewer = ViewerClient::connect(front);
         viewer.stream.write_all(bytes).expect("written");
         assert!(viewer.ends(), "{bytes:?}");
     }
-    // Half a message, or nothing at all.
-    let mut half = ViewerClient::connect(front.addr);
+    let mut half = ViewerClient::connect(front);
     half.stream.write_all(&[0, 40, 1, 0]).expect("written");
-    let mut silent = ViewerClient::connect(front.addr);
+    let mut silent = ViewerClient::connect(front);
     assert!(half.ends() && silent.ends());
-    // Half a message behind a whole one: the connection is closed as soon, not as late as an idle one.
-    let mut behind = ViewerClient::connect(front.addr);
+}
+
+/// Half a message behind a whole one: the connection is closed as soon, not as late as an idle one.
+fn assert_half_a_message_behind_a_whole_one_closes_its_connection(front: SocketAddr) {
+    let mut viewer = ViewerClient::connect(front);
     let whole = test(1).encode().expect("short");
-    behind.stream.write_all(&[&whole[..], &[0, 40, 1, 0]].concat()).expect("written");
+    viewer.stream.write_all(&[&whole[..], &[0, 40, 1, 0]].concat()).expect("written");
     let sent_at = Instant::now();
-    assert!(behind.ends());
+    assert!(viewer.ends());
     assert!(sent_at.elapsed() < Duration::from_secs(4), "{:?}", sent_at.elapsed());
-    // A client that sends 60 MB at full speed is not read to its end.
-    let mut endless = ViewerClient::connect(front.addr);
+}
+
+/// A client that sends 60 MB at full speed is not read to its end.
+fn assert_endless_bytes_close_their_connection(front: SocketAddr) {
+    let mut viewer = ViewerClient::connect(front);
     let chunk = vec![0xee; 1 << 20];
-    let cut = (0..60).any(|_| endless.stream.write_all(&chunk).is_err());
-    assert!(cut || endless.ends());
+    let cut = (0..60).any(|_| viewer.stream.write_all(&chunk).is_err());
+    assert!(cut || viewer.ends());
+}
+
+/// Set-ups with an invalid parameter are refused with cause 100; their connection stays open.
+fn assert_invalid_parameters_are_refused(viewer: &mut ViewerClient) {
     let invalid: [(u8, &[u8]); 6] = [
         (1, b"nobody"),
         (3, b"-1"),
@@ -151,18 +158,24 @@
         (11, b"home:nan;copies:4;top:1;viewer:0000000000000001"),
         (31, &[0xff]),
     ];
-    let mut viewer = ViewerClient::connect(front.addr);
-    for (number, (code, value)) in invalid.into_iter().enumerate() {
-        let mut frame = set_up(100 + number as u64, 3_000);
+    for (id, (code, value)) in (100..).zip(invalid) {
+        let mut frame = set_up(id, 3_000);
         frame.parameters.iter_mut().filter(|p| p.code == code).for_each(|p| p.value = value.to_vec());
         viewer.send(&frame);
         let answer = viewer.receive_message();
-        assert_eq!(
-            (answer.kind, answer.id, cause(&answer)),
-            (12, CallId(100 + number as u64), 100),
-            "{code}"
-        );
+        assert_eq!((answer.kind, answer.id, cause(&answer)), (12, CallId(id), 100), "{code}");
     }
+}
+
+#[test]
+fn malformed_input_is_refused_or_its_connection_closed_without_affecting_others() {
+    let front = RunningFrontNode::start(&[ServerBehavior::Accept]);
+    let started = Instant::now();
+    assert_malformed_bytes_close_their_connections(front.addr);
+    assert_half_a_message_behind_a_whole_one_closes_its_connection(front.addr);
+    assert_endless_bytes_close_their_connection(front.addr);
+    let mut viewer = ViewerClient::connect(front.addr);
+    assert_invalid_parameters_are_refused(&mut viewer);
     assert!(started.elapsed() < Duration::from_secs(12));
     viewer.request_session(1, 3_000);
     assert_eq!(viewer.receive_message().kind, 9);
