--- a/crates/platform/front-node/src/node/mod.rs
+++ b/crates/platform/front-node/src/node/mod.rs
@@ -95,7 +95,7 @@
             policy: Policy::new(parsed.settings.clone(), seed),
             settings: parsed.settings,
             names: parsed.names,
-            report_fields: parsed.fields,
+            report_fields: parsed.report_fields,
             now: Micros(0),
             directory: Directory::default(),
             maybe_unused: BTreeSet::new(),
