--- a/crates/platform/event-loop/src/servers/sweep.rs
+++ b/crates/platform/event-loop/src/servers/sweep.rs
@@ -3,6 +3,7 @@
 use beechloft::api::Micros;
 use beechloft_front_node::{AttemptFailure, ServerIncarnation};
 
+use super::connect::ConnectFailure;
 use super::incarnation::IncarnationState;
 use super::{ServerConnections, ServerContext};
 
@@ -25,7 +26,7 @@
                 continue;
             };
             self.close(token, AttemptFailure::NoConnection, context);
-            self.connect_failed(incarnation, false, context);
+            self.connect_failed(incarnation, ConnectFailure::Unreachable, context);
         }
     }
 
@@ -54,7 +55,7 @@
             let unconnected = own.clone().next().is_none();
             let connecting = own.any(|connection| !connection.is_connected());
             let silent = now - state.last_contact_at > max_silence && !connecting;
-            let needs_check = state.held && (unconnected || silent);
+            let needs_check = state.keep_connected && (unconnected || silent);
             now >= state.reconnect_at && (needs_check || (unconnected && state.has_current_unsent(now)))
         };
         let wanting = self
--- a/crates/platform/event-loop/src/startup.rs
+++ b/crates/platform/event-loop/src/startup.rs
@@ -134,12 +134,12 @@
             .map(|class| class.deadline)
             .max()
             .unwrap_or_default(),
-        connect_timeout: parsed.connections.connect_within,
-        server_idle_timeout: parsed.connections.idle,
+        connect_timeout: parsed.connections.connect_timeout,
+        server_idle_timeout: parsed.connections.idle_timeout,
     });
     let node_limits = beechloft_front_node::NodeLimits {
         answer_margin: ANSWER_MARGIN,
-        probe_timeout: limits.connect_timeout,
+        health_check_timeout: limits.connect_timeout,
         max_sessions: MAX_SESSIONS,
         shutdown_deadline: limits.answer_deadline,
     };
