--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -10,7 +10,7 @@
 };
 use support::{Front, MILLIS, SECONDS, entry, is_rejected, play, request, set_up, settings};
 
-/// Found by a module test: one full answer at a young front closed every unheard server.
+/// Found by a module test: one full answer at a young front closed every server without a report.
 #[test]
 fn a_rejection_closes_one_server_only() {
     let mut front = Front::new(settings());
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -22,7 +22,7 @@
     assert!(set_up(&front.request(2)).is_some(), "the figures are old");
 }
 
-/// Found on linz-main: without probes on a timer nothing is heard while all is refused.
+/// Found on linz-main: without probes on a timer nothing is reported while all is rejected.
 #[test]
 fn racks_without_reports_are_checked_where_only_health_checks_report_load() {
     let limits = Capabilities { health_checks: true, ..settings().capabilities };
@@ -68,9 +68,9 @@
 #[test]
 fn no_health_checks_where_responses_report_load_or_they_are_not_permitted() {
     let limits = Capabilities { health_checks: true, ..settings().capabilities };
-    let told = Settings { capabilities: limits, ..settings() };
-    let barred = Settings { load_reporting: LoadReporting::InHealthChecks, ..settings() };
-    for set in [told, barred] {
+    let in_responses = Settings { capabilities: limits, ..settings() };
+    let not_permitted = Settings { load_reporting: LoadReporting::InHealthChecks, ..settings() };
+    for set in [in_responses, not_permitted] {
         let mut front = Front::new(set);
         for _ in 0..20 {
             front.advance(SECONDS);
@@ -118,7 +118,7 @@
     assert!(steps < 3 * 8, "{steps} steps of 8 sessions in a minute");
 }
 
-/// A server that starts sessions and delivers nothing takes no more of them while that is heard.
+/// A server that starts sessions and delivers nothing gets no more of them while that is reported.
 #[test]
 fn a_server_that_delivers_nothing_gets_no_new_sessions() {
     let mut front = Front::new(settings());
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -20,14 +20,14 @@
 #[derive(Debug, Clone)]
 enum Step {
     Wait(u64),
-    Ask { class: u16, title: u64, home: u32, holders: u32, top: u8, patience: u64 },
-    HandOver { class: u16, server: u32, rung: u8 },
+    Request { class: u16, title: u64, home: u32, holders: u32, top: u8, patience: u64 },
+    Adopt { class: u16, server: u32, rung: u8 },
     Start(usize),
     End(usize, u8),
     Leave(usize),
-    List(u8, u32, u8, bool),
-    Note(u32, u8, f64),
-    Probed(u32, u8, f64),
+    Endpoints(u8, u32, u8, bool),
+    Feedback(u32, u8, f64),
+    HealthCheck(u32, u8, f64),
     Tick,
     Peer,
 }
@@ -40,7 +40,7 @@
     let one = prop_oneof![
         6 => (1_000..600_000u64).prop_map(Step::Wait),
         6 => (0..9u16, 0..3u64, 0..6u32, 0..6u32, 0..5u8, 50_000..20_000_000u64).prop_map(
-            |(class, title, home, holders, top, patience)| Step::Ask {
+            |(class, title, home, holders, top, patience)| Step::Request {
                 class,
                 title,
                 home,
@@ -49,7 +49,7 @@
                 patience
             }
         ),
-        1 => (0..9u16, 0..6u32, 0..4u8).prop_map(|(class, server, rung)| Step::HandOver {
+        1 => (0..9u16, 0..6u32, 0..4u8).prop_map(|(class, server, rung)| Step::Adopt {
             class,
             server,
             rung
@@ -57,9 +57,9 @@
         4 => any::<usize>().prop_map(Step::Start),
         6 => (any::<usize>(), 0..8u8).prop_map(|(i, o)| Step::End(i, o)),
         1 => any::<usize>().prop_map(Step::Leave),
-        2 => (0..6u8, 0..6u32, 0..3u8, any::<bool>()).prop_map(|(front, s, st, n)| Step::List(front, s, st, n)),
-        2 => (0..7u32, 0..4u8, level.clone()).prop_map(|(s, k, l)| Step::Note(s, k, l)),
-        1 => (0..7u32, 0..8u8, level).prop_map(|(s, o, l)| Step::Probed(s, o, l)),
+        2 => (0..6u8, 0..6u32, 0..3u8, any::<bool>()).prop_map(|(front, s, st, n)| Step::Endpoints(front, s, st, n)),
+        2 => (0..7u32, 0..4u8, level.clone()).prop_map(|(s, k, l)| Step::Feedback(s, k, l)),
+        1 => (0..7u32, 0..8u8, level).prop_map(|(s, o, l)| Step::HealthCheck(s, o, l)),
         3 => Just(Step::Tick),
         1 => Just(Step::Peer),
     ];
@@ -85,7 +85,7 @@
 struct RequestState {
     class: usize,
     top: u8,
-    gives_up: u64,
+    deadline: u64,
     answers: u32,
     left: bool,
     out: Option<u32>,
@@ -122,7 +122,7 @@
                     assert!(request.out.is_none(), "two attempts out");
                     assert!(request.answers == 0 && !request.left, "sent after its end");
                     assert_eq!(self.states.get(&server.0), Some(&EndpointState::Ready), "not ready");
-                    assert!(until.0 <= request.gives_up, "outlives the viewer's time");
+                    assert!(until.0 <= request.deadline, "outlives the viewer's time");
                     assert!(request.attempts < self.set.capabilities.max_attempts);
                     match class.idempotency {
                         Idempotency::AtMostOnce => assert!(request.ran.is_empty(), "once, twice"),
@@ -190,7 +190,7 @@
         for (i, class) in self.set.classes.iter().enumerate() {
             if let Some(seats) = class.max_sessions_per_title {
                 let held = self.requests.values().filter(|l| l.class == i && l.out.is_some()).count();
-                let handed = self.requests.values().filter(|l| l.class == i && l.gives_up == 0).count();
+                let handed = self.requests.values().filter(|l| l.class == i && l.deadline == 0).count();
                 assert!(held <= seats as usize * 3 + handed, "seats of three titles: {held}");
             }
         }
@@ -216,21 +216,21 @@
                 self.front.advance(us);
                 // Attempts are cut at the viewer's time, as on the wire.
                 let now = self.front.now;
-                let late = |l: &RequestState| l.out.is_some() && !l.playing && now >= l.gives_up;
+                let late = |l: &RequestState| l.out.is_some() && !l.playing && now >= l.deadline;
                 let due: Vec<u64> =
                     self.requests.iter().filter(|(_, l)| late(l)).map(|(id, _)| *id).collect();
                 for id in due {
                     self.end(id, Outcome::Timeout);
                 }
             }
-            Step::Ask { class, title, home, holders, top, patience } => {
+            Step::Request { class, title, home, holders, top, patience } => {
                 let now = self.front.now;
                 let class = class % self.set.classes.len() as u16;
                 let patience = patience.min(self.set.classes[usize::from(class)].deadline.0);
                 let state = RequestState {
                     class: class.into(),
                     top,
-                    gives_up: now + patience,
+                    deadline: now + patience,
                     ..RequestState::default()
                 };
                 let req = Request {
@@ -247,7 +247,7 @@
                 let actions = self.front.send(Event::Request(req));
                 self.apply(actions);
             }
-            Step::HandOver { class, server, rung } => {
+            Step::Adopt { class, server, rung } => {
                 let class = class % self.set.classes.len() as u16;
                 let floor = self.set.classes[usize::from(class)].min_rung;
                 let state = RequestState {
@@ -285,7 +285,7 @@
                 let actions = self.front.send(Event::Withdrawn(SessionId(id)));
                 self.apply(actions);
             }
-            Step::List(form, n, state, new) => {
+            Step::Endpoints(form, n, state, new) => {
                 let state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed]
                     [usize::from(state)];
                 let empty = form >= 3;
@@ -311,7 +311,7 @@
                 let actions = self.front.send(Event::EndpointsUpdated { kind: form, endpoints: entries });
                 self.apply(actions);
             }
-            Step::Note(server, kind, level) => {
+            Step::Feedback(server, kind, level) => {
                 let note = match kind {
                     0 => Feedback::DeliveredFraction(level),
                     1 => Feedback::LinkUtilization(level),
@@ -319,7 +319,7 @@
                 };
                 self.front.feedback(server, note);
             }
-            Step::Probed(server, o, x) => {
+            Step::HealthCheck(server, o, x) => {
                 let report =
                     LoadReport { streams: Some(x), link_utilization: Some(x), uplink_utilization: Some(x) };
                 let (server, outcome) = (ServerId(server), outcome(o));
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -123,21 +123,21 @@
 /// A front that has hardly a session of its own must neither think the fleet empty nor full.
 #[test]
 fn reports_weigh_more_than_own_sessions_of_one_front_in_many() {
-    let sent = |heard: f64| {
+    let sent = |reported: f64| {
         let mut front = large_service(250);
         for id in 0..SESSIONS {
             front.ended(1_000_000 + id, id as u32 % SERVERS, Outcome::Ok, true);
         }
         for server in 0..60 {
-            front.feedback(server, Feedback::LinkUtilization(heard));
-            front.feedback(server, Feedback::UplinkUtilization(heard));
+            front.feedback(server, Feedback::LinkUtilization(reported));
+            front.feedback(server, Feedback::UplinkUtilization(reported));
         }
         front.tick();
         let event = request_held_everywhere(1, front.now);
         set_up(&front.send(event)).is_some()
     };
     assert!(sent(0.3), "there is room");
-    assert!(!sent(1.2), "all that is heard of is full");
+    assert!(!sent(1.2), "all that is reported is full");
 }
 
 /// Odd but possible input at this size: nothing crashes, and each request gets a set-up or one answer at once.
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -129,7 +129,7 @@
     };
     let numbered =
         |number, of| Event::SlotAssigned(SlotAssignment { slot: number, slot_count: of, live_fronts: 4 });
-    // Four fronts that were told another number of so many before.
+    // Four fronts that had another slot of so many before.
     let sent: Vec<usize> = (0..4)
         .map(|number| {
             let mut front = Front::new(settings());
--- a/tests/support/random_settings.rs
+++ b/tests/support/random_settings.rs
@@ -19,7 +19,7 @@
     budget: Option<(f64, f64, u64)>,
     seats: Option<u32>,
     cells: u32,
-    ask: bool,
+    subscribe: bool,
     attempts: u32,
 }
 
@@ -31,7 +31,7 @@
     let cells = prop_oneof![3 => Just(4), 1 => Just(1), 1 => 0..9u32];
     let rest = (seats, cells, any::<bool>(), 1..5u32);
     (0..4u8, 1..10usize, deadline, window, any::<bool>(), budget, rest).prop_map(
-        |(kind, classes, deadline_ms, window_ms, zones, budget, (seats, cells, ask, attempts))| {
+        |(kind, classes, deadline_ms, window_ms, zones, budget, (seats, cells, subscribe, attempts))| {
             RandomSettings {
                 kind,
                 classes,
@@ -41,7 +41,7 @@
                 budget,
                 seats,
                 cells,
-                ask,
+                subscribe,
                 attempts,
             }
         },
@@ -80,7 +80,7 @@
         window: Micros(ms * MILLIS),
     });
     s.capabilities.max_attempts = random_settings.attempts;
-    if random_settings.ask {
+    if random_settings.subscribe {
         s.discovery = Discovery::Subscribe;
     }
     match random_settings.kind % 4 {
