--- a/crates/platform/front-node/tests/backoff.rs
+++ b/crates/platform/front-node/tests/backoff.rs
@@ -4,7 +4,7 @@
 use beechloft_front_node::ExponentialBackoff;
 
 #[test]
-fn waits_double_up_to_the_bound_and_begin_anew_after_a_success() {
+fn delays_double_up_to_the_maximum_and_start_again_after_a_success() {
     let mut backoff = ExponentialBackoff::new(Micros(50), Micros(500), 7);
     for whole in [50, 100, 200, 400, 500, 500, 500] {
         let wait = backoff.next_delay().0;
--- a/crates/platform/front-node/tests/memory.rs
+++ b/crates/platform/front-node/tests/memory.rs
@@ -6,7 +6,7 @@
 mod support;
 
 use beechloft_protocol::bus::Status;
-use support::{Rig, endpoint};
+use support::{Harness, endpoint};
 
 /// Memory that the process has in use, in kB; none: the system does not tell.
 fn resident_kb() -> Option<u64> {
@@ -16,49 +16,49 @@
 }
 
 #[test]
-fn a_list_of_which_most_is_replaced_at_once_costs_no_memory_afterwards() {
-    let mut rig = Rig::new(1, 200);
+fn a_list_that_is_mostly_replaced_at_once_leaks_no_memory() {
+    let mut harness = Harness::new(1, 200);
     let mut made = 200;
     let mut next = 1;
-    let mut replace = |rig: &mut Rig| {
+    let mut replace = |harness: &mut Harness| {
         let old = (made - 120..made).map(|n| endpoint(n, Status::Gone));
         let new = (made..made + 120).map(|n| endpoint(n, Status::Ready));
-        rig.bus(old.chain(new).collect());
+        harness.bus(old.chain(new).collect());
         made += 120;
         // Their processes end, with all that stands there.
-        for lane in rig.held.clone() {
-            rig.hear(beechloft_front_node::Input::ServerDown(lane));
+        for incarnation in harness.connected.clone() {
+            harness.handle(beechloft_front_node::Input::ServerDown(incarnation));
         }
         // Sessions come meanwhile, and what is known of their servers with them.
         for _ in 0..50 {
-            rig.ask(1, next, 2_000);
-            if rig.out.contains_key(&beechloft_protocol::CallId(next)) {
-                rig.accept(next);
+            harness.set_up(1, next, 2_000);
+            if harness.in_flight.contains_key(&beechloft_protocol::CallId(next)) {
+                harness.accept(next);
             }
             next += 1;
         }
-        // The rig's own books are no part of it.
-        rig.answers.clear();
-        rig.pass(20_000);
+        // The harness's own books are no part of it.
+        harness.answers.clear();
+        harness.advance(20_000);
     };
     // What is gone is forgotten a while later, with the next word of the list.
-    let twice = |rig: &mut Rig, replace: &mut dyn FnMut(&mut Rig)| {
-        replace(rig);
-        replace(rig);
-        let counts = rig.node.counts();
+    let twice = |harness: &mut Harness, replace: &mut dyn FnMut(&mut Harness)| {
+        replace(harness);
+        replace(harness);
+        let counts = harness.node.counts();
         (counts.servers, counts.incarnations)
     };
-    let first = twice(&mut rig, &mut replace);
+    let first = twice(&mut harness, &mut replace);
     assert!(first.0 <= 200 + 120 + 50, "{first:?}");
 
     for _ in 0..4 {
-        twice(&mut rig, &mut replace);
+        twice(&mut harness, &mut replace);
     }
     let early = resident_kb();
     for _ in 0..30 {
-        twice(&mut rig, &mut replace);
+        twice(&mut harness, &mut replace);
     }
-    let late = twice(&mut rig, &mut replace);
+    let late = twice(&mut harness, &mut replace);
     assert!(late.0 <= 200 + 120 + 50, "{late:?}");
     if let (Some(early), Some(late)) = (early, resident_kb()) {
         assert!(late < early + 1024, "{early} kB, then {late} kB");
--- a/crates/platform/front-node/tests/support/mod.rs
+++ b/crates/platform/front-node/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A rig around the machine: it drives it and checks the rules on what comes out.
+//! A harness around the machine: it drives it and checks the rules on what comes out.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,7 +27,7 @@
 }"#;
 
 /// So long after SIGTERM all is answered.
-pub const LAST_CALL_MS: u64 = 2_000;
+pub const SHUTDOWN_DEADLINE_MS: u64 = 2_000;
 
 pub fn endpoint(n: u16, status: Status) -> Endpoint {
     Endpoint {
@@ -65,82 +65,82 @@
 }
 
 /// Drives a machine, plays the other side's part of the books, and checks the rules.
-pub struct Rig {
+pub struct Harness {
     pub node: Node,
     pub now: Micros,
     /// Where each attempt is out.
-    pub out: BTreeMap<CallId, ServerIncarnation>,
+    pub in_flight: BTreeMap<CallId, ServerIncarnation>,
     /// Sessions that stand, by what was said to viewers and media servers.
-    pub standing: BTreeMap<CallId, ServerIncarnation>,
+    pub established: BTreeMap<CallId, ServerIncarnation>,
     /// Set-ups that are owed an answer, and by when.
-    pub owed: BTreeMap<CallId, Micros>,
+    pub pending: BTreeMap<CallId, Micros>,
     /// The connection of each set-up that is owed an answer.
-    asked_on: BTreeMap<CallId, u64>,
+    requested_on: BTreeMap<CallId, u64>,
     /// Sessions that their media servers have ended, whose viewers may have to hear of it.
     due: BTreeSet<CallId>,
     pub answers: BTreeMap<CallId, Vec<ToViewer>>,
-    pub lanes: BTreeMap<ServerIncarnation, std::net::SocketAddr>,
-    pub held: BTreeSet<ServerIncarnation>,
+    pub incarnations: BTreeMap<ServerIncarnation, std::net::SocketAddr>,
+    pub connected: BTreeSet<ServerIncarnation>,
     /// Since when the machine has known that nothing new may go to an address.
     pub drained: BTreeMap<std::net::SocketAddr, Micros>,
     pub last: Vec<Output>,
 }
 
-impl Rig {
-    pub fn new(seed: u64, servers: u16) -> Rig {
-        Rig::with(SETTINGS, seed, servers)
+impl Harness {
+    pub fn new(seed: u64, servers: u16) -> Harness {
+        Harness::with(SETTINGS, seed, servers)
     }
 
-    pub fn with(settings: &str, seed: u64, servers: u16) -> Rig {
+    pub fn with(settings: &str, seed: u64, servers: u16) -> Harness {
         let parsed = beechloft_settings::parse(settings.as_bytes()).expect("settings");
         let bounds = NodeLimits {
             answer_margin: Micros(20_000),
             health_check_timeout: Micros(250_000),
             max_sessions: 500,
-            shutdown_deadline: Micros(LAST_CALL_MS * 1000),
+            shutdown_deadline: Micros(SHUTDOWN_DEADLINE_MS * 1000),
         };
-        let mut rig = Rig {
+        let mut harness = Harness {
             node: Node::new(parsed, seed, bounds),
             now: Micros(1_700_000_000_000_000),
-            out: BTreeMap::new(),
-            standing: BTreeMap::new(),
-            owed: BTreeMap::new(),
-            asked_on: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            established: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            requested_on: BTreeMap::new(),
             due: BTreeSet::new(),
             answers: BTreeMap::new(),
-            lanes: BTreeMap::new(),
-            held: BTreeSet::new(),
+            incarnations: BTreeMap::new(),
+            connected: BTreeSet::new(),
             drained: BTreeMap::new(),
             last: Vec::new(),
         };
         let endpoints = (0..servers).map(|n| endpoint(n, Status::Ready)).collect();
-        rig.hear(Input::InitialTopologies(vec![Topology { snapshot: true, endpoints }]));
+        harness.handle(Input::InitialTopologies(vec![Topology { snapshot: true, endpoints }]));
         // Past the time in which each may be cold from a start before this one.
-        rig.pass(1_500);
-        rig
+        harness.advance(1_500);
+        harness
     }
 
-    pub fn hear(&mut self, input: Input) -> Vec<Output> {
+    pub fn handle(&mut self, input: Input) -> Vec<Output> {
         match &input {
             Input::ViewerMessage(_, FromViewer::Release(id)) => {
-                self.owed.remove(id);
-                self.standing.remove(id);
+                self.pending.remove(id);
+                self.established.remove(id);
             }
-            Input::ServerMessage(lane, ServerMessage { event: FromServer::End(id, _), .. }) => {
-                if self.out.get(id) == Some(lane) {
-                    self.out.remove(id);
+            Input::ServerMessage(incarnation, ServerMessage { event: FromServer::End(id, _), .. }) => {
+                if self.in_flight.get(id) == Some(incarnation) {
+                    self.in_flight.remove(id);
                 }
-                if self.standing.get(id) == Some(lane) {
-                    self.standing.remove(id);
+                if self.established.get(id) == Some(incarnation) {
+                    self.established.remove(id);
                     self.due.insert(*id);
                 }
             }
             Input::ViewerConnectionClosed(conn) => {
-                let on = &self.asked_on;
-                self.owed.retain(|id, _| on.get(id) != Some(&conn.0));
+                let on = &self.requested_on;
+                self.pending.retain(|id, _| on.get(id) != Some(&conn.0));
             }
-            Input::AttemptFailed(lane, id, _) if self.out.get(id) == Some(lane) => {
-                self.out.remove(id);
+            Input::AttemptFailed(incarnation, id, _) if self.in_flight.get(id) == Some(incarnation) => {
+                self.in_flight.remove(id);
             }
             Input::Topology(topology) => {
                 for e in &topology.endpoints {
@@ -163,57 +163,58 @@
 
     fn check(&mut self, output: &Output) {
         match output {
-            Output::AddIncarnation(lane, addr) => {
-                assert!(self.lanes.insert(*lane, *addr).is_none(), "lanes are new");
+            Output::AddIncarnation(incarnation, addr) => {
+                assert!(self.incarnations.insert(*incarnation, *addr).is_none(), "incarnations are new");
             }
-            Output::RemoveIncarnation(lane) => {
-                assert!(self.lanes.remove(lane).is_some());
+            Output::RemoveIncarnation(incarnation) => {
+                assert!(self.incarnations.remove(incarnation).is_some());
                 // What stood there has been released, or its release waits for a connection that is fit for it.
                 let left: Vec<CallId> =
-                    self.standing.iter().filter(|(_, l)| *l == lane).map(|(id, _)| *id).collect();
+                    self.established.iter().filter(|(_, l)| *l == incarnation).map(|(id, _)| *id).collect();
                 assert!(
                     left.len() <= self.node.counts().queued_releases,
-                    "something stands on a lane that is forgotten"
+                    "something stands on a incarnation that is forgotten"
                 );
                 for id in left {
-                    self.standing.remove(&id);
+                    self.established.remove(&id);
                     self.due.insert(id);
                 }
                 assert!(
-                    !self.out.values().any(|l| l == lane),
-                    "something is out on a lane that is forgotten"
+                    !self.in_flight.values().any(|l| l == incarnation),
+                    "something is out on a incarnation that is forgotten"
                 );
             }
-            Output::KeepConnected(lane, true) => {
-                self.held.insert(*lane);
+            Output::KeepConnected(incarnation, true) => {
+                self.connected.insert(*incarnation);
             }
-            Output::KeepConnected(lane, false) => {
-                self.held.remove(lane);
+            Output::KeepConnected(incarnation, false) => {
+                self.connected.remove(incarnation);
             }
-            Output::SendSetUp { incarnation: lane, id, line: bytes, .. } => {
+            Output::SendSetUp { incarnation, id, line: bytes, .. } => {
                 assert!(bytes.ends_with(b"\n") && bytes.len() <= beechloft_protocol::MAX_MESSAGE);
-                let addr = self.lanes.get(lane).expect("a known lane");
-                assert!(self.out.insert(*id, *lane).is_none(), "two attempts out for {id}");
-                assert!(self.owed.contains_key(id), "an attempt for {id}, to which nothing is owed");
+                let addr = self.incarnations.get(incarnation).expect("a known incarnation");
+                assert!(self.in_flight.insert(*id, *incarnation).is_none(), "two attempts out for {id}");
+                assert!(self.pending.contains_key(id), "an attempt for {id}, to which nothing is owed");
                 let grace = |since: &Micros| self.now - *since <= Micros(1_000_000);
                 assert!(self.drained.get(addr).is_none_or(grace), "a set-up past the grace of a drain");
             }
-            Output::AbandonAttempt { incarnation: lane, id, .. } => {
-                assert_eq!(self.out.remove(id), Some(*lane), "given up where it is not out");
+            Output::AbandonAttempt { incarnation, id, .. } => {
+                assert_eq!(self.in_flight.remove(id), Some(*incarnation), "given up where it is not out");
             }
             Output::SendToViewer(_, message) => match message {
                 ToViewer::Answer(id, _) => {
                     self.answered(*id, message);
-                    let lane = self.out.remove(id).expect("the answer of an attempt that is out");
-                    self.standing.insert(*id, lane);
+                    let incarnation =
+                        self.in_flight.remove(id).expect("the answer of an attempt that is out");
+                    self.established.insert(*id, incarnation);
                 }
                 ToViewer::Release(id, _) | ToViewer::ReleaseWithRetryAfter(id, ..)
-                    if self.owed.contains_key(id) =>
+                    if self.pending.contains_key(id) =>
                 {
                     self.answered(*id, message);
                 }
                 ToViewer::Release(id, _) | ToViewer::Move(id) => {
-                    let stood = self.standing.remove(id).is_some() || self.due.remove(id);
+                    let stood = self.established.remove(id).is_some() || self.due.remove(id);
                     assert!(stood || !self.answers.contains_key(id), "{id} is over and released again");
                 }
                 _ => {}
@@ -227,7 +228,7 @@
     }
 
     fn answered(&mut self, id: CallId, message: &ToViewer) {
-        let by = self.owed.remove(&id).expect("an answer that is owed");
+        let by = self.pending.remove(&id).expect("an answer that is owed");
         assert!(self.now <= by, "{id} is answered after its viewer gave up");
         let all = self.answers.entry(id).or_default();
         all.push(message.clone());
@@ -235,11 +236,11 @@
     }
 
     /// A good set-up on a connection.
-    pub fn ask(&mut self, conn: u64, id: u64, timeout_ms: u64) -> Vec<Output> {
+    pub fn set_up(&mut self, conn: u64, id: u64, timeout_ms: u64) -> Vec<Output> {
         let id = CallId(id);
-        self.owed.insert(id, self.now + Micros(timeout_ms * 1000));
-        self.asked_on.insert(id, conn);
-        self.hear(Input::ViewerMessage(
+        self.pending.insert(id, self.now + Micros(timeout_ms * 1000));
+        self.requested_on.insert(id, conn);
+        self.handle(Input::ViewerMessage(
             ViewerConnection(conn),
             FromViewer::SetUp(id, Ok(set_up(id.0, timeout_ms))),
         ))
@@ -248,32 +249,32 @@
     /// The media server that has an attempt accepts it.
     pub fn accept(&mut self, id: u64) -> Vec<Output> {
         let id = CallId(id);
-        let lane = self.out[&id];
-        self.hear(Input::ServerMessage(lane, line(FromServer::Accept(id, format!("answer {id}")))))
+        let incarnation = self.in_flight[&id];
+        self.handle(Input::ServerMessage(incarnation, line(FromServer::Accept(id, format!("answer {id}")))))
     }
 
     /// A session was handed over that plays at this server.
-    pub fn learn_standing(&mut self, id: CallId, n: u16) {
+    pub fn add_adopted(&mut self, id: CallId, n: u16) {
         let addr = endpoint(n, Status::Ready).address.parse().expect("an address");
-        let lane = self.lanes.iter().filter(|(_, a)| **a == addr).map(|(l, _)| *l).next_back();
-        self.standing.insert(id, lane.expect("a lane"));
+        let incarnation = self.incarnations.iter().filter(|(_, a)| **a == addr).map(|(l, _)| *l).next_back();
+        self.established.insert(id, incarnation.expect("a incarnation"));
     }
 
-    pub fn end(&mut self, lane: ServerIncarnation, id: u64, cause: Cause) -> Vec<Output> {
-        self.hear(Input::ServerMessage(lane, line(FromServer::End(CallId(id), cause))))
+    pub fn end(&mut self, incarnation: ServerIncarnation, id: u64, cause: Cause) -> Vec<Output> {
+        self.handle(Input::ServerMessage(incarnation, line(FromServer::End(CallId(id), cause))))
     }
 
     pub fn bus(&mut self, endpoints: Vec<Endpoint>) -> Vec<Output> {
-        self.hear(Input::Topology(Topology { snapshot: false, endpoints }))
+        self.handle(Input::Topology(Topology { snapshot: false, endpoints }))
     }
 
     /// Time passes; what is due comes when it is due.
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance(&mut self, ms: u64) {
         let end = self.now + Micros(ms * 1000);
         while let Some(due) = self.node.next_due().filter(|d| *d <= end) {
             self.now = self.now.max(due);
-            self.hear(Input::Tick);
-            assert!(self.owed.values().all(|by| self.now <= *by), "an answer is late");
+            self.handle(Input::Tick);
+            assert!(self.pending.values().all(|by| self.now <= *by), "an answer is late");
         }
         self.now = end;
     }
