--- a/crates/cli/src/fleet/coordinator.rs
+++ b/crates/cli/src/fleet/coordinator.rs
@@ -32,16 +32,14 @@
     let (Some(old_id), Some(new_id)) = (id(old), id(new)) else {
         return fail(2, "an id has 16 hex digits, as `fleet status` says it");
     };
-    match client::replace(&set, old_id, new_id, Duration::from_secs(5)) {
-        None => return fail(1, "no keeper leads"),
-        Some(Err(why)) => return fail(1, why),
-        Some(Ok(())) => {}
+    if let Err(error) = client::replace(&set, old_id, new_id, Duration::from_secs(5)) {
+        return fail(1, error);
     }
     let until = std::time::Instant::now() + Duration::from_secs(10);
     while std::time::Instant::now() < until {
-        let all = set.keepers.iter().filter_map(|k| client::status(&set, *k, Duration::from_millis(500)));
+        let all = set.replicas.iter().filter_map(|k| client::status(&set, *k, Duration::from_millis(500)));
         let votes = |s: &ReplicaStatus| s.members.iter().any(|m| m.id == new && m.voter);
-        if all.filter(votes).count() * 2 > set.keepers.len() {
+        if all.filter(votes).count() * 2 > set.replicas.len() {
             println!("{new} is a keeper in place of {old}");
             return ExitCode::SUCCESS;
         }
--- a/crates/cli/src/fleet/lease_hold.rs
+++ b/crates/cli/src/fleet/lease_hold.rs
@@ -65,8 +65,8 @@
     // It is told when a quarter of the time is left, and ended when a tenth is.
     let (tell_at, end_at) = (ttl / 4, (ttl / 10).max(Duration::from_millis(50)));
     let clock = set.clock();
-    let mut holder = Holder::new(HolderId(rand::random()), terms.clone(), set.drift, rand::random());
-    let mut way = LeaderConnection::new(set);
+    let mut holder = Holder::new(HolderId(rand::random()), terms.clone(), set.drift_bound, rand::random());
+    let mut connection = LeaderConnection::new(set);
     let began = clock();
     let mut running: Option<Running> = None;
     let mut inputs = vec![HolderInput::Acquire];
@@ -74,7 +74,7 @@
         for input in std::mem::take(&mut inputs) {
             for output in holder.handle(clock(), input) {
                 match output {
-                    HolderOutput::Send(request) => way.send(request),
+                    HolderOutput::Send(request) => connection.send_request(request),
                     HolderOutput::Acquired(token) if running.is_none() => {
                         match Running::start(command, &terms.name, token) {
                             Ok(started) => running = Some(started),
@@ -97,7 +97,7 @@
         if let Some(run) = &mut running {
             let left = left(permit.as_ref(), now);
             if let Ok(Some(status)) = run.child.try_wait() {
-                release(&mut holder, &mut way, &clock);
+                release(&mut holder, &mut connection, &clock);
                 return ExitCode::from(status.code().map_or(1, |c| c as u8));
             }
             if left <= end_at || permit.as_ref().and_then(|p| p.token_at(now)) != Some(run.token) {
@@ -108,11 +108,11 @@
                 run.tell();
             }
         } else if end.load(Ordering::Relaxed) || wait.is_some_and(|w| now - began >= w) {
-            release(&mut holder, &mut way, &clock);
+            release(&mut holder, &mut connection, &clock);
             return fail(NOT_OBTAINED, format_args!("the lease {} was not obtained", terms.name));
         }
         let due = holder.next_due().map_or(Duration::from_millis(20), |d| d.saturating_sub(clock()));
-        if let Some(input) = way.hear(due.min(Duration::from_millis(20))) {
+        if let Some(input) = connection.receive_input(due.min(Duration::from_millis(20))) {
             inputs.push(input);
         }
         inputs.push(HolderInput::Tick);
@@ -120,19 +120,19 @@
 }
 
 /// Gives it back, as far as a keeper can be reached soon; otherwise it runs out.
-fn release(holder: &mut Holder, way: &mut LeaderConnection, clock: &impl Fn() -> Duration) {
+fn release(holder: &mut Holder, connection: &mut LeaderConnection, clock: &impl Fn() -> Duration) {
     let until = clock() + Duration::from_millis(500);
     let mut input = HolderInput::Release;
     while clock() < until {
         for output in holder.handle(clock(), input) {
             if let HolderOutput::Send(request) = output {
-                way.send(request);
+                connection.send_request(request);
             }
         }
         if holder.is_idle() {
             break;
         }
-        input = way.hear(Duration::from_millis(20)).unwrap_or(HolderInput::Tick);
+        input = connection.receive_input(Duration::from_millis(20)).unwrap_or(HolderInput::Tick);
     }
     let _ = std::io::stderr().flush();
 }
--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -28,7 +28,7 @@
     // A front's file, with all that is in it, or one of the fleet's section alone.
     let read = config_reader::read(&text, |top| match top.has("service") {
         true => serve::read_sections(top).1,
-        false => Some(FleetSettings::of(&top.section("fleet"), None)),
+        false => Some(FleetSettings::from_section(&top.section("fleet"), None)),
     });
     match read {
         Ok(Some(set)) => Ok(set),
@@ -72,7 +72,7 @@
                 Err(e) => return fail(2, e),
             };
             let terms = LeaseSpec { name, slots: *holders, ttl_ms: *ttl_ms };
-            if let Err(e) = terms.check(set.drift) {
+            if let Err(e) = terms.check(set.drift_bound) {
                 return fail(2, e);
             }
             hold(set, &terms, wait_ms.map(Duration::from_millis), command)
--- a/crates/cli/src/fleet/reports.rs
+++ b/crates/cli/src/fleet/reports.rs
@@ -17,7 +17,7 @@
         Ok(set) => set,
         Err(code) => return code,
     };
-    let anyone = set.listen.into_iter().chain(set.seeds.iter().copied()).chain(set.keepers.iter().copied());
+    let anyone = set.listen.into_iter().chain(set.seeds.iter().copied()).chain(set.replicas.iter().copied());
     let asked: Vec<_> = of.map_or_else(|| anyone.collect(), |of| vec![of]);
     let mut seen = asked.iter().filter_map(|at| client::members(&set, *at, Duration::from_secs(1)));
     let Some(mut lines) = seen.next() else {
@@ -49,7 +49,7 @@
         Err(code) => return code,
     };
     let mut reached = 0;
-    for keeper in &set.keepers {
+    for keeper in &set.replicas {
         let status = client::status(&set, *keeper, Duration::from_millis(1_000));
         reached += usize::from(status.is_some());
         if json {
@@ -61,7 +61,7 @@
             }
         }
     }
-    if reached * 2 > set.keepers.len() { ExitCode::SUCCESS } else { ExitCode::from(1) }
+    if reached * 2 > set.replicas.len() { ExitCode::SUCCESS } else { ExitCode::from(1) }
 }
 
 fn print_status(keeper: &std::net::SocketAddr, s: &ReplicaStatus) {
--- a/crates/cli/src/fleet_membership.rs
+++ b/crates/cli/src/fleet_membership.rs
@@ -1,4 +1,4 @@
-//! A front as one of a fleet: a member if its settings name seeds, with a number and a turn to restart if they ask for them.
+//! A front's part in its fleet: membership, slot, quotas, outlier detection and, if it is a replica, a coordinator.
 
 use std::io;
 use std::sync::Arc;
@@ -18,146 +18,166 @@
 
 use crate::outlier_observer::OutlierObserver;
 
-/// How long a front waits until what it leaves playing is in the keepers' log; after that its whole share stays counted for it.
-const CLOSE_WITHIN: Duration = Duration::from_secs(1);
+/// How long a front waits until what it leaves playing is in the coordinator's log; after that its whole share stays counted.
+const QUOTA_CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a front has of its fleet.
+/// A front's part in its fleet.
 pub struct FleetMembership {
-    agent: Arc<FrontLeases>,
-    peers: Option<Arc<MembershipService>>,
-    /// Limits that hold for all fronts, if its settings ask for any.
-    limiter: Option<QuotaClient>,
-    verdicts: Option<Arc<OutlierDetector>>,
-    /// A front may be a keeper besides, on a thread of its own.
-    keeping: Option<(Arc<AtomicBool>, JoinHandle<()>)>,
+    leases: Arc<FrontLeases>,
+    membership: Option<Arc<MembershipService>>,
+    /// Quotas of all fronts, if the settings name any.
+    quotas: Option<QuotaClient>,
+    outlier_detector: Option<Arc<OutlierDetector>>,
+    /// The coordinator of a front that is a replica too.
+    coordinator: Option<CoordinatorThread>,
 }
 
-/// A keeper within this process. If its disk fails it stops for good, and the front goes on: others keep.
-fn keep(mut keeping: CoordinatorServer) {
-    if let Err(e) = keeping.run() {
-        tracing::error!("this front keeps no more, and serves on: {e}");
+/// A coordinator on a thread of its own.
+struct CoordinatorThread {
+    stop: Arc<AtomicBool>,
+    thread: JoinHandle<()>,
+}
+
+impl CoordinatorThread {
+    /// Stops the coordinator between two writes and waits for its thread.
+    fn stop(self) {
+        self.stop.store(true, Ordering::Relaxed);
+        let _ = self.thread.join();
+    }
+}
+
+/// Runs a coordinator within this process. If its disk fails it stops for good and the front goes on: other replicas serve.
+fn run_coordinator(mut server: CoordinatorServer) {
+    if let Err(error) = server.run() {
+        tracing::error!("this front's coordinator stopped for good, the front serves on: {error}");
     }
 }
 
 impl FleetMembership {
-    /// Joins. `span` is that of the pace which goes by the number.
+    /// Joins the fleet. `span` is the time for which an action by the slot counts against its share.
     ///
     /// # Errors
     /// The fleet's address can't be listened on, or there is no thread.
-    pub fn start(set: &FleetSettings, span: Duration) -> io::Result<FleetMembership> {
-        let (peers, keeping) = if set.keeps() {
-            let end = Arc::new(AtomicBool::new(false));
-            let keeping = CoordinatorServer::start_as(MemberKind::Front, set.clone(), Arc::clone(&end));
-            let keeping = keeping.map_err(|e| io::Error::other(e.to_string()))?;
-            let peers = keeping.members();
-            let thread = thread::Builder::new().name("keeper".into()).spawn(move || keep(keeping))?;
-            (peers, Some((end, thread)))
+    pub fn start(settings: &FleetSettings, span: Duration) -> io::Result<FleetMembership> {
+        let (membership, coordinator) = if settings.is_replica() {
+            let stop = Arc::new(AtomicBool::new(false));
+            let server = CoordinatorServer::start_as(MemberKind::Front, settings.clone(), Arc::clone(&stop))
+                .map_err(io::Error::other)?;
+            let membership = server.membership();
+            let thread =
+                thread::Builder::new().name("keeper".into()).spawn(move || run_coordinator(server))?;
+            (membership, Some(CoordinatorThread { stop, thread }))
         } else {
-            (FleetMembership::member(set)?, None)
+            (FleetMembership::join(settings)?, None)
         };
-        let limits = set.limits.as_ref();
-        let limiter = limits.map(|limits| QuotaClient::start(set, limits, peers.clone())).transpose()?;
-        let verdicts = match (set.verdicts, &peers) {
-            (Some(verdicts), Some(peers)) => {
-                Some(Arc::new(OutlierDetector::start(set, verdicts, Arc::clone(peers))?))
+        let quotas = settings
+            .quotas
+            .as_ref()
+            .map(|quotas| QuotaClient::start(settings, quotas, membership.clone()))
+            .transpose()?;
+        let outlier_detector = match (settings.outlier_detection, &membership) {
+            (Some(detection), Some(service)) => {
+                Some(Arc::new(OutlierDetector::start(settings, detection, Arc::clone(service))?))
             }
             _ => None,
         };
         Ok(FleetMembership {
-            agent: Arc::new(FrontLeases::start(set, span)?),
-            peers,
-            limiter,
-            verdicts,
-            keeping,
+            leases: Arc::new(FrontLeases::start(settings, span)?),
+            membership,
+            quotas,
+            outlier_detector,
+            coordinator,
         })
     }
 
-    /// As a member, if its settings name seeds.
-    fn member(set: &FleetSettings) -> io::Result<Option<Arc<MembershipService>>> {
-        if set.seeds.is_empty() {
+    /// Joins the membership, if the settings name seeds.
+    fn join(settings: &FleetSettings) -> io::Result<Option<Arc<MembershipService>>> {
+        if settings.seeds.is_empty() {
             return Ok(None);
         }
-        let said = |e: io::Error| match set.listen {
-            Some(listen) => io::Error::new(e.kind(), format!("fleet.listen {listen}: {e}")),
-            None => e,
+        let with_address = |error: io::Error| match settings.listen {
+            Some(listen) => io::Error::new(error.kind(), format!("fleet.listen {listen}: {error}")),
+            None => error,
         };
-        let peers = MembershipService::start(set, MemberKind::Front).map_err(said)?;
-        peers.answer().map_err(said)?;
-        Ok(Some(Arc::new(peers)))
+        let service = MembershipService::start(settings, MemberKind::Front).map_err(with_address)?;
+        service.serve_members().map_err(with_address)?;
+        Ok(Some(Arc::new(service)))
     }
 
-    /// Its number, for whoever asks at any moment.
-    pub fn numbers(&self) -> Box<dyn Fn() -> Option<SlotAssignment> + Send> {
-        let (agent, peers) = (Arc::clone(&self.agent), self.peers.clone());
+    /// The front's slot, to be read at any moment.
+    pub fn slots(&self) -> Box<dyn Fn() -> Option<SlotAssignment> + Send> {
+        let (leases, membership) = (Arc::clone(&self.leases), self.membership.clone());
         Box::new(move || {
-            // Without a part: a number that is not under them all.
-            let (number, of, reach) = match agent.part()? {
-                (SlotShare::Of { slot: number, slot_count: of }, reach) => (number, of, reach),
-                (SlotShare::None, reach) => (0, 0, reach),
+            let front_slot = leases.slot()?;
+            // Without a share: a slot that is not below the count.
+            let (slot, slot_count) = match front_slot.share {
+                SlotShare::Of { slot, slot_count } => (slot, slot_count),
+                SlotShare::None => (0, 0),
             };
-            let fronts = peers.as_ref().map_or(reach, |p| p.fronts()).max(1);
-            Some(SlotAssignment { slot: number, slot_count: of, live_fronts: fronts })
+            let live_fronts =
+                membership.as_ref().map_or(front_slot.slot_bound, |service| service.active_fronts()).max(1);
+            Some(SlotAssignment { slot, slot_count, live_fronts })
         })
     }
 
-    /// What a front is told by its fleet, and tells it.
+    /// What connects a front to its fleet.
     pub fn hooks(&self) -> FleetHooks {
         let observer = self
-            .verdicts
+            .outlier_detector
             .as_ref()
-            .map(|v| -> Box<dyn Observer> { Box::new(OutlierObserver::new(Arc::clone(v))) });
-        FleetHooks { slots: Some(self.numbers()), observer, gate: self.gate() }
+            .map(|detector| -> Box<dyn Observer> { Box::new(OutlierObserver::new(Arc::clone(detector))) });
+        FleetHooks { slots: Some(self.slots()), observer, gate: self.gate() }
     }
 
-    /// It is told to end: it asks for its turn, if fronts restart in turn; how long it is to wait at most.
-    pub fn wants_end(&self) -> Option<Duration> {
-        let restart = self.agent.restart()?;
-        self.agent.want_turn();
+    /// Asks for the front's turn to restart, if fronts restart in turn; how long to wait for it at most.
+    pub fn request_stop(&self) -> Option<Duration> {
+        let restart = self.leases.rolling_restart()?;
+        self.leases.request_restart_turn();
         Some(restart.wait)
     }
 
-    /// Whether it is its turn now, and its number is left to its next start.
-    pub fn may_end(&self) -> bool {
-        self.agent.may_end()
+    /// Whether it is the front's turn now and its slot is handed over to its next process.
+    pub fn may_stop(&self) -> bool {
+        self.leases.may_stop()
     }
 
-    /// What admits by limits that hold for all fronts, if there are any.
+    /// The gate that admits by the quotas of all fronts, if there are any.
     pub fn gate(&self) -> Option<Gate> {
-        self.limiter.as_ref().map(QuotaClient::gate)
+        self.quotas.as_ref().map(QuotaClient::gate)
     }
 
-    /// Has the boxes asked now and then what lost fronts left there.
+    /// Has media servers asked now and then what lost fronts left there.
     ///
     /// # Errors
     /// There is no thread.
-    pub fn survey(&self, boxes: MediaServers) -> io::Result<()> {
-        self.limiter.as_ref().map_or(Ok(()), |l| l.survey(Box::new(move || boxes.tags())))
+    pub fn survey(&self, servers: MediaServers) -> io::Result<()> {
+        self.quotas.as_ref().map_or(Ok(()), |quotas| quotas.survey(Box::new(move || servers.tags())))
     }
 
-    /// Tells others that it ends, leaves its number if it has not yet, and ends its keeper between two saves.
+    /// Closes its quota account, hands its slot over if it has not yet, tells other members that it ends, and stops its
+    /// coordinator.
     pub fn leave(&mut self) {
-        if let Some(limiter) = self.limiter.take() {
-            limiter.close(CLOSE_WITHIN);
+        if let Some(quotas) = self.quotas.take() {
+            quotas.close(QUOTA_CLOSE_TIMEOUT);
         }
-        self.agent.leave();
-        if let Some(peers) = &self.peers {
-            peers.leave();
+        self.leases.hand_off();
+        if let Some(membership) = &self.membership {
+            membership.leave();
         }
-        if let Some((end, thread)) = self.keeping.take() {
-            end.store(true, Ordering::Relaxed);
-            let _ = thread.join();
+        if let Some(coordinator) = self.coordinator.take() {
+            coordinator.stop();
         }
     }
 
-    /// The same, as a front node asks for it.
+    /// What connects a front node to its fleet.
     pub fn for_event_loop(&self) -> beechloft_event_loop::FleetHooks {
-        let (wants, may) = (Arc::clone(&self.agent), Arc::clone(&self.agent));
-        let waits = self.agent.restart().map(|r| r.wait);
+        let (requesting, checking) = (Arc::clone(&self.leases), Arc::clone(&self.leases));
+        let max_stop_wait = self.leases.rolling_restart().map(|restart| restart.wait);
         beechloft_event_loop::FleetHooks {
-            numbered: self.numbers(),
-            may_stop: Box::new(move || may.may_end()),
-            request_stop: Box::new(move || wants.want_turn()),
-            max_stop_wait: waits,
+            numbered: self.slots(),
+            may_stop: Box::new(move || checking.may_stop()),
+            request_stop: Box::new(move || requesting.request_restart_turn()),
+            max_stop_wait,
         }
     }
 }
--- a/crates/cli/src/outlier_observer.rs
+++ b/crates/cli/src/outlier_observer.rs
@@ -1,27 +1,30 @@
-//! A front as a witness of its boxes: what its attempts showed goes to the fleet's evidence, and what the fleet holds of boxes narrows what
-//! its module is offered.
+//! Connects a front to outlier detection: the results of its attempts go to the detector, and the media servers that the detector
+//! ejects are excluded from what the front chooses from.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-use beechloft_coordinator::{Noted, OutlierDetector};
+use beechloft_coordinator::{AttemptReport, OutlierDetector};
 use beechloft_outlier_detection::{Outcome, Place, title_key};
 use beechloft_server::evidence::{Evidence, Observer, Verdict};
 use beechloft_session::api::{EndpointState, Micros, ServerId};
 use beechloft_session::catalog::Catalog;
 use beechloft_session::holder_filter::{Exclusion, Exclusions, HolderFilter};
 
-/// Between a front's core and the fleet's evidence.
+/// Connects a front's controller to the outlier detector.
 pub struct OutlierObserver {
-    verdicts: Arc<OutlierDetector>,
-    seen: u64,
+    detector: Arc<OutlierDetector>,
+    /// Version of the result that was read last.
+    seen_version: u64,
+    /// Names of titles by their keys.
     titles: BTreeMap<u32, Arc<str>>,
 }
 
 impl OutlierObserver {
-    pub fn new(verdicts: Arc<OutlierDetector>) -> OutlierObserver {
-        OutlierObserver { verdicts, seen: 0, titles: BTreeMap::new() }
+    /// An observer that has reported nothing yet.
+    pub fn new(detector: Arc<OutlierDetector>) -> OutlierObserver {
+        OutlierObserver { detector, seen_version: 0, titles: BTreeMap::new() }
     }
 }
 
@@ -29,7 +32,7 @@
     fn endpoints_changed(&mut self, catalog: &Catalog) {
         let listed = catalog.servers().filter(|b| b.state != EndpointState::Removed);
         let place = |zone, size: f64| Place { zone, size: if size > 0.0 { size } else { 1.0 } };
-        self.verdicts.list(listed.map(|b| (b.id.0, place(b.zone.0, b.size))).collect());
+        self.detector.set_servers(listed.map(|b| (b.id.0, place(b.zone.0, b.size))).collect());
         // Names change seldom, and there may be many.
         if catalog.titles().count() == self.titles.len() {
             return;
@@ -38,29 +41,31 @@
     }
 
     fn connected(&mut self, server: ServerId, boot: u64) {
-        self.verdicts.life(server.0, boot);
+        self.detector.server_booted(server.0, boot);
     }
 
     fn attempt_ended(&mut self, evidence: Evidence, now: Micros) {
         let outcome = match evidence.verdict {
-            Verdict::Accepted(took) if Duration::from_micros(took.0) > self.verdicts.slow() => Outcome::Slow,
+            Verdict::Accepted(took) if Duration::from_micros(took.0) > self.detector.slow_threshold() => {
+                Outcome::Slow
+            }
             Verdict::Accepted(_) => Outcome::Well,
             Verdict::Error => Outcome::Error,
             Verdict::Timeout => Outcome::Hang,
             Verdict::Declined => Outcome::Declined,
         };
-        let ago = Duration::from_micros((now - evidence.sent_at).0);
-        self.verdicts.tried(Noted {
+        let age = Duration::from_micros((now - evidence.sent_at).0);
+        self.detector.attempt_ended(AttemptReport {
             server: evidence.server.0,
             title: title_key(&evidence.title),
             outcome,
-            ago,
+            age,
         });
     }
 
     fn holder_filter(&mut self) -> Option<HolderFilter> {
-        let (version, outlook) = self.verdicts.outlook(self.seen)?;
-        self.seen = version;
+        let (version, outlook) = self.detector.outlook(self.seen_version)?;
+        self.seen_version = version;
         let exclusion = |key: &beechloft_outlier_detection::BoxKey, admitted_per_mille| Exclusion {
             server: ServerId(key.server),
             admitted_per_mille,
@@ -75,7 +80,7 @@
         Some(HolderFilter::Exclude(Exclusions {
             servers,
             titles,
-            max_excluded_per_mille: self.verdicts.part(),
+            max_excluded_per_mille: self.detector.max_ejected_per_mille(),
         }))
     }
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -26,12 +26,12 @@
     let fleet = top.has("fleet").then(|| {
         let section = top.section("fleet");
         let known = KnownNames { customers: &front.service.tenants, classes: &front.service.classes };
-        let mut fleet = FleetSettings::among(&section, &front.service.zones, known);
-        if let Some(limits) = &mut fleet.limits {
+        let mut fleet = FleetSettings::from_front_section(&section, &front.service.zones, known);
+        if let Some(quotas) = &mut fleet.quotas {
             // Calls carry no tag: what a lost front of calls left can't be asked of boxes.
-            limits.tagged = front.sip.is_none();
+            quotas.tagged = front.sip.is_none();
         }
-        if fleet.number.is_some() && front.numbered {
+        if fleet.front_slot.is_some() && front.numbered {
             section.report("number", "it comes by lease; front.number and front.of say something else");
         }
         fleet
@@ -57,37 +57,37 @@
     };
     let listen = settings.listen;
     let span = Duration::from_micros(settings.settings.slow_start.overload_window.0);
-    let mut among = match fleet.map(|set| FleetMembership::start(&set, span)).transpose() {
-        Ok(among) => among,
+    let mut membership = match fleet.map(|set| FleetMembership::start(&set, span)).transpose() {
+        Ok(membership) => membership,
         Err(e) => return fail(1, e),
     };
-    let started = match &among {
-        Some(among) => Front::start_in_fleet(settings, among.hooks()),
+    let started = match &membership {
+        Some(membership) => Front::start_in_fleet(settings, membership.hooks()),
         None => Front::start(settings, None),
     };
     let front = match started {
         Ok(front) => front,
         Err(e) => return fail(1, format_args!("{listen}: {e}")),
     };
-    if let Some(Err(e)) = among.as_ref().map(|a| a.survey(front.media_servers())) {
+    if let Some(Err(e)) = membership.as_ref().map(|m| m.survey(front.media_servers())) {
         return fail(1, e);
     }
     signals.forever().next();
-    if let Some(among) = &among {
-        wait_for_turn(among, &mut signals);
+    if let Some(membership) = &membership {
+        wait_for_turn(membership, &mut signals);
     }
     front.stop(STOP_WITHIN);
-    if let Some(among) = &mut among {
-        among.leave();
+    if let Some(membership) = &mut membership {
+        membership.leave();
     }
     ExitCode::SUCCESS
 }
 
 /// Goes on serving until it is this front's turn to restart, or it was waited for long enough, or it is told again.
-fn wait_for_turn(among: &FleetMembership, signals: &mut Signals) {
-    let Some(waits) = among.wants_end() else { return };
+fn wait_for_turn(membership: &FleetMembership, signals: &mut Signals) {
+    let Some(waits) = membership.request_stop() else { return };
     let until = Instant::now() + waits;
-    while !among.may_end() {
+    while !membership.may_stop() {
         if signals.pending().next().is_some() {
             return;
         }
@@ -121,9 +121,9 @@
 
 /// What the limits of a file promise, worked out from it.
 fn promises(fleet: Option<&FleetSettings>) {
-    let Some((fleet, limits)) = fleet.and_then(|f| Some((f, f.limits.as_ref()?))) else { return };
+    let Some((fleet, limits)) = fleet.and_then(|f| Some((f, f.quotas.as_ref()?))) else { return };
     for definition in &limits.definitions {
-        for line in bounds::lines(definition, &limits.rules, fleet.drift) {
+        for line in bounds::lines(definition, &limits.rules, fleet.drift_bound) {
             println!("limit {}: {line}", definition.name);
         }
     }
--- a/crates/cli/tests/figures.rs
+++ b/crates/cli/tests/figures.rs
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use beechloft_coordinator::client::LeaderConnection as ToKeepers;
+use beechloft_coordinator::client::LeaderConnection;
 use beechloft_coordinator::wire::{self, Message};
 use beechloft_coordinator::{FleetSettings, FrontLeases};
 use beechloft_leases::{
@@ -50,8 +50,8 @@
 fn grants(set: &FleetSettings, count: usize) -> Vec<Duration> {
     let clock = set.clock();
     let terms = LeaseSpec { name: name("figures"), slots: 1, ttl_ms: 3_000 };
-    let mut holder = Holder::new(HolderId(7), terms, set.drift, 1);
-    let mut way = ToKeepers::new(set.clone());
+    let mut holder = Holder::new(HolderId(7), terms, set.drift_bound, 1);
+    let mut connection = LeaderConnection::new(set.clone());
     let mut grants = Vec::new();
     while grants.len() < count {
         let began = Instant::now();
@@ -59,7 +59,7 @@
         while !held || !holder.is_idle() {
             for output in holder.handle(clock(), input) {
                 match output {
-                    HolderOutput::Send(request) => way.send(request),
+                    HolderOutput::Send(request) => connection.send_request(request),
                     HolderOutput::Acquired(_) => {
                         held = true;
                         grants.push(began.elapsed());
@@ -70,7 +70,7 @@
             input = if held && holder.permit(clock()).is_some() {
                 HolderInput::Release
             } else {
-                way.hear(Duration::from_millis(5)).unwrap_or(HolderInput::Tick)
+                connection.receive_input(Duration::from_millis(5)).unwrap_or(HolderInput::Tick)
             };
         }
     }
@@ -86,11 +86,11 @@
     let task = name(&format!("task-{}", holder.0));
     let say = |stream: &mut TcpStream, seq, op| {
         let bytes =
-            wire::encode(set.number(), &Message::LeaseRequest(Request { holder, seq, op })).expect("short");
+            wire::encode(set.fleet_id(), &Message::LeaseRequest(Request { holder, seq, op })).expect("short");
         stream.write_all(&bytes).expect("written");
     };
     say(&mut stream, 1, Op::Acquire { name: task.clone(), slots: 1, ttl_ms: 60_000 });
-    let token: Token = match wire::read(set.number(), &mut stream).expect("an answer") {
+    let token: Token = match wire::read(set.fleet_id(), &mut stream).expect("an answer") {
         Message::LeaseResponse(Response::Answer { answer: Answer::Granted(token, _), .. }) => token,
         other => panic!("{other:?}"),
     };
@@ -101,7 +101,7 @@
             say(&mut stream, seq, Op::Renew { name: task.clone(), token });
         }
         for _ in 0..at_once {
-            let heard = wire::read(set.number(), &mut stream).expect("an answer");
+            let heard = wire::read(set.fleet_id(), &mut stream).expect("an answer");
             assert!(
                 matches!(heard, Message::LeaseResponse(Response::Answer { answer: Answer::Renewed(..), .. })),
                 "{heard:?}"
@@ -219,13 +219,13 @@
     let fleet = Fleet::new(3);
     fleet.leader(3);
     let mut set = settings(&fleet);
-    set.number = Some(LeaseSpec { name: name("front/number"), slots: 64, ttl_ms: 2_000 });
-    let agent = FrontLeases::start(&set, Duration::from_millis(500)).expect("it starts");
+    set.front_slot = Some(LeaseSpec { name: name("front/number"), slots: 64, ttl_ms: 2_000 });
+    let leases = FrontLeases::start(&set, Duration::from_millis(500)).expect("it starts");
     std::thread::sleep(Duration::from_secs(4));
     let (count, began) = (1_000_000u32, Instant::now());
     let mut held = 0;
     for _ in 0..count {
-        held += u32::from(agent.part().is_some_and(|p| p.0 != beechloft_leases::SlotShare::None));
+        held += u32::from(leases.slot().is_some_and(|slot| slot.share != beechloft_leases::SlotShare::None));
     }
     println!("one look: {:?}; {held} of {count} with a part", began.elapsed() / count);
 }
--- a/crates/cli/tests/support/lin.rs
+++ b/crates/cli/tests/support/lin.rs
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use beechloft_coordinator::history::{Line, Noted};
+use beechloft_coordinator::history::{HistoryEvent, HistoryRecord};
 use beechloft_leases::{Answer, Op as Wanted, Rejection};
 
 /// States that are tried at most: a history that some order explains needs about as many as it has requests.
@@ -212,10 +212,10 @@
     let text = std::fs::read_to_string(path).map_err(|e| e.to_string())?;
     let mut book = Book::default();
     for line in text.lines() {
-        let line: Line = serde_json::from_str(line).map_err(|e| format!("{line}: {e}"))?;
+        let line: HistoryRecord = serde_json::from_str(line).map_err(|e| format!("{line}: {e}"))?;
         let at = Duration::from_nanos(line.at_ns);
-        match line.noted {
-            Noted::Asks(request) => {
+        match line.event {
+            HistoryEvent::Request(request) => {
                 let (name, asked) = match &request.op {
                     Wanted::Acquire { name, .. } => (name, Asked::Acquire),
                     Wanted::Renew { name, token } => (name, Asked::Renew(token.0)),
@@ -226,7 +226,7 @@
                     book.asks(request.holder.0, request.seq, asked, at);
                 }
             }
-            Noted::Hears { holder, seq, answer } => {
+            HistoryEvent::Response { holder, seq, answer } => {
                 let answered = match answer {
                     Answer::Granted(token, _) => Answered::Granted(token.0),
                     Answer::Renewed(..) => Answered::Renewed,
--- a/crates/cli/tests/topic_figures.rs
+++ b/crates/cli/tests/topic_figures.rs
@@ -62,7 +62,7 @@
             }
             sent += 1;
         }
-        let settled = publisher.settled().recv_timeout(Duration::from_secs(60)).expect("an answer");
+        let settled = publisher.results().recv_timeout(Duration::from_secs(60)).expect("an answer");
         assert!(matches!(settled.outcome, Outcome::Written(_)), "{settled:?}");
         took.extend(out.remove(&settled.ticket).map(|began: Instant| began.elapsed()));
     }
@@ -84,7 +84,7 @@
     };
     let follower = Follower::start(set, name(), SubscriberSettings::default(), hear).expect("it starts");
     let took = waits.recv_timeout(Duration::from_secs(60)).expect("it catches up");
-    (took, began.elapsed(), follower.look(|s| s.keys().count()))
+    (took, began.elapsed(), follower.read(|s| s.keys().count()))
 }
 
 fn late_joiner(fleet: &Fleet, what: &str) {
@@ -162,13 +162,13 @@
     for alone in [false, true] {
         let mut of = set.clone();
         if alone {
-            of.keepers = vec![fleet.addresses[leader]];
+            of.replicas = vec![fleet.addresses[leader]];
         }
         let before = resident(&fleet, leader);
         let followers: Vec<Follower> = (0..300)
             .map(|_| Follower::start(&of, name(), SubscriberSettings::default(), |_| {}).expect("it starts"))
             .collect();
-        let complete = |f: &Follower| f.look(|s| s.complete_to());
+        let complete = |f: &Follower| f.read(|s| s.complete_to());
         while followers.iter().any(|f| complete(f).is_none()) {
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -178,7 +178,7 @@
         let mut sent = 0;
         while began.elapsed() < Duration::from_secs(10) {
             publisher.publish(record(sent % 1_000, &[b'v'; 100]), Expect::Anything);
-            while publisher.settled().try_recv().is_ok() {}
+            while publisher.results().try_recv().is_ok() {}
             sent += 1;
             std::thread::sleep(
                 (began + Duration::from_millis(10 * sent)).saturating_duration_since(Instant::now()),
--- a/crates/fleet/coordinator/src/client.rs
+++ b/crates/fleet/coordinator/src/client.rs
@@ -1,4 +1,4 @@
-//! The way to keepers for those who ask.
+//! Clients of a coordinator: single calls, watches, and a connection that follows the leader.
 
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -8,216 +8,263 @@
 use beechloft_consensus::NodeId;
 use beechloft_leases::{HolderInput, LeaderLocator, Name, Request, Response};
 use crossbeam_channel::{Receiver, Sender, bounded};
+use thiserror::Error;
 
-use crate::history::Book;
+use crate::history::HistoryLog;
 use crate::settings::FleetSettings;
-use crate::wire::{self, Message, ReplicaStatus};
+use crate::wire::{self, LeaseChange, LeaseInfo, MemberView, Message, ReplicaStatus};
 
-const CONNECT: Duration = Duration::from_millis(200);
-const WRITE: Duration = Duration::from_millis(200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Timeout of one call while the leader is looked for.
+const LEADER_CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause between two calls while the leader is looked for.
+const LEADER_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// A watch on which nothing comes for this long is opened anew: guards against a replica that is cut off and does not know, whose
+/// silence looks like no changes.
+const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Messages that have come and are not taken yet, at most.
+const RECEIVED_CAPACITY: usize = 64;
+const STACK_BYTES: usize = 128 << 10;
 
-/// Asks one keeper how it stands.
-pub fn status(set: &FleetSettings, keeper: SocketAddr, within: Duration) -> Option<ReplicaStatus> {
-    match call(set, keeper, &Message::GetStatus, within)? {
+/// Why a replica was not replaced.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum ReplaceError {
+    /// No replica answered as the leader in time.
+    #[error("no keeper leads")]
+    NoLeader,
+    /// The leader rejected it.
+    #[error("{0}")]
+    Rejected(String),
+}
+
+/// The state of a replica; none if it does not answer in time.
+pub fn status(settings: &FleetSettings, replica: SocketAddr, timeout: Duration) -> Option<ReplicaStatus> {
+    match call(settings, replica, &Message::GetStatus, timeout)? {
         Message::Status(status) => Some(status),
         _ => None,
     }
 }
 
-/// Asks a process of the fleet whom it sees; none: it does not answer, or is no member.
-pub fn members(set: &FleetSettings, of: SocketAddr, within: Duration) -> Option<Vec<wire::MemberView>> {
-    match call(set, of, &Message::GetMembers, within)? {
-        Message::Members(seen) => seen,
+/// The members that a process of the fleet sees; none if it does not answer in time or is no member.
+pub fn members(settings: &FleetSettings, of: SocketAddr, timeout: Duration) -> Option<Vec<MemberView>> {
+    match call(settings, of, &Message::GetMembers, timeout)? {
+        Message::Members(members) => members,
         _ => None,
     }
 }
 
-/// Asks a keeper, and hears what it says first.
-pub fn call(set: &FleetSettings, keeper: SocketAddr, word: &Message, within: Duration) -> Option<Message> {
-    let mut stream = TcpStream::connect_timeout(&set.reach(keeper), within).ok()?;
-    stream.set_read_timeout(Some(within)).ok()?;
-    stream.set_write_timeout(Some(within)).ok()?;
-    stream.write_all(&wire::encode(set.number(), word)?).ok()?;
-    wire::read(set.number(), &mut stream).ok()
+/// Sends a request to a replica and returns the first message that comes back.
+pub fn call(
+    settings: &FleetSettings,
+    replica: SocketAddr,
+    request: &Message,
+    timeout: Duration,
+) -> Option<Message> {
+    let mut stream = TcpStream::connect_timeout(&settings.dial_address(replica), timeout).ok()?;
+    stream.set_read_timeout(Some(timeout)).ok()?;
+    stream.set_write_timeout(Some(timeout)).ok()?;
+    stream.write_all(&wire::encode(settings.fleet_id(), request)?).ok()?;
+    wire::read(settings.fleet_id(), &mut stream).ok()
 }
 
-/// All grants, from the keeper that leads.
-pub fn list(set: &FleetSettings, within: Duration) -> Option<Vec<wire::LeaseInfo>> {
-    match ask_leader(set, &Message::ListLeases, within)? {
-        Message::Leases(lines) => Some(lines),
+/// All grants, from the leader; none if there is no leader in time.
+pub fn list(settings: &FleetSettings, timeout: Duration) -> Option<Vec<LeaseInfo>> {
+    match call_leader(settings, &Message::ListLeases, timeout)? {
+        Message::Leases(leases) => Some(leases),
         _ => None,
     }
 }
 
-/// What one who watches hears.
+/// Has a replica that was lost with its store replaced by the one that came up at its address.
+///
+/// # Errors
+/// As [`ReplaceError`] says.
+pub fn replace(
+    settings: &FleetSettings,
+    old: NodeId,
+    new: NodeId,
+    timeout: Duration,
+) -> Result<(), ReplaceError> {
+    match call_leader(settings, &Message::ReplaceReplica { old, new }, timeout) {
+        Some(Message::ReplaceResult(result)) => result.map_err(ReplaceError::Rejected),
+        _ => Err(ReplaceError::NoLeader),
+    }
+}
+
+/// Sends a request to replicas until one answers as the leader.
+fn call_leader(settings: &FleetSettings, request: &Message, timeout: Duration) -> Option<Message> {
+    let deadline = Instant::now() + timeout;
+    let mut locator = LeaderLocator::new(settings.replicas.len(), 0);
+    while Instant::now() < deadline {
+        let replica = settings.replicas[locator.next_target()];
+        match call(settings, replica, request, LEADER_CALL_TIMEOUT) {
+            Some(Message::NotLeader(leader)) => {
+                locator.on_not_leader(replica_index(settings, leader.as_deref()));
+            }
+            None | Some(Message::LeaseResponse(_)) => {}
+            Some(response) => return Some(response),
+        }
+        thread::sleep(LEADER_RETRY_DELAY);
+    }
+    None
+}
+
+/// The index of the replica with this address.
+fn replica_index(settings: &FleetSettings, leader: Option<&str>) -> Option<usize> {
+    let address: SocketAddr = leader?.parse().ok()?;
+    settings.replicas.iter().position(|replica| *replica == address)
+}
+
+/// What a watch yields.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// How things stand; again after each connection that was lost, as something may have been missed.
-    Snapshot(Vec<wire::LeaseInfo>),
+    /// All grants; again after each connection that was lost, as changes may have been missed.
+    Snapshot(Vec<LeaseInfo>),
     /// A grant was made or has ended.
-    Changed(wire::LeaseChange),
+    Changed(LeaseChange),
 }
 
-/// Watches a task's grants, or all, by whichever keeper leads, until `hear` wants no more.
-pub fn watch(set: &FleetSettings, name: Option<&Name>, mut hear: impl FnMut(WatchEvent) -> bool) {
-    let mut route = LeaderLocator::new(set.keepers.len(), 0);
+/// Watches the grants of a task, or all, at the leader, until `handle` returns false.
+pub fn watch(settings: &FleetSettings, name: Option<&Name>, mut handle: impl FnMut(WatchEvent) -> bool) {
+    let mut locator = LeaderLocator::new(settings.replicas.len(), 0);
     loop {
-        let keeper = set.keepers[route.next_target()];
-        if let Some(mut stream) = open_watch(set, keeper, name) {
-            loop {
-                match wire::read(set.number(), &mut stream) {
-                    Ok(Message::Leases(mut lines)) => {
-                        route.on_response();
-                        lines.retain(|l| name.is_none_or(|n| n.to_string() == l.name));
-                        if !hear(WatchEvent::Snapshot(lines)) {
-                            return;
-                        }
-                    }
-                    Ok(Message::LeaseChanged(line)) => {
-                        if !hear(WatchEvent::Changed(line)) {
-                            return;
-                        }
-                    }
-                    Ok(Message::NotLeader(leader)) => {
-                        route.on_not_leader(place(set, leader.as_deref()));
-                        break;
-                    }
-                    _ => break,
-                }
-            }
+        let replica = settings.replicas[locator.next_target()];
+        if let Some(stream) = open_watch(settings, replica, name)
+            && !read_watch(settings, name, stream, &mut locator, &mut handle)
+        {
+            return;
         }
         thread::sleep(Duration::from_millis(rand::random_range(50..150)));
     }
 }
 
-/// A connection on which nothing comes for so long is opened anew: guards against a keeper that is cut off and does not
-/// know, whose silence looks like nothing to tell.
-const SILENT: Duration = Duration::from_secs(5);
-
-fn open_watch(set: &FleetSettings, keeper: SocketAddr, name: Option<&Name>) -> Option<TcpStream> {
-    let mut stream = TcpStream::connect_timeout(&set.reach(keeper), CONNECT).ok()?;
-    stream.set_read_timeout(Some(SILENT)).ok()?;
-    stream.set_write_timeout(Some(WRITE)).ok()?;
-    stream.write_all(&wire::encode(set.number(), &Message::WatchLeases(name.cloned()))?).ok()?;
+fn open_watch(settings: &FleetSettings, replica: SocketAddr, name: Option<&Name>) -> Option<TcpStream> {
+    let mut stream = TcpStream::connect_timeout(&settings.dial_address(replica), CONNECT_TIMEOUT).ok()?;
+    stream.set_read_timeout(Some(WATCH_SILENCE_TIMEOUT)).ok()?;
+    stream.set_write_timeout(Some(WRITE_TIMEOUT)).ok()?;
+    stream.write_all(&wire::encode(settings.fleet_id(), &Message::WatchLeases(name.cloned()))?).ok()?;
     Some(stream)
 }
 
-/// Has a keeper that was lost with its disk let go, for the one that came up in its place.
-pub fn replace(
-    set: &FleetSettings,
-    old: NodeId,
-    new: NodeId,
-    within: Duration,
-) -> Option<Result<(), String>> {
-    match ask_leader(set, &Message::ReplaceReplica { old, new }, within)? {
-        Message::ReplaceResult(taken) => Some(taken),
-        _ => None,
-    }
-}
-
-/// Asks whichever keeper leads, until one answers.
-fn ask_leader(set: &FleetSettings, word: &Message, within: Duration) -> Option<Message> {
-    let until = Instant::now() + within;
-    let mut route = LeaderLocator::new(set.keepers.len(), 0);
-    while Instant::now() < until {
-        let keeper = set.keepers[route.next_target()];
-        match call(set, keeper, word, Duration::from_millis(500)) {
-            Some(Message::NotLeader(leader)) => route.on_not_leader(place(set, leader.as_deref())),
-            None | Some(Message::LeaseResponse(_)) => {}
-            Some(answer) => return Some(answer),
+/// Reads a watch until its connection ends; whether the watch goes on.
+fn read_watch(
+    settings: &FleetSettings,
+    name: Option<&Name>,
+    mut stream: TcpStream,
+    locator: &mut LeaderLocator,
+    handle: &mut impl FnMut(WatchEvent) -> bool,
+) -> bool {
+    loop {
+        let event = match wire::read(settings.fleet_id(), &mut stream) {
+            Ok(Message::Leases(mut leases)) => {
+                locator.on_response();
+                leases.retain(|lease| name.is_none_or(|name| name.to_string() == lease.name));
+                WatchEvent::Snapshot(leases)
+            }
+            Ok(Message::LeaseChanged(change)) => WatchEvent::Changed(change),
+            Ok(Message::NotLeader(leader)) => {
+                locator.on_not_leader(replica_index(settings, leader.as_deref()));
+                return true;
+            }
+            _ => return true,
+        };
+        if !handle(event) {
+            return false;
         }
-        thread::sleep(Duration::from_millis(50));
     }
-    None
 }
 
-fn place(set: &FleetSettings, leader: Option<&str>) -> Option<usize> {
-    let address: SocketAddr = leader?.parse().ok()?;
-    set.keepers.iter().position(|k| *k == address)
+/// An open connection to a replica, by its index in the settings.
+struct OpenConnection {
+    target: usize,
+    stream: TcpStream,
 }
 
-/// A holder's connection to whichever keeper leads.
+/// A connection to the leader, opened anew where the leader changes. A thread reads each connection and ends with it.
 pub struct LeaderConnection {
-    set: FleetSettings,
-    route: LeaderLocator,
-    conn: Option<(usize, TcpStream)>,
-    hears: Sender<Message>,
-    heard: Receiver<Message>,
-    book: Book,
+    settings: FleetSettings,
+    locator: LeaderLocator,
+    connection: Option<OpenConnection>,
+    sender: Sender<Message>,
+    received: Receiver<Message>,
+    history: HistoryLog,
 }
 
 impl LeaderConnection {
-    /// A way that begins at any keeper.
-    pub fn new(set: FleetSettings) -> LeaderConnection {
-        let route = LeaderLocator::new(set.keepers.len(), rand::random_range(0..set.keepers.len().max(1)));
-        let (hears, heard) = bounded(64);
-        let book = Book::open(set.test_history.as_deref());
-        LeaderConnection { set, route, conn: None, hears, heard, book }
+    /// A connection that begins with any replica, at the first message that is sent.
+    pub fn new(settings: FleetSettings) -> LeaderConnection {
+        let count = settings.replicas.len();
+        let locator = LeaderLocator::new(count, rand::random_range(0..count.max(1)));
+        let (sender, received) = bounded(RECEIVED_CAPACITY);
+        let history = HistoryLog::open(settings.test_history.as_deref());
+        LeaderConnection { settings, locator, connection: None, sender, received, history }
     }
 
-    /// Sends a request; what can't be sent is lost, as on any network.
-    pub fn send(&mut self, request: Request) {
-        self.say(&Message::LeaseRequest(request));
+    /// Sends a holder's request; what can't be sent is lost, as on any network.
+    pub fn send_request(&mut self, request: Request) {
+        self.send(&Message::LeaseRequest(request));
     }
 
-    /// Says a word to the keeper that leads, as far as is known; what can't be sent is lost, as on any network.
-    pub fn say(&mut self, word: &Message) {
-        let at = self.route.next_target();
-        if self.conn.as_ref().is_none_or(|c| c.0 != at) {
-            self.conn = self.open(at);
+    /// Sends a message to the leader, as far as it is known; what can't be sent is lost, as on any network.
+    pub fn send(&mut self, message: &Message) {
+        let target = self.locator.next_target();
+        if self.connection.as_ref().is_none_or(|connection| connection.target != target) {
+            self.connection = self.open(target);
         }
-        if let Message::LeaseRequest(request) = word {
-            self.book.asks(request);
+        if let Message::LeaseRequest(request) = message {
+            self.history.record_request(request);
         }
-        let bytes = wire::encode(self.set.number(), word);
-        if let (Some((_, stream)), Some(bytes)) = (&mut self.conn, bytes)
-            && stream.write_all(&bytes).is_err()
+        let bytes = wire::encode(self.settings.fleet_id(), message);
+        if let (Some(connection), Some(bytes)) = (&mut self.connection, bytes)
+            && connection.stream.write_all(&bytes).is_err()
         {
-            self.conn = None;
+            self.connection = None;
         }
     }
 
-    fn open(&mut self, at: usize) -> Option<(usize, TcpStream)> {
-        if let Some((_, old)) = self.conn.take() {
-            let _ = old.shutdown(Shutdown::Both);
+    fn open(&mut self, target: usize) -> Option<OpenConnection> {
+        if let Some(old) = self.connection.take() {
+            let _ = old.stream.shutdown(Shutdown::Both);
         }
-        let stream = TcpStream::connect_timeout(&self.set.reach(self.set.keepers[at]), CONNECT).ok()?;
+        let address = self.settings.dial_address(self.settings.replicas[target]);
+        let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
         let _ = stream.set_nodelay(true);
-        stream.set_write_timeout(Some(WRITE)).ok()?;
-        let (mut reads, number, heard) = (stream.try_clone().ok()?, self.set.number(), self.hears.clone());
-        thread::Builder::new()
-            .name("hears".into())
-            .stack_size(128 << 10)
-            .spawn(move || {
-                while let Ok(word) = wire::read(number, &mut reads) {
-                    if heard.send(word).is_err() {
-                        return;
-                    }
+        stream.set_write_timeout(Some(WRITE_TIMEOUT)).ok()?;
+        let mut reader = stream.try_clone().ok()?;
+        let (fleet, sender) = (self.settings.fleet_id(), self.sender.clone());
+        let read_messages = move || {
+            while let Ok(message) = wire::read(fleet, &mut reader) {
+                if sender.send(message).is_err() {
+                    return;
                 }
-            })
-            .ok()?;
-        Some((at, stream))
+            }
+        };
+        thread::Builder::new().name("hears".into()).stack_size(STACK_BYTES).spawn(read_messages).ok()?;
+        Some(OpenConnection { target, stream })
     }
 
-    /// What a keeper has said to a holder, if one says something by then.
-    pub fn hear(&mut self, within: Duration) -> Option<HolderInput> {
-        match self.hear_word(within)? {
-            Message::LeaseResponse(heard) => {
-                self.book.hears(&heard);
-                Some(HolderInput::Response(heard))
+    /// The next input for a holder, if one comes in time.
+    pub fn receive_input(&mut self, timeout: Duration) -> Option<HolderInput> {
+        match self.receive(timeout)? {
+            Message::LeaseResponse(response) => {
+                self.history.record_response(&response);
+                Some(HolderInput::Response(response))
             }
             Message::NotLeader(_) => Some(HolderInput::Response(Response::NotLeader(None))),
             _ => None,
         }
     }
 
-    /// What a keeper has said, if one says something by then.
-    pub fn hear_word(&mut self, within: Duration) -> Option<Message> {
-        let word = self.heard.recv_timeout(within).ok()?;
-        match &word {
-            Message::NotLeader(leader) => self.route.on_not_leader(place(&self.set, leader.as_deref())),
-            _ => self.route.on_response(),
+    /// The next message, if one comes in time.
+    pub fn receive(&mut self, timeout: Duration) -> Option<Message> {
+        let message = self.received.recv_timeout(timeout).ok()?;
+        match &message {
+            Message::NotLeader(leader) => {
+                self.locator.on_not_leader(replica_index(&self.settings, leader.as_deref()));
+            }
+            _ => self.locator.on_response(),
         }
-        Some(word)
+        Some(message)
     }
 }
--- a/crates/fleet/coordinator/src/front_leases.rs
+++ b/crates/fleet/coordinator/src/front_leases.rs
@@ -1,5 +1,7 @@
-//! What a front asks of the fleet, on a thread of its own: its number, and its turn to restart. The front looks here at any
-//! moment and never waits, but for its last moment, when it leaves its number to the next one of its seat.
+//! The leases of a front, on a thread of their own: the slot that it works by, and its turn in a rolling restart.
+//!
+//! The front reads them at any moment and waits for a lock at most, but for its last moment, when it hands its slot to the next
+//! process of its instance.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,40 +17,50 @@
 use crate::client::LeaderConnection;
 use crate::settings::{FleetSettings, RollingRestart};
 
-/// The longest that the thread listens before it looks at the clock.
-const LOOK: Duration = Duration::from_millis(20);
-/// How long a front that ends waits for the word that its number is kept, while it still serves, and after that. A leader may just
-/// have been lost; without the word its place runs out, as that of one that was killed.
-const FAREWELL: (Duration, Duration) = (Duration::from_secs(4), Duration::from_millis(800));
+/// The thread waits no longer than this before it checks the clock.
+const MAX_WAIT: Duration = Duration::from_millis(20);
+/// How long a front that stops waits for the response to its handoff while it still serves: a leader may just have been lost.
+/// Without a response the slot expires, as that of a killed process does.
+const HANDOFF_TIMEOUT: Duration = Duration::from_secs(4);
+/// The same once the front serves no more.
+const FINAL_HANDOFF_TIMEOUT: Duration = Duration::from_millis(800);
+/// Interval at which a front that serves no more checks its handoff.
+const HANDOFF_POLL_INTERVAL: Duration = Duration::from_millis(5);
+const STACK_BYTES: usize = 256 << 10;
 
-/// A lease that is asked for, and what it is for.
-struct Task {
+/// A lease that is acquired and renewed.
+struct LeaseTask {
     holder: Holder,
     name: String,
-    /// A lease that can't be had as it is asked for is asked for no more.
-    over: bool,
+    /// The request was rejected for good, and is made no more.
+    rejected: bool,
 }
 
-impl Task {
-    fn new(terms: LeaseSpec, seat: Option<&Name>, set: &FleetSettings) -> Task {
-        let name = terms.name.to_string();
-        let holder = Holder::new(HolderId(rand::random()), terms, set.drift, rand::random());
-        let holder = seat.map_or(holder.clone(), |seat| holder.with_instance(seat.clone()));
-        Task { holder, name, over: false }
+impl LeaseTask {
+    fn new(spec: LeaseSpec, instance: Option<&Name>, settings: &FleetSettings) -> LeaseTask {
+        let name = spec.name.to_string();
+        let holder = Holder::new(HolderId(rand::random()), spec, settings.drift_bound, rand::random());
+        let holder = match instance {
+            Some(instance) => holder.with_instance(instance.clone()),
+            None => holder,
+        };
+        LeaseTask { holder, name, rejected: false }
     }
 
-    /// What is to be sent.
-    fn take(&mut self, now: Duration, input: HolderInput) -> Vec<Request> {
+    /// Handles an input; the requests to be sent.
+    fn handle(&mut self, now: Duration, input: HolderInput) -> Vec<Request> {
         let mut requests = Vec::new();
         for output in self.holder.handle(now, input) {
             match output {
-                HolderOutput::Send(request) if !self.over => requests.push(request),
+                HolderOutput::Send(request) if !self.rejected => requests.push(request),
                 HolderOutput::Send(_) => {}
-                HolderOutput::Acquired(token) => info!(lease = self.name, token = token.0, "held"),
-                HolderOutput::Lost(token) => info!(lease = self.name, token = token.0, "lost"),
-                HolderOutput::Rejected(why) => {
-                    error!(lease = self.name, "can't be had: {why}");
-                    self.over = true;
+                HolderOutput::Acquired(token) => {
+                    info!(lease = self.name, token = token.0, "lease acquired");
+                }
+                HolderOutput::Lost(token) => info!(lease = self.name, token = token.0, "lease lost"),
+                HolderOutput::Rejected(reason) => {
+                    error!(lease = self.name, "the lease request was rejected for good: {reason}");
+                    self.rejected = true;
                 }
             }
         }
@@ -56,186 +68,241 @@
     }
 }
 
-/// How far a front is that ends.
+/// How far a front's handoff of its slot is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Ending {
-    /// It goes on.
-    Not,
-    /// Its number is being left, and nobody waits for longer than until then.
-    Leaving(Duration),
+enum HandoffState {
+    /// Not begun.
+    Idle,
+    /// Requested; nobody waits for the response past this time.
+    Requested(Duration),
     /// There is nothing more to wait for.
-    Over,
+    Done,
+}
+
+/// Whether the front still serves while it hands its slot over.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum HandoffMode {
+    /// It serves: the handoff begins when what it did by its slot counts no more.
+    WhileServing,
+    /// It serves no more: the handoff begins at once.
+    Final,
+}
+
+impl HandoffMode {
+    fn timeout(self) -> Duration {
+        match self {
+            HandoffMode::WhileServing => HANDOFF_TIMEOUT,
+            HandoffMode::Final => FINAL_HANDOFF_TIMEOUT,
+        }
+    }
 }
 
 struct State {
-    number: Option<Task>,
-    numbering: SlotAssignment,
-    /// For how long its number is kept for the next one of its seat; none: it has no seat.
-    keep_ms: Option<u32>,
-    ending: Ending,
-    turn: Option<Task>,
+    slot: Option<LeaseTask>,
+    assignment: SlotAssignment,
+    /// For how long the slot is reserved for the next process of the instance, milliseconds; none without an instance.
+    reserve_ms: Option<u32>,
+    handoff: HandoffState,
+    restart_turn: Option<LeaseTask>,
     /// Requests that the thread is to send.
     requests: Vec<Request>,
 }
 
 impl State {
-    fn want(&mut self, now: Duration, of: impl FnOnce(&mut State) -> Option<&mut Task>) {
-        let requests = of(self).map(|task| task.take(now, HolderInput::Acquire)).unwrap_or_default();
+    fn acquire(&mut self, now: Duration, task: impl FnOnce(&mut State) -> Option<&mut LeaseTask>) {
+        let requests = task(self).map(|task| task.handle(now, HolderInput::Acquire)).unwrap_or_default();
         self.requests.extend(requests);
     }
 
-    /// Stops acting by its number for good, and leaves it to the next one of its seat: at once, or when what it did by it counts
-    /// no more. Whether there is nothing more to wait for.
-    fn leave(&mut self, now: Duration, at_once: bool) -> bool {
-        let Some(keep_ms) = self.keep_ms else { return true };
-        self.numbering.stop(now);
-        let stopped = self.numbering.stopped().filter(|_| self.numbering.slot().is_some());
-        let counts = stopped.is_some_and(|stopped| now < stopped.at + stopped.counts_for);
-        let patience = if at_once { FAREWELL.1 } else { FAREWELL.0 };
-        match self.ending {
-            Ending::Not if counts && !at_once => {}
-            Ending::Not => {
-                self.ending = Ending::Over;
-                if let (Some(task), Some(farewell)) =
-                    (&mut self.number, self.numbering.handoff_offer(now, keep_ms))
-                {
-                    info!(of = farewell.slot_count, rest_ms = farewell.remaining_ms, "leaves its number");
-                    let requests = task.take(now, HolderInput::HandOff(farewell));
-                    self.requests.extend(requests);
-                    self.ending = Ending::Leaving(now + patience);
-                }
-            }
-            Ending::Leaving(until) => {
-                // Told again to end at once, it waits no longer than that allows.
-                let until = until.min(now + patience);
-                let kept = self.number.as_ref().is_some_and(|t| t.holder.has_handed_off());
-                if kept || now >= until {
-                    info!(kept, "has left its number");
-                    self.ending = Ending::Over;
+    /// Stops the use of the slot for good and hands it over. Whether there is nothing more to wait for.
+    fn hand_off(&mut self, now: Duration, mode: HandoffMode) -> bool {
+        let Some(reserve_ms) = self.reserve_ms else { return true };
+        self.assignment.stop(now);
+        match self.handoff {
+            HandoffState::Idle if mode == HandoffMode::WhileServing && self.use_still_counts(now) => {}
+            HandoffState::Idle => self.begin_handoff(now, reserve_ms, mode),
+            HandoffState::Requested(deadline) => {
+                // A final handoff shortens the wait of one that began before.
+                let deadline = deadline.min(now + mode.timeout());
+                let confirmed = self.slot.as_ref().is_some_and(|task| task.holder.has_handed_off());
+                if confirmed || now >= deadline {
+                    info!(confirmed, "has left its number");
+                    self.handoff = HandoffState::Done;
                 } else {
-                    self.ending = Ending::Leaving(until);
+                    self.handoff = HandoffState::Requested(deadline);
                 }
             }
-            Ending::Over => {}
+            HandoffState::Done => {}
+        }
+        self.handoff == HandoffState::Done
+    }
+
+    /// Whether what the front did by its slot still counts.
+    fn use_still_counts(&self, now: Duration) -> bool {
+        let stopped = self.assignment.stopped().filter(|_| self.assignment.slot().is_some());
+        stopped.is_some_and(|stopped| now < stopped.at + stopped.counts_for)
+    }
+
+    fn begin_handoff(&mut self, now: Duration, reserve_ms: u32, mode: HandoffMode) {
+        self.handoff = HandoffState::Done;
+        let offer = self.assignment.handoff_offer(now, reserve_ms);
+        if let (Some(task), Some(offer)) = (&mut self.slot, offer) {
+            info!(slot_count = offer.slot_count, remaining_ms = offer.remaining_ms, "leaves its number");
+            let requests = task.handle(now, HolderInput::HandOff(offer));
+            self.requests.extend(requests);
+            self.handoff = HandoffState::Requested(now + mode.timeout());
         }
-        self.ending == Ending::Over
     }
 
-    fn tasks(&mut self) -> impl Iterator<Item = &mut Task> {
-        self.number.iter_mut().chain(self.turn.iter_mut())
+    fn tasks(&mut self) -> impl Iterator<Item = &mut LeaseTask> {
+        self.slot.iter_mut().chain(self.restart_turn.iter_mut())
+    }
+
+    /// Brings the assignment up to date with the slot's permit.
+    fn update_assignment(&mut self, now: Duration) {
+        let permit = self.slot.as_ref().and_then(|task| task.holder.permit(now));
+        self.assignment.update(now, permit.as_ref());
     }
 }
 
 struct Shared {
     state: Mutex<State>,
     clock: Box<dyn Fn() -> Duration + Send + Sync>,
-    end: AtomicBool,
+    stop: AtomicBool,
 }
 
-impl Shared {
-    fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
-    }
+/// What a front may do by its slot.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct FrontSlot {
+    /// Its share.
+    pub share: SlotShare,
+    /// Slots that are in use lie below this; 0 while the slot is not held.
+    pub slot_bound: u32,
 }
 
-/// A front's part in the fleet. It ends when it is dropped; what it holds runs out.
+/// The leases of a front. Its thread ends soon after it is dropped, without being waited for; what is held then expires.
 pub struct FrontLeases {
     shared: Arc<Shared>,
-    restart: Option<RollingRestart>,
+    rolling_restart: Option<RollingRestart>,
 }
 
 impl FrontLeases {
-    /// Begins to ask for a number, if the settings want one. `span` is that of the pace which goes by it.
+    /// Starts the thread and acquires a slot, if the settings ask for one. `span` is the time for which an action by the slot
+    /// counts against its share.
     ///
     /// # Errors
     /// There is no thread.
-    pub fn start(set: &FleetSettings, span: Duration) -> io::Result<FrontLeases> {
-        let seat = set.seat.as_ref();
-        let number = set.number.clone().map(|terms| Task::new(terms, seat, set));
-        let turn = set.restart.as_ref().map(|r| Task::new(r.terms.clone(), None, set));
-        let numbering = SlotAssignment::new(set.drift, span);
-        // For as long as a front takes to be back, if that is said; it costs nobody anything but a larger `of`.
-        let back_ms = set.restart.as_ref().map_or(0, |r| r.terms.ttl_ms);
-        let keep_ms =
-            number.as_ref().zip(seat).map(|_| back_ms.max(set.number.as_ref().map_or(0, |t| t.ttl_ms)));
-        let state = State { number, numbering, keep_ms, ending: Ending::Not, turn, requests: Vec::new() };
-        let state = Mutex::new(state);
-        let shared = Arc::new(Shared { state, clock: Box::new(set.clock()), end: AtomicBool::new(false) });
-        let (its, way) = (Arc::clone(&shared), LeaderConnection::new(set.clone()));
-        thread::Builder::new().name("agent".into()).stack_size(256 << 10).spawn(move || its.run(way))?;
-        Ok(FrontLeases { shared, restart: set.restart.clone() })
-    }
-
-    /// This front's part, now, and how far numbers reach; nothing if its settings ask for no number.
-    pub fn part(&self) -> Option<(SlotShare, u32)> {
+    pub fn start(settings: &FleetSettings, span: Duration) -> io::Result<FrontLeases> {
+        let instance = settings.instance.as_ref();
+        let slot = settings.front_slot.clone().map(|spec| LeaseTask::new(spec, instance, settings));
+        let restart = settings.rolling_restart.as_ref();
+        let restart_turn = restart.map(|restart| LeaseTask::new(restart.lease.clone(), None, settings));
+        let state = State {
+            slot,
+            assignment: SlotAssignment::new(settings.drift_bound, span),
+            reserve_ms: reserve_ms(settings),
+            handoff: HandoffState::Idle,
+            restart_turn,
+            requests: Vec::new(),
+        };
+        let shared = Arc::new(Shared {
+            state: Mutex::new(state),
+            clock: Box::new(settings.clock()),
+            stop: AtomicBool::new(false),
+        });
+        let (worker, connection) = (Arc::clone(&shared), LeaderConnection::new(settings.clone()));
+        thread::Builder::new()
+            .name("agent".into())
+            .stack_size(STACK_BYTES)
+            .spawn(move || worker.run(connection))?;
+        Ok(FrontLeases { shared, rolling_restart: settings.rolling_restart.clone() })
+    }
+
+    /// What this front may do by its slot now; none if its settings ask for no slot.
+    pub fn slot(&self) -> Option<FrontSlot> {
         let mut state = self.shared.state();
-        let State { number, numbering, .. } = &mut *state;
-        let task = number.as_ref()?;
-        // After the lock was waited for.
+        let State { slot, assignment, .. } = &mut *state;
+        let task = slot.as_ref()?;
+        // The time is taken after the lock was waited for.
         let now = (self.shared.clock)();
         let permit = task.holder.permit(now);
-        numbering.update(now, permit.as_ref());
-        let reach = permit.map_or(0, |p| u32::from(p.position().slot_bound));
-        Some((numbering.share(now), reach))
+        assignment.update(now, permit.as_ref());
+        let slot_bound = permit.map_or(0, |permit| u32::from(permit.position().slot_bound));
+        Some(FrontSlot { share: assignment.share(now), slot_bound })
     }
 
-    /// How turns are taken, if they are.
-    pub fn restart(&self) -> Option<&RollingRestart> {
-        self.restart.as_ref()
+    /// The settings of rolling restarts, if fronts restart in turn.
+    pub fn rolling_restart(&self) -> Option<&RollingRestart> {
+        self.rolling_restart.as_ref()
     }
 
-    /// Asks for its turn to restart. It is not given back: it runs out while this front's next start comes up.
-    pub fn want_turn(&self) {
-        self.shared.state().want((self.shared.clock)(), |state| state.turn.as_mut());
+    /// Asks for this front's turn to restart. It is not released: it expires while the front's next process comes up.
+    pub fn request_restart_turn(&self) {
+        self.shared.state().acquire((self.shared.clock)(), |state| state.restart_turn.as_mut());
     }
 
-    /// Whether it is this front's turn to restart, now, and its number is left to the next one of its seat. From its turn on it
-    /// acts by no number; what it can do without, it goes on doing until it may end.
-    pub fn may_end(&self) -> bool {
+    /// Whether it is this front's turn to restart and its slot is handed over. From its turn on the front does nothing by its
+    /// slot; the rest it goes on doing until it may stop.
+    pub fn may_stop(&self) -> bool {
         let mut state = self.shared.state();
         let now = (self.shared.clock)();
-        // Once it has begun to leave, a turn that is lost does not call it back.
-        let turn = state.ending != Ending::Not
-            || state.turn.as_ref().is_some_and(|t| t.holder.permit(now).is_some());
-        turn && state.leave(now, false)
+        // Once the handoff has begun, the loss of the turn does not revoke it.
+        let has_turn = state.handoff != HandoffState::Idle
+            || state.restart_turn.as_ref().is_some_and(|task| task.holder.permit(now).is_some());
+        has_turn && state.hand_off(now, HandoffMode::WhileServing)
     }
 
-    /// Leaves its number at once, and waits for the word that it is kept, for a moment at most. Whoever acts by it has stopped.
-    pub fn leave(&self) {
-        let end = (self.shared.clock)() + 2 * FAREWELL.1;
-        while !self.shared.state().leave((self.shared.clock)(), true) && (self.shared.clock)() < end {
-            thread::sleep(LOOK / 4);
+    /// Hands the slot over at once, and waits for the response for 1.6 s at most. Whoever acted by the slot must have stopped.
+    pub fn hand_off(&self) {
+        let deadline = (self.shared.clock)() + 2 * FINAL_HANDOFF_TIMEOUT;
+        while !self.shared.state().hand_off((self.shared.clock)(), HandoffMode::Final)
+            && (self.shared.clock)() < deadline
+        {
+            thread::sleep(HANDOFF_POLL_INTERVAL);
         }
     }
 }
 
+/// The slot is reserved for as long as a front takes to be back, if the settings say that, and no less than its lease.
+fn reserve_ms(settings: &FleetSettings) -> Option<u32> {
+    let slot = settings.front_slot.as_ref().filter(|_| settings.instance.is_some())?;
+    let restart_ms = settings.rolling_restart.as_ref().map_or(0, |restart| restart.lease.ttl_ms);
+    Some(restart_ms.max(slot.ttl_ms))
+}
+
 impl Drop for FrontLeases {
     fn drop(&mut self) {
-        self.shared.end.store(true, Ordering::Relaxed);
+        self.shared.stop.store(true, Ordering::Relaxed);
     }
 }
 
 impl Shared {
-    fn run(&self, mut way: LeaderConnection) {
-        self.state().want((self.clock)(), |s| s.number.as_mut());
-        while !self.end.load(Ordering::Relaxed) {
-            let due = self.state().tasks().filter_map(|t| t.holder.next_due()).min().unwrap_or(Duration::MAX);
-            let wait = due.saturating_sub((self.clock)()).min(LOOK);
-            let input = way.hear(wait).unwrap_or(HolderInput::Tick);
-            let requests = {
-                let mut state = self.state();
-                let now = (self.clock)();
-                let more: Vec<Request> = state.tasks().flat_map(|t| t.take(now, input.clone())).collect();
-                let State { number, numbering, .. } = &mut *state;
-                numbering.update(now, number.as_ref().and_then(|t| t.holder.permit(now)).as_ref());
-                let mut requests = std::mem::take(&mut state.requests);
-                requests.extend(more);
-                requests
-            };
-            // After the lock is let go: a connection may take its time.
-            for request in requests {
-                way.send(request);
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn run(&self, mut connection: LeaderConnection) {
+        self.state().acquire((self.clock)(), |state| state.slot.as_mut());
+        while !self.stop.load(Ordering::Relaxed) {
+            let deadline =
+                self.state().tasks().filter_map(|task| task.holder.next_due()).min().unwrap_or(Duration::MAX);
+            let wait = deadline.saturating_sub((self.clock)()).min(MAX_WAIT);
+            let input = connection.receive_input(wait).unwrap_or(HolderInput::Tick);
+            // Sent after the lock is released: a connection may take its time.
+            for request in self.handle(&input) {
+                connection.send_request(request);
             }
         }
     }
+
+    /// Has each lease handle an input; the requests to be sent, those that were waiting first.
+    fn handle(&self, input: &HolderInput) -> Vec<Request> {
+        let mut state = self.state();
+        let now = (self.clock)();
+        let new: Vec<Request> = state.tasks().flat_map(|task| task.handle(now, input.clone())).collect();
+        state.update_assignment(now);
+        let mut requests = std::mem::take(&mut state.requests);
+        requests.extend(new);
+        requests
+    }
 }
--- a/crates/fleet/coordinator/src/history.rs
+++ b/crates/fleet/coordinator/src/history.rs
@@ -1,5 +1,5 @@
-//! For tests: what a process asked of keepers and heard, written down as it happens, so that the histories of many processes can
-//! be checked together.
+//! For tests: a log of the lease requests that a process sent and the responses that it took, so that the histories of many
+//! processes can be checked together for linearizability.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -9,59 +9,68 @@
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 
-/// What is written down.
+const NANOS_PER_SECOND: u64 = 1_000_000_000;
+
+/// An event of a history.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Noted {
-    /// A copy of a request is about to leave.
-    Asks(Request),
-    /// An answer was taken.
-    Hears {
-        /// Whose.
+pub enum HistoryEvent {
+    /// A copy of a request is about to be sent.
+    #[serde(rename = "Asks")]
+    Request(Request),
+    /// A response was taken.
+    #[serde(rename = "Hears")]
+    Response {
+        /// The holder that it is for.
         holder: HolderId,
-        /// To which of its requests.
+        /// Number of the request.
         seq: u64,
-        /// What.
+        /// The answer.
         answer: Answer,
     },
 }
 
-/// A line, as JSON.
+/// A line of the log, as JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
-    /// When, nanoseconds of the machine's monotonic clock, which all its processes share.
+pub struct HistoryRecord {
+    /// Time of the machine's monotonic clock, which all its processes share, nanoseconds.
     pub at_ns: u64,
-    /// What.
-    pub noted: Noted,
+    /// The event.
+    #[serde(rename = "noted")]
+    pub event: HistoryEvent,
 }
 
-/// Where it is written down, if it is.
+/// The log, if the settings name one.
 #[derive(Debug, Default)]
-pub(crate) struct Book(Option<File>);
+pub(crate) struct HistoryLog(Option<File>);
 
-impl Book {
-    /// A book that several processes write to; none if the settings name none, or it can't be opened.
-    pub fn open(path: Option<&Path>) -> Book {
-        Book(path.and_then(|path| OpenOptions::new().create(true).append(true).open(path).ok()))
+impl HistoryLog {
+    /// A log that several processes append to; none if the settings name none or it can't be opened.
+    pub fn open(path: Option<&Path>) -> HistoryLog {
+        HistoryLog(path.and_then(|path| OpenOptions::new().create(true).append(true).open(path).ok()))
     }
 
-    pub fn asks(&mut self, request: &Request) {
+    /// Records a request that is about to be sent.
+    pub fn record_request(&mut self, request: &Request) {
         if self.0.is_some() {
-            self.note(Noted::Asks(request.clone()));
+            self.append(HistoryEvent::Request(request.clone()));
         }
     }
 
-    pub fn hears(&mut self, heard: &Response) {
-        if let (true, Response::Answer { holder, seq, answer }) = (self.0.is_some(), heard) {
-            self.note(Noted::Hears { holder: *holder, seq: *seq, answer: *answer });
+    /// Records an answer that was taken.
+    pub fn record_response(&mut self, response: &Response) {
+        if let (true, Response::Answer { holder, seq, answer }) = (self.0.is_some(), response) {
+            self.append(HistoryEvent::Response { holder: *holder, seq: *seq, answer: *answer });
         }
     }
 
-    fn note(&mut self, noted: Noted) {
+    fn append(&mut self, event: HistoryEvent) {
         let now = clock_gettime(ClockId::Monotonic);
-        let at_ns = now.tv_sec as u64 * 1_000_000_000 + now.tv_nsec as u64;
-        if let (Some(file), Ok(mut line)) = (&mut self.0, serde_json::to_vec(&Line { at_ns, noted })) {
+        let at_ns = now.tv_sec as u64 * NANOS_PER_SECOND + now.tv_nsec as u64;
+        if let (Some(file), Ok(mut line)) = (&mut self.0, serde_json::to_vec(&HistoryRecord { at_ns, event }))
+        {
             line.push(b'\n');
-            // In one piece, behind all that others have written. What can't be written is missing, and the check says so.
+            // One write, so that lines of several processes do not mix. A line that can't be written is missing, which the
+            // check reports.
             let _ = file.write_all(&line);
         }
     }
--- a/crates/fleet/coordinator/src/lib.rs
+++ b/crates/fleet/coordinator/src/lib.rs
@@ -1,21 +1,20 @@
-//! A keeper on sockets and disk around `beechloft_replica::Replica`, and the way to keepers for those who ask.
+//! The coordinator of a fleet on sockets and disk, and its clients.
 //!
-//! One thread has the machine and the disk: it takes what has come, up to a bound, handles all of it into one set of outputs,
-//! has the disk save once (group commit), and sends. Each connection has a thread that reads and one that writes, with a bounded
-//! queue between: a peer that does not read costs its own messages and nobody else's time. What can't be queued is dropped;
-//! the machine sends it again.
+//! [`CoordinatorServer`] runs a replica of `beechloft_replica`. One thread has the replica and the store: it takes the messages
+//! that have come in, up to a bound, writes once for all of them (group commit) and sends the outputs. Each connection has a
+//! thread that reads and one that writes, with a bounded queue between: a peer that does not read loses its own messages and holds
+//! up nobody. What can't be queued is dropped, and the protocol sends it again.
 //!
-//! [`MembershipService`] is this process as a member of the fleet: one thread with a UDP socket around `beechloft_membership::Swim`, on the
-//! address that keepers have for TCP.
+//! [`MembershipService`] is this process as a member of the fleet: a thread with a UDP socket around `beechloft_membership`, on the
+//! address that replicas have for TCP.
 //!
-//! [`FrontLeases`] is what a front asks of the fleet: its number, and its turn to restart.
+//! [`FrontLeases`], [`QuotaClient`] and [`OutlierDetector`] are what a front has of the fleet: its slot and its turn to restart,
+//! the quotas of all fronts, and the ejection of media servers.
 //!
-//! [`topics`] has what processes publish and follow topics by; a keeper serves them from what it has applied.
+//! [`topics`] has the publisher and the follower of topics, which replicas serve from what they have applied.
 //!
-//! MembershipService listen on an address of their own, meant for a private network: there is no sign-in. A word for another fleet, of
-//! another version, too long or with a wrong checksum costs its connection, and is counted.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::shadow_unrelated)]
+//! Processes listen on an address of their own, meant for a private network: there is no authentication. A message for another
+//! fleet, of another version, too long or with a wrong checksum closes its connection and is counted.
 #![forbid(unsafe_code)]
 
 pub mod client;
@@ -24,6 +23,7 @@
 pub mod history;
 mod membership;
 mod outlier_detector;
+mod peer_link;
 mod quota_client;
 mod server;
 mod settings;
@@ -31,9 +31,9 @@
 pub mod topics;
 pub mod wire;
 
-pub use front_leases::FrontLeases;
+pub use front_leases::{FrontLeases, FrontSlot};
 pub use membership::{GossipRow, MembershipService};
-pub use outlier_detector::{Noted, OutlierDetector};
+pub use outlier_detector::{AttemptReport, OutlierDetector};
 pub use quota_client::QuotaClient;
 pub use server::{CoordinatorServer, ServerError};
 pub use settings::{
--- a/crates/fleet/coordinator/src/membership/gossip/tests.rs
+++ b/crates/fleet/coordinator/src/membership/gossip/tests.rs
@@ -3,21 +3,21 @@
 use super::*;
 
 #[test]
-fn a_packet_of_rows_is_read_as_it_was_written_and_nothing_else_is() {
+fn a_gossip_packet_survives_encoding_and_every_corruption_is_rejected() {
     let message = Message::CompareDigests { seq: u64::MAX, digests: vec![[255; 8]; 32] };
     let packet = Packet { from: MemberId(7), to: MemberId(8), message };
-    let bytes = datagram(9, &packet).expect("short");
-    assert_eq!(read_datagram(9, &bytes).expect("sound"), packet);
-    assert!(matches!(read_datagram(8, &bytes), Err(WireError::Fleet)));
+    let bytes = encode_datagram(9, &packet).expect("short");
+    assert_eq!(decode_datagram(9, &bytes).expect("sound"), packet);
+    assert!(matches!(decode_datagram(8, &bytes), Err(WireError::Fleet)));
     // It is no packet of members, nor is one of theirs a packet of rows.
     assert!(matches!(wire::decode_datagram(9, &bytes), Err(WireError::Version)));
     for bit in 0..bytes.len() * 8 {
         let mut bad = bytes.clone();
         bad[bit / 8] ^= 1 << (bit % 8);
-        assert!(read_datagram(9, &bad).is_err(), "bit {bit}");
+        assert!(decode_datagram(9, &bad).is_err(), "bit {bit}");
     }
     for cut in 0..bytes.len() {
-        assert!(read_datagram(9, &bytes[..cut]).is_err(), "{cut}");
+        assert!(decode_datagram(9, &bytes[..cut]).is_err(), "{cut}");
     }
 }
 
@@ -49,7 +49,7 @@
 #[test]
 fn every_gossip_datagram_is_encoded_and_decoded_as_the_fixture_has_it() {
     let hex = |bytes: &[u8]| bytes.iter().map(|b| format!("{b:02x}")).collect::<String>();
-    let encoded = packets().into_iter().map(|(name, p)| (name, datagram(FLEET, &p).expect("short")));
+    let encoded = packets().into_iter().map(|(name, p)| (name, encode_datagram(FLEET, &p).expect("short")));
     let made: String = encoded.map(|(name, bytes)| format!("{name} {}\n", hex(&bytes))).collect();
     assert_eq!(FIXTURE, made, "\n{made}");
     for (line, (name, packet)) in FIXTURE.lines().zip(packets()) {
@@ -58,6 +58,6 @@
             .step_by(2)
             .map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hex"))
             .collect();
-        assert_eq!(read_datagram(FLEET, &bytes).expect(name), packet);
+        assert_eq!(decode_datagram(FLEET, &bytes).expect(name), packet);
     }
 }
--- a/crates/fleet/coordinator/src/membership/mod.rs
+++ b/crates/fleet/coordinator/src/membership/mod.rs
@@ -1,4 +1,5 @@
-//! This process as a member of the fleet: one UDP socket and one thread around the machine.
+//! This process as a member of the fleet: a UDP socket and a thread around `beechloft_membership::Swim` and, for a front, the
+//! gossip of rows.
 
 mod gossip;
 
@@ -16,135 +17,156 @@
 use tracing::{debug, info};
 
 pub use self::gossip::GossipRow;
-use self::gossip::GossipTable;
+use self::gossip::{Datagram, GossipTable};
 use crate::connections::{Connections, Inbound};
 use crate::settings::FleetSettings;
-use crate::wire::{self, MemberView, Message};
+use crate::wire::{self, MemberView, Message, WireError};
 
-/// The longest that the thread waits for a packet before it looks whether it is over.
-const LOOK: Duration = Duration::from_millis(100);
-/// Bytes of a datagram's heads: UDP's and IP's.
-const HEADS: u64 = 28;
-/// Words that wait for an answer, at most.
-const QUEUE: usize = 256;
+/// The thread waits no longer than this for a packet before it checks whether it must stop.
+const MAX_WAIT: Duration = Duration::from_millis(100);
+/// The shortest wait: a socket's timeout of zero would mean none at all.
+const MIN_WAIT: Duration = Duration::from_millis(1);
+/// Bytes of a datagram's UDP and IP headers.
+const UDP_IP_HEADER_BYTES: u64 = 28;
+/// Requests that wait for an answer, at most.
+const REQUEST_CAPACITY: usize = 256;
+const STACK_BYTES: usize = 256 << 10;
+
+/// Membership datagrams that were sent.
+#[derive(Default)]
+struct SentCounters {
+    datagrams: AtomicU64,
+    /// With UDP and IP headers.
+    bytes: AtomicU64,
+}
 
 struct Shared {
     swim: Mutex<Swim>,
-    /// GossipTable that fronts spread, if anything asks for them.
-    rows: Option<GossipTable>,
+    /// The gossip of fronts, if anything needs it.
+    gossip: Option<GossipTable>,
     socket: UdpSocket,
-    set: FleetSettings,
+    settings: FleetSettings,
     clock: Box<dyn Fn() -> Duration + Send + Sync>,
-    end: AtomicBool,
-    refused: AtomicU64,
-    /// Datagrams, and their bytes with heads.
-    sent: (AtomicU64, AtomicU64),
-    fronts: AtomicU32,
+    stop: AtomicBool,
+    rejected_datagrams: AtomicU64,
+    sent: SentCounters,
+    active_fronts: AtomicU32,
 }
 
-/// A member that runs until it is dropped.
+/// A member. Its thread ends soon after it is dropped, without being waited for.
 pub struct MembershipService {
     shared: Arc<Shared>,
 }
 
+fn missing_listen() -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidInput, "fleet.listen: missing")
+}
+
 impl MembershipService {
-    /// Listens on the fleet's address, and looks for others.
+    /// Binds the fleet's address and joins by the seeds.
     ///
     /// # Errors
-    /// `fleet.listen` is missing or can't be listened on, or there is no thread.
-    pub fn start(set: &FleetSettings, kind: MemberKind) -> io::Result<MembershipService> {
-        let missing = || io::Error::new(io::ErrorKind::InvalidInput, "fleet.listen: missing");
-        let address = set.listen.ok_or_else(missing)?;
+    /// `fleet.listen` is missing or can't be bound, or there is no thread.
+    pub fn start(settings: &FleetSettings, kind: MemberKind) -> io::Result<MembershipService> {
+        let address = settings.listen.ok_or_else(missing_listen)?;
         let socket = UdpSocket::bind(address)?;
-        let clock = Box::new(set.clock());
-        let info = MemberInfo { address, zone: set.zone.clone(), kind };
+        let clock = Box::new(settings.clock());
+        let info = MemberInfo { address, zone: settings.zone.clone(), kind };
         let id = MemberId(rand::random());
-        let rows = set.spread.filter(|_| kind == MemberKind::Front);
-        let rows = rows.map(|spread| GossipTable::new(id, set.zone.to_string(), spread, clock()));
-        let swim = Mutex::new(Swim::new(id, info, set.seeds.clone(), rand::random(), clock()));
-        info!(%id, %address, zone = %set.zone, "member is up");
-        let (end, refused, sent) = (AtomicBool::new(false), AtomicU64::new(0), Default::default());
-        let fronts = AtomicU32::new(u32::from(kind == MemberKind::Front));
-        let shared =
-            Arc::new(Shared { swim, rows, socket, set: set.clone(), clock, end, refused, sent, fronts });
-        let its = Arc::clone(&shared);
-        thread::Builder::new().name("members".into()).stack_size(256 << 10).spawn(move || its.run())?;
+        let gossip = settings.gossip.filter(|_| kind == MemberKind::Front);
+        let gossip = gossip.map(|gossip| GossipTable::new(id, settings.zone.to_string(), gossip, clock()));
+        let swim = Swim::new(id, info, settings.seeds.clone(), rand::random(), clock());
+        info!(%id, %address, zone = %settings.zone, "member is up");
+        let shared = Arc::new(Shared {
+            swim: Mutex::new(swim),
+            gossip,
+            socket,
+            settings: settings.clone(),
+            clock,
+            stop: AtomicBool::new(false),
+            rejected_datagrams: AtomicU64::new(0),
+            sent: SentCounters::default(),
+            active_fronts: AtomicU32::new(u32::from(kind == MemberKind::Front)),
+        });
+        let worker = Arc::clone(&shared);
+        thread::Builder::new().name("members".into()).stack_size(STACK_BYTES).spawn(move || worker.run())?;
         Ok(MembershipService { shared })
     }
 
-    /// Answers those who ask whom it sees, for a process that is no keeper: a keeper's connections do so.
+    /// Serves `fleet members` over TCP, for a process without a coordinator, whose connections do so otherwise. The thread goes on
+    /// until the process ends.
     ///
     /// # Errors
     /// The address can't be listened on, or there is no thread.
-    pub fn answer(&self) -> io::Result<()> {
+    pub fn serve_members(&self) -> io::Result<()> {
         let shared = Arc::clone(&self.shared);
-        let missing = || io::Error::new(io::ErrorKind::InvalidInput, "fleet.listen: missing");
-        let listener = TcpListener::bind(shared.set.listen.ok_or_else(missing)?)?;
-        let (conns, number) = (Connections::default(), shared.set.number());
-        let (queue, came) = bounded(QUEUE);
-        conns.accept(listener, number, queue)?;
-        thread::Builder::new().name("answers".into()).stack_size(256 << 10).spawn(move || {
-            for came in came {
-                if let Inbound::Message(conn, Message::GetMembers) = came
-                    && let Some(bytes) = wire::encode(number, &Message::Members(Some(shared.seen())))
+        let listener = TcpListener::bind(shared.settings.listen.ok_or_else(missing_listen)?)?;
+        let (connections, fleet) = (Connections::default(), shared.settings.fleet_id());
+        let (sender, inbound) = bounded(REQUEST_CAPACITY);
+        connections.accept(listener, fleet, sender)?;
+        let serve = move || {
+            for request in inbound {
+                if let Inbound::Message(connection, Message::GetMembers) = request
+                    && let Some(bytes) = wire::encode(fleet, &Message::Members(Some(shared.members())))
                 {
-                    conns.say(conn, bytes);
+                    connections.send(connection, bytes);
                 }
             }
-        })?;
+        };
+        thread::Builder::new().name("answers".into()).stack_size(STACK_BYTES).spawn(serve)?;
         Ok(())
     }
 
-    /// Whom it sees.
-    pub fn seen(&self) -> Vec<MemberView> {
-        self.shared.seen()
+    /// The members as this one sees them.
+    pub fn members(&self) -> Vec<MemberView> {
+        self.shared.members()
     }
 
-    /// Fronts that are there, by what it sees, itself included if it is one. It takes no time.
-    pub fn fronts(&self) -> u32 {
-        self.shared.fronts.load(Ordering::Relaxed)
+    /// Active fronts as this member sees them, itself included if it is one. Takes no lock.
+    pub fn active_fronts(&self) -> u32 {
+        self.shared.active_fronts.load(Ordering::Relaxed)
     }
 
-    /// The life of this process.
+    /// The id of this process as a member.
     pub fn id(&self) -> MemberId {
         self.shared.swim().id()
     }
 
-    /// The time that rows and members go by.
+    /// The time by which membership and gossip work.
     pub fn now(&self) -> Duration {
         (self.shared.clock)()
     }
 
-    /// Writes a section of this front's row, which others know within [`beechloft_gossip::Settings::staleness`].
+    /// Writes a section of this front's row, which others have within [`beechloft_gossip::Settings::staleness`].
     ///
     /// # Errors
     /// The row would be too long; it stays as it was.
-    pub fn write_row(
+    pub fn write_section(
         &self,
         kind: beechloft_gossip::SectionKind,
         bytes: Vec<u8>,
     ) -> Result<(), beechloft_gossip::RowTooLong> {
-        self.shared.rows.as_ref().map_or(Ok(()), |r| r.write((self.shared.clock)(), kind, bytes))
+        self.shared.gossip.as_ref().map_or(Ok(()), |table| table.write_section(self.now(), kind, bytes))
     }
 
-    /// This front's number, for its row.
-    pub fn number_row(&self, number: Option<u16>) {
-        if let Some(rows) = &self.shared.rows {
-            rows.number((self.shared.clock)(), number);
+    /// Writes this front's slot into its row.
+    pub fn set_front_number(&self, number: Option<u16>) {
+        if let Some(table) = &self.shared.gossip {
+            table.set_front_number(self.now(), number);
         }
     }
 
-    /// What all rows that are known say of a matter, this front's own among them.
-    pub fn rows(&self, kind: beechloft_gossip::SectionKind) -> Vec<GossipRow> {
-        self.shared.rows.as_ref().map(|r| r.seen((self.shared.clock)(), kind)).unwrap_or_default()
+    /// A section of all known rows, this front's own among them.
+    pub fn sections(&self, kind: beechloft_gossip::SectionKind) -> Vec<GossipRow> {
+        self.shared.gossip.as_ref().map(|table| table.sections(self.now(), kind)).unwrap_or_default()
     }
 
-    /// What happened to rows so far.
-    pub fn row_counts(&self) -> Option<beechloft_gossip::Counters> {
-        self.shared.rows.as_ref().map(GossipTable::counts)
+    /// Counters of the gossip, if this member takes part in it.
+    pub fn gossip_counters(&self) -> Option<beechloft_gossip::Counters> {
+        self.shared.gossip.as_ref().map(GossipTable::counters)
     }
 
-    /// Tells some others that this process ends.
+    /// Tells other members that this process ends.
     pub fn leave(&self) {
         self.shared.handle(Input::Leave);
     }
@@ -152,7 +174,7 @@
 
 impl Drop for MembershipService {
     fn drop(&mut self) {
-        self.shared.end.store(true, Ordering::Relaxed);
+        self.shared.stop.store(true, Ordering::Relaxed);
     }
 }
 
@@ -163,124 +185,140 @@
 
     fn run(&self) {
         let mut buffer = [0; 2 * wire::MAX_DATAGRAM_BYTES];
-        while !self.end.load(Ordering::Relaxed) {
-            let due = self
-                .rows
-                .as_ref()
-                .map_or(Duration::MAX, GossipTable::next_due)
-                .min(self.swim().next_deadline());
-            let due = due.saturating_sub((self.clock)());
-            // A time-out of nought would mean none at all.
-            let wait = due.clamp(Duration::from_millis(1), LOOK);
+        while !self.stop.load(Ordering::Relaxed) {
+            let gossip_deadline = self.gossip.as_ref().map_or(Duration::MAX, GossipTable::next_deadline);
+            let deadline = gossip_deadline.min(self.swim().next_deadline());
+            let wait = deadline.saturating_sub((self.clock)()).clamp(MIN_WAIT, MAX_WAIT);
             let _ = self.socket.set_read_timeout(Some(wait));
             match self.socket.recv_from(&mut buffer) {
-                Ok((bytes, from)) => self.take(&buffer[..bytes], from),
-                // Nothing came, or an earlier packet found nobody.
+                Ok((length, from)) => self.receive(&buffer[..length], from),
+                // A timeout, or an earlier packet found nobody.
                 Err(_) => self.handle(Input::Tick),
             }
-            self.spread();
+            self.run_gossip_round();
         }
     }
 
-    /// A round of the rows, if one is due.
-    fn spread(&self) {
-        let Some(rows) = &self.rows else { return };
+    /// Runs a round of the gossip, if one is due.
+    fn run_gossip_round(&self) {
+        let Some(table) = &self.gossip else { return };
         let now = (self.clock)();
-        if now >= rows.next_due() {
-            let out = rows.handle(now, beechloft_gossip::Input::Tick);
-            self.send_rows(out);
+        if now >= table.next_deadline() {
+            let datagrams = table.handle(now, beechloft_gossip::Input::Tick);
+            self.send_gossip(datagrams);
         }
     }
 
-    fn send_rows(&self, out: Vec<(SocketAddr, beechloft_gossip::Packet)>) {
-        for (to, packet) in out {
-            if let Some(bytes) = gossip::datagram(self.set.number(), &packet) {
-                let _ = self.socket.send_to(&bytes, self.set.reach_member(to));
+    fn send_gossip(&self, datagrams: Vec<Datagram>) {
+        for Datagram { to, packet } in datagrams {
+            if let Some(bytes) = gossip::encode_datagram(self.settings.fleet_id(), &packet) {
+                let _ = self.socket.send_to(&bytes, self.settings.dial_member(to));
             }
         }
     }
 
-    fn take(&self, bytes: &[u8], from: SocketAddr) {
-        if let Some(rows) = self.rows.as_ref().filter(|_| bytes.starts_with(&gossip::MAGIC)) {
-            match gossip::read_datagram(self.set.number(), bytes) {
-                Ok(packet) => {
-                    let heard = beechloft_gossip::Input::Received(self.set.behind(from), packet);
-                    self.send_rows(rows.handle((self.clock)(), heard));
-                }
-                Err(why) => {
-                    self.refused.fetch_add(1, Ordering::Relaxed);
-                    debug!(%from, "{why}; it is dropped");
-                }
-            }
-            return;
-        }
-        match wire::decode_datagram(self.set.number(), bytes) {
-            Ok(packet) => self.handle(Input::Received(self.set.behind(from), packet)),
-            Err(why) => {
-                self.refused.fetch_add(1, Ordering::Relaxed);
-                debug!(%from, "{why}; it is dropped");
+    /// Handles a datagram.
+    fn receive(&self, bytes: &[u8], from: SocketAddr) {
+        let fleet = self.settings.fleet_id();
+        let sender = self.settings.member_behind(from);
+        let gossip = self.gossip.as_ref().filter(|_| bytes.starts_with(&gossip::MAGIC));
+        let result = match gossip {
+            Some(table) => gossip::decode_datagram(fleet, bytes).map(|packet| {
+                let input = beechloft_gossip::Input::Received(sender, packet);
+                self.send_gossip(table.handle((self.clock)(), input));
+            }),
+            None => {
+                wire::decode_datagram(fleet, bytes).map(|packet| self.handle(Input::Received(sender, packet)))
             }
+        };
+        if let Err(error) = result {
+            self.reject(from, &error);
         }
     }
 
+    fn reject(&self, from: SocketAddr, error: &WireError) {
+        self.rejected_datagrams.fetch_add(1, Ordering::Relaxed);
+        debug!(%from, "{error}; the datagram is dropped");
+    }
+
     fn handle(&self, input: Input) {
-        // What is sent goes out after the lock is let go: a socket may take its time.
-        let mut for_rows = Vec::new();
+        // Sent after the lock is released: a socket may take its time.
+        let mut gossip_datagrams = Vec::new();
         let outputs = {
             let mut swim = self.swim();
             let outputs = swim.handle((self.clock)(), input);
-            if outputs.iter().any(|o| matches!(o, Output::StateChanged(..))) {
-                let fronts = |m: &&Member| m.state.is_active() && m.info.kind == MemberKind::Front;
-                let count = swim.members().iter().map(|m| m.1).filter(fronts).count();
-                self.fronts.store(count as u32, Ordering::Relaxed);
-                if let Some(rows) = &self.rows {
-                    for_rows = rows.peers((self.clock)(), swim.members());
+            if outputs.iter().any(|output| matches!(output, Output::StateChanged(..))) {
+                self.count_fronts(&swim);
+                if let Some(table) = &self.gossip {
+                    gossip_datagrams = table.update_peers((self.clock)(), swim.members());
                 }
             }
             outputs
         };
-        self.send_rows(for_rows);
+        self.send_gossip(gossip_datagrams);
         for output in outputs {
             match output {
                 Output::Send(to, packet) => self.send(to, &packet),
-                Output::StateChanged(id, life) => info!(%id, ?life, "member"),
+                Output::StateChanged(id, state) => info!(%id, ?state, "member"),
             }
         }
     }
 
+    fn count_fronts(&self, swim: &Swim) {
+        let is_active_front =
+            |member: &Member| member.state.is_active() && member.info.kind == MemberKind::Front;
+        let count = swim.members().iter().filter(|(_, member)| is_active_front(member)).count();
+        self.active_fronts.store(u32::try_from(count).unwrap_or(u32::MAX), Ordering::Relaxed);
+    }
+
     fn send(&self, to: SocketAddr, packet: &Packet) {
-        if let Some(bytes) = wire::encode_datagram(self.set.number(), packet) {
-            self.sent.0.fetch_add(1, Ordering::Relaxed);
-            self.sent.1.fetch_add(bytes.len() as u64 + HEADS, Ordering::Relaxed);
+        if let Some(bytes) = wire::encode_datagram(self.settings.fleet_id(), packet) {
+            self.sent.datagrams.fetch_add(1, Ordering::Relaxed);
+            self.sent.bytes.fetch_add(bytes.len() as u64 + UDP_IP_HEADER_BYTES, Ordering::Relaxed);
             // What can't be sent is lost, as on any network.
-            let _ = self.socket.send_to(&bytes, self.set.reach_member(to));
+            let _ = self.socket.send_to(&bytes, self.settings.dial_member(to));
         }
     }
 
-    fn seen(&self) -> Vec<MemberView> {
+    fn members(&self) -> Vec<MemberView> {
         let (swim, now) = (self.swim(), (self.clock)());
-        let millis = |since: Duration| now.saturating_sub(since).as_millis() as u64;
-        let line = |(id, m): (MemberId, &Member)| MemberView {
+        swim.members().iter().map(|(id, member)| self.view(id, member, id == swim.id(), now)).collect()
+    }
+
+    fn view(&self, id: MemberId, member: &Member, is_reporter: bool, now: Duration) -> MemberView {
+        let millis_since =
+            |time: Duration| u64::try_from(now.saturating_sub(time).as_millis()).unwrap_or(u64::MAX);
+        let counter = |value: &AtomicU64| if is_reporter { value.load(Ordering::Relaxed) } else { 0 };
+        MemberView {
             id: id.to_string(),
-            address: m.info.address.to_string(),
-            zone: m.info.zone.to_string(),
-            kind: match m.info.kind {
-                MemberKind::Front => "front".into(),
-                MemberKind::Replica => "keeper".into(),
-            },
-            state: match m.state {
-                MemberState::Alive => "alive".into(),
-                MemberState::Suspect => "suspected".into(),
-                MemberState::Dead => "gone".into(),
-                MemberState::Left => "left".into(),
-            },
-            since_ms: millis(m.state_since),
-            known_ms: millis(m.first_seen),
-            incarnation: m.incarnation.0,
-            is_reporter: id == swim.id(),
-            sent: if id == swim.id() { self.sent.0.load(Ordering::Relaxed) } else { 0 },
-            sent_bytes: if id == swim.id() { self.sent.1.load(Ordering::Relaxed) } else { 0 },
-        };
-        swim.members().iter().map(line).collect()
+            address: member.info.address.to_string(),
+            zone: member.info.zone.to_string(),
+            kind: kind_name(member.info.kind).to_owned(),
+            state: state_name(member.state).to_owned(),
+            since_ms: millis_since(member.state_since),
+            known_ms: millis_since(member.first_seen),
+            incarnation: member.incarnation.0,
+            is_reporter,
+            sent: counter(&self.sent.datagrams),
+            sent_bytes: counter(&self.sent.bytes),
+        }
+    }
+}
+
+/// The name of a kind in reports.
+fn kind_name(kind: MemberKind) -> &'static str {
+    match kind {
+        MemberKind::Front => "front",
+        MemberKind::Replica => "keeper",
+    }
+}
+
+/// The name of a state in reports.
+fn state_name(state: MemberState) -> &'static str {
+    match state {
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspected",
+        MemberState::Dead => "gone",
+        MemberState::Left => "left",
     }
 }
--- a/crates/fleet/coordinator/src/outlier_detector.rs
+++ b/crates/fleet/coordinator/src/outlier_detector.rs
@@ -1,5 +1,6 @@
-//! A front's part in the fleet's verdicts, on a thread of its own: its evidence goes into its row, all rows are judged, and the lease of
-//! trials is asked for when one is due. The front tells of its attempts and looks at the outlook at any moment, and never waits.
+//! A front's part in the fleet's outlier detection, on a thread of its own: its evidence goes into its row, all rows are evaluated,
+//! and the lease of trials is acquired when one is due. The front reports its attempts and reads the result at any moment, and
+//! waits for a lock at most.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -20,24 +21,25 @@
 use crate::membership::MembershipService;
 use crate::settings::{FleetSettings, OutlierDetectionSettings};
 
-/// The longest that the thread listens before it looks at the clock.
-const LISTEN: Duration = Duration::from_millis(20);
-/// How often rows are judged.
-const JUDGE: Duration = Duration::from_millis(100);
-/// A zone that the settings do not name.
-const ELSEWHERE: u16 = u16::MAX;
+/// The thread waits no longer than this before it checks the clock.
+const MAX_WAIT: Duration = Duration::from_millis(20);
+/// Interval of evaluations.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
+const STACK_BYTES: usize = 256 << 10;
+/// Stands for a zone that the settings do not name.
+const UNKNOWN_ZONE: u16 = u16::MAX;
 
-/// An attempt that is over.
+/// An attempt to set up a session, once it has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Noted {
-    /// At which box.
+pub struct AttemptReport {
+    /// The media server.
     pub server: u32,
-    /// For which title: see [`beechloft_outlier_detection::title_key`].
+    /// The title: see [`beechloft_outlier_detection::title_key`].
     pub title: u32,
     /// How it ended.
     pub outcome: Outcome,
-    /// How long ago it went out.
-    pub ago: Duration,
+    /// Time since it was sent.
+    pub age: Duration,
 }
 
 struct State {
@@ -52,34 +54,34 @@
 }
 
 struct Shared {
-    set: OutlierDetectionSettings,
+    settings: OutlierDetectionSettings,
     zones: Vec<String>,
-    peers: Arc<MembershipService>,
+    membership: Arc<MembershipService>,
     state: Mutex<State>,
     version: AtomicU64,
-    end: AtomicBool,
+    stop: AtomicBool,
 }
 
-/// A front's part in verdicts. It ends when it is dropped.
+/// A front's part in outlier detection. Its thread ends soon after it is dropped, without being waited for.
 pub struct OutlierDetector {
     shared: Arc<Shared>,
 }
 
 impl OutlierDetector {
-    /// Begins to judge.
+    /// Starts the thread.
     ///
     /// # Errors
     /// There is no thread.
     pub fn start(
-        set: &FleetSettings,
-        verdicts: OutlierDetectionSettings,
-        peers: Arc<MembershipService>,
+        settings: &FleetSettings,
+        detection: OutlierDetectionSettings,
+        membership: Arc<MembershipService>,
     ) -> io::Result<OutlierDetector> {
-        let own = set.zone.to_string();
-        let zone = set.zones.iter().position(|z| *z == own).map_or(ELSEWHERE, |n| n as u16);
+        let own = settings.zone.to_string();
+        let zone = settings.zones.iter().position(|z| *z == own).map_or(UNKNOWN_ZONE, zone_number);
         let state = State {
-            ledger: Ledger::new(verdicts.rules.window, zone),
-            verdicts: Verdicts::new(verdicts.rules),
+            ledger: Ledger::new(detection.rules.window, zone),
+            verdicts: Verdicts::new(detection.rules),
             evidence: Evidence::default(),
             places: Places::new(),
             lives: BTreeMap::new(),
@@ -87,63 +89,63 @@
             viewers: Vec::new(),
         };
         let shared = Arc::new(Shared {
-            set: verdicts,
-            zones: set.zones.clone(),
-            peers,
+            settings: detection,
+            zones: settings.zones.clone(),
+            membership,
             state: Mutex::new(state),
             version: AtomicU64::new(0),
-            end: AtomicBool::new(false),
+            stop: AtomicBool::new(false),
         });
         let name = Name::try_from("verdict/trial".to_owned()).map_err(io::Error::other)?;
-        let terms = LeaseSpec { name, slots: 1, ttl_ms: verdicts.trial_ttl_ms };
-        let holder = Holder::new(HolderId(rand::random()), terms, set.drift, rand::random());
-        let (its, way) = (Arc::clone(&shared), LeaderConnection::new(set.clone()));
+        let spec = LeaseSpec { name, slots: 1, ttl_ms: detection.trial_ttl_ms };
+        let holder = Holder::new(HolderId(rand::random()), spec, settings.drift_bound, rand::random());
+        let (worker, connection) = (Arc::clone(&shared), LeaderConnection::new(settings.clone()));
         thread::Builder::new()
             .name("verdicts".into())
-            .stack_size(256 << 10)
-            .spawn(move || its.run(holder, way))?;
+            .stack_size(STACK_BYTES)
+            .spawn(move || worker.run(holder, connection))?;
         Ok(OutlierDetector { shared })
     }
 
-    /// The boxes of the list.
-    pub fn list(&self, places: Places) {
+    /// Sets the media servers of the endpoint list.
+    pub fn set_servers(&self, places: Places) {
         self.shared.state().places = places;
     }
 
-    /// A box's process names its run.
-    pub fn life(&self, server: u32, boot: u64) {
-        let now = self.shared.peers.now();
+    /// A media server's process has said by which boot it runs.
+    pub fn server_booted(&self, server: u32, boot: u64) {
+        let now = self.shared.membership.now();
         let mut state = self.shared.state();
         if state.lives.get(&server).is_none_or(|l| l.0 != boot) {
             state.lives.insert(server, (boot, now));
         }
     }
 
-    /// An attempt is over.
-    pub fn tried(&self, noted: Noted) {
-        let now = self.shared.peers.now();
+    /// Takes an attempt that has ended.
+    pub fn attempt_ended(&self, attempt: AttemptReport) {
+        let now = self.shared.membership.now();
         let mut state = self.shared.state();
-        let life = state.lives.get(&noted.server).copied();
-        // It may have met the process before.
-        if life.is_some_and(|(_, since)| now.saturating_sub(noted.ago) < since) {
+        let life = state.lives.get(&attempt.server).copied();
+        // The attempt may have met the process before.
+        if life.is_some_and(|(_, since)| now.saturating_sub(attempt.age) < since) {
             return;
         }
-        let key = BoxKey::new(noted.server, life.map(|l| l.0));
+        let key = BoxKey::new(attempt.server, life.map(|l| l.0));
         let trial = state.verdicts.on_trial() == Some(key);
-        let (title, outcome) = (noted.title, noted.outcome);
-        let zone = state.places.get(&noted.server).map_or(ELSEWHERE, |p| p.zone);
+        let (title, outcome) = (attempt.title, attempt.outcome);
+        let zone = state.places.get(&attempt.server).map_or(UNKNOWN_ZONE, |p| p.zone);
         state.ledger.note(now, Tried { key, zone, title, viewer: None, outcome, trial });
         if trial && outcome != Outcome::Declined {
             let well = outcome == Outcome::Well;
             info!(server = key.server, well, "trial is over");
             state.verdicts.tried(now, key, well);
             drop(state);
-            // So that no second attempt goes there before this thread's next turn.
-            self.shared.look(now, false);
+            // So that no second attempt goes there before the thread's next evaluation.
+            self.shared.evaluate(now, false);
         }
     }
 
-    /// What is to be avoided, if that has changed since a version.
+    /// The media servers to be avoided, if that has changed since a version, with the new version.
     pub fn outlook(&self, since: u64) -> Option<(u64, Outlook)> {
         let version = self.shared.version.load(Ordering::Acquire);
         if version == since {
@@ -153,25 +155,30 @@
         Some((self.shared.version.load(Ordering::Acquire), state.outlook.clone()))
     }
 
-    /// Of a thousand ready holders of a title so many are avoided at most.
-    pub fn part(&self) -> u16 {
-        self.shared.set.rules.part
+    /// Maximum part of a title's ready holders that is avoided, per mille.
+    pub fn max_ejected_per_mille(&self) -> u16 {
+        self.shared.settings.rules.part
     }
 
-    /// From which time on an attempt is slow.
-    pub fn slow(&self) -> Duration {
-        self.shared.set.slow
+    /// An attempt that takes longer is slow.
+    pub fn slow_threshold(&self) -> Duration {
+        self.shared.settings.slow
     }
 }
 
 impl Drop for OutlierDetector {
     fn drop(&mut self) {
-        self.shared.end.store(true, Ordering::Relaxed);
+        self.shared.stop.store(true, Ordering::Relaxed);
     }
 }
 
-/// Everything the other way round, as a front that lies says it.
-fn lie(mut report: Report, places: &Places, lives: impl Fn(u32) -> BoxKey) -> Report {
+/// The number of a zone by its index in the settings.
+fn zone_number(index: usize) -> u16 {
+    u16::try_from(index).unwrap_or(UNKNOWN_ZONE)
+}
+
+/// For tests: the report of a front that claims the contrary of what it has seen.
+fn invert_report(mut report: Report, places: &Places, lives: impl Fn(u32) -> BoxKey) -> Report {
     let line = |server: &u32| {
         let key = lives(*server);
         let bad = report.of(key).is_some_and(Seen::accuses);
@@ -190,49 +197,49 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn run(&self, mut holder: Holder, mut way: LeaderConnection) {
-        let mut judge_at = Duration::ZERO;
-        while !self.end.load(Ordering::Relaxed) {
-            let input = way.hear(LISTEN).unwrap_or(HolderInput::Tick);
-            let now = self.peers.now();
-            let mut requests = take(&mut holder, now, input);
-            if now >= judge_at {
-                judge_at = now + JUDGE;
-                self.read();
-                let wants = self.look(now, holder.permit(now).is_some());
-                let wish = if wants { HolderInput::Acquire } else { HolderInput::Release };
-                requests.extend(take(&mut holder, now, wish));
-                self.write(now);
+    fn run(&self, mut holder: Holder, mut connection: LeaderConnection) {
+        let mut next_evaluation = Duration::ZERO;
+        while !self.stop.load(Ordering::Relaxed) {
+            let input = connection.receive_input(MAX_WAIT).unwrap_or(HolderInput::Tick);
+            let now = self.membership.now();
+            let mut requests = handle_holder(&mut holder, now, input);
+            if now >= next_evaluation {
+                next_evaluation = now + EVALUATION_INTERVAL;
+                self.read_rows();
+                let wants = self.evaluate(now, holder.permit(now).is_some());
+                let wanted = if wants { HolderInput::Acquire } else { HolderInput::Release };
+                requests.extend(handle_holder(&mut holder, now, wanted));
+                self.write_row(now);
             }
             for request in requests {
-                way.send(request);
+                connection.send_request(request);
             }
         }
     }
 
-    /// Takes in all rows.
-    fn read(&self) {
-        let rows = self.peers.rows(SectionKind::OUTLIER_REPORT);
+    /// Takes the evidence of all rows.
+    fn read_rows(&self) {
+        let rows = self.membership.sections(SectionKind::OUTLIER_REPORT);
         let mut ages = BTreeMap::new();
         let mut state = self.state();
         for row in rows {
-            let front = FrontLife(row.life.0);
+            let front = FrontLife(row.member.0);
             ages.insert(front, row.age);
             if state.evidence.get(front).is_some_and(|w| w.version >= row.version) {
                 continue;
             }
             let Ok(report) = Report::decode(&row.bytes) else { continue };
-            let zone = self.zones.iter().position(|z| *z == row.zone).map_or(ELSEWHERE, |n| n as u16);
+            let zone = self.zones.iter().position(|z| *z == row.zone).map_or(UNKNOWN_ZONE, zone_number);
             let witness = Witness { version: row.version, zone, report };
-            state.evidence.put(&self.set.rules, front, witness);
+            state.evidence.put(&self.settings.rules, front, witness);
         }
-        let rules = self.set.rules;
+        let rules = self.settings.rules;
         let fresh = state.evidence.fresh(&rules, |f| ages.get(&f).copied());
         state.evidence = fresh;
     }
 
-    /// Judges, and says what changed; whether the lease of trials is wanted.
-    fn look(&self, now: Duration, leased: bool) -> bool {
+    /// Evaluates the evidence and logs what changed; whether the lease of trials is wanted.
+    fn evaluate(&self, now: Duration, leased: bool) -> bool {
         let mut state = self.state();
         let State { verdicts, evidence, places, lives, outlook, .. } = &mut *state;
         let of = |server: u32| BoxKey::new(server, lives.get(&server).map(|l| l.0));
@@ -244,14 +251,14 @@
             info!(server = key.server, "on trial here: offered until one attempt has ended");
         }
         *outlook = new;
-        let viewers = judge_viewers(&self.set.rules, evidence);
+        let viewers = judge_viewers(&self.settings.rules, evidence);
         let news: Vec<u64> = viewers.iter().filter(|v| !state.viewers.contains(v)).copied().collect();
         state.viewers = viewers;
         if differs {
             self.version.fetch_add(1, Ordering::Release);
         }
         drop(state);
-        changes.iter().for_each(told);
+        changes.iter().for_each(log_change);
         for viewer in news {
             warn!(
                 viewer = format_args!("{viewer:016x}"),
@@ -261,8 +268,8 @@
         wants
     }
 
-    /// Says what was seen here.
-    fn write(&self, now: Duration) {
+    /// Writes this front's evidence into its row.
+    fn write_row(&self, now: Duration) {
         let mut state = self.state();
         let accused: BTreeSet<u32> = state
             .evidence
@@ -273,30 +280,31 @@
             .collect();
         let State { ledger, places, lives, .. } = &mut *state;
         let mut report = ledger.report(now, &accused);
-        if self.set.test_lies {
-            report = lie(report, places, |server| BoxKey::new(server, lives.get(&server).map(|l| l.0)));
+        if self.settings.test_lies {
+            report =
+                invert_report(report, places, |server| BoxKey::new(server, lives.get(&server).map(|l| l.0)));
         }
         drop(state);
-        if let Err(why) = self.peers.write_row(SectionKind::OUTLIER_REPORT, report.encode()) {
-            warn!("evidence is not told to others: {why}");
+        if let Err(error) = self.membership.write_section(SectionKind::OUTLIER_REPORT, report.encode()) {
+            warn!("outlier evidence is not gossiped: {error}");
         }
     }
 }
 
-fn take(holder: &mut Holder, now: Duration, input: HolderInput) -> Vec<Request> {
+fn handle_holder(holder: &mut Holder, now: Duration, input: HolderInput) -> Vec<Request> {
     let mut requests = Vec::new();
     for output in holder.handle(now, input) {
         match output {
             HolderOutput::Send(request) => requests.push(request),
             HolderOutput::Acquired(token) => info!(token = token.0, "the lease of trials is held"),
             HolderOutput::Lost(token) => info!(token = token.0, "the lease of trials is lost"),
-            HolderOutput::Rejected(why) => warn!("the lease of trials can't be had: {why}"),
+            HolderOutput::Rejected(reason) => warn!("the lease of trials was rejected for good: {reason}"),
         }
     }
     requests
 }
 
-fn told(change: &Change) {
+fn log_change(change: &Change) {
     match change {
         Change::Condemned(j) => info!(
             server = j.key.server,
--- a/crates/fleet/coordinator/src/quota_client.rs
+++ b/crates/fleet/coordinator/src/quota_client.rs
@@ -1,5 +1,5 @@
-//! A front's limits on sockets: one thread speaks for its machine with the keepers and by rows with the other fronts, one asks
-//! boxes now and then what lost fronts left. Who admits looks at the gate and waits for neither.
+//! A front's part in the quotas of all fronts. One thread exchanges messages with the coordinator and gossips soft quotas with the
+//! other fronts; another asks media servers what lost fronts left there. Admission reads the gate and waits for neither.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -20,219 +20,226 @@
 use crate::settings::{FleetSettings, QuotaSettings};
 use crate::wire::Message;
 
-/// The longest that the thread listens before it looks at the clock: what is urgent waits no longer.
-const LOOK: Duration = Duration::from_millis(10);
-/// From one look at the rows of others to the next.
-const ROWS: Duration = Duration::from_millis(250);
-/// A keeper's answer to a survey is waited for so long.
-const ANSWER: Duration = Duration::from_millis(1_000);
-/// All fronts together ask for orphans about this often.
-const SURVEY: Duration = Duration::from_millis(300);
-/// One front asks no more often than this.
-const SURVEY_LEAST: Duration = Duration::from_millis(1_000);
-
-/// What each box says: how many of its sessions have which tag. None: one of them did not say.
-pub type Tags = Box<dyn Fn() -> Option<Vec<BTreeMap<String, u64>>> + Send>;
+/// The threads wait no longer than this before they check the clock.
+const MAX_WAIT: Duration = Duration::from_millis(10);
+/// Interval of reading the other fronts' rows.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of a request of the survey.
+const SURVEY_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Interval at which all fronts together ask for orphans, on average.
+const FLEET_SURVEY_INTERVAL: Duration = Duration::from_millis(300);
+/// Minimum interval at which one front asks.
+const MIN_SURVEY_INTERVAL: Duration = Duration::from_millis(1_000);
+const STACK_BYTES: usize = 256 << 10;
+
+/// Asks all media servers how many of their sessions have which tag; none if one of them did not answer.
+pub type SessionTags = Box<dyn Fn() -> Option<Vec<BTreeMap<String, u64>>> + Send>;
 
 struct Shared {
     gate: Gate,
-    end: AtomicBool,
+    stop: AtomicBool,
     closed: AtomicBool,
 }
 
-/// A front's limits. Its threads end when it is dropped.
+/// A front's client of the quotas. Its threads end soon after it is dropped, without being waited for.
 pub struct QuotaClient {
     shared: Arc<Shared>,
-    set: FleetSettings,
+    settings: FleetSettings,
     fronts: u32,
 }
 
 impl QuotaClient {
-    /// Begins to ask for an account. `peers` spread its rows, if there are soft limits.
+    /// Starts the thread and opens an account. `membership` gossips its shares of soft quotas.
     ///
     /// # Errors
     /// There is no thread.
     pub fn start(
-        set: &FleetSettings,
-        limits: &QuotaSettings,
-        peers: Option<Arc<MembershipService>>,
+        settings: &FleetSettings,
+        quotas: &QuotaSettings,
+        membership: Option<Arc<MembershipService>>,
     ) -> io::Result<QuotaClient> {
-        let clock = set.clock();
-        let id = peers.as_ref().map_or_else(rand::random, |p| p.id().0);
-        let of = FrontSettings {
-            rules: limits.rules,
-            drift: set.drift,
-            tagged: limits.tagged,
+        let clock = settings.clock();
+        let id = membership.as_ref().map_or_else(rand::random, |service| service.id().0);
+        let front_settings = FrontSettings {
+            rules: quotas.rules,
+            drift: settings.drift_bound,
+            tagged: quotas.tagged,
             seed: rand::random(),
         };
-        let mut front = Front::new(FrontId(id), of);
-        for definition in &limits.definitions {
+        let mut front = Front::new(FrontId(id), front_settings);
+        for definition in &quotas.definitions {
             front.handle(clock(), FrontInput::Define(definition.clone()));
         }
         let gate = Gate::new(front, clock);
-        let shared = Arc::new(Shared { gate, end: AtomicBool::new(false), closed: AtomicBool::new(false) });
-        let (its, way) = (Arc::clone(&shared), LeaderConnection::new(set.clone()));
+        let shared = Arc::new(Shared { gate, stop: AtomicBool::new(false), closed: AtomicBool::new(false) });
+        let (worker, connection) = (Arc::clone(&shared), LeaderConnection::new(settings.clone()));
         thread::Builder::new()
             .name("limits".into())
-            .stack_size(256 << 10)
-            .spawn(move || its.run(way, peers))?;
-        Ok(QuotaClient { shared, set: set.clone(), fronts: limits.rules.fronts })
+            .stack_size(STACK_BYTES)
+            .spawn(move || worker.run(connection, membership))?;
+        Ok(QuotaClient { shared, settings: settings.clone(), fronts: quotas.rules.fronts })
     }
 
-    /// What admits.
+    /// The gate that admits sessions.
     pub fn gate(&self) -> Gate {
         self.shared.gate.clone()
     }
 
-    /// Asks boxes now and then what lost fronts left there.
+    /// Starts the survey: asks media servers now and then what lost fronts left there.
     ///
     /// # Errors
     /// There is no thread.
-    pub fn survey(&self, tags: Tags) -> io::Result<()> {
-        let (its, way, fronts) =
-            (Arc::clone(&self.shared), LeaderConnection::new(self.set.clone()), self.fronts);
-        let every = (SURVEY * fronts).max(SURVEY_LEAST);
+    pub fn survey(&self, tags: SessionTags) -> io::Result<()> {
+        let (worker, connection) = (Arc::clone(&self.shared), LeaderConnection::new(self.settings.clone()));
+        let interval = (FLEET_SURVEY_INTERVAL * self.fronts).max(MIN_SURVEY_INTERVAL);
         thread::Builder::new()
             .name("survey".into())
-            .stack_size(256 << 10)
-            .spawn(move || its.surveys(way, every, &tags))?;
+            .stack_size(STACK_BYTES)
+            .spawn(move || worker.run_survey(connection, interval, &tags))?;
         Ok(())
     }
 
-    /// Nobody is admitted any more: says what is left playing, and waits until that is in the log, at most so long.
-    pub fn close(&self, within: Duration) {
-        let until = Instant::now() + within;
+    /// Admits nobody any more, reports what is left playing, and waits until that is in the log or the time is over.
+    pub fn close(&self, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
         let now = self.shared.gate.now();
         let outputs = self.shared.gate.front().handle(now, FrontInput::Close);
-        let mut way = LeaderConnection::new(self.set.clone());
+        let mut connection = LeaderConnection::new(self.settings.clone());
         for output in outputs {
             match output {
-                FrontOutput::Send(request) => way.say(&Message::QuotaRequest(request)),
+                FrontOutput::Send(request) => connection.send(&Message::QuotaRequest(request)),
                 FrontOutput::Closed => self.shared.closed.store(true, Ordering::Relaxed),
                 _ => {}
             }
         }
-        while !self.shared.closed.load(Ordering::Relaxed) && Instant::now() < until {
-            thread::sleep(LOOK);
+        while !self.shared.closed.load(Ordering::Relaxed) && Instant::now() < deadline {
+            thread::sleep(MAX_WAIT);
         }
     }
 }
 
 impl Drop for QuotaClient {
     fn drop(&mut self) {
-        self.shared.end.store(true, Ordering::Relaxed);
+        self.shared.stop.store(true, Ordering::Relaxed);
     }
 }
 
 impl Shared {
-    fn run(&self, mut way: LeaderConnection, peers: Option<Arc<MembershipService>>) {
-        let (mut input, mut rows_at) = (FrontInput::Start, Duration::ZERO);
-        while !self.end.load(Ordering::Relaxed) {
+    fn run(&self, mut connection: LeaderConnection, membership: Option<Arc<MembershipService>>) {
+        let (mut input, mut next_gossip) = (FrontInput::Start, Duration::ZERO);
+        while !self.stop.load(Ordering::Relaxed) {
             let now = self.gate.now();
             let outputs = self.gate.front().handle(now, input);
-            // After the lock is let go: a connection may take its time.
+            // Sent after the lock is released: a connection may take its time.
             for output in outputs {
-                self.put_out(output, &mut way, peers.as_deref());
+                self.handle_output(output, &mut connection, membership.as_deref());
             }
-            if let Some(peers) = peers.as_ref().filter(|_| now >= rows_at) {
-                rows_at = now + ROWS;
-                self.rows(now, peers);
+            if let Some(membership) = membership.as_ref().filter(|_| now >= next_gossip) {
+                next_gossip = now + GOSSIP_INTERVAL;
+                self.read_rows(now, membership);
             }
             let due = self.gate.front().next_due().unwrap_or(Duration::MAX);
-            let wait = due.saturating_sub(self.gate.now()).min(LOOK);
-            input = match way.hear_word(wait) {
+            let wait = due.saturating_sub(self.gate.now()).min(MAX_WAIT);
+            input = match connection.receive(wait) {
                 Some(Message::QuotaResponse(heard)) => FrontInput::Heard(heard),
                 _ => FrontInput::Tick,
             };
         }
     }
 
-    fn put_out(&self, output: FrontOutput, way: &mut LeaderConnection, peers: Option<&MembershipService>) {
+    fn handle_output(
+        &self,
+        output: FrontOutput,
+        connection: &mut LeaderConnection,
+        membership: Option<&MembershipService>,
+    ) {
         match output {
-            FrontOutput::Send(request) => way.say(&Message::QuotaRequest(request)),
-            FrontOutput::Opened(account) => info!(account = account.0, "an account of the fleet's limits"),
+            FrontOutput::Send(request) => connection.send(&Message::QuotaRequest(request)),
+            FrontOutput::Opened(account) => info!(account = account.0, "quota account opened"),
             FrontOutput::Lost(account) => {
-                warn!(account = account.0, "no account of the fleet's limits; hard ones admit nobody here")
+                warn!(account = account.0, "quota account lost; hard quotas admit nobody here")
             }
             FrontOutput::Closed => self.closed.store(true, Ordering::Relaxed),
             FrontOutput::Row(row) => {
                 let bytes = postcard::to_allocvec(&row).unwrap_or_default();
-                if let Some(Err(why)) = peers.map(|p| p.write_row(SectionKind::SOFT_QUOTAS, bytes)) {
-                    warn!("soft limits' parts are not told: {why}");
+                if let Some(Err(error)) =
+                    membership.map(|service| service.write_section(SectionKind::SOFT_QUOTAS, bytes))
+                {
+                    warn!("soft quota shares are not gossiped: {error}");
                 }
             }
         }
     }
 
-    /// Takes the other fronts' parts.
-    fn rows(&self, now: Duration, peers: &MembershipService) {
+    /// Takes the other fronts' shares of soft quotas.
+    fn read_rows(&self, now: Duration, membership: &MembershipService) {
         let own = self.gate.front().id();
-        for row in peers.rows(SectionKind::SOFT_QUOTAS) {
-            let from = FrontId(row.life.0);
-            // A row that makes no sense says nothing: its front counts as one that is not heard.
-            let Ok(parts) = postcard::from_bytes(&row.bytes) else { continue };
+        for row in membership.sections(SectionKind::SOFT_QUOTAS) {
+            let from = FrontId(row.member.0);
+            // A malformed row is ignored: its front counts as one that is silent.
+            let Ok(shares) = postcard::from_bytes(&row.bytes) else { continue };
             if from != own {
-                self.gate.front().handle(now, FrontInput::Row(from, parts, row.age));
+                self.gate.front().handle(now, FrontInput::Row(from, shares, row.age));
             }
         }
     }
 
-    fn surveys(&self, mut way: LeaderConnection, every: Duration, tags: &Tags) {
-        let (me, mut seq) = (FrontId(rand::random()), 0);
-        while !self.end.load(Ordering::Relaxed) {
-            let rest = Instant::now() + every.mul_f64(rand::random_range(0.5..1.5));
-            while Instant::now() < rest && !self.end.load(Ordering::Relaxed) {
-                thread::sleep(LOOK);
+    fn run_survey(&self, mut connection: LeaderConnection, interval: Duration, tags: &SessionTags) {
+        let (surveyor, mut seq) = (FrontId(rand::random()), 0);
+        while !self.stop.load(Ordering::Relaxed) {
+            let wake_at = Instant::now() + interval.mul_f64(rand::random_range(0.5..1.5));
+            while Instant::now() < wake_at && !self.stop.load(Ordering::Relaxed) {
+                thread::sleep(MAX_WAIT);
             }
             seq += 1;
-            let Some(Answer::Orphans(orphans)) = ask(&mut way, Request { front: me, seq, op: Op::Orphans })
+            let Some(Answer::Orphans(orphans)) =
+                call(&mut connection, Request { front: surveyor, seq, op: Op::Orphans })
             else {
                 continue;
             };
             if orphans.is_empty() {
                 continue;
             }
-            // After the answer: by then nothing of theirs is on its way to a box any more.
-            let Some(said) = tags() else {
-                debug!("a box did not say what it plays; lost fronts' room stays taken");
+            // Asked after the answer: by then nothing of theirs is on its way to a media server any more.
+            let Some(tags_by_server) = tags() else {
+                debug!("a media server did not report its sessions; what lost fronts held stays counted");
                 continue;
             };
             for (orphan, front) in orphans {
-                let left = left_of(front, &said);
+                let left = sessions_left(front, &tags_by_server);
                 seq += 1;
-                self.counted(
-                    &mut way,
-                    Request { front: me, seq, op: Op::Counted { orphan, left: left.clone() } },
-                    orphan,
-                    &left,
-                );
+                let op = Op::Counted { orphan, left: left.clone() };
+                let counted = Request { front: surveyor, seq, op };
+                report_left(&mut connection, counted, orphan, &left);
             }
         }
     }
+}
 
-    fn counted(&self, way: &mut LeaderConnection, request: Request, orphan: OrphanId, left: &[(Claim, u64)]) {
-        if let Some(Answer::Counted) = ask(way, request) {
-            let left: Vec<String> = left.iter().map(|(claim, units)| format!("{claim}: {units}")).collect();
-            info!(orphan = orphan.0, ?left, "boxes said what a lost front left");
-        }
+/// Reports what is left of an orphan.
+fn report_left(connection: &mut LeaderConnection, request: Request, orphan: OrphanId, left: &[(Claim, u64)]) {
+    if let Some(Answer::Counted) = call(connection, request) {
+        let left: Vec<String> = left.iter().map(|(claim, units)| format!("{claim}: {units}")).collect();
+        info!(orphan = orphan.0, ?left, "media servers reported what a lost front left");
     }
 }
 
-fn left_of(front: FrontId, said: &[BTreeMap<String, u64>]) -> Vec<(Claim, u64)> {
+/// Units that sessions of a lost front still use, by claim.
+fn sessions_left(front: FrontId, tags_by_server: &[BTreeMap<String, u64>]) -> Vec<(Claim, u64)> {
     let mut left = BTreeMap::new();
-    for tags in said {
+    for tags in tags_by_server {
         tag::count(front, tags.iter().map(|(text, n)| (text.as_str(), *n)), &mut left);
     }
     left.into_iter().collect()
 }
 
-/// Asks once, and hears the answer to that if one comes in time. A survey that is lost is made anew.
-fn ask(way: &mut LeaderConnection, request: Request) -> Option<Answer> {
+/// Sends a request once; its answer, if one comes in time. A survey that is lost is repeated as a new one.
+fn call(connection: &mut LeaderConnection, request: Request) -> Option<Answer> {
     let (front, seq) = (request.front, request.seq);
-    way.say(&Message::QuotaRequest(request));
-    let until = Instant::now() + ANSWER;
-    while Instant::now() < until {
-        match way.hear_word(until.saturating_duration_since(Instant::now())) {
+    connection.send(&Message::QuotaRequest(request));
+    let deadline = Instant::now() + SURVEY_TIMEOUT;
+    while Instant::now() < deadline {
+        match connection.receive(deadline.saturating_duration_since(Instant::now())) {
             Some(Message::QuotaResponse(Heard::Answer { front: f, seq: s, answer }))
                 if (f, s) == (front, seq) =>
             {
--- a/crates/fleet/coordinator/src/server/bootstrap.rs
+++ b/crates/fleet/coordinator/src/server/bootstrap.rs
@@ -1,4 +1,4 @@
-//! How the group comes together, and what an operator does about a keeper that was lost.
+//! How the group forms, and how an operator replaces a lost replica.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,6 +10,7 @@
 };
 use beechloft_replica::{Replica, ReplicaInput};
 use beechloft_topic::Topic;
+use thiserror::Error;
 use tracing::info;
 
 use super::{CoordinatorServer, ServerError};
@@ -17,114 +18,144 @@
 use crate::settings::TopicSpec;
 use crate::wire::Message;
 
+/// Why a replica can't be replaced now.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+enum ReplaceRejection {
+    #[error("{0} is no member")]
+    NotAMember(NodeId),
+    #[error("at {address} there is {found}, not {expected}")]
+    AnotherReplica { address: String, found: NodeId, expected: NodeId },
+    #[error("nobody has come up at {0}")]
+    NoReplacement(String),
+}
+
 impl CoordinatorServer {
-    /// Removes a member that was lost with its disk, if the one that came up in its place has been met there. That one is let
-    /// in as a new keeper then, as it learns and votes.
-    pub(super) fn replace(&mut self, conn: ConnectionId, old: NodeId, new: NodeId, out: &mut PendingOutputs) {
-        let status = self.keeper.status();
+    /// Removes a replica that was lost with its store, if the one that came up in its place has introduced itself. That one is
+    /// then admitted as a new replica: it learns and then votes.
+    pub(super) fn replace(
+        &mut self,
+        connection: ConnectionId,
+        old: NodeId,
+        new: NodeId,
+        outputs: &mut PendingOutputs,
+    ) {
+        let status = self.replica.status();
         if status.leader != Some(self.id) {
-            let address = status.leader.and_then(|l| self.address_of(l)).map(|a| a.to_string());
-            return self.say(conn, &Message::NotLeader(address));
+            let address = status.leader.and_then(|leader| self.address_of(leader)).map(|a| a.to_string());
+            return self.send(connection, &Message::NotLeader(address));
         }
-        let no = |why: String| Message::ReplaceResult(Err(why));
-        let Some(member) = status.members.get(old) else {
-            return self.say(conn, &no(format!("{old} is no member")));
-        };
-        // The lost one itself, if it was the last to say who it is: whoever came up in its place has not yet.
-        let met = member.address.parse().ok().and_then(|a: SocketAddr| self.met.get(&a));
-        let there = met.filter(|met| met.id != old);
-        match there {
-            Some(met) if met.id == new && !met.formed => {}
-            Some(met) => {
-                let at = &member.address;
-                return self.say(conn, &no(format!("at {at} there is {}, not {new}", met.id)));
-            }
-            None => return self.say(conn, &no(format!("nobody has come up at {}", member.address))),
+        if let Err(rejection) = self.check_replacement(old, new) {
+            return self.send(connection, &Message::ReplaceResult(Err(rejection.to_string())));
         }
-        self.tickets += 1;
-        let ticket = RequestId(self.tickets);
-        self.asked.insert(ticket, conn);
-        let change = Input::ChangeMembership(ticket, MembershipChange::Remove(old));
-        self.keeper.handle((self.clock)(), ReplicaInput::Raft(change), out);
+        let request = self.next_request_id();
+        self.pending_changes.insert(request, connection);
+        let change = Input::ChangeMembership(request, MembershipChange::Remove(old));
+        self.replica.handle((self.clock)(), ReplicaInput::Raft(change), outputs);
+    }
+
+    fn check_replacement(&self, old: NodeId, new: NodeId) -> Result<(), ReplaceRejection> {
+        let status = self.replica.status();
+        let member = status.members.get(old).ok_or(ReplaceRejection::NotAMember(old))?;
+        let address: Option<SocketAddr> = member.address.parse().ok();
+        // The lost replica itself may have been the last to introduce itself there.
+        let replacement = address
+            .and_then(|address| self.introductions.get(&address))
+            .filter(|introduction| introduction.id != old)
+            .ok_or_else(|| ReplaceRejection::NoReplacement(member.address.clone()))?;
+        if replacement.id == new && !replacement.formed {
+            return Ok(());
+        }
+        Err(ReplaceRejection::AnotherReplica {
+            address: member.address.clone(),
+            found: replacement.id,
+            expected: new,
+        })
+    }
+
+    fn next_request_id(&mut self) -> RequestId {
+        self.last_request_id += 1;
+        RequestId(self.last_request_id)
     }
 
-    /// A group that has not come together yet grants nothing: its founder alone would be a majority of one.
-    pub(super) fn serves(&self) -> bool {
-        self.keeper.status().members.voters().count() > self.set.keepers.len() / 2
+    /// Whether the group has formed. Before that it grants nothing: its founder alone would be a majority of one.
+    pub(super) fn is_serving(&self) -> bool {
+        self.replica.status().members.voters().count() > self.settings.replicas.len() / 2
     }
 
-    /// Looks at who belongs to the group: founds it, once, and has new keepers learn and then vote.
-    pub(super) fn look(&mut self, now: Duration, out: &mut PendingOutputs) -> Result<(), ServerError> {
-        let status = self.keeper.status();
+    /// Founds the group, once; as the leader, declares topics and admits new replicas.
+    pub(super) fn check_membership(
+        &mut self,
+        now: Duration,
+        outputs: &mut PendingOutputs,
+    ) -> Result<(), ServerError> {
+        let status = self.replica.status();
         if status.members.iter().next().is_none() {
-            return self.found(now);
+            return self.found_group(now);
         }
         if status.leader != Some(self.id) {
             return Ok(());
         }
-        self.declare(now, out);
+        self.declare_topics(now, outputs);
         let taken: BTreeSet<&str> = status.members.iter().map(|(_, m)| m.address.as_str()).collect();
         let learner = status.members.iter().find(|(_, m)| !m.voter).map(|(id, _)| id);
         // One at a time: the next when the last votes.
         let change = match learner {
             Some(id) => Some(MembershipChange::Promote(id)),
-            None => self.met.iter().find_map(|(address, met)| {
+            None => self.introductions.iter().find_map(|(address, introduction)| {
                 let address = address.to_string();
-                // A keeper that has lost its disk is none until its old self is removed (`keeper replace`).
-                let new =
-                    !met.formed && !taken.contains(address.as_str()) && status.members.get(met.id).is_none();
-                new.then_some(MembershipChange::AddLearner(met.id, address))
+                // A replica that has lost its store is not admitted until its old self is removed (`keeper replace`).
+                let is_new = !introduction.formed
+                    && !taken.contains(address.as_str())
+                    && status.members.get(introduction.id).is_none();
+                is_new.then_some(MembershipChange::AddLearner(introduction.id, address))
             }),
         };
         if let Some(change) = change {
-            self.tickets += 1;
-            self.keeper.handle(
-                now,
-                ReplicaInput::Raft(Input::ChangeMembership(RequestId(self.tickets), change)),
-                out,
-            );
+            let request = self.next_request_id();
+            let input = ReplicaInput::Raft(Input::ChangeMembership(request, change));
+            self.replica.handle(now, input, outputs);
         }
         Ok(())
     }
 
-    /// Has the log say which topics there are to be, where it does not: the settings of the keeper that leads say so.
-    fn declare(&mut self, now: Duration, out: &mut PendingOutputs) {
-        if !self.serves() {
+    /// Declares topics that the log lacks or has with other terms. The leader's settings are the ones that count.
+    fn declare_topics(&mut self, now: Duration, outputs: &mut PendingOutputs) {
+        if !self.is_serving() {
             return;
         }
-        let there = |spec: &TopicSpec| self.keeper.topics().topic(&spec.name).map(Topic::terms);
-        let lacking = self.set.topics.iter().filter(|spec| there(spec) != Some(spec.terms));
-        let lacking: Vec<TopicSpec> = lacking.cloned().collect();
-        for TopicSpec { name, terms } in lacking {
-            self.keeper.handle(now, ReplicaInput::DeclareTopic(rand::random(), name, terms), out);
+        let declared = |spec: &TopicSpec| self.replica.topics().topic(&spec.name).map(Topic::terms);
+        let missing: Vec<TopicSpec> =
+            self.settings.topics.iter().filter(|spec| declared(spec) != Some(spec.terms)).cloned().collect();
+        for TopicSpec { name, terms } in missing {
+            self.replica.handle(now, ReplicaInput::DeclareTopic(rand::random(), name, terms), outputs);
         }
     }
 
-    /// The first of the listed keepers founds the group, alone, when all others have said that they are new: one founder, so
-    /// that there are never two groups. If any other has been a member before, this one has lost its disk and must wait.
-    fn found(&mut self, now: Duration) -> Result<(), ServerError> {
-        let first = self.set.keepers.iter().min() == Some(&self.address);
-        let others = self.set.keepers.iter().filter(|a| **a != self.address);
-        let all_new = others.into_iter().all(|a| self.met.get(a).is_some_and(|m| !m.formed));
-        if !first || !all_new {
+    /// The replica with the lowest address founds the group, alone, when all others have said that they are new: one founder,
+    /// so that there are never two groups. If another has been a member, this one has lost its store and must wait.
+    fn found_group(&mut self, now: Duration) -> Result<(), ServerError> {
+        let is_founder = self.settings.replicas.iter().min() == Some(&self.address);
+        let mut others = self.settings.replicas.iter().filter(|address| **address != self.address);
+        let all_new = others.all(|address| self.introductions.get(address).is_some_and(|i| !i.formed));
+        if !is_founder || !all_new {
             return Ok(());
         }
         info!("founds the group");
         let members = Membership::of([(self.id, self.address.to_string())]);
         let stored = PersistentState::first(members);
         let snapshot: Option<Snapshot> = stored.snapshot.clone();
-        self.disk.save(&StateUpdate { snapshot, ..StateUpdate::default() })?;
-        self.keeper =
-            Replica::new(self.id, Settings::default(), stored, self.set.drift, rand::random(), now)?;
+        self.store.save(&StateUpdate { snapshot, ..StateUpdate::default() })?;
+        let drift_bound = self.settings.drift_bound;
+        self.replica = Replica::new(self.id, Settings::default(), stored, drift_bound, rand::random(), now)?;
         #[cfg(feature = "planted")]
         if let Some(fault) = self.fault {
-            self.keeper.inject_fault(fault);
+            self.replica.inject_fault(fault);
         }
         Ok(())
     }
 }
 
-/// Whether a disk has been a group's.
+/// Whether a store has been a group's.
 pub(super) fn has_formed(stored: &PersistentState) -> bool {
     stored.snapshot.is_some() || !stored.entries.is_empty()
 }
--- a/crates/fleet/coordinator/src/server/dispatch.rs
+++ b/crates/fleet/coordinator/src/server/dispatch.rs
@@ -1,73 +1,54 @@
-//! Words that come in, and what goes out.
+//! Dispatch of messages that come in to the replica, and of the replica's outputs to connections.
 
 use std::net::SocketAddr;
 
-use beechloft_consensus::{NodeId, PendingOutputs, RequestError};
-use beechloft_leases::{Event, Response};
+use beechloft_consensus::{LogPosition, NodeId, PendingOutputs, RequestError, RequestId};
+use beechloft_leases::{Event, ReplicaId, Response};
 use beechloft_placement::Event as PlacementEvent;
+use beechloft_quotas::Event as QuotaEvent;
 use beechloft_replica::{ClientId, ReplicaInput, ReplicaOutput};
 use beechloft_topic::TopicEvent;
 use tracing::{info, warn};
 
-use super::{CoordinatorServer, Met, reports};
+use super::{CoordinatorServer, Introduction, reports};
 use crate::connections::{ConnectionId, Inbound};
 use crate::wire::{self, Message};
 
 impl CoordinatorServer {
-    pub(super) fn take(&mut self, came: Inbound, out: &mut PendingOutputs) {
-        let now = (self.clock)();
-        let (conn, word) = match came {
-            Inbound::Message(conn, word) => (conn, word),
-            Inbound::Closed(conn) => {
-                self.serving.closed(conn);
-                return self.keeper.handle(now, ReplicaInput::ClientDisconnected(ClientId(conn.0)), out);
-            }
-        };
-        let client = ClientId(conn.0);
-        match word {
-            Message::Hello { id, listen, formed } => {
-                if let Some(address) = listen.parse().ok().filter(|a| self.set.keepers.contains(a)) {
-                    self.met.insert(address, Met { id, formed });
-                }
-            }
-            Message::Consensus(message) => self.keeper.handle(now, ReplicaInput::Peer(message), out),
-            Message::LeaseRequest(request) if self.serves() => {
-                self.keeper.handle(now, ReplicaInput::LeaseRequest(client, request), out)
-            }
-            Message::ListLeases if self.serves() => {
-                self.keeper.handle(now, ReplicaInput::ListLeases(client), out)
-            }
-            Message::WatchLeases(name) if self.serves() => {
-                self.keeper.handle(now, ReplicaInput::WatchLeases(client, name), out)
-            }
-            Message::Publish(request) if self.serves() => {
-                self.keeper.handle(now, ReplicaInput::TopicRequest(client, request), out)
-            }
-            Message::Subscribe { feed, topic, from, allow } if self.serves() => {
-                if let Err(busy) = self.serving.subscribe(conn, (feed, topic), from, allow, now) {
-                    self.say(conn, &Message::LeaseResponse(busy));
-                }
-            }
-            Message::Credit { feed, total } => self.serving.allow(conn, feed, total, now),
-            Message::QuotaRequest(request) if self.serves() => {
-                self.keeper.handle(now, ReplicaInput::QuotaRequest(client, request), out)
-            }
-            Message::PlacementRequest { number, command } if self.serves() => {
-                self.keeper.handle(now, ReplicaInput::PlacementCommand(client, number, command), out)
+    /// Handles a message, or the end of a connection.
+    pub(super) fn handle_inbound(&mut self, inbound: Inbound, outputs: &mut PendingOutputs) {
+        match inbound {
+            Inbound::Message(connection, message) => self.handle_message(connection, message, outputs),
+            Inbound::Closed(connection) => {
+                self.subscriptions.remove(connection);
+                let input = ReplicaInput::ClientDisconnected(ClientId(connection.0));
+                self.replica.handle((self.clock)(), input, outputs);
             }
+        }
+    }
+
+    fn handle_message(&mut self, connection: ConnectionId, message: Message, outputs: &mut PendingOutputs) {
+        let now = (self.clock)();
+        match message {
+            Message::Hello { id, listen, formed } => self.introduce(id, &listen, formed),
+            Message::Consensus(message) => self.replica.handle(now, ReplicaInput::Peer(message), outputs),
             Message::LeaseRequest(_)
             | Message::ListLeases
             | Message::WatchLeases(_)
             | Message::Publish(_)
             | Message::Subscribe { .. }
             | Message::QuotaRequest(_)
-            | Message::PlacementRequest { .. } => self.say(conn, &Message::LeaseResponse(Response::Busy)),
-            Message::GetStatus => self.say(conn, &Message::Status(self.status())),
-            Message::ReplaceReplica { old, new } => self.replace(conn, old, new, out),
+            | Message::PlacementRequest { .. } => self.handle_request(connection, message, outputs),
+            Message::Credit { feed, total } => {
+                self.subscriptions.add_credit(connection, feed, total, now);
+            }
+            Message::GetStatus => self.send(connection, &Message::Status(self.status())),
+            Message::ReplaceReplica { old, new } => self.replace(connection, old, new, outputs),
             Message::GetMembers => {
-                let seen = self.members.as_ref().map(|m| m.seen());
-                self.say(conn, &Message::Members(seen));
+                let members = self.membership.as_ref().map(|membership| membership.members());
+                self.send(connection, &Message::Members(members));
             }
+            // Responses: a server sends no requests over connections that others opened.
             Message::Members(_)
             | Message::LeaseChanged(_)
             | Message::LeaseResponse(_)
@@ -82,89 +63,129 @@
         }
     }
 
-    pub(super) fn say(&self, to: ConnectionId, word: &Message) {
-        if let Some(bytes) = wire::encode(self.set.number(), word) {
-            self.conns.say(to, bytes);
+    /// Handles a client's request. A group that has not formed answers that it is busy.
+    fn handle_request(&mut self, connection: ConnectionId, request: Message, outputs: &mut PendingOutputs) {
+        if !self.is_serving() {
+            return self.send(connection, &Message::LeaseResponse(Response::Busy));
         }
+        let now = (self.clock)();
+        let client = ClientId(connection.0);
+        let input = match request {
+            Message::LeaseRequest(request) => ReplicaInput::LeaseRequest(client, request),
+            Message::ListLeases => ReplicaInput::ListLeases(client),
+            Message::WatchLeases(name) => ReplicaInput::WatchLeases(client, name),
+            Message::Publish(request) => ReplicaInput::TopicRequest(client, request),
+            Message::QuotaRequest(request) => ReplicaInput::QuotaRequest(client, request),
+            Message::PlacementRequest { number, command } => {
+                ReplicaInput::PlacementCommand(client, number, command)
+            }
+            Message::Subscribe { feed, topic, from, allow } => {
+                if let Err(busy) = self.subscriptions.subscribe(connection, feed, topic, from, allow, now) {
+                    self.send(connection, &Message::LeaseResponse(busy));
+                }
+                return;
+            }
+            _ => return,
+        };
+        self.replica.handle(now, input, outputs);
     }
 
+    /// Notes what a replica says of itself, if it is one of the settings.
+    fn introduce(&mut self, id: NodeId, listen: &str, formed: bool) {
+        let address = listen.parse().ok().filter(|address| self.settings.replicas.contains(address));
+        if let Some(address) = address {
+            self.introductions.insert(address, Introduction { id, formed });
+        }
+    }
+
+    /// Queues a message for a connection.
+    pub(super) fn send(&self, to: ConnectionId, message: &Message) {
+        if let Some(bytes) = wire::encode(self.settings.fleet_id(), message) {
+            self.connections.send(to, bytes);
+        }
+    }
+
+    fn send_not_leader(&self, client: ClientId, leader: Option<NodeId>) {
+        let address = leader.and_then(|leader| self.address_of(leader)).map(|a| a.to_string());
+        self.send(ConnectionId(client.0), &Message::NotLeader(address));
+    }
+
+    /// The address of a replica, by the group's membership or by its introduction.
     pub(super) fn address_of(&self, id: NodeId) -> Option<SocketAddr> {
-        let status = self.keeper.status();
-        let of_member = status.members.get(id).and_then(|m| m.address.parse().ok());
-        of_member.or_else(|| self.met.iter().find(|(_, m)| m.id == id).map(|(a, _)| *a))
+        let status = self.replica.status();
+        let of_member = status.members.get(id).and_then(|member| member.address.parse().ok());
+        of_member.or_else(|| self.introductions.iter().find(|(_, i)| i.id == id).map(|(address, _)| *address))
     }
 
-    pub(super) fn put_out(&mut self, output: ReplicaOutput) {
+    /// Sends or logs an output of the replica.
+    pub(super) fn handle_output(&mut self, output: ReplicaOutput) {
         match output {
             ReplicaOutput::Peer(message) => {
-                let link = self.address_of(message.to).and_then(|a| self.peers.get(&a));
-                if let (Some(link), Some(bytes)) =
-                    (link, wire::encode(self.set.number(), &Message::Consensus(message)))
-                {
-                    link.say(bytes);
+                let link = self.address_of(message.to).and_then(|address| self.peer_links.get(&address));
+                let bytes = wire::encode(self.settings.fleet_id(), &Message::Consensus(message));
+                if let (Some(link), Some(bytes)) = (link, bytes) {
+                    link.send(bytes);
                 }
             }
             ReplicaOutput::LeaseResponse(client, Response::NotLeader(leader)) => {
-                let address = leader.and_then(|l| self.address_of(NodeId(l.0))).map(|a| a.to_string());
-                self.say(ConnectionId(client.0), &Message::NotLeader(address));
+                self.send_not_leader(client, leader.map(|ReplicaId(id)| NodeId(id)));
             }
-            ReplicaOutput::LeaseResponse(client, heard) => {
-                self.say(ConnectionId(client.0), &Message::LeaseResponse(heard))
+            ReplicaOutput::LeaseResponse(client, response) => {
+                self.send(ConnectionId(client.0), &Message::LeaseResponse(response));
             }
             ReplicaOutput::Leases(client, table) => {
-                self.say(ConnectionId(client.0), &Message::Leases(reports::grants(&table)))
+                self.send(ConnectionId(client.0), &Message::Leases(reports::grants(&table)));
             }
             ReplicaOutput::WatchEvent(client, event) => {
-                if let Some(line) = reports::change(&event) {
-                    self.say(ConnectionId(client.0), &Message::LeaseChanged(line));
+                if let Some(change) = reports::change(&event) {
+                    self.send(ConnectionId(client.0), &Message::LeaseChanged(change));
                 }
             }
-            ReplicaOutput::QuotaResponse(client, heard) => {
-                self.say(ConnectionId(client.0), &Message::QuotaResponse(heard))
+            ReplicaOutput::WatchEnded(client) => self.connections.close(ConnectionId(client.0)),
+            ReplicaOutput::QuotaResponse(client, response) => {
+                self.send(ConnectionId(client.0), &Message::QuotaResponse(response));
+            }
+            ReplicaOutput::TopicResponse(client, response) => {
+                self.send(ConnectionId(client.0), &Message::PublishResponse(response));
             }
-            ReplicaOutput::QuotaEvent(
-                beechloft_quotas::Event::Renewed(_) | beechloft_quotas::Event::Aged(_),
-            ) => {}
-            ReplicaOutput::QuotaEvent(event) => info!(?event, "limits"),
-            ReplicaOutput::TopicResponse(client, heard) => {
-                self.say(ConnectionId(client.0), &Message::PublishResponse(heard))
+            ReplicaOutput::PlacementResponse(client, number, answer) => {
+                self.send(ConnectionId(client.0), &Message::PlacementResponse { number, answer });
             }
             ReplicaOutput::TopicRequestRejected(client, _, RequestError::NotLeader(leader))
             | ReplicaOutput::PlacementRejected(client, _, RequestError::NotLeader(leader)) => {
-                let address = leader.and_then(|l| self.address_of(l)).map(|a| a.to_string());
-                self.say(ConnectionId(client.0), &Message::NotLeader(address));
+                self.send_not_leader(client, leader);
             }
             ReplicaOutput::TopicRequestRejected(client, ..)
             | ReplicaOutput::PlacementRejected(client, ..) => {
-                self.say(ConnectionId(client.0), &Message::LeaseResponse(Response::Busy));
-            }
-            ReplicaOutput::PlacementResponse(client, number, answer) => {
-                self.say(ConnectionId(client.0), &Message::PlacementResponse { number, answer });
+                self.send(ConnectionId(client.0), &Message::LeaseResponse(Response::Busy));
             }
-            // Rights are renewed all the time; what changes is said.
-            ReplicaOutput::PlacementEvent(PlacementEvent::Right { .. }) => {}
+            // Renewals come all the time and are not logged.
+            ReplicaOutput::LeaseEvent(Event::Renewed(..))
+            | ReplicaOutput::QuotaEvent(QuotaEvent::Renewed(_) | QuotaEvent::Aged(_))
+            | ReplicaOutput::PlacementEvent(PlacementEvent::Right { .. }) => {}
+            ReplicaOutput::LeaseEvent(event) => info!(?event, "lease"),
+            ReplicaOutput::QuotaEvent(event) => info!(?event, "quotas"),
             ReplicaOutput::PlacementEvent(event) => info!(?event, "placement"),
             ReplicaOutput::TopicEvent(event) => {
-                self.serving.changed((self.clock)());
+                self.subscriptions.on_topic_change((self.clock)());
                 if !matches!(event, TopicEvent::Appended(..)) {
                     info!(?event, "topic");
                 }
             }
-            ReplicaOutput::WatchEnded(client) => self.conns.close(ConnectionId(client.0)),
-            ReplicaOutput::LeaseEvent(Event::Renewed(..)) => {}
-            ReplicaOutput::LeaseEvent(event) => info!(?event, "lease"),
-            ReplicaOutput::Raft(ticket, taken) if self.asked.contains_key(&ticket) => {
-                if let Some(conn) = self.asked.remove(&ticket) {
-                    let taken = taken.map(drop).map_err(|why| why.to_string());
-                    self.say(conn, &Message::ReplaceResult(taken));
-                }
-            }
-            ReplicaOutput::Raft(_, Ok(at)) => info!(place = at.index.0, "a change of members is in the log"),
-            ReplicaOutput::Raft(_, Err(why)) => {
-                if !matches!(why, RequestError::NotLeader(_)) {
-                    warn!("a change of members is not taken: {why}");
-                }
-            }
+            ReplicaOutput::Raft(request, result) => self.finish_change(request, result),
+        }
+    }
+
+    /// Answers whoever asked for a membership change; logs a change that this server asked for itself.
+    fn finish_change(&mut self, request: RequestId, result: Result<LogPosition, RequestError>) {
+        if let Some(connection) = self.pending_changes.remove(&request) {
+            let result = result.map(drop).map_err(|error| error.to_string());
+            return self.send(connection, &Message::ReplaceResult(result));
+        }
+        match result {
+            Ok(at) => info!(index = at.index.0, "a membership change is in the log"),
+            Err(RequestError::NotLeader(_)) => {}
+            Err(error) => warn!("a membership change was rejected: {error}"),
         }
     }
 }
--- a/crates/fleet/coordinator/src/server/error.rs
+++ b/crates/fleet/coordinator/src/server/error.rs
@@ -1,4 +1,4 @@
-//! Why a keeper can't start, or stopped.
+//! Errors of a coordinator's server.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,30 +10,42 @@
 
 use crate::store::OpenError;
 
-/// Why a keeper can't start, or stopped.
+/// Why a coordinator can't start, or stopped.
 #[derive(Debug, Error)]
 pub enum ServerError {
-    /// Its settings lack something that a keeper needs.
+    /// The settings lack a key that a coordinator needs.
     #[error("fleet.{0}: missing, and a keeper needs it")]
-    Missing(&'static str),
-    /// It is no keeper.
+    MissingSetting(&'static str),
+    /// The listen address is none of the replicas' addresses.
     #[error("fleet.listen: {0} is none of fleet.keepers")]
-    NoKeeper(SocketAddr),
-    /// Its folder.
-    #[error("{folder}: {error}", folder = .folder.display())]
+    NotAReplica(SocketAddr),
+    /// The store can't be opened.
+    #[error("{folder}: {source}", folder = .folder.display())]
     Open {
-        /// Which.
+        /// Its folder.
         folder: PathBuf,
         /// Why.
-        error: OpenError,
+        source: OpenError,
     },
-    /// A save failed: what the disk holds is not known, so this member must not go on.
+    /// A write failed. What the disk holds is unknown, so this replica must not go on.
     #[error("the disk failed, and this keeper stops for good: {0}")]
     Disk(#[from] StoreError),
     /// A snapshot can't be read.
     #[error(transparent)]
     State(#[from] StateError),
-    /// Sockets or threads.
-    #[error("{0}: {1}")]
-    Io(&'static str, io::Error),
+    /// A socket or a thread.
+    #[error("{failure}: {source}")]
+    Io {
+        /// What failed.
+        failure: &'static str,
+        /// Why.
+        source: io::Error,
+    },
+}
+
+impl ServerError {
+    /// For `map_err`: an I/O error with what failed.
+    pub(super) fn io(failure: &'static str) -> impl FnOnce(io::Error) -> ServerError {
+        move |source| ServerError::Io { failure, source }
+    }
 }
--- a/crates/fleet/coordinator/src/server/subscriptions.rs
+++ b/crates/fleet/coordinator/src/server/subscriptions.rs
@@ -1,7 +1,7 @@
-//! Subscriptions to topics, served from what this keeper has applied, whether it leads or not.
+//! Subscriptions to topics, served from what this replica has applied, whether it leads or not.
 //!
-//! A subscription has no queue of its own here: a feed is a place in the topic, and it is asked for more when its connection has
-//! room and its subscriber allows it. So one that is slow costs its place and a few words, and holds up nobody.
+//! A subscription has no queue of its own: its feed is a position in the topic, from which more is taken when the connection has
+//! capacity and the subscriber has given credit. A slow subscriber costs its position and a few messages, and holds up nobody.
 
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Bound;
@@ -17,51 +17,58 @@
 use crate::connections::{ConnectionId, Connections};
 use crate::wire;
 
-/// Subscriptions at most; more connections than these may come in.
-const MOST_FEEDS: usize = 640;
-/// Words that wait for one connection, at most, before its subscription is asked for more: that many batches of about 64 KiB.
-const ROOM: usize = 4;
-/// Batches for one subscription before the next one's turn.
-const A_FEED: usize = 4;
-/// Bytes made for subscriptions before the log's machine has its turn again.
-const A_TURN: usize = 512 << 10;
-/// What is new is told after this at the earliest from when something was told last, so that many messages go in one word where
-/// there are many.
+/// Subscriptions at most; there may be more connections.
+const MAX_SUBSCRIPTIONS: usize = 640;
+/// A subscription is served while fewer messages, batches of about 64 KiB, wait for its connection.
+const MAX_QUEUED_BATCHES: usize = 4;
+/// Batches for one subscription before the next one has its turn.
+const BATCHES_PER_TURN: usize = 4;
+/// Bytes encoded for subscriptions before the replica has its turn again.
+const BYTES_PER_ROUND: usize = 512 << 10;
+/// Minimum interval between two rounds, so that many messages go in one delivery where there are many.
 const LINGER: Duration = Duration::from_millis(5);
-/// With nothing to tell a sign of life goes out after this.
-const STILL: Duration = Duration::from_secs(1);
+/// A heartbeat is sent to a subscription on which nothing was sent for this long.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 struct Subscription {
     feed: u64,
     topic: Name,
-    place: Feed,
-    said_at: Duration,
-    /// It was told that this keeper has no such topic.
-    missing: bool,
+    position: Feed,
+    sent_at: Duration,
+    /// Whether it was sent that this replica has no such topic.
+    missing_reported: bool,
 }
 
-/// What was made for one subscription and may be told to others as it is: messages of a topic from one offset to another, with
-/// nothing left out.
-type Made = HashMap<(Name, Offset, Offset, Offset), Vec<u8>>;
+/// A batch without omissions: it is the same for all subscriptions of the topic.
+#[derive(PartialEq, Eq, Hash)]
+struct BatchKey {
+    topic: Name,
+    from: Offset,
+    to: Offset,
+    head: Offset,
+}
 
-/// All subscriptions at this keeper.
+/// Encoded batches of this round.
+type EncodedBatches = HashMap<BatchKey, Vec<u8>>;
+
+/// All subscriptions at this replica.
 #[derive(Default)]
 pub(super) struct Subscriptions {
     all: BTreeMap<ConnectionId, Subscription>,
-    /// Whose turn it was last.
-    turn: Option<ConnectionId>,
-    /// When they have their turn next; none: nothing has changed.
-    due: Option<Duration>,
+    /// The one that was served last.
+    last_served: Option<ConnectionId>,
+    /// When the next round is due; none if nothing has changed.
+    deadline: Option<Duration>,
     served_at: Duration,
-    /// Bytes told in all.
+    /// Bytes delivered in all.
     pub delivered_bytes: u64,
     #[cfg(feature = "planted")]
     fault: Option<Fault>,
 }
 
-/// What all that is told at one moment has in common.
+/// What all deliveries of a round have in common.
 #[derive(Clone, Copy)]
-struct Moment {
+struct Round {
     now: Duration,
     applied: u64,
     silent_ms: u32,
@@ -69,167 +76,175 @@
 }
 
 impl Subscriptions {
-    /// Plants a fault in subscriptions to come.
+    /// Injects a fault into subscriptions to come.
     #[cfg(feature = "planted")]
-    pub fn plant(&mut self, fault: Fault) {
+    pub fn inject_fault(&mut self, fault: Fault) {
         self.fault = Some(fault);
     }
 
-    /// A subscription begins, in place of the one that its connection had.
+    /// Begins a subscription, in place of the one that its connection had.
+    ///
+    /// # Errors
+    /// Busy: there are too many.
     pub fn subscribe(
         &mut self,
-        conn: ConnectionId,
-        (feed, topic): (u64, Name),
+        connection: ConnectionId,
+        feed: u64,
+        topic: Name,
         from: Option<Position>,
-        allow: u64,
+        credit: u64,
         now: Duration,
     ) -> Result<(), Response> {
-        if self.all.len() >= MOST_FEEDS && !self.all.contains_key(&conn) {
+        if self.all.len() >= MAX_SUBSCRIPTIONS && !self.all.contains_key(&connection) {
             return Err(Response::Busy);
         }
-        debug!(conn = conn.0, %topic, ?from, "subscribed");
-        let mut place = Feed::open(from);
+        debug!(connection = connection.0, %topic, ?from, "subscribed");
+        let mut position = Feed::open(from);
         #[cfg(feature = "planted")]
         if let Some(fault) = self.fault {
-            place.plant(fault);
+            position.plant(fault);
         }
-        place.allow(allow);
-        let subscription = Subscription { feed, topic, place, said_at: now, missing: false };
-        self.all.insert(conn, subscription);
-        self.due = Some(now);
+        position.allow(credit);
+        let subscription = Subscription { feed, topic, position, sent_at: now, missing_reported: false };
+        self.all.insert(connection, subscription);
+        self.deadline = Some(now);
         Ok(())
     }
 
-    /// More may be told.
-    pub fn allow(&mut self, conn: ConnectionId, feed: u64, total: u64, now: Duration) {
-        if let Some(subscription) = self.all.get_mut(&conn).filter(|s| s.feed == feed) {
-            subscription.place.allow(total);
-            self.due = Some(now);
+    /// More may be delivered.
+    pub fn add_credit(&mut self, connection: ConnectionId, feed: u64, total: u64, now: Duration) {
+        if let Some(subscription) = self.all.get_mut(&connection).filter(|s| s.feed == feed) {
+            subscription.position.allow(total);
+            self.deadline = Some(now);
         }
     }
 
-    pub fn closed(&mut self, conn: ConnectionId) {
-        self.all.remove(&conn);
+    /// Ends the subscription of a connection.
+    pub fn remove(&mut self, connection: ConnectionId) {
+        self.all.remove(&connection);
     }
 
-    /// How many there are of a topic.
-    pub fn of(&self, topic: &Name) -> usize {
+    /// The number of a topic's subscriptions.
+    pub fn count(&self, topic: &Name) -> usize {
         self.all.values().filter(|s| s.topic == *topic).count()
     }
 
-    /// Topics have changed.
-    pub fn changed(&mut self, now: Duration) {
+    /// Topics have changed: a round is due soon.
+    pub fn on_topic_change(&mut self, now: Duration) {
         let next = now.max(self.served_at + LINGER);
-        self.due = Some(self.due.map_or(next, |due| due.min(next)));
+        self.deadline = Some(self.deadline.map_or(next, |due| due.min(next)));
     }
 
-    /// When they are to have their turn; by then at the latest, for signs of life.
-    pub fn next_due(&self) -> Duration {
-        let signs = if self.all.is_empty() { Duration::MAX } else { self.served_at + STILL / 4 };
-        self.due.unwrap_or(Duration::MAX).min(signs)
+    /// When the next round is due, heartbeats counted.
+    pub fn next_deadline(&self) -> Duration {
+        let heartbeat =
+            if self.all.is_empty() { Duration::MAX } else { self.served_at + HEARTBEAT_INTERVAL / 4 };
+        self.deadline.unwrap_or(Duration::MAX).min(heartbeat)
     }
 
-    /// Gives each its turn, as far as a turn's bytes go.
-    pub fn serve(&mut self, now: Duration, keeper: &Replica, conns: &Connections, fleet: u64) {
-        if now < self.next_due() {
+    /// Serves each subscription in turn, as far as a round's bytes go.
+    pub fn serve(&mut self, now: Duration, replica: &Replica, connections: &Connections, fleet: u64) {
+        if now < self.next_deadline() {
             return;
         }
-        let applied = keeper.applied_index().0;
-        let silent_ms = u32::try_from(keeper.staleness().as_millis()).unwrap_or(u32::MAX);
-        let moment = Moment { now, applied, silent_ms, fleet };
-        (self.served_at, self.due) = (now, None);
-        let (mut left, mut waits, mut made) = (A_TURN, false, Made::new());
-        // Round and round, each turn beginning where the last one ended.
-        let after = self.turn.take().map_or(Bound::Unbounded, Bound::Excluded);
+        let applied = replica.applied_index().0;
+        let silent_ms = u32::try_from(replica.staleness().as_millis()).unwrap_or(u32::MAX);
+        let round = Round { now, applied, silent_ms, fleet };
+        (self.served_at, self.deadline) = (now, None);
+        let (mut bytes_left, mut waits, mut batches) = (BYTES_PER_ROUND, false, EncodedBatches::new());
+        // Round-robin: each round begins where the last one ended.
+        let after = self.last_served.take().map_or(Bound::Unbounded, Bound::Excluded);
         let mut order: Vec<ConnectionId> =
             self.all.range((after, Bound::Unbounded)).map(|(c, _)| *c).collect();
         order.extend(self.all.keys().copied().take(self.all.len() - order.len()));
-        for conn in order {
-            if left == 0 {
-                // The rest are the first in the next turn, which is soon: the machine's inputs come between.
-                self.due = Some(now);
+        for connection in order {
+            if bytes_left == 0 {
+                // The rest are first in the next round, which is soon: the replica's inputs come between.
+                self.deadline = Some(now);
                 break;
             }
-            self.turn = Some(conn);
-            let Some(subscription) = self.all.get_mut(&conn) else { continue };
-            let topic = keeper.topics().topic(&subscription.topic);
-            let told = subscription.tell(moment, topic, &mut made, (conns, conn));
-            self.delivered_bytes += told.bytes as u64;
-            left = left.saturating_sub(told.bytes);
-            waits |= told.more;
+            self.last_served = Some(connection);
+            let Some(subscription) = self.all.get_mut(&connection) else { continue };
+            let topic = replica.topics().topic(&subscription.topic);
+            let mut sender = Sender { round, connections, connection, batches: &mut batches };
+            let turn = subscription.serve(topic, &mut sender);
+            self.delivered_bytes += turn.bytes as u64;
+            bytes_left = bytes_left.saturating_sub(turn.bytes);
+            waits |= turn.more;
         }
-        if waits && self.due.is_none() {
-            self.due = Some(now + LINGER);
+        if waits && self.deadline.is_none() {
+            self.deadline = Some(now + LINGER);
         }
     }
 }
 
+/// Sends to one connection within a round.
+struct Sender<'a> {
+    round: Round,
+    connections: &'a Connections,
+    connection: ConnectionId,
+    batches: &'a mut EncodedBatches,
+}
+
 /// What came of a subscription's turn.
 #[derive(Default)]
-struct Told {
+struct Turn {
     bytes: usize,
-    /// There may be more for it, once its connection has room.
+    /// Whether there may be more for it, once its connection has capacity.
     more: bool,
 }
 
 impl Subscription {
-    /// What is next, if anything.
+    /// What is to be sent next, if anything.
     fn next(&mut self, topic: Option<&Topic>) -> Option<Said> {
         let Some(topic) = topic else {
-            // Not declared as far as this keeper knows, which may be behind: another may know more.
-            let first = !std::mem::replace(&mut self.missing, true);
+            // Not declared as far as this replica knows, which may be behind: another may know more.
+            let first = !std::mem::replace(&mut self.missing_reported, true);
             return first.then_some(Said::Behind { head: Offset(0) });
         };
-        self.missing = false;
-        self.place.next(topic)
+        self.missing_reported = false;
+        self.position.next(topic)
     }
 
-    fn tell(
-        &mut self,
-        moment: Moment,
-        topic: Option<&Topic>,
-        made: &mut Made,
-        (conns, conn): (&Connections, ConnectionId),
-    ) -> Told {
-        let mut told = Told::default();
-        for _ in 0..A_FEED {
-            // Room first: what a feed has said it does not say again.
-            if !conns.has_room(conn, ROOM) {
-                return Told { more: true, ..told };
+    /// Sends what there is, up to a turn's batches.
+    fn serve(&mut self, topic: Option<&Topic>, sender: &mut Sender<'_>) -> Turn {
+        let mut turn = Turn::default();
+        for _ in 0..BATCHES_PER_TURN {
+            // Capacity first: what a feed has yielded it does not yield again.
+            if !sender.connections.has_capacity(sender.connection, MAX_QUEUED_BATCHES) {
+                return Turn { more: true, ..turn };
             }
-            let Some(said) = self.next(topic) else {
-                if moment.now >= self.said_at + STILL {
-                    self.say(moment, &Said::Still, made, (conns, conn));
+            let Some(item) = self.next(topic) else {
+                if sender.round.now >= self.sent_at + HEARTBEAT_INTERVAL {
+                    self.send(&Said::Still, sender);
                 }
-                return told;
+                return turn;
             };
-            if let Said::Anew { base, .. } = &said {
-                info!(conn = conn.0, topic = %self.topic, base = base.0, "a subscriber is told all anew");
+            if let Said::Anew { base, .. } = &item {
+                info!(connection = sender.connection.0, topic = %self.topic, base = base.0, "a subscriber starts over");
             }
-            told.bytes += self.say(moment, &said, made, (conns, conn));
+            turn.bytes += self.send(&item, sender);
         }
-        Told { more: true, ..told }
+        Turn { more: true, ..turn }
     }
 
-    fn say(
-        &mut self,
-        moment: Moment,
-        said: &Said,
-        made: &mut Made,
-        (conns, conn): (&Connections, ConnectionId),
-    ) -> usize {
-        self.said_at = moment.now;
-        let shared = match said {
-            Said::Batch(b) if b.is_whole() => Some((self.topic.clone(), b.from, b.to, b.head)),
+    /// Sends an item; the bytes that it took.
+    fn send(&mut self, item: &Said, sender: &mut Sender<'_>) -> usize {
+        let round = sender.round;
+        self.sent_at = round.now;
+        let shared = match item {
+            Said::Batch(b) if b.is_whole() => {
+                Some(BatchKey { topic: self.topic.clone(), from: b.from, to: b.to, head: b.head })
+            }
             _ => None,
         };
         let bytes = match shared {
-            Some(key) => made.entry(key).or_insert_with(|| wire::encode_feed_item(said)).clone(),
-            None => wire::encode_feed_item(said),
+            Some(key) => sender.batches.entry(key).or_insert_with(|| wire::encode_feed_item(item)).clone(),
+            None => wire::encode_feed_item(item),
         };
-        let word = wire::encode_delivery(moment.fleet, self.feed, moment.applied, moment.silent_ms, &bytes);
-        let length = word.len();
-        conns.say(conn, word);
+        let message = wire::encode_delivery(round.fleet, self.feed, round.applied, round.silent_ms, &bytes);
+        let length = message.len();
+        sender.connections.send(sender.connection, message);
         length
     }
 }
--- a/crates/fleet/coordinator/src/settings/outlier_detection.rs
+++ b/crates/fleet/coordinator/src/settings/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! The `rows:` and `verdicts:` sections of `fleet:`.
+//! The sections `fleet.rows` (gossip) and `fleet.verdicts` (outlier detection).
 
 use std::time::Duration;
 
@@ -6,7 +6,9 @@
 use beechloft_gossip::Settings;
 use beechloft_outlier_detection::Rules;
 
-/// How verdicts are shared.
+use super::integer_u32;
+
+/// The settings of outlier detection.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OutlierDetectionSettings {
     /// What a verdict needs, and how long it holds.
@@ -19,7 +21,7 @@
     pub test_lies: bool,
 }
 
-fn span(s: &Section<'_>, key: &'static str, default: Duration) -> Duration {
+fn millis(s: &Section<'_>, key: &'static str, default: Duration) -> Duration {
     s.millis(key, 1..=3_600_000).unwrap_or(default)
 }
 
@@ -27,13 +29,12 @@
 pub(super) fn gossip(s: &Section<'_>, fronts: usize, drift_ppm: u32) -> Settings {
     let default = Settings::default();
     let set = Settings {
-        round_interval: span(s, "round_ms", default.round_interval),
-        fanout: s.integer("peers", 1..=8).map_or(default.fanout, |n| n as usize),
-        refresh_interval: span(s, "refresh_ms", default.refresh_interval),
-        row_expiry: span(s, "forget_ms", default.row_expiry),
-        max_bytes_per_second: s
-            .integer("bytes_per_s", 4_096..=1 << 30)
-            .map_or(default.max_bytes_per_second, |n| n as u32),
+        round_interval: millis(s, "round_ms", default.round_interval),
+        fanout: integer_u32(s, "peers", 1..=8).map_or(default.fanout, |n| n as usize),
+        refresh_interval: millis(s, "refresh_ms", default.refresh_interval),
+        row_expiry: millis(s, "forget_ms", default.row_expiry),
+        max_bytes_per_second: integer_u32(s, "bytes_per_s", 4_096..=1 << 30)
+            .unwrap_or(default.max_bytes_per_second),
         max_drift_ppm: drift_ppm,
     };
     if let Err(why) = set.check(fronts) {
@@ -46,23 +47,25 @@
 pub(super) fn outlier_detection(s: &Section<'_>, staleness: Duration) -> OutlierDetectionSettings {
     let default = Rules::default();
     let mut rules = default;
-    rules.fronts = s.integer("fronts", 2..=64).map_or(default.fronts, |n| n as usize);
-    rules.failures = s.integer("failures", 1..=1_000).map_or(default.failures, |n| n as u32);
-    rules.part = s.number("part", 0.01..=0.9).map_or(default.part, |p| (p * 1_000.0) as u16);
-    rules.window = span(s, "window_ms", default.window);
-    rules.fresh = span(s, "fresh_ms", default.fresh);
-    rules.hold = span(s, "hold_ms", default.hold);
-    rules.quiet = span(s, "quiet_ms", default.quiet);
-    rules.trial_gap = span(s, "trial_gap_ms", default.trial_gap);
-    rules.trial_for = span(s, "trial_for_ms", default.trial_for);
-    rules.step = span(s, "step_ms", default.step);
+    rules.fronts = integer_u32(s, "fronts", 2..=64).map_or(default.fronts, |n| n as usize);
+    rules.failures = integer_u32(s, "failures", 1..=1_000).unwrap_or(default.failures);
+    #[expect(clippy::cast_possible_truncation, reason = "900 at most by its range")]
+    let per_mille = |part: f64| (part * 1_000.0) as u16;
+    rules.part = s.number("part", 0.01..=0.9).map_or(default.part, per_mille);
+    rules.window = millis(s, "window_ms", default.window);
+    rules.fresh = millis(s, "fresh_ms", default.fresh);
+    rules.hold = millis(s, "hold_ms", default.hold);
+    rules.quiet = millis(s, "quiet_ms", default.quiet);
+    rules.trial_gap = millis(s, "trial_gap_ms", default.trial_gap);
+    rules.trial_for = millis(s, "trial_for_ms", default.trial_for);
+    rules.step = millis(s, "step_ms", default.step);
     if let Err(why) = rules.check(staleness) {
         s.report("window_ms", why.to_string());
     }
     OutlierDetectionSettings {
         rules,
-        slow: span(s, "slow_ms", Duration::from_millis(500)),
-        trial_ttl_ms: s.integer("trial_ttl_ms", 500..=3_600_000).unwrap_or(3_000) as u32,
+        slow: millis(s, "slow_ms", Duration::from_millis(500)),
+        trial_ttl_ms: integer_u32(s, "trial_ttl_ms", 500..=3_600_000).unwrap_or(3_000),
         test_lies: s.choice("test_lies", &[("yes", true), ("no", false)]).unwrap_or(false),
     }
 }
--- a/crates/fleet/coordinator/src/store/mod.rs
+++ b/crates/fleet/coordinator/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! A keeper's log, snapshot, vote and identity in a store of the project's own.
+//! A replica's log, snapshot, vote and identity in a `beechloft_store`.
 
 use std::collections::BTreeSet;
 use std::fs::File;
@@ -18,24 +18,25 @@
 const IDENTITY: Table = Table(1);
 const HARD: Table = Table(2);
 const ENTRIES: Table = Table(3);
-/// A snapshot in one piece, as versions before had it. It is read, and goes when the next one comes.
-const WHOLE: Table = Table(4);
-/// The snapshot: where it stands, its members, and the names of its pieces in order.
+/// A snapshot in one record, as earlier versions had it. It is read, and removed with the next snapshot.
+const WHOLE_SNAPSHOT: Table = Table(4);
+/// The snapshot: its position, its members, and the ids of its chunks in order.
 const SNAPSHOT: Table = Table(5);
-/// The pieces of the snapshot by name.
+/// The chunks of the snapshot by id.
 const CHUNKS: Table = Table(6);
-/// A state of up to so many bytes is compacted at once, a larger one beside what goes on.
-const AT_ONCE: usize = 1 << 20;
-const ONE: &[u8] = b"1";
+/// A state of up to this many bytes is compacted at once, a larger one on a thread of its own.
+const MAX_INLINE_COMPACTION_BYTES: usize = 1 << 20;
+/// Key of a table's only record.
+const SINGLE_KEY: &[u8] = b"1";
 
-/// Whose folder it is: drawn with it, so that an emptied folder is another member.
+/// The replica of the folder: drawn with it, so that an emptied folder is another replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Identity {
     fleet: String,
     member: u64,
 }
 
-/// A snapshot as versions before had it.
+/// A snapshot as earlier versions had it.
 #[derive(Debug, Deserialize)]
 struct Whole {
     at: LogPosition,
@@ -43,7 +44,7 @@
     state: Vec<u8>,
 }
 
-/// A snapshot but for its pieces.
+/// A snapshot without its chunks.
 #[derive(Debug, Serialize, Deserialize)]
 struct Head {
     at: LogPosition,
@@ -60,30 +61,31 @@
     /// The folder can't be made.
     #[error("the folder can't be opened: {0}")]
     Folder(#[from] std::io::Error),
-    /// It is another fleet's.
+    /// It belongs to another fleet.
     #[error("the folder belongs to the fleet '{0}'")]
     OtherFleet(String),
-    /// What it holds can't be read.
+    /// A record can't be read.
     #[error("{0} can't be read")]
     Unreadable(&'static str),
 }
 
-/// A compaction that is written on a thread of its own.
-type Compacting = JoinHandle<Result<WrittenGeneration<File>, StoreError>>;
+/// A compaction on a thread of its own.
+type CompactionThread = JoinHandle<Result<WrittenGeneration<File>, StoreError>>;
 
-/// A keeper's disk.
+/// The store of a replica.
 pub struct LogStore {
     store: Store<Folder>,
     folder: Folder,
-    /// Pieces of the snapshot that are there.
+    /// Chunks of the snapshot that are stored.
     chunks: BTreeSet<ChunkId>,
-    compacting: Option<Compacting>,
+    compaction: Option<CompactionThread>,
 }
 
-/// Its thread writes into the folder, which may be opened again after this.
+/// Waits for the compaction thread, which writes into the folder: the folder may be opened again after this. The wait is bounded by
+/// the size of the state.
 impl Drop for LogStore {
     fn drop(&mut self) {
-        if let Some(thread) = self.compacting.take() {
+        if let Some(thread) = self.compaction.take() {
             let _ = thread.join();
         }
     }
@@ -107,13 +109,13 @@
         let folder = Folder::open(folder)?;
         let (mut store, _) = Store::open(folder.clone(), Options::default())?;
         let view = store.view();
-        let identity: Identity = match view.get(IDENTITY, ONE) {
+        let identity: Identity = match view.get(IDENTITY, SINGLE_KEY) {
             Some(text) => read(&text, "the member's identity")?,
             None if !view.is_empty() => return Err(OpenError::Unreadable("the member's identity")),
             None => {
                 let identity = Identity { fleet: fleet.to_owned(), member: rand::random() };
                 let mut batch = Batch::default();
-                batch.put(IDENTITY, ONE, bytes(&identity));
+                batch.put(IDENTITY, SINGLE_KEY, bytes(&identity));
                 store.write(batch)?;
                 store.sync()?;
                 identity
@@ -122,7 +124,8 @@
         if identity.fleet != fleet {
             return Err(OpenError::OtherFleet(identity.fleet));
         }
-        let hard = view.get(HARD, ONE).map(|b| read::<(u64, Option<u64>)>(&b, "the vote")).transpose()?;
+        let hard =
+            view.get(HARD, SINGLE_KEY).map(|b| read::<(u64, Option<u64>)>(&b, "the vote")).transpose()?;
         let hard = hard.map_or(HardState::default(), |(term, vote)| HardState {
             term: beechloft_consensus::Term(term),
             vote: vote.map(NodeId),
@@ -137,7 +140,7 @@
             entries.push(entry);
         }
         let chunks = view.table(CHUNKS).filter_map(|(key, _)| ChunkId::from_key(key)).collect();
-        let disk = LogStore { store, folder, chunks, compacting: None };
+        let disk = LogStore { store, folder, chunks, compaction: None };
         Ok((disk, NodeId(identity.member), PersistentState { hard_state: hard, snapshot, entries }))
     }
 
@@ -155,37 +158,37 @@
             batch.remove(CHUNKS, gone.to_key());
         }
         let head = Head { at: snapshot.at, members: snapshot.members.clone(), chunks: names };
-        batch.put(SNAPSHOT, ONE, bytes(&head)).remove(WHOLE, ONE);
+        batch.put(SNAPSHOT, SINGLE_KEY, bytes(&head)).remove(WHOLE_SNAPSHOT, SINGLE_KEY);
         self.chunks = named;
     }
 
     /// Has the log begin anew where it has become long. Guards against a leader that is silent for as long as a large state
     /// takes to be written, and loses the lead by it.
     fn compact(&mut self) -> Result<(), StoreError> {
-        if let Some(thread) = self.compacting.take_if(|t| t.is_finished()) {
+        if let Some(thread) = self.compaction.take_if(|t| t.is_finished()) {
             let written = thread.join().map_err(|_| StoreError::Stopped("write a generation"))??;
             return self.store.finish(written);
         }
-        if self.compacting.is_some() || !self.store.wants_compaction() {
+        if self.compaction.is_some() || !self.store.wants_compaction() {
             return Ok(());
         }
         let size: usize = self.chunks.iter().map(|c| c.length as usize).sum();
-        if size <= AT_ONCE {
+        if size <= MAX_INLINE_COMPACTION_BYTES {
             return self.store.compact();
         }
         let (compaction, folder) = (self.store.compaction()?, self.folder.clone());
         let thread = thread::Builder::new().name("compacts".into()).spawn(move || compaction.write(&folder));
-        self.compacting = Some(thread.map_err(|error| StoreError::Io { what: "start a thread", error })?);
+        self.compaction = Some(thread.map_err(|error| StoreError::Io { what: "start a thread", error })?);
         Ok(())
     }
 }
 
 fn snapshot(view: &View) -> Result<Option<Snapshot>, OpenError> {
-    if let Some(whole) = view.get(WHOLE, ONE) {
+    if let Some(whole) = view.get(WHOLE_SNAPSHOT, SINGLE_KEY) {
         let Whole { at, members, state } = read(&whole, "the snapshot")?;
         return Ok(Some(Snapshot { at, members, state: SnapshotData::from_bytes(state) }));
     }
-    let Some(head) = view.get(SNAPSHOT, ONE) else { return Ok(None) };
+    let Some(head) = view.get(SNAPSHOT, SINGLE_KEY) else { return Ok(None) };
     let Head { at, members, chunks } = read(&head, "the snapshot")?;
     let mut state = Vec::with_capacity(chunks.len());
     for (hash, length) in chunks {
@@ -203,7 +206,7 @@
         let key = |index: u64| index.to_be_bytes().to_vec();
         let mut batch = Batch::default();
         if let Some(hard) = save.hard_state {
-            batch.put(HARD, ONE, bytes(&(hard.term.0, hard.vote.map(|v| v.0))));
+            batch.put(HARD, SINGLE_KEY, bytes(&(hard.term.0, hard.vote.map(|v| v.0))));
         }
         if let Some(snapshot) = &save.snapshot {
             self.put_snapshot(snapshot, &mut batch);
