--- a/crates/fleet/coordinator/src/store/tests.rs
+++ b/crates/fleet/coordinator/src/store/tests.rs
@@ -6,7 +6,8 @@
 
 fn entry(index: u64, term: u64) -> Entry {
     let at = LogPosition { term: Term(term), index: Index(index) };
-    Entry { at, payload: Payload::Command(vec![index as u8].into()) }
+    let low_byte = index.to_le_bytes()[0];
+    Entry { at, payload: Payload::Command(vec![low_byte].into()) }
 }
 
 fn snapshot(index: u64, pieces: &[&str]) -> Snapshot {
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn what_was_saved_is_there_again_and_anothers_folder_is_refused() {
+fn saved_state_is_restored_and_the_folder_of_another_fleet_is_rejected() {
     let dir = tempfile::tempdir().expect("a folder");
     let (mut log, id, stored) = LogStore::open(dir.path(), "market").expect("it opens");
     assert_eq!(stored, PersistentState::default());
@@ -55,10 +56,10 @@
         expected.apply(&save);
     }
     drop(log);
-    let (log, again, stored) = LogStore::open(dir.path(), "market").expect("it opens");
-    assert_eq!((again, stored), (id, expected));
+    let (reopened, again, restored) = LogStore::open(dir.path(), "market").expect("it opens");
+    assert_eq!((again, restored), (id, expected));
     assert!(matches!(LogStore::open(dir.path(), "market"), Err(OpenError::Store(StoreError::Locked))));
-    drop(log);
+    drop(reopened);
     let other = LogStore::open(dir.path(), "other").err().expect("refused");
     assert_eq!(other.to_string(), "the folder belongs to the fleet 'market'");
     let fresh = tempfile::tempdir().expect("a folder");
@@ -78,10 +79,13 @@
 /// Power goes at any byte of what is written around snapshots in pieces: what is found is what some save made, whole, and not
 /// an earlier one than the last that was synced.
 #[test]
-fn cut_at_any_byte_it_is_what_some_save_made_and_never_a_mixture() {
+fn a_log_cut_at_any_byte_restores_one_save_and_never_a_mixture() {
     let dir = tempfile::tempdir().expect("a folder");
     let (mut log, _, _) = LogStore::open(dir.path(), "market").expect("it opens");
-    let length = || newest(dir.path()).metadata().expect("it is there").len() as usize;
+    let length = || {
+        let bytes = newest(dir.path()).metadata().expect("it is there").len();
+        usize::try_from(bytes).expect("a small file")
+    };
     let (mut made, mut stored) = (vec![(length(), PersistentState::default())], PersistentState::default());
     for save in saves() {
         log.save(&save).expect("saved");
@@ -105,14 +109,14 @@
 }
 
 #[test]
-fn pieces_that_the_last_snapshot_has_are_not_written_again_and_those_that_none_has_go() {
+fn unchanged_chunks_are_not_rewritten_and_unused_chunks_are_removed() {
     let dir = tempfile::tempdir().expect("a folder");
     let (mut log, _, _) = LogStore::open(dir.path(), "market").expect("it opens");
     let large: Vec<String> = (0..8).map(|n| n.to_string().repeat(4_000)).collect();
     let mut length = newest(dir.path()).metadata().expect("it is there").len();
-    let mut wrote = |log: &mut LogStore, index: u64, pieces: &[&str]| {
+    let mut wrote = |into: &mut LogStore, index: u64, pieces: &[&str]| {
         let save = StateUpdate { snapshot: Some(snapshot(index, pieces)), ..StateUpdate::default() };
-        log.save(&save).expect("saved");
+        into.save(&save).expect("saved");
         let now = newest(dir.path()).metadata().expect("it is there").len();
         now - std::mem::replace(&mut length, now)
     };
@@ -126,7 +130,7 @@
 
 /// As the version before wrote it: tables 1 to 4, the state in one piece.
 #[test]
-fn a_folder_of_the_version_before_is_read_and_gone_on_with() {
+fn a_folder_of_an_earlier_version_is_read_and_written_on() {
     #[derive(Serialize)]
     struct Before {
         at: LogPosition,
@@ -138,21 +142,21 @@
     let (mut log, _, _) = LogStore::open(dir.path(), "market").expect("it opens");
     let before = Before { at: new.at, members: new.members.clone(), state: b"whole".to_vec() };
     let mut batch = Batch::default();
-    batch.put(WHOLE, ONE, bytes(&before));
+    batch.put(WHOLE_SNAPSHOT, SINGLE_KEY, bytes(&before));
     log.store.write(batch).expect("written");
     drop(log);
-    let (mut log, _, stored) = LogStore::open(dir.path(), "market").expect("it opens");
-    assert_eq!(stored.snapshot, Some(new));
+    let (mut reopened, _, found) = LogStore::open(dir.path(), "market").expect("it opens");
+    assert_eq!(found.snapshot, Some(new));
     let next = snapshot(3, &["a", "b"]);
-    log.save(&StateUpdate { snapshot: Some(next.clone()), ..StateUpdate::default() }).expect("saved");
-    drop(log);
-    let (_, _, stored) = LogStore::open(dir.path(), "market").expect("it opens");
-    assert_eq!(stored.snapshot, Some(next));
+    reopened.save(&StateUpdate { snapshot: Some(next.clone()), ..StateUpdate::default() }).expect("saved");
+    drop(reopened);
+    let (_, _, restored) = LogStore::open(dir.path(), "market").expect("it opens");
+    assert_eq!(restored.snapshot, Some(next));
 }
 
 /// A large state is compacted beside what is saved meanwhile, and nothing of that is lost.
 #[test]
-fn a_large_state_is_compacted_beside_saves() {
+fn a_large_state_is_compacted_while_saves_go_on() {
     let dir = tempfile::tempdir().expect("a folder");
     let (mut log, id, _) = LogStore::open(dir.path(), "market").expect("it opens");
     let large: Vec<String> = (0..40).map(|n| format!("{n} ").repeat(20_000)).collect();
@@ -169,7 +173,7 @@
         };
         log.save(&save).expect("saved");
         expected.apply(&save);
-        threads += u64::from(log.compacting.is_some());
+        threads += u64::from(log.compaction.is_some());
         assert!(index < 1_000_000, "it is never compacted");
     }
     assert!(threads > 0, "none was beside");
--- a/crates/fleet/coordinator/src/topics/follower.rs
+++ b/crates/fleet/coordinator/src/topics/follower.rs
@@ -1,4 +1,4 @@
-//! One who follows a topic: any keeper serves it, and when that one is silent, behind or cut off itself, another does.
+//! A follower of a topic: any replica serves it, and when that one is silent, behind or cut off itself, another does.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,185 +13,188 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use tracing::{info, warn};
 
-use super::{Conn, Inbound, LOOK, STACK};
+use super::{Connection, Inbound, MAX_WAIT, STACK_BYTES};
 use crate::settings::FleetSettings;
 use crate::wire;
 
-/// Words that have come and are not taken yet, at most; what a keeper may send is bounded in bytes besides.
-const QUEUE: usize = 16;
-/// A keeper closes a connection on which nothing comes for a minute: it hears from a follower at least so often.
-const ALIVE: Duration = Duration::from_secs(15);
+/// Messages that have come and are not taken yet, at most; the credit bounds their bytes besides.
+const INBOUND_CAPACITY: usize = 16;
+/// A replica closes a connection on which nothing comes for a minute: a follower sends its credit at least this often.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(15);
 
-/// What one who follows hears.
+/// What a follower reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FollowerEvent {
     /// A key has a value, or another one.
     Updated(Message),
-    /// A key has none any more, for all that is known at this offset.
+    /// A key has no value any more, as of this offset.
     Deleted(Key, Offset),
-    /// It has the latest of each key as of this offset, without it.
+    /// The latest of each key below this offset is known.
     CaughtUp(Offset),
-    /// It is not known to be complete any more, until it is caught up again.
+    /// It may be incomplete until it is caught up again.
     Behind,
-    /// A keeper said what can't be; nothing of it was taken, and another keeper is asked.
+    /// A replica sent what can't be; nothing of it was taken, and another replica is used.
     ProtocolViolation(Distrust),
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct LastDelivery {
     at: Instant,
+    /// For how long the replica may have lacked committed entries then.
     silent: Duration,
 }
 
 struct Shared {
     subscriber: Mutex<Subscriber>,
-    heard: Mutex<Option<Heard>>,
-    /// Up to where it is complete, and whoever hears has heard of.
-    told_to: Mutex<Option<Offset>>,
-    end: AtomicBool,
+    last_delivery: Mutex<Option<LastDelivery>>,
+    /// Up to where it is complete and reported.
+    reported_to: Mutex<Option<Offset>>,
+    stop: AtomicBool,
 }
 
 fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A follower of one topic. It ends when it is dropped.
+/// A follower of one topic. Its thread ends soon after it is dropped, without being waited for.
 pub struct Follower {
     shared: Arc<Shared>,
 }
 
 impl Follower {
-    /// Begins to follow. `hear` is called on the follower's thread, in order; while it takes its time nothing more comes, and the
-    /// keeper holds nothing back for anybody else.
+    /// Starts to follow. `handle` is called on the follower's thread, in order; while it runs nothing more is taken, which holds
+    /// up nobody else.
     ///
     /// # Errors
     /// There is no thread.
     pub fn start(
-        set: &FleetSettings,
+        fleet: &FleetSettings,
         topic: Name,
         settings: SubscriberSettings,
-        hear: impl FnMut(FollowerEvent) + Send + 'static,
+        handle: impl FnMut(FollowerEvent) + Send + 'static,
     ) -> io::Result<Follower> {
         let subscriber = Mutex::new(Subscriber::new(topic.clone(), settings, rand::random()));
         let shared = Arc::new(Shared {
             subscriber,
-            heard: Mutex::new(None),
-            told_to: Mutex::new(None),
-            end: AtomicBool::new(false),
+            last_delivery: Mutex::new(None),
+            reported_to: Mutex::new(None),
+            stop: AtomicBool::new(false),
         });
-        let (hears, came) = bounded(QUEUE);
-        let follows = Follows {
+        let (sender, inbound) = bounded(INBOUND_CAPACITY);
+        let worker = Worker {
             shared: Arc::clone(&shared),
-            clock: Box::new(set.clock()),
-            keeper: rand::random_range(0..set.keepers.len().max(1)),
-            set: set.clone(),
+            clock: Box::new(fleet.clock()),
+            replica: rand::random_range(0..fleet.replicas.len().max(1)),
+            fleet: fleet.clone(),
             topic,
-            conn: None,
-            allowed: 0,
-            said_at: Instant::now(),
-            hears,
-            came,
-            hear: Box::new(hear),
+            connection: None,
+            credit: 0,
+            sent_at: Instant::now(),
+            sender,
+            inbound,
+            handle: Box::new(handle),
         };
-        thread::Builder::new().name("follows".into()).stack_size(STACK).spawn(move || follows.run())?;
+        thread::Builder::new().name("follows".into()).stack_size(STACK_BYTES).spawn(move || worker.run())?;
         Ok(Follower { shared })
     }
 
-    /// What is known of the topic, now. Whoever looks holds up the follower meanwhile.
-    pub fn look<T>(&self, look: impl FnOnce(&Subscriber) -> T) -> T {
-        look(&locked(&self.shared.subscriber))
+    /// Reads what is known of the topic. The follower waits meanwhile.
+    pub fn read<T>(&self, read: impl FnOnce(&Subscriber) -> T) -> T {
+        read(&locked(&self.shared.subscriber))
     }
 
-    /// Up to where it is complete, with all of that heard; [`Follower::look`] may know more than whoever hears was told yet.
-    pub fn told_to(&self) -> Option<Offset> {
-        *locked(&self.shared.told_to)
+    /// Up to where it is complete, with all of that reported; [`Follower::read`] may know more.
+    pub fn reported_to(&self) -> Option<Offset> {
+        *locked(&self.shared.reported_to)
     }
 
-    /// For how long what is known may have been overtaken: since a leader was last heard of, by way of the keeper that serves. None:
-    /// nothing was heard yet.
+    /// For how long what is known may be out of date: the time since the serving replica last heard from a leader. None before
+    /// the first delivery.
     pub fn staleness(&self) -> Option<Duration> {
-        let heard = *locked(&self.shared.heard);
-        heard.map(|h| h.at.elapsed() + h.silent)
+        let last = *locked(&self.shared.last_delivery);
+        last.map(|delivery| delivery.at.elapsed() + delivery.silent)
     }
 }
 
 impl Drop for Follower {
     fn drop(&mut self) {
-        self.shared.end.store(true, Ordering::Relaxed);
+        self.shared.stop.store(true, Ordering::Relaxed);
     }
 }
 
 /// The follower's thread.
-struct Follows {
+struct Worker {
     shared: Arc<Shared>,
     clock: Box<dyn Fn() -> Duration + Send>,
-    set: FleetSettings,
+    fleet: FleetSettings,
     topic: Name,
-    /// The keeper that it asks, or asked last.
-    keeper: usize,
-    conn: Option<Conn>,
-    allowed: u64,
-    said_at: Instant,
-    hears: Sender<Inbound>,
-    came: Receiver<Inbound>,
-    hear: Box<dyn FnMut(FollowerEvent) + Send>,
+    /// Index of the replica in use, or of the last one.
+    replica: usize,
+    connection: Option<Connection>,
+    credit: u64,
+    sent_at: Instant,
+    sender: Sender<Inbound>,
+    inbound: Receiver<Inbound>,
+    handle: Box<dyn FnMut(FollowerEvent) + Send>,
 }
 
-impl Follows {
+impl Worker {
     fn run(mut self) {
-        self.take(SubscriberInput::Start);
-        while !self.shared.end.load(Ordering::Relaxed) {
+        self.handle_input(SubscriberInput::Start);
+        while !self.shared.stop.load(Ordering::Relaxed) {
             let due = locked(&self.shared.subscriber).next_due().unwrap_or(Duration::MAX);
-            match self.came.recv_timeout(due.saturating_sub((self.clock)()).min(LOOK)) {
-                Ok((_, Some(wire::Message::Delivery(told)))) => self.told(told),
-                // It does not serve, or it ended the connection.
-                Ok((number, _)) => self.take(SubscriberInput::Broken(number)),
-                Err(RecvTimeoutError::Timeout) => self.take(SubscriberInput::Tick),
+            match self.inbound.recv_timeout(due.saturating_sub((self.clock)()).min(MAX_WAIT)) {
+                Ok(Inbound { message: Some(wire::Message::Delivery(delivery)), .. }) => {
+                    self.receive(delivery)
+                }
+                // The replica does not serve, or it closed the connection.
+                Ok(Inbound { connection, .. }) => self.handle_input(SubscriberInput::Broken(connection)),
+                Err(RecvTimeoutError::Timeout) => self.handle_input(SubscriberInput::Tick),
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            if self.said_at.elapsed() >= ALIVE {
-                self.allow();
+            if self.sent_at.elapsed() >= KEEP_ALIVE_INTERVAL {
+                self.send_credit();
             }
         }
     }
 
-    fn told(&mut self, told: Told) {
-        let silent = Duration::from_millis(u64::from(told.silent_ms));
-        if self.conn.as_ref().is_some_and(|c| c.number == told.feed) {
-            *locked(&self.shared.heard) = Some(Heard { at: Instant::now(), silent });
+    fn receive(&mut self, delivery: Told) {
+        let silent = Duration::from_millis(u64::from(delivery.silent_ms));
+        if self.connection.as_ref().is_some_and(|c| c.number == delivery.feed) {
+            *locked(&self.shared.last_delivery) = Some(LastDelivery { at: Instant::now(), silent });
         }
-        self.take(SubscriberInput::Told(told));
+        self.handle_input(SubscriberInput::Told(delivery));
     }
 
-    fn take(&mut self, input: SubscriberInput) {
+    fn handle_input(&mut self, input: SubscriberInput) {
         let mut inputs = vec![input];
-        while let Some(input) = inputs.pop() {
-            let outputs = locked(&self.shared.subscriber).handle((self.clock)(), input);
-            // After the lock is let go: whoever hears may look at what is known.
+        while let Some(next) = inputs.pop() {
+            let outputs = locked(&self.shared.subscriber).handle((self.clock)(), next);
+            // After the lock is released: the handler may read what is known.
             for output in outputs {
-                inputs.extend(self.does(output));
+                inputs.extend(self.handle_output(output));
             }
         }
         let complete = locked(&self.shared.subscriber).complete_to();
-        *locked(&self.shared.told_to) = complete;
+        *locked(&self.shared.reported_to) = complete;
     }
 
-    /// Does what the machine wants; what is to be said to it about that.
-    fn does(&mut self, output: SubscriberOutput) -> Option<SubscriberInput> {
-        let followed = match output {
+    /// Carries out an output of the subscriber; the input that follows from it, if any.
+    fn handle_output(&mut self, output: SubscriberOutput) -> Option<SubscriberInput> {
+        let event = match output {
             SubscriberOutput::Subscribe { feed, topic, from, allow } => {
-                let word = wire::Message::Subscribe { feed, topic, from, allow };
-                self.allowed = allow;
-                return self.open(feed, &word).is_none().then_some(SubscriberInput::Broken(feed));
+                let message = wire::Message::Subscribe { feed, topic, from, allow };
+                self.credit = allow;
+                return self.open(feed, &message).is_none().then_some(SubscriberInput::Broken(feed));
             }
             SubscriberOutput::Allow { total, .. } => {
-                self.allowed = total;
-                self.allow();
+                self.credit = total;
+                self.send_credit();
                 return None;
             }
             SubscriberOutput::Leave(feed) => {
-                info!(topic = %self.topic, feed, "leaves its keeper");
-                self.conn = None;
+                info!(topic = %self.topic, feed, "leaves its replica");
+                self.connection = None;
                 return None;
             }
             SubscriberOutput::Changed(message) => FollowerEvent::Updated(message),
@@ -201,31 +204,31 @@
                 FollowerEvent::CaughtUp(offset)
             }
             SubscriberOutput::Behind => FollowerEvent::Behind,
-            SubscriberOutput::Distrusted(why) => {
-                warn!(topic = %self.topic, "a keeper's word can't be: {why}");
-                FollowerEvent::ProtocolViolation(why)
+            SubscriberOutput::Distrusted(violation) => {
+                warn!(topic = %self.topic, "a replica violated the protocol: {violation}");
+                FollowerEvent::ProtocolViolation(violation)
             }
         };
-        (self.hear)(followed);
+        (self.handle)(event);
         None
     }
 
-    /// Subscribes at another keeper than the last one.
-    fn open(&mut self, feed: u64, word: &wire::Message) -> Option<()> {
-        self.keeper = (self.keeper + 1) % self.set.keepers.len().max(1);
-        // What the one before still sends is of a subscription that was given up.
-        self.conn = None;
-        let mut conn = Conn::open(&self.set, self.keeper, feed, self.hears.clone())?;
-        self.said_at = Instant::now();
-        conn.say([word]).then(|| self.conn = Some(conn))
+    /// Subscribes at the replica after the last one.
+    fn open(&mut self, feed: u64, message: &wire::Message) -> Option<()> {
+        self.replica = (self.replica + 1) % self.fleet.replicas.len().max(1);
+        // What the last one still sends is for a subscription that was given up.
+        self.connection = None;
+        let mut connection = Connection::open(&self.fleet, self.replica, feed, self.sender.clone())?;
+        self.sent_at = Instant::now();
+        connection.send([message]).then(|| self.connection = Some(connection))
     }
 
-    /// Says how much may come; said again it changes nothing.
-    fn allow(&mut self) {
-        self.said_at = Instant::now();
-        if let Some(conn) = &mut self.conn {
-            // One that can't be told of it any more is seen to be gone by who reads.
-            let _ = conn.say([&wire::Message::Credit { feed: conn.number, total: self.allowed }]);
+    /// Sends the credit; repeated it changes nothing.
+    fn send_credit(&mut self) {
+        self.sent_at = Instant::now();
+        if let Some(connection) = &mut self.connection {
+            // A failed write is noticed by the reading thread as well.
+            let _ = connection.send([&wire::Message::Credit { feed: connection.number, total: self.credit }]);
         }
     }
 }
--- a/crates/fleet/coordinator/src/topics/mod.rs
+++ b/crates/fleet/coordinator/src/topics/mod.rs
@@ -1,5 +1,5 @@
-//! Topics for those who write and read them: a publisher and a follower, each on a thread of its own with its connection, so that
-//! whoever uses one waits for nothing but a lock.
+//! Clients of topics: a publisher and a follower, each with a thread and a connection of its own, so that their users wait for a
+//! lock at most.
 
 mod follower;
 mod publisher;
@@ -17,51 +17,61 @@
 use crate::settings::FleetSettings;
 use crate::wire::{self, Message};
 
-const CONNECT: Duration = Duration::from_millis(300);
-const WRITE: Duration = Duration::from_millis(500);
-const STACK: usize = 256 << 10;
-/// The longest that a thread waits before it looks whether it is to end.
-const LOOK: Duration = Duration::from_millis(50);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
+const STACK_BYTES: usize = 256 << 10;
+/// The threads wait no longer than this before they check whether they must stop.
+const MAX_WAIT: Duration = Duration::from_millis(50);
 
-/// What came over a connection, by its number: a word, or its end.
-type Inbound = (u64, Option<Message>);
+/// What came over a connection: a message, or its end.
+struct Inbound {
+    /// Number of the connection.
+    connection: u64,
+    /// None: the connection has ended.
+    message: Option<Message>,
+}
 
-/// A connection to a keeper, with a thread that reads.
-struct Conn {
+/// A connection to a replica. A thread reads it and ends with it.
+struct Connection {
     number: u64,
     stream: TcpStream,
     fleet: u64,
 }
 
-impl Conn {
-    /// Connects to a keeper, by its place among those of the settings.
-    fn open(set: &FleetSettings, keeper: usize, number: u64, came: Sender<Inbound>) -> Option<Conn> {
-        let address = set.reach(*set.keepers.get(keeper)?);
-        let stream = TcpStream::connect_timeout(&address, CONNECT).ok()?;
+impl Connection {
+    /// Connects to a replica, by its index in the settings.
+    fn open(
+        settings: &FleetSettings,
+        replica: usize,
+        number: u64,
+        sender: Sender<Inbound>,
+    ) -> Option<Connection> {
+        let address = settings.dial_address(*settings.replicas.get(replica)?);
+        let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
         let _ = stream.set_nodelay(true);
-        stream.set_write_timeout(Some(WRITE)).ok()?;
-        let (mut reads, fleet) = (stream.try_clone().ok()?, set.number());
-        let read = move || {
-            while let Ok(word) = wire::read(fleet, &mut reads) {
-                if came.send((number, Some(word))).is_err() {
+        stream.set_write_timeout(Some(WRITE_TIMEOUT)).ok()?;
+        let (mut reader, fleet) = (stream.try_clone().ok()?, settings.fleet_id());
+        let read_messages = move || {
+            while let Ok(message) = wire::read(fleet, &mut reader) {
+                if sender.send(Inbound { connection: number, message: Some(message) }).is_err() {
                     return;
                 }
             }
-            let _ = came.send((number, None));
+            let _ = sender.send(Inbound { connection: number, message: None });
         };
-        thread::Builder::new().name("hears".into()).stack_size(STACK).spawn(read).ok()?;
-        Some(Conn { number, stream, fleet })
+        thread::Builder::new().name("hears".into()).stack_size(STACK_BYTES).spawn(read_messages).ok()?;
+        Some(Connection { number, stream, fleet })
     }
 
-    /// Writes words together; false: it is of no more use.
-    fn say<'a>(&mut self, words: impl IntoIterator<Item = &'a Message>) -> bool {
+    /// Writes messages together; false: the connection is of no more use.
+    fn send<'a>(&mut self, messages: impl IntoIterator<Item = &'a Message>) -> bool {
         let bytes: Vec<u8> =
-            words.into_iter().filter_map(|w| wire::encode(self.fleet, w)).flatten().collect();
+            messages.into_iter().filter_map(|message| wire::encode(self.fleet, message)).flatten().collect();
         self.stream.write_all(&bytes).is_ok()
     }
 }
 
-impl Drop for Conn {
+impl Drop for Connection {
     fn drop(&mut self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
--- a/crates/fleet/coordinator/src/topics/publisher.rs
+++ b/crates/fleet/coordinator/src/topics/publisher.rs
@@ -1,4 +1,4 @@
-//! One who writes a topic, by way of whichever keeper leads.
+//! A publisher of a topic, by way of the leader.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,234 +15,249 @@
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded, select};
 use tracing::{info, warn};
 
-use super::{Conn, Inbound, LOOK, STACK};
+use super::{Connection, Inbound, MAX_WAIT, STACK_BYTES};
 use crate::settings::FleetSettings;
 use crate::wire::Message;
 
-/// Messages that have not been taken yet, and outcomes that nobody has taken, at most.
-const QUEUE: (usize, usize) = (1024, 8192);
-/// Words that have come and are not taken yet, at most.
-const WORDS: usize = 256;
-/// A keeper that answers nothing for this is left for the next one: half an election's time and a sync's.
-const SILENT: Duration = Duration::from_millis(600);
+/// Records that wait to be published, at most.
+const REQUEST_CAPACITY: usize = 1024;
+/// Results that nobody has taken, at most.
+const RESULT_CAPACITY: usize = 8192;
+/// Messages that have come and are not taken yet, at most.
+const INBOUND_CAPACITY: usize = 256;
+/// A replica that answers nothing for this long is left for the next one: half an election's time and a sync's.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// By what right messages are written.
+/// How the topic is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteMode {
-    /// As one of many.
+    /// As one of many writers.
     Shared,
-    /// As the one writer, by the token of its lease.
+    /// As the only writer, by the fencing token of its lease.
     Exclusive(Epoch),
 }
 
-/// What became of a message.
+/// The result of a record that was to be published.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PublishResult {
-    /// Which.
+    /// The record's ticket.
     pub ticket: PublisherTicket,
-    /// What.
+    /// What became of it.
     pub outcome: Outcome,
 }
 
-type Asked = (PublisherTicket, Record, Expect);
+/// A record to be published.
+struct PublishRequest {
+    ticket: PublisherTicket,
+    record: Record,
+    expect: Expect,
+}
 
-/// A publisher of one topic. It ends when it is dropped; what is not settled then may have been written or not.
+/// A publisher of one topic. Its thread ends soon after it is dropped, without being waited for; a record without a result may then
+/// have been written or not.
 pub struct Publisher {
-    asks: Sender<Asked>,
-    settled: Receiver<PublishResult>,
-    tickets: AtomicU64,
-    end: Arc<AtomicBool>,
+    requests: Sender<PublishRequest>,
+    results: Receiver<PublishResult>,
+    next_ticket: AtomicU64,
+    stop: Arc<AtomicBool>,
 }
 
 impl Publisher {
-    /// Begins; nothing is sent before there is a message.
+    /// Starts the thread; nothing is sent before there is a record.
     ///
     /// # Errors
     /// There is no thread.
     pub fn start(
-        set: &FleetSettings,
+        fleet: &FleetSettings,
         topic: Name,
-        right: WriteMode,
+        mode: WriteMode,
         settings: PublisherSettings,
     ) -> io::Result<Publisher> {
         let (id, seed) = (PublisherId(rand::random()), rand::random());
-        let machine = match right {
+        let machine = match mode {
             WriteMode::Shared => Machine::one_of_many(id, topic.clone(), settings, seed),
             WriteMode::Exclusive(token) => Machine::only(id, token, topic.clone(), settings, seed),
         };
-        let (asks, asked) = bounded(QUEUE.0);
-        let (settles, settled) = bounded(QUEUE.1);
-        let (hears, came) = bounded(WORDS);
-        let end = Arc::new(AtomicBool::new(false));
-        let publishes = Publishes {
+        let (request_sender, requests) = bounded(REQUEST_CAPACITY);
+        let (result_sender, results) = bounded(RESULT_CAPACITY);
+        let (sender, inbound) = bounded(INBOUND_CAPACITY);
+        let stop = Arc::new(AtomicBool::new(false));
+        let worker = Worker {
             machine,
             topic,
-            clock: Box::new(set.clock()),
-            keeper: rand::random_range(0..set.keepers.len().max(1)),
-            set: set.clone(),
-            conn: None,
-            conns: 0,
-            unheard_since: None,
-            asked,
-            settles,
-            hears,
-            came,
-            end: Arc::clone(&end),
+            clock: Box::new(fleet.clock()),
+            replica: rand::random_range(0..fleet.replicas.len().max(1)),
+            fleet: fleet.clone(),
+            connection: None,
+            connections: 0,
+            waiting_since: None,
+            requests,
+            results: result_sender,
+            sender,
+            inbound,
+            stop: Arc::clone(&stop),
         };
-        thread::Builder::new().name("publishes".into()).stack_size(STACK).spawn(move || publishes.run())?;
-        Ok(Publisher { asks, settled, tickets: AtomicU64::new(0), end })
+        thread::Builder::new()
+            .name("publishes".into())
+            .stack_size(STACK_BYTES)
+            .spawn(move || worker.run())?;
+        Ok(Publisher { requests: request_sender, results, next_ticket: AtomicU64::new(0), stop })
     }
 
-    /// Has a record written, if the expectation holds; what became of it comes out of [`Publisher::settled`] by this ticket. None:
-    /// too many wait.
+    /// Has a record written if the expectation holds. Its result comes from [`Publisher::results`] by this ticket. None: too many
+    /// wait.
     pub fn publish(&self, record: Record, expect: Expect) -> Option<PublisherTicket> {
-        let ticket = PublisherTicket(self.tickets.fetch_add(1, Ordering::Relaxed));
-        match self.asks.try_send((ticket, record, expect)) {
+        let ticket = PublisherTicket(self.next_ticket.fetch_add(1, Ordering::Relaxed));
+        match self.requests.try_send(PublishRequest { ticket, record, expect }) {
             Ok(()) => Some(ticket),
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => None,
         }
     }
 
-    /// What became of messages, each once. Whoever does not take them gets nothing more written.
-    pub fn settled(&self) -> &Receiver<PublishResult> {
-        &self.settled
+    /// The results of records, each once. While they are not taken, nothing more is written.
+    pub fn results(&self) -> &Receiver<PublishResult> {
+        &self.results
     }
 }
 
 impl Drop for Publisher {
     fn drop(&mut self) {
-        self.end.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
     }
 }
 
 /// The publisher's thread.
-struct Publishes {
+struct Worker {
     machine: Machine,
     topic: Name,
     clock: Box<dyn Fn() -> Duration + Send>,
-    set: FleetSettings,
-    /// The keeper that is taken for the one that leads.
-    keeper: usize,
-    conn: Option<Conn>,
-    conns: u64,
-    /// Since when something is out and nothing has come back.
-    unheard_since: Option<Instant>,
-    asked: Receiver<Asked>,
-    settles: Sender<PublishResult>,
-    hears: Sender<Inbound>,
-    came: Receiver<Inbound>,
-    end: Arc<AtomicBool>,
+    fleet: FleetSettings,
+    /// Index of the replica that is taken for the leader.
+    replica: usize,
+    connection: Option<Connection>,
+    /// Connections that were opened.
+    connections: u64,
+    /// Since when a request is out and nothing has come back.
+    waiting_since: Option<Instant>,
+    requests: Receiver<PublishRequest>,
+    results: Sender<PublishResult>,
+    sender: Sender<Inbound>,
+    inbound: Receiver<Inbound>,
+    stop: Arc<AtomicBool>,
 }
 
-impl Publishes {
+impl Worker {
     fn run(mut self) {
-        while !self.end.load(Ordering::Relaxed) {
+        while !self.stop.load(Ordering::Relaxed) {
             let due = self.machine.next_due().unwrap_or(Duration::MAX).saturating_sub((self.clock)());
             let mut outputs = Vec::new();
             select! {
-                recv(self.asked) -> asked => match asked {
-                    Ok(asked) => self.ask(asked, &mut outputs),
+                recv(self.requests) -> request => match request {
+                    Ok(request) => self.publish(request, &mut outputs),
                     Err(_) => return,
                 },
-                recv(self.came) -> came => match came {
-                    Ok(came) => self.hear(came, &mut outputs),
+                recv(self.inbound) -> inbound => match inbound {
+                    Ok(inbound) => self.receive(inbound, &mut outputs),
                     Err(_) => return,
                 },
-                default(due.min(LOOK)) => {}
+                default(due.min(MAX_WAIT)) => {}
             }
-            // Whatever else there is goes out together.
-            for _ in 0..WORDS {
-                let Ok(came) = self.came.try_recv() else { break };
-                self.hear(came, &mut outputs);
+            // Whatever else there is goes out in the same write.
+            for _ in 0..INBOUND_CAPACITY {
+                let Ok(inbound) = self.inbound.try_recv() else { break };
+                self.receive(inbound, &mut outputs);
             }
-            for _ in 0..WORDS {
-                let Ok(asked) = self.asked.try_recv() else { break };
-                self.ask(asked, &mut outputs);
+            for _ in 0..INBOUND_CAPACITY {
+                let Ok(request) = self.requests.try_recv() else { break };
+                self.publish(request, &mut outputs);
             }
             outputs.extend(self.machine.handle((self.clock)(), PublisherInput::Tick));
-            if self.unheard_since.is_some_and(|at| at.elapsed() >= SILENT) {
-                self.leave(None);
+            if self.waiting_since.is_some_and(|at| at.elapsed() >= RESPONSE_TIMEOUT) {
+                self.switch_replica(None);
             }
-            if !self.does(outputs) {
+            if !self.handle_outputs(outputs) {
                 return;
             }
         }
     }
 
-    fn ask(&mut self, (ticket, record, expect): Asked, outputs: &mut Vec<PublisherOutput>) {
+    fn publish(&mut self, request: PublishRequest, outputs: &mut Vec<PublisherOutput>) {
+        let PublishRequest { ticket, record, expect } = request;
         let input = PublisherInput::Publish { ticket, record, expect };
         outputs.extend(self.machine.handle((self.clock)(), input));
     }
 
-    fn hear(&mut self, (number, word): Inbound, outputs: &mut Vec<PublisherOutput>) {
-        let input = match word {
-            Some(Message::PublishResponse(heard)) => {
-                self.unheard_since = None;
-                PublisherInput::Heard(heard)
+    fn receive(&mut self, inbound: Inbound, outputs: &mut Vec<PublisherOutput>) {
+        let number = inbound.connection;
+        let input = match inbound.message {
+            Some(Message::PublishResponse(response)) => {
+                self.waiting_since = None;
+                PublisherInput::Heard(response)
             }
             // Of a connection that was left.
-            _ if self.conn.as_ref().is_none_or(|c| c.number != number) => return,
+            _ if self.connection.as_ref().is_none_or(|connection| connection.number != number) => return,
             Some(Message::NotLeader(leader)) => {
                 let named = leader.and_then(|l| l.parse::<SocketAddr>().ok());
-                self.leave(named.and_then(|l| self.set.keepers.iter().position(|k| *k == l)));
+                self.switch_replica(named.and_then(|l| self.fleet.replicas.iter().position(|k| *k == l)));
                 PublisherInput::NotNow
             }
             Some(Message::LeaseResponse(_)) => {
-                self.unheard_since = None;
+                self.waiting_since = None;
                 PublisherInput::NotNow
             }
             _ => {
-                self.leave(None);
+                self.switch_replica(None);
                 PublisherInput::NotNow
             }
         };
         outputs.extend(self.machine.handle((self.clock)(), input));
-        // One that was come to and was asked nothing yet is not silent.
-        if self.conn.is_some() && self.machine.waiting() > 0 {
-            self.unheard_since.get_or_insert_with(Instant::now);
+        // A replica that was sent nothing yet is not silent.
+        if self.connection.is_some() && self.machine.waiting() > 0 {
+            self.waiting_since.get_or_insert_with(Instant::now);
         }
     }
 
-    /// Goes to the keeper that leads, or to the next one, which may know.
-    fn leave(&mut self, leader: Option<usize>) {
-        self.keeper = leader.unwrap_or((self.keeper + 1) % self.set.keepers.len().max(1));
-        (self.conn, self.unheard_since) = (None, None);
+    /// Switches to the leader, or to the next replica, which may know it.
+    fn switch_replica(&mut self, leader: Option<usize>) {
+        self.replica = leader.unwrap_or((self.replica + 1) % self.fleet.replicas.len().max(1));
+        (self.connection, self.waiting_since) = (None, None);
     }
 
-    /// Does what the machine wants; false: nobody is there any more.
-    fn does(&mut self, outputs: Vec<PublisherOutput>) -> bool {
+    /// Carries out outputs of the publisher; false: the results are taken by nobody any more.
+    fn handle_outputs(&mut self, outputs: Vec<PublisherOutput>) -> bool {
         let mut requests: Vec<Message> = Vec::new();
         for output in outputs {
             match output {
                 PublisherOutput::Send(request) => requests.push(Message::Publish(request)),
                 PublisherOutput::Settled(ticket, outcome) => {
-                    if self.settles.send(PublishResult { ticket, outcome }).is_err() {
+                    if self.results.send(PublishResult { ticket, outcome }).is_err() {
                         return false;
                     }
                 }
                 PublisherOutput::Fenced(epoch) => {
-                    warn!(topic = %self.topic, epoch = epoch.0, "another writes now");
+                    warn!(topic = %self.topic, epoch = epoch.0, "fenced: another writer has a higher epoch");
                 }
             }
         }
         if !requests.is_empty() {
-            self.say(&requests);
+            self.send(&requests);
         }
         true
     }
 
-    /// Says words to the keeper that is taken for the leader; what can't be said is lost, as on any network.
-    fn say(&mut self, words: &[Message]) {
-        if self.conn.is_none() {
-            self.conns += 1;
-            self.conn = Conn::open(&self.set, self.keeper, self.conns, self.hears.clone());
-            if self.conn.is_some() {
-                info!(topic = %self.topic, keeper = %self.set.keepers[self.keeper], "publishes by");
+    /// Sends messages to the replica that is taken for the leader; what can't be sent is lost, as on any network.
+    fn send(&mut self, messages: &[Message]) {
+        if self.connection.is_none() {
+            self.connections += 1;
+            self.connection =
+                Connection::open(&self.fleet, self.replica, self.connections, self.sender.clone());
+            if self.connection.is_some() {
+                info!(topic = %self.topic, replica = %self.fleet.replicas[self.replica], "publishes through");
             }
         }
-        self.unheard_since.get_or_insert_with(Instant::now);
-        if !self.conn.as_mut().is_some_and(|conn| conn.say(words)) {
-            self.leave(None);
+        self.waiting_since.get_or_insert_with(Instant::now);
+        if !self.connection.as_mut().is_some_and(|connection| connection.send(messages)) {
+            self.switch_replica(None);
         }
     }
 }
--- a/crates/testing/fakes/src/topic.rs
+++ b/crates/testing/fakes/src/topic.rs
@@ -97,7 +97,7 @@
         let mut next = Instant::now();
         while !end.load(Ordering::Relaxed) {
             let wait = next.saturating_duration_since(Instant::now());
-            if let Ok(settled) = self.publisher.settled().recv_timeout(wait) {
+            if let Ok(settled) = self.publisher.results().recv_timeout(wait) {
                 self.settles(settled);
                 continue;
             }
@@ -108,7 +108,7 @@
         }
         let until = Instant::now() + LAST;
         while !self.out.is_empty() && Instant::now() < until {
-            if let Ok(settled) = self.publisher.settled().recv_timeout(Duration::from_millis(50)) {
+            if let Ok(settled) = self.publisher.results().recv_timeout(Duration::from_millis(50)) {
                 self.settles(settled);
             }
         }
@@ -198,7 +198,7 @@
 
     /// Up to where it is complete.
     pub fn complete_to(&self) -> Option<u64> {
-        self.follower.told_to().map(|o| o.0)
+        self.follower.reported_to().map(|o| o.0)
     }
 
     /// Waits until it is complete to an offset, and records that; false: not in time.
--- a/crates/testing/fakes/tests/topic_planted.rs
+++ b/crates/testing/fakes/tests/topic_planted.rs
@@ -53,7 +53,7 @@
             let mut keeping =
                 CoordinatorServer::start(settings(&addresses, &more), Arc::clone(&end)).expect("it starts");
             if let Some(fault) = fault {
-                keeping.plant(fault);
+                keeping.inject_fault(fault);
             }
             threads.push(thread::spawn(move || keeping.run().expect("it keeps")));
         }
