--- a/crates/cli/src/fleet_membership.rs
+++ b/crates/cli/src/fleet_membership.rs
@@ -174,7 +174,7 @@
         let (requesting, checking) = (Arc::clone(&self.leases), Arc::clone(&self.leases));
         let max_stop_wait = self.leases.rolling_restart().map(|restart| restart.wait);
         beechloft_event_loop::FleetHooks {
-            numbered: self.slots(),
+            slot_assignment: self.slots(),
             may_stop: Box::new(move || checking.may_stop()),
             request_stop: Box::new(move || requesting.request_restart_turn()),
             max_stop_wait,
--- a/crates/fleet/coordinator/src/front_leases.rs
+++ b/crates/fleet/coordinator/src/front_leases.rs
@@ -126,7 +126,7 @@
                 let deadline = deadline.min(now + mode.timeout());
                 let confirmed = self.slot.as_ref().is_some_and(|task| task.holder.has_handed_off());
                 if confirmed || now >= deadline {
-                    info!(confirmed, "has left its number");
+                    info!(kept = confirmed, "has left its number");
                     self.handoff = HandoffState::Done;
                 } else {
                     self.handoff = HandoffState::Requested(deadline);
--- a/crates/fleet/coordinator/src/outlier_detector.rs
+++ b/crates/fleet/coordinator/src/outlier_detector.rs
@@ -12,8 +12,9 @@
 use beechloft_gossip::SectionKind;
 use beechloft_leases::{Holder, HolderId, HolderInput, HolderOutput, LeaseSpec, Name, Request};
 use beechloft_outlier_detection::{
-    BoxKey, BoxLine, Change, Evidence, FrontLife, Ledger, Outcome, Outlook, Places, Report, Seen, Tried,
-    Verdicts, Witness, judge_viewers,
+    Attempt, AttemptCounts, AttemptWindow, EjectionEvent, Evaluation, FrontId, FrontReport, FrontReports,
+    Outcome, OutlierDetector as Detector, Report, ServerInstance, ServerLocations, ServerReport,
+    detect_viewer_outliers,
 };
 use tracing::{info, warn};
 
@@ -43,13 +44,13 @@
 }
 
 struct State {
-    ledger: Ledger,
-    verdicts: Verdicts,
-    evidence: Evidence,
-    places: Places,
+    ledger: AttemptWindow,
+    verdicts: Detector,
+    evidence: FrontReports,
+    places: ServerLocations,
     /// The run that each box's process names, and since when.
     lives: BTreeMap<u32, (u64, Duration)>,
-    outlook: Outlook,
+    outlook: Evaluation,
     viewers: Vec<u64>,
 }
 
@@ -80,12 +81,12 @@
         let own = settings.zone.to_string();
         let zone = settings.zones.iter().position(|z| *z == own).map_or(UNKNOWN_ZONE, zone_number);
         let state = State {
-            ledger: Ledger::new(detection.rules.window, zone),
-            verdicts: Verdicts::new(detection.rules),
-            evidence: Evidence::default(),
-            places: Places::new(),
+            ledger: AttemptWindow::new(detection.rules.window, zone),
+            verdicts: Detector::new(detection.rules),
+            evidence: FrontReports::default(),
+            places: ServerLocations::new(),
             lives: BTreeMap::new(),
-            outlook: Outlook::default(),
+            outlook: Evaluation::default(),
             viewers: Vec::new(),
         };
         let shared = Arc::new(Shared {
@@ -108,7 +109,7 @@
     }
 
     /// Sets the media servers of the endpoint list.
-    pub fn set_servers(&self, places: Places) {
+    pub fn set_servers(&self, places: ServerLocations) {
         self.shared.state().places = places;
     }
 
@@ -130,15 +131,17 @@
         if life.is_some_and(|(_, since)| now.saturating_sub(attempt.age) < since) {
             return;
         }
-        let key = BoxKey::new(attempt.server, life.map(|l| l.0));
-        let trial = state.verdicts.on_trial() == Some(key);
+        let key = ServerInstance::new(attempt.server, life.map(|l| l.0));
+        let trial = state.verdicts.probing() == Some(key);
         let (title, outcome) = (attempt.title, attempt.outcome);
         let zone = state.places.get(&attempt.server).map_or(UNKNOWN_ZONE, |p| p.zone);
-        state.ledger.note(now, Tried { key, zone, title, viewer: None, outcome, trial });
+        state
+            .ledger
+            .record(now, Attempt { instance: key, zone, title, viewer: None, outcome, is_probe: trial });
         if trial && outcome != Outcome::Declined {
-            let well = outcome == Outcome::Well;
+            let well = outcome == Outcome::Success;
             info!(server = key.server, well, "trial is over");
-            state.verdicts.tried(now, key, well);
+            state.verdicts.probe_ended(now, key, well);
             drop(state);
             // So that no second attempt goes there before the thread's next evaluation.
             self.shared.evaluate(now, false);
@@ -146,7 +149,7 @@
     }
 
     /// The media servers to be avoided, if that has changed since a version, with the new version.
-    pub fn outlook(&self, since: u64) -> Option<(u64, Outlook)> {
+    pub fn outlook(&self, since: u64) -> Option<(u64, Evaluation)> {
         let version = self.shared.version.load(Ordering::Acquire);
         if version == since {
             return None;
@@ -157,7 +160,7 @@
 
     /// Maximum part of a title's ready holders that is avoided, per mille.
     pub fn max_ejected_per_mille(&self) -> u16 {
-        self.shared.settings.rules.part
+        self.shared.settings.rules.max_ejection_per_mille
     }
 
     /// An attempt that takes longer is slow.
@@ -178,17 +181,27 @@
 }
 
 /// For tests: the report of a front that claims the contrary of what it has seen.
-fn invert_report(mut report: Report, places: &Places, lives: impl Fn(u32) -> BoxKey) -> Report {
+fn invert_report(
+    mut report: Report,
+    places: &ServerLocations,
+    lives: impl Fn(u32) -> ServerInstance,
+) -> Report {
     let line = |server: &u32| {
         let key = lives(*server);
-        let bad = report.of(key).is_some_and(Seen::accuses);
+        let bad = report.of(key).is_some_and(AttemptCounts::is_failing);
         let errors = if bad { 0 } else { 9 };
-        BoxLine {
-            key,
-            seen: Seen { tries: 9, errors, beside_well: 9, trials_well: u8::from(bad), ..Seen::default() },
+        ServerReport {
+            instance: key,
+            counts: AttemptCounts {
+                attempts: 9,
+                errors,
+                zone_successes: 9,
+                probe_successes: u8::from(bad),
+                ..AttemptCounts::default()
+            },
         }
     };
-    report.boxes = places.keys().take(20).map(line).collect();
+    report.servers = places.keys().take(20).map(line).collect();
     report
 }
 
@@ -223,15 +236,15 @@
         let mut ages = BTreeMap::new();
         let mut state = self.state();
         for row in rows {
-            let front = FrontLife(row.member.0);
+            let front = FrontId(row.member.0);
             ages.insert(front, row.age);
             if state.evidence.get(front).is_some_and(|w| w.version >= row.version) {
                 continue;
             }
             let Ok(report) = Report::decode(&row.bytes) else { continue };
             let zone = self.zones.iter().position(|z| *z == row.zone).map_or(UNKNOWN_ZONE, zone_number);
-            let witness = Witness { version: row.version, zone, report };
-            state.evidence.put(&self.settings.rules, front, witness);
+            let witness = FrontReport { version: row.version, zone, report };
+            state.evidence.insert(&self.settings.rules, front, witness);
         }
         let rules = self.settings.rules;
         let fresh = state.evidence.fresh(&rules, |f| ages.get(&f).copied());
@@ -242,16 +255,16 @@
     fn evaluate(&self, now: Duration, leased: bool) -> bool {
         let mut state = self.state();
         let State { verdicts, evidence, places, lives, outlook, .. } = &mut *state;
-        let of = |server: u32| BoxKey::new(server, lives.get(&server).map(|l| l.0));
-        let mut new = verdicts.look(now, evidence, places, of, leased);
-        let changes = std::mem::take(&mut new.changes);
+        let of = |server: u32| ServerInstance::new(server, lives.get(&server).map(|l| l.0));
+        let mut new = verdicts.evaluate(now, evidence, places, of, leased);
+        let changes = std::mem::take(&mut new.events);
         let differs = new != *outlook;
-        let wants = new.wants_trial;
-        if let Some(key) = new.trial.filter(|key| outlook.trial != Some(*key)) {
+        let wants = new.wants_probe_lease;
+        if let Some(key) = new.probing.filter(|key| outlook.probing != Some(*key)) {
             info!(server = key.server, "on trial here: offered until one attempt has ended");
         }
         *outlook = new;
-        let viewers = judge_viewers(&self.settings.rules, evidence);
+        let viewers = detect_viewer_outliers(&self.settings.rules, evidence);
         let news: Vec<u64> = viewers.iter().filter(|v| !state.viewers.contains(v)).copied().collect();
         state.viewers = viewers;
         if differs {
@@ -274,15 +287,16 @@
         let accused: BTreeSet<u32> = state
             .evidence
             .iter()
-            .flat_map(|(_, w)| &w.report.boxes)
-            .filter(|b| b.seen.accuses())
-            .map(|b| b.key.server)
+            .flat_map(|(_, w)| &w.report.servers)
+            .filter(|b| b.counts.is_failing())
+            .map(|b| b.instance.server)
             .collect();
         let State { ledger, places, lives, .. } = &mut *state;
         let mut report = ledger.report(now, &accused);
         if self.settings.test_lies {
-            report =
-                invert_report(report, places, |server| BoxKey::new(server, lives.get(&server).map(|l| l.0)));
+            report = invert_report(report, places, |server| {
+                ServerInstance::new(server, lives.get(&server).map(|l| l.0))
+            });
         }
         drop(state);
         if let Err(error) = self.membership.write_section(SectionKind::OUTLIER_REPORT, report.encode()) {
@@ -304,26 +318,32 @@
     requests
 }
 
-fn log_change(change: &Change) {
+fn log_change(change: &EjectionEvent) {
     match change {
-        Change::Condemned(j) => info!(
-            server = j.key.server,
-            life = j.key.life,
-            accusers = j.accusers,
-            absolvers = j.absolvers,
-            bad = j.bad,
+        EjectionEvent::Ejected(j) => info!(
+            server = j.instance.server,
+            life = j.instance.boot_hash,
+            accusers = j.failing_fronts,
+            absolvers = j.healthy_fronts,
+            bad = j.failures,
             "judged bad: avoided from now on"
         ),
-        Change::Spared(j) => warn!(
-            server = j.key.server,
-            accusers = j.accusers,
-            absolvers = j.absolvers,
-            bad = j.bad,
+        EjectionEvent::EjectionSuppressed(j) => warn!(
+            server = j.instance.server,
+            accusers = j.failing_fronts,
+            absolvers = j.healthy_fronts,
+            bad = j.failures,
             "judged bad and offered nonetheless: too much of its zone is avoided already"
         ),
-        Change::Restored(key) => info!(server = key.server, "trials went well: it comes back in steps"),
-        Change::Lapsed(key) => info!(server = key.server, "the verdict is old: it comes back in steps"),
-        Change::Back(key) => info!(server = key.server, "it is back for all sessions"),
-        Change::Replaced(key) => info!(server = key.server, "another process runs there: it starts clean"),
+        EjectionEvent::ProbesSucceeded(key) => {
+            info!(server = key.server, "trials went well: it comes back in steps")
+        }
+        EjectionEvent::EjectionExpired(key) => {
+            info!(server = key.server, "the verdict is old: it comes back in steps")
+        }
+        EjectionEvent::Reinstated(key) => info!(server = key.server, "it is back for all sessions"),
+        EjectionEvent::InstanceReplaced(key) => {
+            info!(server = key.server, "another process runs there: it starts clean")
+        }
     }
 }
--- a/crates/fleet/coordinator/src/settings/outlier_detection.rs
+++ b/crates/fleet/coordinator/src/settings/outlier_detection.rs
@@ -4,7 +4,7 @@
 
 use beechloft_config_reader::Section;
 use beechloft_gossip::Settings;
-use beechloft_outlier_detection::Rules;
+use beechloft_outlier_detection::DetectionSettings;
 
 use super::integer_u32;
 
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OutlierDetectionSettings {
     /// What a verdict needs, and how long it holds.
-    pub rules: Rules,
+    pub rules: DetectionSettings,
     /// An attempt that took longer than this is slow.
     pub slow: Duration,
     /// The lease of trials, milliseconds.
@@ -45,20 +45,21 @@
 
 /// How verdicts are shared where rows are around within `staleness`.
 pub(super) fn outlier_detection(s: &Section<'_>, staleness: Duration) -> OutlierDetectionSettings {
-    let default = Rules::default();
+    let default = DetectionSettings::default();
     let mut rules = default;
-    rules.fronts = integer_u32(s, "fronts", 2..=64).map_or(default.fronts, |n| n as usize);
-    rules.failures = integer_u32(s, "failures", 1..=1_000).unwrap_or(default.failures);
+    rules.min_fronts = integer_u32(s, "fronts", 2..=64).map_or(default.min_fronts, |n| n as usize);
+    rules.min_failures = integer_u32(s, "failures", 1..=1_000).unwrap_or(default.min_failures);
     #[expect(clippy::cast_possible_truncation, reason = "900 at most by its range")]
     let per_mille = |part: f64| (part * 1_000.0) as u16;
-    rules.part = s.number("part", 0.01..=0.9).map_or(default.part, per_mille);
+    rules.max_ejection_per_mille =
+        s.number("part", 0.01..=0.9).map_or(default.max_ejection_per_mille, per_mille);
     rules.window = millis(s, "window_ms", default.window);
-    rules.fresh = millis(s, "fresh_ms", default.fresh);
-    rules.hold = millis(s, "hold_ms", default.hold);
-    rules.quiet = millis(s, "quiet_ms", default.quiet);
-    rules.trial_gap = millis(s, "trial_gap_ms", default.trial_gap);
-    rules.trial_for = millis(s, "trial_for_ms", default.trial_for);
-    rules.step = millis(s, "step_ms", default.step);
+    rules.max_report_age = millis(s, "fresh_ms", default.max_report_age);
+    rules.ejection_time = millis(s, "hold_ms", default.ejection_time);
+    rules.probe_delay = millis(s, "quiet_ms", default.probe_delay);
+    rules.probe_retry_delay = millis(s, "trial_gap_ms", default.probe_retry_delay);
+    rules.probe_timeout = millis(s, "trial_for_ms", default.probe_timeout);
+    rules.probation_step = millis(s, "step_ms", default.probation_step);
     if let Err(why) = rules.check(staleness) {
         s.report("window_ms", why.to_string());
     }
--- a/crates/fleet/coordinator/src/settings/tests.rs
+++ b/crates/fleet/coordinator/src/settings/tests.rs
@@ -7,7 +7,7 @@
     assert_eq!((off.gossip, off.outlier_detection), (None, None));
     let on = FleetSettings::read(&format!("{head}  seeds: ['127.0.0.1:7000']\n  verdicts:\n    part: 0.4\n"));
     let on = on.expect("sound");
-    assert_eq!(on.outlier_detection.map(|v| v.rules.part), Some(400));
+    assert_eq!(on.outlier_detection.map(|v| v.rules.max_ejection_per_mille), Some(400));
     assert_eq!(on.gossip, Some(beechloft_gossip::Settings::default()));
     let bad = format!(
         "{head}  rows:\n    round_ms: 5\n  verdicts:\n    fresh_ms: 100\n    fronts: 1\n    party: 1\n"
--- a/crates/testing/fakes/src/list.rs
+++ b/crates/testing/fakes/src/list.rs
@@ -9,7 +9,7 @@
 
 use beechloft_checker::{Recorder, What};
 use beechloft_discovery::mirror::Mirror;
-use beechloft_discovery::{BoxText, CHANGE, Message, PATH, SNAPSHOT, TitleText};
+use beechloft_discovery::{CHANGE, MediaServerJson, Message, PATH, SNAPSHOT, TitleJson};
 use beechloft_http::server::{Handler, Link, Reply, Server, Sizes};
 use beechloft_http::{Method, Request, Response, StatusCode, header, sse, wait};
 use beechloft_whep::{EVENTS, media_server};
@@ -71,13 +71,13 @@
     }
 
     /// Publishes boxes.
-    pub fn boxes(&self, boxes: &[BoxText]) {
+    pub fn boxes(&self, boxes: &[MediaServerJson]) {
         let boxes = boxes.iter().filter_map(|b| serde_json::to_value(b).ok()).collect();
         self.publish(Message { boxes, ..Message::default() });
     }
 
     /// Publishes titles.
-    pub fn titles(&self, titles: &[TitleText]) {
+    pub fn titles(&self, titles: &[TitleJson]) {
         let titles = titles.iter().filter_map(|t| serde_json::to_value(t).ok()).collect();
         self.publish(Message { titles, ..Message::default() });
     }
@@ -183,7 +183,7 @@
                 sent = Instant::now();
             }
             if sent.elapsed() >= BEAT {
-                if socket.write_all(sse::BEAT).is_err() {
+                if socket.write_all(sse::KEEP_ALIVE).is_err() {
                     return;
                 }
                 sent = Instant::now();
@@ -201,12 +201,12 @@
 impl Handler for Door {
     fn handle(&self, request: Request, _: &Link<'_>) -> Reply {
         if request.method != Method::GET || request.path() != PATH {
-            return Reply::Whole(Response::text(StatusCode::NOT_FOUND, "nothing here"));
+            return Reply::Complete(Response::text(StatusCode::NOT_FOUND, "nothing here"));
         }
         let inner = self.0.clone();
         inner.served.fetch_add(1, Ordering::SeqCst);
         let front = media_server::front_slot(request.field(header::VIA)).unwrap_or(u32::MAX);
         let head = Response::new(StatusCode::OK).with(header::CONTENT_TYPE, EVENTS);
-        Reply::Open(head, Box::new(move |socket| inner.stream(front, socket)))
+        Reply::Stream(head, Box::new(move |socket| inner.stream(front, socket)))
     }
 }
