--- a/crates/fleet/coordinator/src/quota_client.rs
+++ b/crates/fleet/coordinator/src/quota_client.rs
@@ -10,8 +10,8 @@
 
 use beechloft_gossip::SectionKind;
 use beechloft_quotas::{
-    Answer, Claim, Front, FrontId, FrontInput, FrontOutput, FrontSettings, Gate, Heard, Op, OrphanId,
-    Request, tag,
+    AdmissionController, Answer, Claim, Front, FrontId, FrontInput, FrontOutput, FrontSettings, Op, OrphanId,
+    Request, Response, tag,
 };
 use tracing::{debug, info, warn};
 
@@ -36,7 +36,7 @@
 pub type SessionTags = Box<dyn Fn() -> Option<Vec<BTreeMap<String, u64>>> + Send>;
 
 struct Shared {
-    gate: Gate,
+    gate: AdmissionController,
     stop: AtomicBool,
     closed: AtomicBool,
 }
@@ -70,7 +70,7 @@
         for definition in &quotas.definitions {
             front.handle(clock(), FrontInput::Define(definition.clone()));
         }
-        let gate = Gate::new(front, clock);
+        let gate = AdmissionController::new(front, clock);
         let shared = Arc::new(Shared { gate, stop: AtomicBool::new(false), closed: AtomicBool::new(false) });
         let (worker, connection) = (Arc::clone(&shared), LeaderConnection::new(settings.clone()));
         thread::Builder::new()
@@ -81,7 +81,7 @@
     }
 
     /// The gate that admits sessions.
-    pub fn gate(&self) -> Gate {
+    pub fn gate(&self) -> AdmissionController {
         self.shared.gate.clone()
     }
 
@@ -141,7 +141,7 @@
             let due = self.gate.front().next_due().unwrap_or(Duration::MAX);
             let wait = due.saturating_sub(self.gate.now()).min(MAX_WAIT);
             input = match connection.receive(wait) {
-                Some(Message::QuotaResponse(heard)) => FrontInput::Heard(heard),
+                Some(Message::QuotaResponse(response)) => FrontInput::Response(response),
                 _ => FrontInput::Tick,
             };
         }
@@ -160,7 +160,7 @@
                 warn!(account = account.0, "quota account lost; hard quotas admit nobody here")
             }
             FrontOutput::Closed => self.closed.store(true, Ordering::Relaxed),
-            FrontOutput::Row(row) => {
+            FrontOutput::SoftShares(row) => {
                 let bytes = postcard::to_allocvec(&row).unwrap_or_default();
                 if let Some(Err(error)) =
                     membership.map(|service| service.write_section(SectionKind::SOFT_QUOTAS, bytes))
@@ -179,7 +179,7 @@
             // A malformed row is ignored: its front counts as one that is silent.
             let Ok(shares) = postcard::from_bytes(&row.bytes) else { continue };
             if from != own {
-                self.gate.front().handle(now, FrontInput::Row(from, shares, row.age));
+                self.gate.front().handle(now, FrontInput::SoftShares(from, shares, row.age));
             }
         }
     }
@@ -240,7 +240,7 @@
     let deadline = Instant::now() + SURVEY_TIMEOUT;
     while Instant::now() < deadline {
         match connection.receive(deadline.saturating_duration_since(Instant::now())) {
-            Some(Message::QuotaResponse(Heard::Answer { front: f, seq: s, answer }))
+            Some(Message::QuotaResponse(Response::Answer { front: f, seq: s, answer }))
                 if (f, s) == (front, seq) =>
             {
                 return Some(answer);
--- a/crates/fleet/coordinator/src/settings/quotas/mod.rs
+++ b/crates/fleet/coordinator/src/settings/quotas/mod.rs
@@ -4,8 +4,8 @@
 
 use beechloft_config_reader::Section;
 use beechloft_leases::{DriftBound, Name};
-use beechloft_quotas::define::{MOST, MOST_FRONTS};
-use beechloft_quotas::{Counts, Definition, Key, Kind, Of, Rules, bounds};
+use beechloft_quotas::definition::{MAX_FRONTS, MAX_LIMIT};
+use beechloft_quotas::{Enforcement, Key, LimitDefinition, QuotaParameters, Resource, Scope, bounds};
 
 use super::integer_u32;
 
@@ -13,9 +13,9 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct QuotaSettings {
     /// Times, and the maximum number of fronts.
-    pub rules: Rules,
+    pub rules: QuotaParameters,
     /// The quotas, until the topic defines others.
-    pub definitions: Vec<Definition>,
+    pub definitions: Vec<LimitDefinition>,
     /// Whether media servers keep a tag with each session of this front, by which they can report what it left.
     pub tagged: bool,
 }
@@ -42,10 +42,9 @@
     drift_bound: DriftBound,
     known: Option<KnownNames<'_>>,
 ) -> QuotaSettings {
-    let default = Rules::default();
-    let rules = Rules {
-        fronts: u32::try_from(s.required_integer("fronts", 1..=u64::from(MOST_FRONTS)))
-            .unwrap_or(MOST_FRONTS),
+    let default = QuotaParameters::default();
+    let rules = QuotaParameters {
+        fronts: u32::try_from(s.required_integer("fronts", 1..=u64::from(MAX_FRONTS))).unwrap_or(MAX_FRONTS),
         ttl_ms: integer_u32(s, "ttl_ms", 1..=600_000).unwrap_or(default.ttl_ms),
         settle_ms: integer_u32(s, "settle_ms", 100..=600_000).unwrap_or(default.settle_ms),
         horizon_ms: integer_u32(s, "horizon_ms", 100..=600_000).unwrap_or(default.horizon_ms),
@@ -53,7 +52,7 @@
     if let Err(error) = rules.check(drift_bound) {
         s.report("ttl_ms", error.to_string());
     }
-    let mut definitions: Vec<Definition> = Vec::new();
+    let mut definitions: Vec<LimitDefinition> = Vec::new();
     for one in s.sections("list") {
         let Some(definition) = definition(&one, &rules, known) else { continue };
         if definitions.iter().any(|other| other.name == definition.name) {
@@ -64,31 +63,35 @@
     QuotaSettings { rules, definitions, tagged: true }
 }
 
-fn definition(s: &Section<'_>, rules: &Rules, known: Option<KnownNames<'_>>) -> Option<Definition> {
+fn definition(
+    s: &Section<'_>,
+    rules: &QuotaParameters,
+    known: Option<KnownNames<'_>>,
+) -> Option<LimitDefinition> {
     let text = s.required_text("name");
     let name = Name::try_from(text).map_err(|e| s.report("name", e.to_string())).ok();
     let counts = [
-        ("sessions", Counts::Sessions),
-        ("kbits", Counts::Kbits),
-        ("set_ups", Counts::SetUps),
-        ("attempts", Counts::Attempts),
+        ("sessions", Resource::Sessions),
+        ("kbits", Resource::Kbits),
+        ("set_ups", Resource::SetUps),
+        ("attempts", Resource::Attempts),
     ];
     let of = [
-        ("all", Of::All),
-        ("customer", Of::Customer),
-        ("title", Of::Title),
-        ("class", Of::Class),
-        ("viewer", Of::Viewer),
-        ("uplink", Of::Uplink),
-        ("box", Of::Box),
+        ("all", Scope::All),
+        ("customer", Scope::Customer),
+        ("title", Scope::Title),
+        ("class", Scope::Class),
+        ("viewer", Scope::Viewer),
+        ("uplink", Scope::Uplink),
+        ("box", Scope::Box),
     ];
     for key in ["counts", "of", "kind"] {
         if !s.has(key) {
             s.report(key, "missing");
         }
     }
-    let counts = s.choice("counts", &counts).unwrap_or(Counts::Sessions);
-    let of = s.choice("of", &of).unwrap_or(Of::All);
+    let counts = s.choice("counts", &counts).unwrap_or(Resource::Sessions);
+    let of = s.choice("of", &of).unwrap_or(Scope::All);
     #[expect(clippy::cast_possible_truncation, reason = "shares are 10 at most by their ranges")]
     let milli = |share: f64| (share * 1_000.0).round() as u32;
     let over = s.number("over", 0.0..=10.0);
@@ -96,15 +99,16 @@
     if hard && over.is_some() {
         s.report("over", "a hard limit is never over");
     }
-    let kind = if hard { Kind::Hard } else { Kind::Soft { over_milli: milli(over.unwrap_or(0.1)) } };
+    let kind =
+        if hard { Enforcement::Hard } else { Enforcement::Soft { over_milli: milli(over.unwrap_or(0.1)) } };
     let only = s.text("key");
     // The guaranteed part of a rate may be a fraction of one a second.
     let scale = if counts.is_rate() { 1_000.0 } else { 1.0 };
     let least = s.number("least", 0.0..=1e9).unwrap_or(0.0) * scale;
     let weights = weights(s, known);
     let names = known.map(|k| match of {
-        Of::Customer => ("customer", k.customers),
-        Of::Class => ("class", k.classes),
+        Scope::Customer => ("customer", k.customers),
+        Scope::Class => ("class", k.classes),
         _ => ("", &[][..]),
     });
     if let (Some(only), Some((what, all))) = (&only, names)
@@ -115,13 +119,13 @@
     }
     #[expect(clippy::cast_possible_truncation, reason = "1e12 at most by its range")]
     let least = least.round() as u64;
-    let definition = Definition {
+    let definition = LimitDefinition {
         name: name?,
         version: 0,
         counts,
         of,
         only: only.as_deref().map(Key::of),
-        limit: s.required_integer("limit", 1..=MOST),
+        limit: s.required_integer("limit", 1..=MAX_LIMIT),
         kind,
         least,
         weights,
@@ -131,7 +135,7 @@
         fronts: rules.fronts,
         settle_ms: rules.settle_ms,
     };
-    for error in definition.faults() {
+    for error in definition.validate() {
         s.report(error.key(), error.to_string());
     }
     if !bounds::soft_can_grow(&definition) {
--- a/crates/fleet/coordinator/src/topics/follower.rs
+++ b/crates/fleet/coordinator/src/topics/follower.rs
@@ -8,7 +8,8 @@
 
 use beechloft_leases::Name;
 use beechloft_topic::{
-    Distrust, Key, Message, Offset, Subscriber, SubscriberInput, SubscriberOutput, SubscriberSettings, Told,
+    Key, Message, Offset, ProtocolViolation, Subscriber, SubscriberInput, SubscriberOutput,
+    SubscriberSettings, Told,
 };
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use tracing::{info, warn};
@@ -34,7 +35,7 @@
     /// It may be incomplete until it is caught up again.
     Behind,
     /// A replica sent what can't be; nothing of it was taken, and another replica is used.
-    ProtocolViolation(Distrust),
+    ProtocolViolation(ProtocolViolation),
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -204,7 +205,7 @@
                 FollowerEvent::CaughtUp(offset)
             }
             SubscriberOutput::Behind => FollowerEvent::Behind,
-            SubscriberOutput::Distrusted(violation) => {
+            SubscriberOutput::ProtocolViolation(violation) => {
                 warn!(topic = %self.topic, "a replica violated the protocol: {violation}");
                 FollowerEvent::ProtocolViolation(violation)
             }
--- a/crates/platform/front-node/src/directory.rs
+++ b/crates/platform/front-node/src/directory.rs
@@ -209,7 +209,7 @@
 )]
 fn policy_endpoint(server: ServerId, endpoint: &Endpoint, names: &Names) -> api::Endpoint {
     let zone = index_of(&names.zones, &endpoint.zone) as u16;
-    let server_type = index_of(&names.kinds, &endpoint.kind) as u8;
+    let server_type = index_of(&names.server_types, &endpoint.kind) as u8;
     api::Endpoint {
         server,
         state: match endpoint.status {
--- a/crates/platform/front-node/src/node/server_messages.rs
+++ b/crates/platform/front-node/src/node/server_messages.rs
@@ -36,7 +36,7 @@
     fn load_report(&self, text: Option<&str>) -> LoadReport {
         let mut report = LoadReport::default();
         for LoadValue { name, value } in load::parse(text.unwrap_or_default()) {
-            let index = self.names.reported.iter().position(|reported| reported == name);
+            let index = self.names.report_values.iter().position(|reported| reported == name);
             match index.and_then(|index| self.report_fields.get(index)) {
                 Some(ReportField::Streams) => report.streams = Some(value),
                 Some(ReportField::LinkUtilization) => report.link_utilization = Some(value),
