--- a/crates/fleet/quotas/src/admission.rs
+++ b/crates/fleet/quotas/src/admission.rs
@@ -1,4 +1,4 @@
-//! Which limits a session falls under, in which order, and by how much of each.
+//! Which limits apply to a session, in which order, and how much it takes of each.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 use crate::definition::{LimitDefinition, Resource, Scope};
 use crate::message::{Claim, Key};
 
-/// Whose session it is.
+/// The attributes of a session that limits refer to.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub struct Subject {
-    /// The customer whose title it is.
+    /// The customer that the title belongs to.
     pub customer: Key,
     /// The title.
     pub title: Key,
@@ -20,28 +20,28 @@
     pub viewer: Option<Key>,
     /// The highest rate that it may be given, kbit/s.
     pub kbits: u64,
-    /// The uplink of the box's rack, once a box was chosen.
+    /// The uplink of the media server's rack, once a server was chosen.
     pub uplink: Option<Key>,
-    /// The box, once one was chosen.
+    /// The media server, once one was chosen.
     pub server: Option<Key>,
 }
 
-/// What is about to happen.
+/// The point of a session at which it is admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Stage {
-    /// A session is asked for; its box is not known.
+    /// A session was requested; its media server is not known.
     Session,
-    /// An attempt goes to a box; how many the session had before.
+    /// An attempt goes to a media server; the number of earlier attempts of the session.
     Attempt(u16),
 }
 
-/// What was taken for a session or an attempt: it is to be given back once, when that is over. It can't be copied.
+/// The units that a session or an attempt holds, to be released once, when it ends. It can't be copied.
 #[derive(Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[cfg_attr(feature = "fault_injection", derive(Clone))]
 #[must_use]
 pub struct Reservation(pub(crate) u64);
 
-/// What a session takes of one counter.
+/// The units that a session needs of one counter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Due<'a> {
     pub(crate) claim: Claim,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// All that it falls under at this stage, by the names of limits: always the same order.
+    /// What it needs at this stage, in the order of the names of the limits.
     pub(crate) fn dues<'a>(&self, stage: Stage, all: &'a BTreeMap<Name, LimitDefinition>) -> Vec<Due<'a>> {
         all.values().filter_map(|of| self.due(stage, of)).collect()
     }
@@ -72,7 +72,7 @@
         let applies = match (of.counts, stage) {
             (Resource::Attempts, Stage::Attempt(before)) => before > 0,
             (Resource::Attempts, Stage::Session) => false,
-            // The first attempt is counted with the session where the box does not matter.
+            // The first attempt is counted with the session, if the media server does not matter.
             (Resource::SetUps, Stage::Attempt(before)) if !of.of.needs_box() => before > 0,
             _ => of.of.needs_box() != first,
         };
--- a/crates/fleet/quotas/src/admission_controller.rs
+++ b/crates/fleet/quotas/src/admission_controller.rs
@@ -1,4 +1,4 @@
-//! A front's machine behind a lock, and permits that give back what they took when they are dropped.
+//! Admission control of a front: its state machine behind a lock, and permits that release their units when they are dropped.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 type Clock = dyn Fn() -> Duration + Send + Sync;
 
-/// What admits at a front. Nothing here waits for the network: the lock is held for a look-up alone.
+/// The admission controller of a front. It never waits for the network: the lock is held for a look-up only.
 #[derive(Clone)]
 pub struct AdmissionController {
     front: Arc<Mutex<Front>>,
@@ -18,52 +18,52 @@
 }
 
 impl AdmissionController {
-    /// A gate; `clock` is the one that the front's machine goes by.
+    /// A controller; `clock` is the one that the front's state machine uses.
     pub fn new(front: Front, clock: impl Fn() -> Duration + Send + Sync + 'static) -> AdmissionController {
         AdmissionController { front: Arc::new(Mutex::new(front)), clock: Arc::new(clock) }
     }
 
-    /// The machine, for whoever sends and hears for it.
+    /// The state machine, for the thread that exchanges its messages.
     pub fn front(&self) -> MutexGuard<'_, Front> {
         self.front.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The time that it goes by.
+    /// The time of its clock.
     pub fn now(&self) -> Duration {
         (self.clock)()
     }
 
-    /// Admits, or not: of several limits all or none.
+    /// Admits a session or an attempt, against all of its limits or none.
     ///
     /// # Errors
-    /// The first limit, by name, that has no room.
+    /// The first limit, by name, that is reached.
     pub fn admit(&self, subject: &Subject, stage: Stage) -> Result<Permit, Refusal> {
         let mut front = self.front();
-        // After the lock was waited for: an account may have run out meanwhile.
+        // Read after the lock was acquired: the account may have expired while waiting for it.
         let now = self.now();
         let taken = front.take(now, subject, stage)?;
         drop(front);
-        Ok(Permit { taken: Some(taken), gate: self.clone() })
+        Ok(Permit { taken: Some(taken), controller: self.clone() })
     }
 }
 
-/// What a session or an attempt took of its limits. Dropped, it gives that back.
+/// The units that a session or an attempt holds. They are released when it is dropped.
 #[must_use]
 pub struct Permit {
     taken: Option<Reservation>,
-    gate: AdmissionController,
+    controller: AdmissionController,
 }
 
 impl Permit {
-    /// It is over.
+    /// Releases the units.
     pub fn end(self) {}
 
-    /// What it counts for, for the box that plays it: sessions and kbit/s of hard limits.
+    /// Its claims on hard limits of concurrent use, for the session's tag at the media server.
     pub fn claims(&self) -> Vec<(Claim, u64)> {
-        self.taken.as_ref().map(|taken| self.gate.front().claims(taken)).unwrap_or_default()
+        self.taken.as_ref().map(|taken| self.controller.front().claims(taken)).unwrap_or_default()
     }
 
-    /// Sessions that play on after this front has ended are not given back: boxes have them.
+    /// Keeps the units: the session continues at its media server after this front has ended.
     pub fn leave(mut self) {
         self.taken = None;
     }
@@ -72,8 +72,8 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         if let Some(taken) = self.taken.take() {
-            let now = self.gate.now();
-            self.gate.front().release(now, taken);
+            let now = self.controller.now();
+            self.controller.front().release(now, taken);
         }
     }
 }
--- a/crates/fleet/quotas/src/bounds.rs
+++ b/crates/fleet/quotas/src/bounds.rs
@@ -27,9 +27,9 @@
     let most = unseen(of);
     let cap = (most / 5).max(1).min(most);
     // A front hears of another's growth within twice the horizon, or one of the two stops to grow.
-    let window =
-        drift.longer(Duration::from_millis(2 * u64::from(rules.horizon_ms))).as_millis().max(1) as u64;
-    ((most - cap).saturating_mul(1_000) / window, cap)
+    let window = drift.longer(Duration::from_millis(2 * u64::from(rules.horizon_ms))).as_millis().max(1);
+    let window_ms = u64::try_from(window).unwrap_or(u64::MAX);
+    ((most - cap).saturating_mul(1_000) / window_ms, cap)
 }
 
 /// The most that a rate may admit in a window.
@@ -44,7 +44,8 @@
 pub fn one_hot_milli(of: &LimitDefinition) -> u64 {
     let kept = of.least.saturating_mul(of.seats().saturating_sub(1));
     let rest = of.units().saturating_sub(kept);
-    (u128::from(rest) * 1_000 / u128::from(of.units().max(1))) as u64
+    let milli = u128::from(rest) * 1_000 / u128::from(of.units().max(1));
+    u64::try_from(milli).unwrap_or(u64::MAX)
 }
 
 /// After so long a lowered limit is in force for all that comes new, and a lender has back what stands unused.
--- a/crates/fleet/quotas/src/expiry_timers.rs
+++ b/crates/fleet/quotas/src/expiry_timers.rs
@@ -1,4 +1,4 @@
-//! The leader's clock: which accounts run out, and how old orphans are.
+//! The leader's timers: expiry of accounts, and the age of orphans.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,26 +9,26 @@
 use crate::ledger::Ledger;
 use crate::message::{AccountId, Command, Event, OrphanId};
 
-/// What was put into the log may be lost; again after this.
-const AGAIN: Duration = Duration::from_secs(1);
+/// A proposal may be lost; it is repeated after this.
+const PROPOSAL_RETRY: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Deadline {
     at: Duration,
-    /// Renewals of an account, or how old an orphan was, when it began to be counted.
+    /// Renewals of an account, or the age of an orphan, when the timer was started.
     from: u64,
-    /// For an orphan: by how much it is older at `at`, milliseconds.
+    /// For an orphan: by how much it has aged at `at`, milliseconds.
     by_ms: u64,
-    told_until: Option<Duration>,
+    proposed_until: Option<Duration>,
 }
 
 impl Deadline {
     fn due(&self) -> Duration {
-        self.told_until.unwrap_or(self.at)
+        self.proposed_until.unwrap_or(self.at)
     }
 }
 
-/// Times of all accounts and orphans, while this keeper leads.
+/// Timers of all accounts and orphans, while this replica leads.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ExpiryTimers {
     drift: DriftBound,
@@ -39,7 +39,7 @@
 }
 
 impl ExpiryTimers {
-    /// Counts nothing yet.
+    /// No timers.
     pub fn new(drift: DriftBound) -> ExpiryTimers {
         ExpiryTimers { drift, leads: false, accounts: BTreeMap::new(), orphans: BTreeMap::new(), fault: None }
     }
@@ -54,8 +54,8 @@
         cfg!(feature = "fault_injection") && self.fault == Some(fault)
     }
 
-    /// This keeper begins to lead, or its state came anew as a whole while it leads. All accounts have their full time again, as it
-    /// does not know when the leader before it began to count; orphans go on from the age that the log has.
+    /// This replica begins to lead, or has installed a snapshot while it leads. All accounts have their full time to live again, as it
+    /// is not known when the previous leader started its timers; orphans continue from their age in the log.
     pub fn begin(&mut self, now: Duration, ledger: &Ledger) {
         self.leads = true;
         self.accounts.clear();
@@ -71,14 +71,14 @@
         }
     }
 
-    /// It leads no more.
+    /// This replica leads no more.
     pub fn end(&mut self) {
         self.leads = false;
         self.accounts.clear();
         self.orphans.clear();
     }
 
-    /// Something was applied. `now` is read after its commit.
+    /// Updates the timers after a change of the ledger. `now` is read after the commit.
     pub fn applied(&mut self, now: Duration, ledger: &Ledger, event: &Event) {
         if !self.leads {
             return;
@@ -104,32 +104,32 @@
     fn count(&mut self, now: Duration, ledger: &Ledger, id: AccountId) {
         if let Some((ttl_ms, renewals)) = ledger.account(id) {
             let at = now + self.longer(Duration::from_millis(u64::from(ttl_ms)));
-            self.accounts.insert(id, Deadline { at, from: renewals, by_ms: 0, told_until: None });
+            self.accounts.insert(id, Deadline { at, from: renewals, by_ms: 0, proposed_until: None });
         }
     }
 
     fn count_orphan(&mut self, now: Duration, ledger: &Ledger, id: OrphanId) {
         if let (Some(by_ms), Some(orphan)) = (ledger.next_age(id), ledger.orphan(id)) {
             let at = now + self.longer(Duration::from_millis(by_ms));
-            self.orphans.insert(id, Deadline { at, from: orphan.aged_ms, by_ms, told_until: None });
+            self.orphans.insert(id, Deadline { at, from: orphan.aged_ms, by_ms, proposed_until: None });
         }
     }
 
-    /// When it wants to be asked next.
+    /// When [`ExpiryTimers::due`] is next needed.
     pub fn next_due(&self) -> Option<Duration> {
         self.accounts.values().chain(self.orphans.values()).map(Deadline::due).min()
     }
 
-    /// What is to be put into the log now. Each counts only if nothing has come before it in the log.
+    /// The commands to propose now. Each has an effect only if no other change precedes it in the log.
     pub fn due(&mut self, now: Duration) -> Vec<Command> {
-        let again = now + AGAIN;
+        let again = now + PROPOSAL_RETRY;
         let mut all = Vec::new();
         for (id, d) in self.accounts.iter_mut().filter(|(_, d)| now >= d.due()) {
-            d.told_until = Some(again);
+            d.proposed_until = Some(again);
             all.push(Command::Expire { account: *id, renewals: d.from });
         }
         for (id, d) in self.orphans.iter_mut().filter(|(_, d)| now >= d.due()) {
-            d.told_until = Some(again);
+            d.proposed_until = Some(again);
             all.push(Command::Age { orphan: *id, from_ms: d.from, by_ms: d.by_ms });
         }
         all
--- a/crates/fleet/quotas/src/fault_injection.rs
+++ b/crates/fleet/quotas/src/fault_injection.rs
@@ -1,6 +1,6 @@
-//! Faults that tests plant, one at a time, to see that the checks find them.
+//! Faults that tests inject, one at a time, to verify that the checks detect them.
 
-/// A fault. Without the feature `planted` none can be planted.
+/// A fault. Without the feature `fault_injection` none can be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Fault {
     /// What a lost front held is free at once.
--- a/crates/fleet/quotas/src/front/admit.rs
+++ b/crates/fleet/quotas/src/front/admit.rs
@@ -30,8 +30,8 @@
     ///
     /// # Errors
     /// The first limit that has no room.
-    pub fn take(&mut self, now: Duration, subject: &Subject, stage: Stage) -> Result<Reservation, Refusal> {
-        self.now = self.now.max(now);
+    pub fn take(&mut self, at: Duration, subject: &Subject, stage: Stage) -> Result<Reservation, Refusal> {
+        self.now = self.now.max(at);
         let now = self.now;
         self.pass(now);
         let open = self.is_open(now);
@@ -69,13 +69,13 @@
             if hard {
                 let Some(slot) = self.slots.get_mut(&claim) else { continue };
                 slot.used = slot.used.saturating_sub(units);
-                slot.lately.freed(self.now);
+                slot.recent_counts.freed(self.now);
                 // What ends while the limit does not fit is nobody's here.
                 self.urgent |= slot.closed || slot.recall > 0;
             } else {
                 self.soft.release(&claim, units);
                 if let Some(slot) = self.slots.get_mut(&claim) {
-                    slot.lately.freed(self.now);
+                    slot.recent_counts.freed(self.now);
                 }
             }
         }
@@ -150,7 +150,7 @@
         let slot = self.slots.entry(due.claim.clone()).or_insert_with(|| Slot::new(now));
         slot.lacked(now, due.units);
         let first = slot.bucket.wait().filter(|_| why == RefusalReason::Rate).unwrap_or_default();
-        let again = slot.lately.again(now, first, &mut self.rng);
+        let again = slot.recent_counts.retry_delay(now, first, &mut self.rng);
         self.urgent = true;
         Refusal { limit, key, why, again }
     }
--- a/crates/fleet/quotas/src/front/io.rs
+++ b/crates/fleet/quotas/src/front/io.rs
@@ -8,60 +8,60 @@
 use crate::message::{AccountId, Claim, FrontId, Request, Response};
 use crate::soft::SoftShares;
 
-/// How a front keeps its account.
+/// Settings of a front.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct FrontSettings {
-    /// Times.
+    /// Parameters of all limits.
     pub rules: QuotaParameters,
-    /// How far clocks' rates may differ.
+    /// The drift bound of clocks.
     pub drift: DriftBound,
-    /// Each of its sessions carries a tag by which boxes can say what is left of them.
+    /// Each of its sessions has a tag at its media server, by which the sessions that it leaves can be counted.
     pub tagged: bool,
-    /// For what is drawn by chance.
+    /// Seed of random numbers.
     pub seed: u64,
 }
 
-/// What a front's machine hears.
+/// An input of a front.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FrontInput {
-    /// Only time has passed.
+    /// Time has passed.
     Tick,
-    /// A keeper's word.
+    /// A response of a replica.
     Response(Response),
-    /// An account is wanted from now on, whether a limit is known or not.
+    /// Open an account, even if no limit is known.
     Start,
-    /// A limit as settings have it; it is declared to the ledger where no other of its name is known.
+    /// Define a limit of the settings; it is declared to the ledger, unless one of its name is known.
     Define(LimitDefinition),
-    /// A limit is no more, as of this version.
+    /// Remove a limit, as of a version.
     Undefine(Name, u64),
-    /// Another front's row, which was written so long ago at most.
+    /// Another front's report of soft shares, and its maximum age.
     SoftShares(FrontId, SoftShares, Duration),
-    /// This front admits nobody any more; what plays goes on.
+    /// Stop admission and close the account; sessions in progress continue.
     Close,
 }
 
-/// What it wants done.
+/// An output of a front.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FrontOutput {
-    /// For the keeper that leads, or for any other if that one did not answer.
+    /// Send a request to the leading replica, or to any other if that one has not responded.
     Send(Request),
-    /// It has an account from now on.
+    /// The account is open.
     Opened(AccountId),
-    /// It has none any more: nobody is admitted by hard limits.
+    /// The account is lost: nobody is admitted under hard limits.
     Lost(AccountId),
-    /// What it left is in the log; it may end.
+    /// The account is closed; the process may end.
     Closed,
-    /// Its row is another now, for all fronts.
+    /// Report these soft shares to all fronts.
     SoftShares(SoftShares),
 }
 
-/// What it holds and uses of a claim.
+/// A share and its use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShareUsage {
-    /// Which.
+    /// The claim.
     pub claim: Claim,
-    /// The share, or the soft part.
+    /// The share, in units.
     pub share: u64,
-    /// In use.
+    /// Units in use.
     pub used: u64,
 }
--- a/crates/fleet/quotas/src/front/mod.rs
+++ b/crates/fleet/quotas/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! A front's side: its account, its shares, and who is admitted by them.
+//! A front's state machine: its account, its shares, and admission.
 
 mod admit;
 mod io;
@@ -25,14 +25,14 @@
 
 pub use self::io::{FrontInput, FrontOutput, FrontSettings, ShareUsage};
 
-/// From one word to the next, at least.
+/// Minimum interval between reports.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// From one copy of a request to the next.
+/// Delay of the first retransmission.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
-/// How often soft parts are looked at.
+/// Interval at which soft shares are reviewed.
 const SOFT_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A front's machine.
+/// The state machine of a front.
 #[derive(Debug, Clone)]
 pub struct Front {
     id: FrontId,
@@ -50,21 +50,21 @@
     looked_at: Duration,
     live: BTreeMap<u64, Live>,
     next_live: u64,
-    /// Something is to be said soon.
+    /// A report is due soon.
     urgent: bool,
-    /// From one urgent word to the next.
+    /// Interval between urgent reports.
     gap: Duration,
-    /// The limits that are known are those of this revision of the ledger's; none: it is to be asked.
+    /// The ledger's revision of the known limits; `None` if they are to be requested.
     revision: Option<u64>,
-    /// It has heard all limits once. Guards against a process that has just started, knows none, and would admit anybody.
+    /// It has received all limits once. Guards against a process that has just started, knows none, and would admit anybody.
     knows: bool,
-    /// What its own settings say, until it was declared under the account that it has.
+    /// Limits of its own settings that are not declared under the present account.
     declares: Vec<LimitDefinition>,
     settings: Vec<LimitDefinition>,
     fault: Option<Fault>,
 }
 
-/// All that decides what it does next, but for what is drawn by chance.
+/// All that decides its next outputs, except the random numbers.
 impl std::hash::Hash for Front {
     fn hash<H: std::hash::Hasher>(&self, into: &mut H) {
         (self.id, &self.state, self.seq, self.now, &self.definitions, &self.slots).hash(into);
@@ -73,7 +73,7 @@
 }
 
 impl Front {
-    /// No account yet, and no limit is known. `id` is drawn anew by each process.
+    /// A front without account that knows no limits. `id` must be drawn at random for each run of the process.
     pub fn new(id: FrontId, set: FrontSettings) -> Front {
         Front {
             id,
@@ -111,7 +111,7 @@
         cfg!(feature = "fault_injection") && self.fault == Some(fault)
     }
 
-    /// Who it is.
+    /// Its id.
     pub fn id(&self) -> FrontId {
         self.id
     }
@@ -121,7 +121,7 @@
         self.definitions.values()
     }
 
-    /// What it holds and uses of each claim.
+    /// Its shares, with their use.
     pub fn share_usages(&self) -> Vec<ShareUsage> {
         let hard = |claim: &&Claim| self.definitions.get(&claim.limit).is_none_or(LimitDefinition::is_hard);
         let claims = self.slots.keys().filter(hard).chain(self.soft.claims());
@@ -131,7 +131,7 @@
             .collect()
     }
 
-    /// What it holds and uses of one claim.
+    /// Its share of one claim, and the units in use.
     pub fn standing(&self, claim: &Claim) -> (u64, u64) {
         let soft = self.definitions.get(&claim.limit).is_some_and(|d| !d.is_hard());
         if soft {
@@ -140,7 +140,7 @@
         self.slots.get(claim).map_or((0, 0), |s| (s.share, s.used))
     }
 
-    /// How many units of a hard limit it might still admit, or at which rate, while its account runs.
+    /// Units of a hard limit that it may still admit, or the rate, while its account is open.
     pub fn room(&self, claim: &Claim) -> u64 {
         let rate = self.definitions.get(&claim.limit).is_some_and(|d| d.counts.is_rate());
         let open = self.slots.get(claim).filter(|s| !s.closed);
@@ -154,18 +154,18 @@
                 && matches!(self.state, State::Closing { until, .. } if now < until)
     }
 
-    /// For how long it may act by a word that it asked for at once.
+    /// The part of the time to live in which the account may be used, counted from the creation of the request.
     fn usable_ttl(&self) -> Duration {
         let ttl = Duration::from_millis(u64::from(self.set.rules.ttl_ms));
         if self.has_fault(Fault::DriftIgnored) { ttl } else { self.set.drift.shorter(ttl) }
     }
 
-    /// From one word to the next if nothing happens.
+    /// Interval between reports if nothing happens.
     fn report_interval(&self) -> Duration {
         self.usable_ttl() / 4
     }
 
-    /// When it wants to hear of the time next.
+    /// When it needs a [`FrontInput::Tick`].
     pub fn next_due(&self) -> Option<Duration> {
         let hard = match &self.state {
             State::Idle | State::Closed => None,
@@ -181,11 +181,11 @@
         hard.into_iter().chain(soft).min()
     }
 
-    /// Takes an input. `now` is the clock that all else here goes by; it never goes back.
+    /// Handles an input. `now` is of the clock that all other methods use, which never goes back.
     pub fn handle(&mut self, now: Duration, input: FrontInput) -> Vec<FrontOutput> {
         self.now = self.now.max(now);
         let mut out = Vec::new();
-        // Before anything that is said: a process that was stopped beyond its time has lost its account, whatever waits for it.
+        // Comes before the input: a process that was paused beyond its time has lost its account, whatever messages wait for it.
         self.expire(&mut out);
         match input {
             FrontInput::Tick => {}
@@ -200,7 +200,7 @@
             FrontInput::Undefine(name, version) => self.undefine(name, version),
             FrontInput::SoftShares(from, row, age) => {
                 let forget = self.definitions.values().map(|d| d.longest_ms).max().unwrap_or(0);
-                self.soft.heard(self.now, from, row, age, forget);
+                self.soft.on_report(self.now, from, row, age, forget);
             }
             FrontInput::Close => self.close(&mut out),
         }
@@ -214,7 +214,7 @@
                 out.push(FrontOutput::Lost(account));
                 self.reopen(out);
             }
-            // What it left stays counted as its whole share; that is safe.
+            // What it left stays counted as its whole share, which is safe.
             State::Closing { until, .. } if self.now >= until => {
                 self.state = State::Closed;
                 out.push(FrontOutput::Closed);
@@ -223,7 +223,7 @@
         }
     }
 
-    /// It has no share any more and asks for an account; what it uses it goes on using.
+    /// Gives up all shares and requests a new account; sessions in progress continue.
     fn reopen(&mut self, out: &mut Vec<FrontOutput>) {
         for slot in self.slots.values_mut() {
             (slot.share, slot.recall, slot.closed) = (0, 0, false);
@@ -233,7 +233,7 @@
         let new = self.new_request(Op::Open { ttl_ms: self.set.rules.ttl_ms, tagged: self.set.tagged });
         out.push(self.send(&new));
         self.state = State::Opening(new);
-        // Limits may have changed meanwhile; its settings may be news to a ledger that began anew.
+        // Limits may have changed in the meantime, and a new ledger may not know the limits of its settings.
         self.revision = None;
         self.declares = self.settings.clone();
     }
@@ -242,9 +242,9 @@
         FrontOutput::Send(Request { front: self.id, seq: of.seq, op: (*of.op).clone() })
     }
 
-    /// Between a half of it and all of it, by chance, so that those who fail together do not come again together.
+    /// A random delay between half the span and all of it, so that fronts that failed together do not retry together.
     fn jittered(&mut self, span: Duration) -> Duration {
-        let micros = span.as_micros() as u64;
+        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         Duration::from_micros(self.rng.random_range(micros / 2..=micros))
     }
 
@@ -260,8 +260,8 @@
         }
     }
 
-    /// Another copy.
-    fn copy(&mut self, of: &mut PendingRequest, out: &mut Vec<FrontOutput>) {
+    /// Retransmits a request.
+    fn retransmit(&mut self, of: &mut PendingRequest, out: &mut Vec<FrontOutput>) {
         let doubled = if matches!(self.state, State::Open { .. }) { 0 } else { of.tries.min(3) };
         of.tries += 1;
         of.retry_at = self.now + self.jittered(RETRY_DELAY.min(self.usable_ttl() / 12) * 2u32.pow(doubled));
@@ -276,7 +276,7 @@
             }
             return;
         };
-        // From here on nobody is admitted: what is said to be left is all there will be.
+        // From here on nobody is admitted: nothing is added to what is reported to be left.
         let left = self.slots.iter().filter(|(_, s)| s.used > 0).map(|(c, s)| (c.clone(), s.used)).collect();
         let new = self.new_request(Op::Close { account, left });
         out.push(self.send(&new));
@@ -294,7 +294,7 @@
                         self.new_request(Op::Open { ttl_ms: self.set.rules.ttl_ms, tagged: self.set.tagged });
                     out.push(self.send(&of));
                 } else {
-                    self.copy(&mut of, out);
+                    self.retransmit(&mut of, out);
                 }
                 self.state = State::Opening(of);
             }
@@ -308,11 +308,11 @@
                 self.send_report(account, until, out);
             }
             State::Open { account, until, reported_at, out: Some(mut of) } if now >= of.retry_at => {
-                self.copy(&mut of, out);
+                self.retransmit(&mut of, out);
                 self.state = State::Open { account, until, reported_at, out: Some(of) };
             }
             State::Closing { account, until, out: mut of } if now >= of.retry_at => {
-                self.copy(&mut of, out);
+                self.retransmit(&mut of, out);
                 self.state = State::Closing { account, until, out: of };
             }
             _ => {}
@@ -320,9 +320,10 @@
         if now >= self.looked_at + SOFT_CHECK_INTERVAL {
             self.looked_at = now;
             self.pass(now);
-            self.soft.look(now, &self.definitions);
+            self.soft.shrink(now, &self.definitions);
         }
-        if let Some(row) = self.soft.row().filter(|_| self.definitions.values().any(|d| !d.is_hard())) {
+        if let Some(row) = self.soft.take_report().filter(|_| self.definitions.values().any(|d| !d.is_hard()))
+        {
             out.push(FrontOutput::SoftShares(row));
         }
     }
--- a/crates/fleet/quotas/src/front/report.rs
+++ b/crates/fleet/quotas/src/front/report.rs
@@ -8,7 +8,7 @@
 use crate::message::{AccountId, Claim, Key, MAX_REPORTS, Op, ShareReport};
 
 impl Front {
-    /// Says what has changed, and has the account for as long again.
+    /// Sends a report of the shares that have changed, which renews the account.
     pub(super) fn send_report(&mut self, account: AccountId, until: Duration, out: &mut Vec<FrontOutput>) {
         let op = if self.revision.is_none() {
             Op::Limits { account }
@@ -26,7 +26,7 @@
     fn reports(&mut self) -> Vec<ShareReport> {
         let (now, patience) = (self.now, 2 * self.report_interval());
         let mut lines = Vec::new();
-        // Limits without many keys are held from the start, so that the first who comes finds a share.
+        // Limits without many keys are held from the start, so that the first session finds a share.
         for of in self.definitions.values().filter(|d| d.is_hard() && !slot::keyed(d)) {
             let key = of.only.clone().unwrap_or_default();
             let claim = Claim { limit: of.name.clone(), key, customer: Key::default() };
@@ -34,7 +34,7 @@
         }
         for (claim, slot) in &mut self.slots {
             let Some(of) = self.definitions.get(&claim.limit).filter(|d| d.is_hard()) else { continue };
-            // What finds no room is said with the next word.
+            // The others are reported with the next request.
             if lines.len() >= MAX_REPORTS {
                 break;
             }
--- a/crates/fleet/quotas/src/front/response.rs
+++ b/crates/fleet/quotas/src/front/response.rs
@@ -20,7 +20,7 @@
             (State::Opening(of), Answer::Opened(account, told)) if mine(&of) => {
                 let until = from(&of) + self.usable_ttl();
                 if self.now >= until {
-                    // It came too late to be of use.
+                    // The answer came too late to be of use.
                     return self.reopen(out);
                 }
                 self.state = State::Open { account, until, reported_at: self.now, out: None };
@@ -41,7 +41,7 @@
                         }
                     }
                     Answer::Limits(all, revision) => self.limits(all, revision),
-                    // It asks for all again, its own among them.
+                    // It requests all limits again, its own included.
                     Answer::Declared => (self.revision, self.urgent, self.gap) = (None, true, Duration::ZERO),
                     Answer::Rejected(Rejection::NoAccount) => {
                         out.push(FrontOutput::Lost(account));
@@ -65,7 +65,7 @@
         let (mut grew, mut lacks) = (false, false);
         for line in told {
             let Some(of) = self.definitions.get(&line.claim.limit) else {
-                // A limit that this front has not heard of yet: it says that it holds nothing of it.
+                // A limit unknown to this front: it will report that it holds nothing of it.
                 self.slots.entry(line.claim).or_insert_with(|| Slot::new(now)).share = line.share;
                 continue;
             };
@@ -77,7 +77,7 @@
             }
             lacks |= slot.is_lacking() || line.recall > 0 || line.closed && slot.share > slot.used;
         }
-        // One that lacks asks again, ever more seldom while nothing comes.
+        // A front that lacks units reports again, with increasing intervals while none are granted.
         if lacks {
             self.urgent = true;
             self.gap = if grew {
--- a/crates/fleet/quotas/src/front/slot.rs
+++ b/crates/fleet/quotas/src/front/slot.rs
@@ -5,7 +5,7 @@
 use crate::bucket::Bucket;
 use crate::definition::{LimitDefinition, MILLI};
 use crate::message::ShareReport;
-use crate::refusal::Lately;
+use crate::refusal::RecentCounts;
 
 /// A slot of one key among many is let go after it was not used for so long.
 const FORGET: Duration = Duration::from_secs(30);
@@ -20,7 +20,7 @@
     /// Others lack so much of it.
     pub(super) recall: u64,
     pub(super) bucket: Bucket,
-    pub(super) lately: Lately,
+    pub(super) recent_counts: RecentCounts,
     /// Units that came and that were refused since the last word.
     came: u64,
     lacked: u64,
@@ -69,7 +69,7 @@
     }
 
     fn roll(&mut self, now: Duration, of: &LimitDefinition) {
-        let passed = now.saturating_sub(self.rolled_at).as_millis().max(1) as u64;
+        let passed = u64::try_from(now.saturating_sub(self.rolled_at).as_millis().max(1)).unwrap_or(u64::MAX);
         if of.counts.is_rate() {
             let seen = (self.came + self.lacked).saturating_mul(MILLI * 1_000) / passed;
             self.pace = if seen > self.pace { (self.pace + seen) / 2 } else { (3 * self.pace + seen) / 4 };
--- a/crates/fleet/quotas/src/front/state.rs
+++ b/crates/fleet/quotas/src/front/state.rs
@@ -5,7 +5,7 @@
 
 use crate::message::{AccountId, Op};
 
-/// A request that is out.
+/// A request without answer so far.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct PendingRequest {
     pub seq: u64,
@@ -18,7 +18,7 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum State {
-    /// No hard limit is known: nothing is asked for.
+    /// No hard limit is known, and no account is needed.
     Idle,
     Opening(PendingRequest),
     Open {
--- a/crates/fleet/quotas/src/ledger/mod.rs
+++ b/crates/fleet/quotas/src/ledger/mod.rs
@@ -182,14 +182,14 @@
             events.push(Event::Returned(orphan, id));
         }
         events.push(Event::Renewed(id));
-        let shares = self.accounts.get(&id).into_iter().flat_map(|a| &a.shares);
+        let held = self.accounts.get(&id).into_iter().flat_map(|account| &account.shares);
         let told = |(claim, s): (&Claim, &Share)| ShareGrant {
             claim: claim.clone(),
             share: s.share,
             recall: 0,
             closed: self.is_over(claim),
         };
-        Ok(Answer::Opened(id, shares.map(told).collect()))
+        Ok(Answer::Opened(id, held.map(told).collect()))
     }
 
     /// What a front is to hear of a share of which it says nothing.
--- a/crates/fleet/quotas/src/lib.rs
+++ b/crates/fleet/quotas/src/lib.rs
@@ -7,8 +7,6 @@
 //! that follows from the settings ([`bounds`]).
 //!
 //! There is no I/O here and no clock: the caller passes the time. `docs/limits.md` has the argument.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 mod admission;
--- a/crates/fleet/quotas/src/refusal.rs
+++ b/crates/fleet/quotas/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The answer "no": which limit, why, and when to come again.
+//! Refusals: which limit was reached, why, and when to retry.
 
 use std::time::Duration;
 
@@ -8,49 +8,51 @@
 
 use crate::key::Key;
 
-/// Why somebody is not admitted.
+/// Why a session or an attempt is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// This front's share is in use.
+    /// This front's share is used up.
     Full,
-    /// More is over than the limit allows since it was lowered.
+    /// The limit was lowered below the present use.
     Lowered,
-    /// The rate is used up for now.
+    /// The rate is used up at present.
     Rate,
-    /// This front has no account at the keepers, and so no share.
+    /// This front has no account at the replicas, and so no share.
     NoAccount,
 }
 
-/// Not admitted.
+/// A refusal.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("the limit '{limit}' of '{key}' is reached")]
 pub struct Refusal {
-    /// Which limit.
+    /// The limit.
     pub limit: Name,
-    /// Whose.
+    /// The key of the counter.
     pub key: Key,
-    /// Why.
+    /// The reason.
     pub why: RefusalReason,
-    /// Come again after this.
+    /// Delay before a retry.
     pub again: Duration,
 }
 
-/// The shortest and the longest time after which one that was refused is told to come again.
-const AGAIN: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(60));
-/// Refusals and ends are counted over so long.
+/// Minimum delay before a retry.
+const MIN_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Maximum delay before a retry.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(60);
+/// The window over which refusals and releases are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// How many were refused, and how many places came free, of late.
+/// Recent refusals and releases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
-pub(crate) struct Lately {
+pub(crate) struct RecentCounts {
     since: Duration,
     refused: u32,
     freed: u32,
-    /// Freed in the window before, so that the first of a window are not told of none.
+    /// Releases in the previous window, so that the first refusals of a window have an estimate.
     freed_before: u32,
 }
 
-impl Lately {
+impl RecentCounts {
     fn roll(&mut self, now: Duration) {
         if now.saturating_sub(self.since) >= WINDOW {
             self.freed_before = if now.saturating_sub(self.since) >= 2 * WINDOW { 0 } else { self.freed };
@@ -63,14 +65,15 @@
         self.freed = self.freed.saturating_add(1);
     }
 
-    /// Another is refused: when it is to come again. Those of a window are spread over the time in which so many places come
-    /// free, as far as is seen.
-    pub(crate) fn again(&mut self, now: Duration, first: Duration, rng: &mut impl Rng) -> Duration {
+    /// Counts a refusal and returns the delay before its retry. The retries of a window are spread over the time in which as many
+    /// releases are expected.
+    pub(crate) fn retry_delay(&mut self, now: Duration, first: Duration, rng: &mut impl Rng) -> Duration {
         self.roll(now);
         self.refused = self.refused.saturating_add(1);
         let freed = self.freed.max(self.freed_before).max(1);
-        let spread = (WINDOW * self.refused / freed).clamp(AGAIN.0, AGAIN.1);
-        let micros = rng.random_range(0..=spread.as_micros() as u64);
-        first.clamp(AGAIN.0 / 4, AGAIN.1) + Duration::from_micros(micros)
+        let spread = (WINDOW * self.refused / freed).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
+        let max_micros = u64::try_from(spread.as_micros()).unwrap_or(u64::MAX);
+        let micros = rng.random_range(0..=max_micros);
+        first.clamp(MIN_RETRY_DELAY / 4, MAX_RETRY_DELAY) + Duration::from_micros(micros)
     }
 }
--- a/crates/fleet/quotas/src/soft.rs
+++ b/crates/fleet/quotas/src/soft.rs
@@ -1,5 +1,5 @@
-//! Soft limits: each front takes a part, says so in a row of its own, and lets its part grow at a pace, so that what the others
-//! have not heard of yet is bounded. See `docs/limits.md` for the bound.
+//! Soft limits: each front takes a share, reports its shares by gossip, and lets a share grow at a bounded rate, so that the growth
+//! that others have not received yet is bounded. See `docs/limits.md` for the bound.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,20 +14,20 @@
 
 /// Maximum number of shares in one report.
 pub const MAX_SOFT_SHARES: usize = 256;
-/// Rows that are kept.
+/// Maximum number of fronts whose shares are kept.
 const MAX_PEERS: usize = 4096;
 
-/// What a front says of itself: its parts.
+/// A front's report of its shares.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub struct SoftShares {
-    /// Its part of each claim, in units.
+    /// Its share of each claim, in units.
     pub parts: BTreeMap<Claim, u64>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Seen {
     row: SoftShares,
-    /// Not said later than this, by this front's clock.
+    /// Upper bound of the time of the report, by this front's clock.
     made: Duration,
     forget_ms: u64,
 }
@@ -36,17 +36,17 @@
 struct Own {
     part: u64,
     used: u64,
-    /// What it may grow by now, in thousandths of a unit, and since when that was counted.
+    /// Permitted growth at the time `at`, in thousandths of a unit.
     allowed: u64,
     at: Duration,
     begun: bool,
     idle_since: Option<Duration>,
 }
 
-/// A part that is not used for so long is let go.
-const IDLE: Duration = Duration::from_secs(1);
+/// A share that is unused for so long is given up.
+const IDLE_TIME: Duration = Duration::from_secs(1);
 
-/// A front's soft parts.
+/// A front's shares of soft limits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct SoftLimits {
     rules: QuotaParameters,
@@ -74,8 +74,15 @@
         cfg!(feature = "fault_injection") && self.fault == Some(fault)
     }
 
-    /// Another front's row came, which was said so long ago at most.
-    pub fn heard(&mut self, now: Duration, from: FrontId, row: SoftShares, age: Duration, forget_ms: u64) {
+    /// Handles another front's report, which is at most `age` old.
+    pub fn on_report(
+        &mut self,
+        now: Duration,
+        from: FrontId,
+        row: SoftShares,
+        age: Duration,
+        forget_ms: u64,
+    ) {
         let made = now.saturating_sub(age);
         if self.rows.len() >= MAX_PEERS && !self.rows.contains_key(&from) || row.parts.len() > MAX_SOFT_SHARES
         {
@@ -86,8 +93,8 @@
         }
     }
 
-    /// This front's row, if it has changed since it was last taken.
-    pub fn row(&mut self) -> Option<SoftShares> {
+    /// This front's report, if it has changed since the last call.
+    pub fn take_report(&mut self) -> Option<SoftShares> {
         if !std::mem::take(&mut self.changed) {
             return None;
         }
@@ -95,8 +102,8 @@
         Some(SoftShares { parts: parts.take(MAX_SOFT_SHARES).collect() })
     }
 
-    /// Whether it has heard from more than half of all fronts within the horizon, itself among them.
-    pub fn hears(&self, now: Duration) -> bool {
+    /// Whether it has received reports from a majority of all fronts within the horizon, itself included.
+    pub fn has_majority(&self, now: Duration) -> bool {
         if self.has_fault(Fault::HorizonIgnored) {
             return true;
         }
@@ -108,15 +115,15 @@
     fn others(&self, of: &LimitDefinition, claim: &Claim) -> u64 {
         let counted = |s: &Seen| s.row.parts.get(claim).copied().unwrap_or(0).max(of.least);
         let known: u64 = self.rows.values().map(counted).sum();
-        // What is kept for those that have not been heard of.
+        // What is reserved for those without report.
         let unknown = u64::from(of.fronts.saturating_sub(1)).saturating_sub(self.rows.len() as u64);
         known + unknown * of.least
     }
 
-    /// Whether so many units more fit into this front's part, which grows for them if it may.
+    /// Whether more units fit into this front's share, which grows for them if it may.
     pub(crate) fn fits(&mut self, now: Duration, of: &LimitDefinition, claim: &Claim, units: u64) -> bool {
         self.forget(now);
-        let hears = self.hears(now);
+        let has_majority = self.has_majority(now);
         let others = self.others(of, claim);
         let at_once = self.has_fault(Fault::SoftShareGrowsAtOnce);
         let (pace, cap) = bounds::soft_pace(of, &self.rules, self.drift);
@@ -124,17 +131,17 @@
         if !own.begun {
             (own.begun, own.at) = (true, now);
         }
-        let passed = now.saturating_sub(own.at).as_millis() as u64;
+        let passed = u64::try_from(now.saturating_sub(own.at).as_millis()).unwrap_or(u64::MAX);
         own.allowed = (own.allowed + passed.saturating_mul(pace)).min(cap * 1_000);
         own.at = own.at.max(now);
         let before = own.part;
-        if !hears {
+        if !has_majority {
             own.part = own.part.min(of.least);
         }
         own.part = own.part.max(of.least);
         let need = (own.used + units).saturating_sub(own.part);
         let free = of.units().saturating_sub(others).saturating_sub(own.part);
-        if need > 0 && hears && free >= need && (own.allowed >= need * 1_000 || at_once) {
+        if need > 0 && has_majority && free >= need && (own.allowed >= need * 1_000 || at_once) {
             own.allowed = own.allowed.saturating_sub(need * 1_000);
             own.part += need;
         }
@@ -154,22 +161,22 @@
         }
     }
 
-    /// Lets go what stands unused, and what a front that is cut off may not keep.
-    pub fn look(&mut self, now: Duration, all: &BTreeMap<beechloft_leases::Name, LimitDefinition>) {
+    /// Gives up unused shares, and those that a partitioned front may not keep.
+    pub fn shrink(&mut self, now: Duration, all: &BTreeMap<beechloft_leases::Name, LimitDefinition>) {
         self.forget(now);
-        let hears = self.hears(now);
+        let has_majority = self.has_majority(now);
         let mut changed = false;
         self.own.retain(|claim, own| {
             let Some(of) = all.get(&claim.limit) else { return false };
             let before = own.part;
-            if !hears {
+            if !has_majority {
                 own.part = own.part.min(of.least);
             }
-            // Some room above what it uses stays, or each session would have to wait for growth.
+            // Some headroom above the use is kept, or each session would have to wait for growth.
             let keep = (own.used + own.used / 8).max(of.least);
             if own.part > keep {
                 let since = *own.idle_since.get_or_insert(now);
-                if now.saturating_sub(since) >= IDLE {
+                if now.saturating_sub(since) >= IDLE_TIME {
                     (own.part, own.idle_since) = (keep, None);
                 }
             } else {
@@ -181,17 +188,17 @@
         self.changed |= changed;
     }
 
-    /// Rows of fronts that are silent for longer than any session lives.
+    /// Removes reports of fronts that have been silent for longer than any session lasts.
     fn forget(&mut self, now: Duration) {
         self.rows.retain(|_, s| now.saturating_sub(s.made) < Duration::from_millis(s.forget_ms));
     }
 
-    /// All that it has a part of.
+    /// All claims that it has a share of.
     pub(crate) fn claims(&self) -> impl Iterator<Item = &Claim> {
         self.own.keys()
     }
 
-    /// This front's part and what it uses of a claim.
+    /// This front's share of a claim, and the units in use.
     pub fn standing(&self, claim: &Claim) -> (u64, u64) {
         self.own.get(claim).map_or((0, 0), |o| (o.part, o.used))
     }
--- a/crates/fleet/quotas/src/tally.rs
+++ b/crates/fleet/quotas/src/tally.rs
@@ -144,14 +144,14 @@
         } else {
             // In proportion of what each lacks, but one at least, so that it goes on.
             let part = u128::from(room) * u128::from(need) / u128::from(need + others).max(1);
-            need.min((part as u64).max(1))
+            need.min(u64::try_from(part).unwrap_or(u64::MAX).max(1))
         };
         let grant = first + fair.min(room);
         let surplus = own.spare(of.least);
         let lacking = others.saturating_sub(avail.saturating_sub(grant - first));
         let all = (self.spare + surplus).max(1);
         let asked = u128::from(lacking) * u128::from(surplus) / u128::from(all);
-        let mut recall = (asked as u64).max(u64::from(lacking > 0)).min(surplus);
+        let mut recall = u64::try_from(asked).unwrap_or(u64::MAX).max(u64::from(lacking > 0)).min(surplus);
         // What is lent and wanted back is owed whether it is in use or not: it comes back as sessions end.
         recall = recall.max(mine_to_give.min(own.share.saturating_sub(of.least)));
         Turn { grant, recall, closed: false }
@@ -173,6 +173,6 @@
         let lent = if lenders > 0 { 0 } else { avail.saturating_sub(self.kept(of, customer)) };
         let lent_to_it = u128::from(lenders.min(its.saturating_sub(part)));
         let mine = (lent_to_it * u128::from(own.share)).div_ceil(u128::from(its.max(1)));
-        (avail.min(within.max(lent)), mine as u64)
+        (avail.min(within.max(lent)), u64::try_from(mine).unwrap_or(u64::MAX))
     }
 }
--- a/crates/fleet/quotas/tests/seeds.rs
+++ b/crates/fleet/quotas/tests/seeds.rs
@@ -1,7 +1,5 @@
 //! Fronts, a ledger and boxes under a simulated clock, by seeds: what plays at the boxes is never over a hard limit, and a limit is
 //! used in full.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
 
@@ -13,12 +11,17 @@
 const FRONTS: usize = 6;
 
 fn rules(fronts: usize) -> QuotaParameters {
-    QuotaParameters { fronts: fronts as u32, ttl_ms: 2_000, settle_ms: 400, horizon_ms: 2_000 }
+    QuotaParameters {
+        fronts: u32::try_from(fronts).expect("few fronts"),
+        ttl_ms: 2_000,
+        settle_ms: 400,
+        horizon_ms: 2_000,
+    }
 }
 
 fn limit(text: &str, counts: Resource, limit: u64, fronts: usize) -> LimitDefinition {
     LimitDefinition {
-        fronts: fronts as u32,
+        fronts: u32::try_from(fronts).expect("few fronts"),
         settle_ms: 400,
         longest_ms: 8_000,
         ..LimitDefinition::hard(name(text), counts, Scope::All, limit)
@@ -158,8 +161,8 @@
     // The longest life is over, and it is free again (here sessions outlived their longest life; boxes would have ended them).
     w.run(ms(6_000));
     assert_eq!(w.ledger.orphans().count(), 0);
-    let (_, _, w) = run(true);
-    assert_eq!(w.breach, None);
+    let (_, _, second) = run(true);
+    assert_eq!(second.breach, None);
 }
 
 #[test]
@@ -248,7 +251,8 @@
     w.hosts[0].demand = 400.0;
     // Unused room within an account's time, what plays as it ends.
     w.run(ms(2_000 + 1_600 + 2_000));
-    let share = |w: &World, n: usize| w.hosts[n].front.share_usages().iter().map(|s| s.share).sum::<u64>();
+    let share =
+        |world: &World, n: usize| world.hosts[n].front.share_usages().iter().map(|s| s.share).sum::<u64>();
     let (market, school) = (share(&w, 0), share(&w, 1));
     assert!(market >= 74 && school <= 44, "market {market}, school {school}");
     assert_eq!(w.breach, None);
@@ -267,7 +271,7 @@
     w.define(LimitDefinition { version: 1, ..limit("sessions", Resource::Sessions, 30, 3) });
     w.run(ms(2_200));
     // It is in force: whoever comes is refused until it fits.
-    let admitted = |w: &World| w.hosts.iter().map(|h| h.admitted).sum::<u64>();
+    let admitted = |world: &World| world.hosts.iter().map(|h| h.admitted).sum::<u64>();
     let before = admitted(&w);
     while w.plays_of("sessions") > 30 {
         w.run(ms(50));
--- a/crates/fleet/quotas/tests/support/mod.rs
+++ b/crates/fleet/quotas/tests/support/mod.rs
@@ -287,7 +287,7 @@
     }
 
     fn way(&mut self) -> Duration {
-        let late = self.late.as_micros() as u64;
+        let late = u64::try_from(self.late.as_micros()).unwrap_or(u64::MAX);
         Duration::from_micros(self.rng.random_range(late / 4..=late))
     }
 
@@ -397,8 +397,10 @@
         self.next_session += 1;
         let id = self.next_session;
         let life = ms(self.rng.random_range(self.life.0..=self.life.1));
-        let comes =
-            self.now + Duration::from_micros(self.rng.random_range(0..=self.set_up.as_micros() as u64));
+        let comes = self.now
+            + Duration::from_micros(
+                self.rng.random_range(0..=u64::try_from(self.set_up.as_micros()).unwrap_or(u64::MAX)),
+            );
         let all = self.claims(n);
         let mut claims = Vec::new();
         for (claim, units) in all {
