--- a/crates/fleet/quotas/tests/explored.rs
+++ b/crates/fleet/quotas/tests/explored.rs
@@ -8,13 +8,12 @@
 use std::time::Duration;
 
 use beechloft_leases::{DriftBound, Name};
-use beechloft_model_checker::{Found, Limits, Model, Seen, explore};
+use beechloft_model_checker::{Counterexample, Exploration, FingerprintHasher, Limits, Model, explore};
 use beechloft_quotas::{
     Answer, Claim, Command, ExpiryTimers, Fault, Front, FrontId, FrontInput, FrontOutput, FrontSettings, Key,
     Ledger, LimitDefinition, Op, QuotaParameters, Request, Reservation, Resource, Response, Scope, Stage,
     Subject,
 };
-use siphasher::sip128::SipHasher13;
 
 const PPM: u32 = 90_000;
 const TTL_MS: u32 = 1_000;
@@ -205,7 +204,7 @@
     type State = World;
     type Action = Event;
 
-    fn starts(&self) -> Vec<World> {
+    fn initial_states(&self) -> Vec<World> {
         vec![self.start()]
     }
 
@@ -297,10 +296,10 @@
         }
     }
 
-    fn print(&self, w: &World, into: &mut SipHasher13) {
+    fn fingerprint(&self, w: &World, into: &mut FingerprintHasher) {
         (w.left, w.steps, &w.ledger, &w.times, &w.fronts, w.lives, w.surveyed).hash(into);
         fn of(m: &impl Hash) -> u64 {
-            let mut one = SipHasher13::new();
+            let mut one = FingerprintHasher::new();
             m.hash(&mut one);
             one.finish()
         }
@@ -312,7 +311,7 @@
         plays.hash(into);
     }
 
-    fn broken(&self, w: &World) -> Option<String> {
+    fn violation(&self, w: &World) -> Option<String> {
         let local = self.clock(self.rates.1, w.steps);
         let open = w.fronts.iter().filter(|f| f.is_open(local));
         let might = w.plays.len() as u64 + open.map(|f| f.room(&claim())).sum::<u64>();
@@ -333,7 +332,7 @@
     span_ms: u64,
     depth: usize,
     states: usize,
-) -> Result<Seen, Found<Event>> {
+) -> Result<Exploration, Counterexample<Event>> {
     let model = Small { fault, rates, span: Duration::from_millis(span_ms), left: LEFT };
     explore(&model, Limits { depth, states, threads: 4 })
 }
