--- a/src/bookkeeping.rs
+++ b/src/bookkeeping.rs
@@ -81,12 +81,13 @@
         self.account(id, Change::Add);
     }
 
-    /// Whether one further retry stays within the retry budget.
-    pub(crate) fn retry_budget_left(&self) -> bool {
-        let Some(budget) = self.settings.retry_budget else { return true };
-        let requests = self.recent_requests.count_younger(self.now, budget.window) as f64;
-        let retries = self.recent_retries.count_within(self.now, budget.window) as f64;
-        retries + 1.0 <= budget.min_retries + budget.retry_ratio * requests
+    /// A set-up is no longer in flight. It arrived by now, but when is not known: it counts until a window
+    /// from here. Guards against those that wait for a connection and arrive together with the next window's.
+    pub(crate) fn attempt_returned(&mut self, id: ServerId) {
+        if let Some(server) = self.servers.get_mut(&id) {
+            server.attempts_in_flight = server.attempts_in_flight.saturating_sub(1);
+            server.recent_attempts.record(self.now, self.settings.slow_start.overload_window);
+        }
     }
 
     /// Whether a front holds as many sessions of a title as the request's class allows.
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -48,4 +48,12 @@
         let max_attempts = self.settings.capabilities.max_attempts as usize;
         is_safe && has_time && session.attempted.len() < max_attempts && self.retry_budget_left()
     }
+
+    /// Whether one further retry stays within the retry budget.
+    fn retry_budget_left(&self) -> bool {
+        let Some(budget) = self.settings.retry_budget else { return true };
+        let requests = self.recent_requests.count_younger(self.now, budget.window) as f64;
+        let retries = self.recent_retries.count_within(self.now, budget.window) as f64;
+        retries + 1.0 <= budget.min_retries + budget.retry_ratio * requests
+    }
 }
--- a/src/policy/load_estimates.rs
+++ b/src/policy/load_estimates.rs
@@ -68,7 +68,11 @@
         // Past the admission limit nothing more is taken, so that a higher figure is brief, or absurd.
         let cap = self.settings.admission_limit.unwrap_or(1.0);
         let mut totals = UtilizationTotals::with_prior(prior, PRIOR_WEIGHT);
-        gauges.for_each(|gauge| totals.add(gauge, self.now, SAMPLE_WINDOW, cap));
+        for gauge in gauges {
+            // Who falls short reports it, who does not reports nothing: that tells of itself alone.
+            let sample = gauge.latest_sample().filter(|sample| gauge.shortfall_at != Some(sample.at));
+            totals.add(gauge, sample, self.now, SAMPLE_WINDOW, cap);
+        }
         totals.mean(&self.settings)
     }
 }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -34,9 +34,8 @@
     pub(super) fn record_success(&mut self, id: ServerId) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         self.probation_credit += if server.ejection_level > 0 { 1.0 } else { 0.0 };
-        let (may_have_restarted, failed_at, rack) =
-            (server.responded(self.now), server.failed_at, server.rack);
-        if may_have_restarted && !self.sessions_survived(id, rack, failed_at) {
+        let (failed_at, rack, may_be_new) = (server.failed_at, server.rack, server.responded(self.now));
+        if may_be_new && !self.sessions_survived(id, rack, failed_at) {
             self.servers.entry(id).and_modify(|s| s.started_at = Some(self.now));
         }
     }
@@ -45,9 +44,8 @@
     /// Guards against a lost answer or a broken connection that makes a sound server look cold; it hurts
     /// when a start is reported before the ends of the sessions that it cut.
     fn sessions_survived(&self, id: ServerId, rack: u32, failed_at: Micros) -> bool {
-        let sent_before =
-            |session: &Session| session.may_have_run.last().is_none_or(|d| d.sent_at < failed_at);
-        self.playing_at_rack(rack).any(|(server, session)| server == id && sent_before(session))
+        let is_older = |s: &Session| s.may_have_run.last().is_none_or(|d| d.sent_at < failed_at);
+        self.playing_at_rack(rack).any(|(server, session)| server == id && is_older(session))
     }
 
     /// A session is over that never played. An error that followed it from server to server is its own: a
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,7 +1,6 @@
 //! Slow start: decides the rate of set-ups at servers that started lately, or may have.
 
 use super::Policy;
-use crate::api::ServerId;
 use crate::state::{Server, whole_count};
 
 const SAFETY: f64 = 0.75; // fraction used of what overloads a cold server: set-ups differ in work
@@ -39,13 +38,4 @@
         let recent = server.recent_attempts.count_within(self.now, rule.overload_window);
         recent + (server.attempts_in_flight as usize) < allowed_here
     }
-
-    /// A set-up is no longer in flight. It arrived by now, but when is not known: it counts until a window
-    /// from here. Guards against those that wait for a connection and arrive together with the next window's.
-    pub(super) fn attempt_returned(&mut self, id: ServerId) {
-        if let Some(server) = self.servers.get_mut(&id) {
-            server.attempts_in_flight = server.attempts_in_flight.saturating_sub(1);
-            server.recent_attempts.record(self.now, self.settings.slow_start.overload_window);
-        }
-    }
 }
--- a/src/state/utilization.rs
+++ b/src/state/utilization.rs
@@ -1,6 +1,6 @@
 //! Utilization by other fronts: its mean over like resources.
 
-use super::ResourceGauge;
+use super::{ResourceGauge, UtilizationSample};
 use crate::api::{Micros, Settings};
 
 /// Smallest capacity that is divided by.
@@ -31,13 +31,18 @@
         UtilizationTotals { own_demand: 0.0, capacity: 0.0, count: 0.0, reported, reported_weight }
     }
 
-    /// Adds a resource and its newest sample, cut to `cap` and weighing less as it ages. A sample of a shortfall is
-    /// left out: servers report that they fall short, none that it does not, so that it tells of itself alone.
-    pub fn add(&mut self, gauge: &ResourceGauge, now: Micros, window: Micros, cap: f64) {
+    /// Adds a resource and a sample of it, cut to `cap` and weighing less as it ages.
+    pub fn add(
+        &mut self,
+        gauge: &ResourceGauge,
+        sample: Option<&UtilizationSample>,
+        now: Micros,
+        window: Micros,
+        cap: f64,
+    ) {
         self.own_demand += gauge.own_demand;
         self.capacity += gauge.capacity;
         self.count += 1.0;
-        let sample = gauge.latest_sample().filter(|sample| gauge.shortfall_at != Some(sample.at));
         if let Some(sample) = sample {
             let weight = sample.freshness(now, window);
             let own = sample.own_demand / gauge.capacity.max(MIN_CAPACITY);
