--- a/crates/platform/event-loop/tests/support/mod.rs
+++ b/crates/platform/event-loop/tests/support/mod.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// Long enough for anything that is to happen.
-pub const TIMEOUT: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(15);
 
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
