--- a/crates/testing/fleet-simulation/tests/machine_hash/driver.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/driver.rs
@@ -3,23 +3,22 @@
 
 use std::collections::BTreeMap;
 
-use beechloft::api::{Micros, SlotAssignment};
+use beechloft::api::Micros;
 use beechloft_fleet_simulation::settings::{ClusterSettings, SessionClass};
-use beechloft_front_node::{AttemptFailure, Input, Node, NodeLimits, Output, ViewerConnection};
-use beechloft_protocol::attributes::Attributes;
+use beechloft_front_node::{Input, Node, NodeLimits, Output, ViewerConnection};
+use beechloft_protocol::CallId;
 use beechloft_protocol::bus::{Endpoint, Status, Topology};
-use beechloft_protocol::server::{FromServer, Note, ServerMessage};
-use beechloft_protocol::viewer::{FromViewer, SetUp, SetUpError};
-use beechloft_protocol::{CallId, Cause};
+use beechloft_protocol::server::{FromServer, ServerMessage};
+use beechloft_protocol::viewer::FromViewer;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 use crate::canonical::{Encoder, INPUT_KINDS, OUTPUT_KINDS};
 
-const SERVERS: u16 = 8;
+pub(super) const SERVERS: u16 = 8;
 const CONNECTIONS: u64 = 5;
 const STEPS: usize = 4_000;
-const CAUSES: [u8; 6] = [16, 31, 34, 41, 47, 102];
+pub(super) const CAUSES: [u8; 6] = [16, 31, 34, 41, 47, 102];
 const LOADS: [&str; 4] =
     ["utilization:0.2;x1:0.1", "utilization:0.95;x1:1.1", "utilization:NaN;x1:-3;y", "utilization:0.6"];
 
@@ -38,21 +37,21 @@
 }
 
 pub struct Driver {
-    rng: ChaCha8Rng,
-    settings: ClusterSettings,
-    node: Node,
-    now: Micros,
-    endpoints: Vec<Endpoint>,
+    pub(super) rng: ChaCha8Rng,
+    pub(super) settings: ClusterSettings,
+    pub(super) node: Node,
+    pub(super) now: Micros,
+    pub(super) endpoints: Vec<Endpoint>,
     /// Attempts sent to media servers and not over, with the machine's number of the server.
-    attempts: BTreeMap<CallId, u32>,
+    pub(super) attempts: BTreeMap<CallId, u32>,
     /// Sessions that media servers play, with the machine's number of the server.
-    playing: BTreeMap<CallId, u32>,
+    pub(super) playing: BTreeMap<CallId, u32>,
     /// Probes that wait for an answer.
-    probes: BTreeMap<CallId, u32>,
+    pub(super) probes: BTreeMap<CallId, u32>,
     /// Server numbers that the machine has stated, and not dropped.
-    servers: BTreeMap<u32, String>,
-    next_call: u64,
-    record: Record,
+    pub(super) servers: BTreeMap<u32, String>,
+    pub(super) next_call: u64,
+    pub(super) record: Record,
 }
 
 impl Driver {
@@ -137,7 +136,7 @@
         }
     }
 
-    fn input(&mut self, input: Input) {
+    pub(super) fn input(&mut self, input: Input) {
         let mut encoder = Encoder::default();
         encoder.number(self.now.0);
         let input_tag = encoder.input(&input);
@@ -204,12 +203,12 @@
         operation
     }
 
-    fn pick(&mut self, all: &BTreeMap<CallId, u32>) -> Option<(CallId, u32)> {
+    pub(super) fn pick(&mut self, all: &BTreeMap<CallId, u32>) -> Option<(CallId, u32)> {
         let index = self.rng.random_range(0..all.len().max(1));
         all.iter().nth(index).map(|(id, server)| (*id, *server))
     }
 
-    fn connection(&mut self) -> ViewerConnection {
+    pub(super) fn connection(&mut self) -> ViewerConnection {
         ViewerConnection(self.rng.random_range(0..CONNECTIONS))
     }
 
@@ -218,7 +217,7 @@
         LOADS.get(index).map(|text| (*text).to_owned())
     }
 
-    fn server_line(&mut self, server: u32, event: FromServer) {
+    pub(super) fn server_line(&mut self, server: u32, event: FromServer) {
         let load = self.load();
         self.input(Input::ServerMessage(server_number(server), ServerMessage { event, load }));
     }
@@ -229,203 +228,6 @@
         self.input(Input::InitialTopologies(vec![whole, change]));
     }
 
-    fn set_up(&mut self) {
-        let id = CallId(self.next_call);
-        self.next_call += 1;
-        let (conn, timeout_ms) = (self.connection(), self.rng.random_range(50..5_000));
-        let message = FromViewer::SetUp(id, Ok(self.set_up_of(id, timeout_ms, None)));
-        self.input(Input::ViewerMessage(conn, message));
-    }
-
-    fn set_up_of(&mut self, id: CallId, timeout_ms: u64, at: Option<String>) -> Box<SetUp> {
-        let title = self.rng.random_range(0..40u64);
-        Box::new(SetUp {
-            class: ["stall-video", "banner"][usize::from(id.0.is_multiple_of(2))].into(),
-            timeout_ms,
-            title: format!("{title:016x}"),
-            title_id: title,
-            attributes: Attributes {
-                home_cell: self.rng.random_range(0..4),
-                copies: self.rng.random_range(1..=4),
-                max_rung: self.rng.random_range(0..3),
-                viewer: self.rng.random_range(0..200),
-                is_retry: self.rng.random_range(0..10) == 0,
-                playing_at: at,
-            },
-            description: format!("{id}\r\nc=IN IP4 10.4.7.9\r\n"),
-        })
-    }
-
-    fn answer(&mut self) {
-        let attempts = self.attempts.clone();
-        let Some((id, server)) = self.pick(&attempts) else { return };
-        self.attempts.remove(&id);
-        self.playing.insert(id, server);
-        self.server_line(server, FromServer::Accept(id, format!("answer {id}")));
-        if self.rng.random_range(0..20) == 0 {
-            self.server_line(server, FromServer::Accept(id, "a second copy".into()));
-        }
-    }
-
-    fn refuse(&mut self) {
-        let attempts = self.attempts.clone();
-        let Some((id, server)) = self.pick(&attempts) else { return };
-        self.attempts.remove(&id);
-        let cause = CAUSES[self.rng.random_range(0..CAUSES.len())];
-        self.server_line(server, FromServer::End(id, Cause::from(cause)));
-    }
-
-    fn break_attempt(&mut self) {
-        let attempts = self.attempts.clone();
-        let Some((id, server)) = self.pick(&attempts) else { return };
-        self.attempts.remove(&id);
-        let failures =
-            [AttemptFailure::NoConnection, AttemptFailure::NotSent, AttemptFailure::ConnectionReset];
-        let failure = failures[self.rng.random_range(0..failures.len())];
-        self.input(Input::AttemptFailed(server_number(server), id, failure));
-    }
-
-    fn end_session(&mut self) {
-        let playing = self.playing.clone();
-        let Some((id, server)) = self.pick(&playing) else { return };
-        self.playing.remove(&id);
-        let cause = CAUSES[self.rng.random_range(0..CAUSES.len())];
-        self.server_line(server, FromServer::End(id, Cause::from(cause)));
-    }
-
-    fn note(&mut self) {
-        let playing = self.playing.clone();
-        let Some((id, server)) = self.pick(&playing) else { return };
-        let value = self.rng.random_range(0.0..1.5);
-        let note = match self.rng.random_range(0..4) {
-            0 => Note::DeliveredFraction(value),
-            1 => Note::Rung(value),
-            2 => Note::LinkUtilization(value),
-            _ => Note::UplinkUtilization(value),
-        };
-        self.server_line(server, FromServer::Note(id, note));
-    }
-
-    fn leave(&mut self) {
-        let (conn, id) = (self.connection(), self.rng.random_range(0..self.next_call));
-        self.playing.remove(&CallId(id));
-        self.input(Input::ViewerMessage(conn, FromViewer::Release(CallId(id))));
-        self.input(Input::ViewerMessage(conn, FromViewer::Ignored(CallId(id))));
-    }
-
-    fn close_connection(&mut self) {
-        let conn = self.connection();
-        self.input(Input::ViewerConnectionClosed(conn));
-    }
-
-    fn undelivered_answer(&mut self) {
-        let playing = self.playing.clone();
-        if let Some((id, _)) = self.pick(&playing) {
-            self.input(Input::AnswerUndelivered(id));
-        }
-    }
-
-    fn malformed_set_up(&mut self) {
-        let conn = self.connection();
-        let open = self.attempts.clone();
-        let id = match self.rng.random_range(0..3) {
-            0 => self.pick(&open).map_or(CallId(1 << 40), |attempt| attempt.0),
-            _ => CallId(1 << 41),
-        };
-        let setup = match self.rng.random_range(0..5) {
-            0 => Err(SetUpError::Missing(1)),
-            1 => Err(SetUpError::Invalid(3)),
-            2 => Ok(self.set_up_of(id, 900, None)),
-            3 => {
-                let mut setup = self.set_up_of(id, 900, None);
-                setup.attributes.home_cell = 99;
-                Ok(setup)
-            }
-            _ => {
-                let mut setup = self.set_up_of(id, 900, None);
-                setup.class = "unknown".into();
-                Ok(setup)
-            }
-        };
-        self.input(Input::ViewerMessage(conn, FromViewer::SetUp(id, setup)));
-    }
-
-    /// Changes one endpoint: drained, removed, restarted, back, or with the address of another.
-    fn change_list(&mut self) {
-        let index = self.rng.random_range(0..self.endpoints.len());
-        let now_ms = self.now.0 / 1_000;
-        match self.rng.random_range(0..8) {
-            0..=1 => self.endpoints[index].status = Status::Terminating,
-            2 => self.endpoints[index].status = Status::Gone,
-            3 => self.endpoints[index].started_ms = now_ms,
-            4 => {
-                let address = self.endpoints[(index + 1) % self.endpoints.len()].address.clone();
-                self.endpoints[index].address = address;
-            }
-            5 => self.endpoints[index] = endpoint(index as u16),
-            _ => self.endpoints[index].status = Status::Ready,
-        }
-        let topology = match self.rng.random_range(0..6) {
-            0 => {
-                let listed = self.endpoints.iter().filter(|e| e.status != Status::Gone).cloned();
-                Topology { snapshot: true, endpoints: listed.collect() }
-            }
-            1 => Topology { snapshot: true, endpoints: Vec::new() },
-            _ => Topology { snapshot: false, endpoints: vec![self.endpoints[index].clone()] },
-        };
-        self.input(Input::Topology(topology));
-    }
-
-    fn lose_server(&mut self) {
-        let index = self.rng.random_range(0..self.servers.len().max(1));
-        let Some(server) = self.servers.keys().nth(index).copied() else { return };
-        self.playing.retain(|_, at| *at != server);
-        self.input(Input::ServerDown(server_number(server)));
-    }
-
-    fn answer_probe(&mut self) {
-        let probes = self.probes.clone();
-        let Some((id, server)) = self.pick(&probes) else { return };
-        self.probes.remove(&id);
-        let passed = self.rng.random_range(0..4) > 0;
-        self.server_line(server, FromServer::TestResult(id, passed));
-    }
-
-    /// A line about any session from any server.
-    fn unexpected_line(&mut self) {
-        let (id, server) =
-            (CallId(self.rng.random_range(0..self.next_call)), self.rng.random_range(0..SERVERS.into()));
-        let message = match self.rng.random_range(0..3) {
-            0 => FromServer::Accept(id, "unexpected".into()),
-            1 => FromServer::End(id, Cause::Normal),
-            _ => FromServer::Ignored(id),
-        };
-        self.server_line(server, message);
-    }
-
-    fn renumber(&mut self) {
-        let number = self.rng.random_range(0..4);
-        self.input(Input::SlotAssigned(SlotAssignment { slot: number, slot_count: 3, live_fronts: 3 }));
-    }
-
-    fn test(&mut self) {
-        let conn = self.connection();
-        self.input(Input::ViewerMessage(conn, FromViewer::Test(CallId(1 << 42))));
-    }
-
-    /// A session that plays is named by its viewer, at a server that is known or not.
-    fn hand_over(&mut self) {
-        let id = CallId(self.next_call);
-        self.next_call += 1;
-        let at = format!("s-{:08x}", self.rng.random_range(0..SERVERS + 1));
-        let server = self.servers.iter().rfind(|(_, name)| **name == at).map(|(number, _)| *number);
-        let (conn, setup) = (self.connection(), self.set_up_of(id, 4_294_967, Some(at)));
-        self.input(Input::ViewerMessage(conn, FromViewer::SetUp(id, Ok(setup))));
-        if let Some(server) = server {
-            self.playing.insert(id, server);
-        }
-    }
-
     /// The front node starts again: a new machine, to which viewers name the sessions that play.
     fn restart(&mut self) {
         self.node = fresh_node(&self.settings, &mut self.rng);
@@ -468,7 +270,7 @@
     Node::new(settings, rng.random(), bounds)
 }
 
-fn endpoint(number: u16) -> Endpoint {
+pub(super) fn endpoint(number: u16) -> Endpoint {
     Endpoint {
         name: format!("s-{number:08x}"),
         address: format!("127.0.0.{}:2905", number + 1),
@@ -481,6 +283,6 @@
     }
 }
 
-fn server_number(number: u32) -> beechloft_front_node::ServerIncarnation {
+pub(super) fn server_number(number: u32) -> beechloft_front_node::ServerIncarnation {
     beechloft_front_node::ServerIncarnation(number)
 }
--- a/crates/testing/fleet-simulation/tests/machine_hash/main.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/main.rs
@@ -5,6 +5,7 @@
 
 mod canonical;
 mod driver;
+mod steps;
 
 use std::collections::BTreeMap;
 
