--- a/crates/front/session/src/catalog/entries.rs
+++ b/crates/front/session/src/catalog/entries.rs
@@ -40,7 +40,7 @@
     pub kind: ServerType,
     /// Latest start of its process; zero: long ago or unknown.
     pub started: Micros,
-    /// Its size, as [`Sizes`](beechloft::api::Sizes) says.
+    /// Its size, as [`WeightMeaning`](beechloft::api::WeightMeaning) says.
     pub size: f64,
 }
 
