--- a/crates/front/server/src/lib.rs
+++ b/crates/front/server/src/lib.rs
@@ -49,7 +49,7 @@
     /// A seed for ids that must not repeat: two starts with one seed in their settings must not give a new call or
     /// session the id of one that is still active somewhere.
     fn seed_of_this_start(&self, seed: u64) -> u64 {
-        seed ^ self.clock.started().0.rotate_left(16)
+        seed ^ self.clock.started_at().0.rotate_left(16)
     }
 }
 
--- a/crates/platform/event-loop/src/event_loop/shutdown.rs
+++ b/crates/platform/event-loop/src/event_loop/shutdown.rs
@@ -32,7 +32,7 @@
     /// Each step first takes what has arrived meanwhile: connections in the listen queue, messages in the kernel's buffers,
     /// lines that have not been sent. Otherwise requests that cross the shutdown would be lost.
     fn shutdown_status(&mut self, now: Micros) -> LoopStatus {
-        let Some(terminated_at) = self.node.terminated() else { return LoopStatus::Running };
+        let Some(terminated_at) = self.node.shutdown_requested_at() else { return LoopStatus::Running };
         let elapsed = now - terminated_at;
         if elapsed >= self.limits.shutdown_deadline {
             // SIGKILL would cut off now what is not done by now.
--- a/crates/platform/event-loop/src/fleet.rs
+++ b/crates/platform/event-loop/src/fleet.rs
@@ -51,7 +51,7 @@
     /// Stops the front node if it waits for its turn and that has come, or the wait is over.
     pub fn check_stop_permission(&self, now: Micros, node: &Node, inputs: &mut VecDeque<Input>) {
         let Some(hooks) = &self.hooks else { return };
-        let waits = self.stop_wait_until.filter(|_| node.terminated().is_none());
+        let waits = self.stop_wait_until.filter(|_| node.shutdown_requested_at().is_none());
         let Some(wait_until) = waits else { return };
         let permitted = (hooks.may_stop)();
         if !permitted && now < wait_until {
--- a/crates/platform/event-loop/src/limits.rs
+++ b/crates/platform/event-loop/src/limits.rs
@@ -106,7 +106,7 @@
 const STOP_BEFORE_KILL: Micros = Micros(80_000);
 
 /// The smallest and the largest read-ahead of a viewers' connection: a whole message, and 64 KiB.
-const MIN_READ_AHEAD_BYTES: usize = beechloft_protocol::MAX_MESSAGE + 2;
+const MIN_READ_AHEAD_BYTES: usize = beechloft_protocol::MAX_MESSAGE_BYTES + 2;
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 
 impl SocketLimits {
--- a/crates/platform/front-node/src/directory.rs
+++ b/crates/platform/front-node/src/directory.rs
@@ -1,4 +1,4 @@
-//! Media servers by name, and their incarnations.
+//! Directory of known media servers and of their incarnations.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,23 +10,26 @@
 
 use crate::io::ServerIncarnation;
 
-/// The maximum of known servers; further endpoints of a list are ignored.
+/// Maximum number of known media servers. Further endpoints of a list are ignored.
 const MAX_SERVERS: usize = 4096;
 
-/// The FNV-1a hash of 32 bits, by Fowler, Noll and Vo: its initial value and its prime.
+/// Initial value of the 32-bit FNV-1a hash (Fowler, Noll and Vo).
 const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
+/// Prime of the 32-bit FNV-1a hash.
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// An incarnation, and what belongs to it.
+/// State of an incarnation, with the sessions that belong to it.
 #[derive(Debug)]
 pub(crate) struct IncarnationState {
+    /// Media server that the incarnation is a run of.
     pub server: ServerId,
+    /// Address that the incarnation listens on.
     pub address: SocketAddr,
-    /// It is no longer on the list.
+    /// Whether the incarnation was removed from the endpoint list.
     pub removed: bool,
-    /// Established sessions.
+    /// Sessions that are established at the incarnation.
     pub established: BTreeSet<CallId>,
-    /// Sessions with an attempt in flight there.
+    /// Sessions with an attempt in flight to the incarnation.
     pub in_flight: BTreeSet<CallId>,
 }
 
@@ -46,7 +49,7 @@
     }
 }
 
-/// A server with its latest incarnation.
+/// A known media server with its latest incarnation.
 #[derive(Debug)]
 struct Server {
     name: String,
@@ -55,37 +58,43 @@
     incarnation: ServerIncarnation,
 }
 
-/// An incarnation that an endpoint of a list has made known.
+/// An incarnation that an endpoint of a list introduced.
 #[derive(Debug)]
 pub(crate) struct NewIncarnation {
+    /// Identifier of the incarnation.
     pub incarnation: ServerIncarnation,
+    /// Address that the incarnation listens on.
     pub address: SocketAddr,
 }
 
-/// An endpoint of a list in the policy's form, and the incarnations that it changes.
+/// Result of applying an endpoint of a list: the endpoint as the policy sees it, and the incarnations that it changed.
 #[derive(Debug)]
 pub(crate) struct AppliedEndpoint {
+    /// Endpoint in the form that the policy takes.
     pub endpoint: api::Endpoint,
-    /// An incarnation that starts.
+    /// Incarnation that started.
     pub added: Option<NewIncarnation>,
-    /// The server's earlier incarnation, whose process has ended.
+    /// Previous incarnation of the media server, whose process has ended.
     pub replaced: Option<ServerIncarnation>,
-    /// An incarnation that was removed from the list.
+    /// Incarnation that was removed from the endpoint list.
     pub removed: Option<ServerIncarnation>,
 }
 
-/// All known media servers, and all incarnations that sessions or attempts belong to.
+/// All known media servers, and all incarnations that are listed or have sessions or attempts.
 #[derive(Debug, Default)]
 pub(crate) struct Directory {
     ids: BTreeMap<String, ServerId>,
     servers: BTreeMap<ServerId, Server>,
+    /// State of each incarnation.
     pub incarnations: BTreeMap<ServerIncarnation, IncarnationState>,
     last_incarnation: u32,
 }
 
 impl Directory {
-    /// Applies an endpoint of a list. None if it can't be used: its address is not valid, it removes an unknown server, or
-    /// there are too many.
+    /// Applies an endpoint of a list.
+    ///
+    /// Returns `None` if the endpoint can't be used: its address is not valid, it removes an unknown media server, or
+    /// there are [`MAX_SERVERS`] already.
     pub fn apply(&mut self, endpoint: &Endpoint, names: &Names) -> Option<AppliedEndpoint> {
         let address: SocketAddr = endpoint.address.parse().ok()?;
         let is_removed = endpoint.status == Status::Gone;
@@ -107,12 +116,14 @@
             applied.replaced = previous;
             applied.added = Some(self.start_incarnation(server, endpoint, address));
         }
-        self.mark_listed(server, is_removed);
+        self.set_removed(server, is_removed);
         Some(applied)
     }
 
-    /// The policy's identifier of a server. It is a hash of the name alone, so that it is the same at every front node;
-    /// of two names with the same hash the later one gets the next free identifier.
+    /// Returns the policy's identifier of a media server, and assigns one if the name is unknown.
+    ///
+    /// The identifier is a hash of the name alone, so that every front node uses the same one. If two names have the
+    /// same hash, the later one gets the next free identifier. Returns `None` if there are [`MAX_SERVERS`] already.
     fn id_or_insert(&mut self, name: &str) -> Option<ServerId> {
         if let Some(id) = self.ids.get(name) {
             return Some(*id);
@@ -128,6 +139,7 @@
         Some(id)
     }
 
+    /// Makes a new incarnation the latest one of a media server.
     fn start_incarnation(
         &mut self,
         server: ServerId,
@@ -142,45 +154,48 @@
         NewIncarnation { incarnation, address }
     }
 
-    fn mark_listed(&mut self, server: ServerId, is_removed: bool) {
+    /// Sets whether the latest incarnation of a media server is removed from the endpoint list.
+    fn set_removed(&mut self, server: ServerId, is_removed: bool) {
         let incarnation = self.incarnation(server);
         if let Some(state) = incarnation.and_then(|latest| self.incarnations.get_mut(&latest)) {
             state.removed = is_removed;
         }
     }
 
-    /// Marks an incarnation as removed from the list.
+    /// Marks an incarnation as removed from the endpoint list.
     pub fn mark_removed(&mut self, incarnation: ServerIncarnation) {
         if let Some(state) = self.incarnations.get_mut(&incarnation) {
             state.removed = true;
         }
     }
 
-    /// The policy's identifier of a known server.
+    /// Returns the policy's identifier of a known media server.
     pub fn server(&self, name: &str) -> Option<ServerId> {
         self.ids.get(name).copied()
     }
 
-    /// A server's latest incarnation.
+    /// Returns the latest incarnation of a media server.
     pub fn incarnation(&self, server: ServerId) -> Option<ServerIncarnation> {
         self.servers.get(&server).map(|known| known.incarnation)
     }
 
-    /// The incarnations with an address, on the list or not.
+    /// Returns the incarnations with an address, whether they are listed or not.
     pub fn incarnations_at(&self, address: SocketAddr) -> impl Iterator<Item = ServerIncarnation> {
         let with_address = self.incarnations.iter().filter(move |(_, state)| state.address == address);
         with_address.map(|(incarnation, _)| *incarnation)
     }
 
-    /// All servers that are on the list.
+    /// Returns all media servers that are on the endpoint list.
     pub fn listed(&self) -> Vec<ServerId> {
         let is_listed =
             |known: &Server| self.incarnations.get(&known.incarnation).is_some_and(|state| !state.removed);
         self.servers.iter().filter(|(_, known)| is_listed(known)).map(|(id, _)| *id).collect()
     }
 
-    /// Removes an incarnation that nothing belongs to and that is not listed, and with a server's last one the server.
-    /// Returns whether it was removed.
+    /// Removes an incarnation that has no sessions or attempts, if it is not the latest incarnation of a listed media
+    /// server.
+    ///
+    /// The media server is removed with its latest incarnation. Returns whether the incarnation was removed.
     pub fn remove_unused(&mut self, incarnation: ServerIncarnation) -> bool {
         let Some(state) = self.incarnations.get(&incarnation).filter(|state| state.is_idle()) else {
             return false;
@@ -198,18 +213,19 @@
     }
 }
 
-/// Whether an endpoint tells of a start of the server's process after the one that is known.
+/// Returns whether an endpoint describes a later start of the media server's process than the known one.
 fn is_new_start(known: &Server, endpoint: &Endpoint, address: SocketAddr) -> bool {
     known.address != address || endpoint.started_ms > known.started_ms
 }
 
+/// Converts an endpoint of a list to the form that the policy takes.
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "settings name fewer zones and kinds than the types can count"
+    reason = "settings define fewer zones and server types than the integer types can count"
 )]
 fn policy_endpoint(server: ServerId, endpoint: &Endpoint, names: &Names) -> api::Endpoint {
     let zone = index_of(&names.zones, &endpoint.zone) as u16;
-    let server_type = index_of(&names.server_types, &endpoint.kind) as u8;
+    let server_type = index_of(&names.server_types, &endpoint.server_type) as u8;
     api::Endpoint {
         server,
         state: match endpoint.status {
@@ -225,7 +241,7 @@
     }
 }
 
-/// The index of a name; an unknown one counts as the first.
+/// Returns the index of a name. An unknown name is treated as the first one.
 fn index_of(names: &[String], name: &str) -> usize {
     names.iter().position(|known| known == name).unwrap_or(0)
 }
--- a/crates/platform/front-node/src/io.rs
+++ b/crates/platform/front-node/src/io.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of the state machine: all that passes between it and the event loop that runs it.
+//! Inputs and outputs of the state machine: everything that it exchanges with the event loop.
 
 use std::net::SocketAddr;
 
@@ -8,97 +8,102 @@
 use beechloft_protocol::server::ServerMessage;
 use beechloft_protocol::viewer::{FromViewer, ToViewer};
 
-/// A viewer's connection. Numbers are never reused.
+/// Identifies a viewer's connection. Numbers are never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ViewerConnection(pub u64);
 
-/// One run of a media server's process: connections, attempts and sessions belong to it, not to an address. A restarted
-/// server, or another server at the same address, is another incarnation. Numbers are never reused.
+/// Identifies one run of a media server's process.
+///
+/// Connections, attempts and sessions belong to an incarnation and not to an address. A restarted media server, or
+/// another media server at the same address, is a new incarnation. Numbers are never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerIncarnation(pub u32);
 
-/// How an attempt failed without an answer of the media server.
+/// Reason why an attempt failed without an answer from the media server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// No connection was established: the media server ran nothing.
+    /// No connection was established, so the media server did not process the set-up.
     NoConnection,
-    /// No byte of the set-up was written, for a local reason: the media server ran nothing.
+    /// No byte of the set-up was written, for a local reason, so the media server did not process it.
     NotSent,
-    /// The connection broke after the set-up, or a part of it, was written: the media server may have run it.
+    /// The connection broke after at least a part of the set-up was written, so the media server may have processed it.
     ConnectionReset,
 }
 
-/// What happens to the state machine.
+/// An input of the state machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
-    /// The topologies that the configuration holds, in order; comes before all else.
+    /// The endpoint list and its updates from the configuration, in order. This is the first input.
     InitialTopologies(Vec<Topology>),
-    /// A topology, whole or as a change, from the event bus.
+    /// A complete endpoint list, or an update to it, from the event bus.
     Topology(Topology),
-    /// A message of a viewer.
+    /// A message from a viewer was received.
     ViewerMessage(ViewerConnection, FromViewer),
-    /// A viewer's connection is closed.
+    /// A viewer's connection was closed.
     ViewerConnectionClosed(ViewerConnection),
-    /// The answer that a session is established was not written whole: its viewer can't have it.
+    /// The answer that establishes a session was not written completely, so its viewer can't have received it.
     AnswerUndelivered(CallId),
-    /// A message of a media server.
+    /// A message from a media server was received.
     ServerMessage(ServerIncarnation, ServerMessage),
-    /// An attempt failed without an answer.
+    /// An attempt failed without an answer from the media server.
     AttemptFailed(ServerIncarnation, CallId, AttemptFailure),
-    /// The media server's process is down: connections are refused, or it stayed unreachable for the bound of that.
+    /// The media server's process is down: it refuses connections, or it was unreachable for the maximum time.
     ServerDown(ServerIncarnation),
-    /// This front node's slot among the front nodes changed.
+    /// The slot of this front node among all front nodes changed.
     SlotAssigned(SlotAssignment),
-    /// SIGTERM.
+    /// The process received SIGTERM.
     Terminate,
-    /// Only time has passed.
+    /// Time has passed. Timers that are due fire.
     Tick,
 }
 
-/// What the event loop has to do, in order.
+/// An output of the state machine. The event loop carries outputs out in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Write a message on a viewer's connection.
+    /// Writes a message to a viewer's connection.
     SendToViewer(ViewerConnection, ToViewer),
-    /// Close a viewer's connection that broke the protocol.
+    /// Closes the connection of a viewer that violated the protocol.
     CloseViewerConnection(ViewerConnection),
-    /// A new incarnation, and the address it listens on.
+    /// Adds an incarnation with the address that it listens on.
     AddIncarnation(ServerIncarnation, SocketAddr),
-    /// Nothing belongs to the incarnation any more: close its connections.
+    /// Removes an incarnation that no session or attempt belongs to, and closes its connections.
     RemoveIncarnation(ServerIncarnation),
-    /// From now on keep a connection to the incarnation open, or no longer.
+    /// Starts or stops keeping a connection to the incarnation open, according to the flag.
     KeepConnected(ServerIncarnation, bool),
-    /// The incarnation was removed from the list: check whether it is reachable, and report it down if not.
+    /// Checks whether an incarnation that was removed from the endpoint list is reachable, and reports it as down if
+    /// not.
     CheckReachability(ServerIncarnation),
-    /// Write a set-up on a connection that is free for one, if its viewer still waits.
+    /// Writes a set-up to a connection that is free for one, if its viewer is still waiting.
     SendSetUp {
-        /// The media server.
+        /// Incarnation of the media server that receives the set-up.
         incarnation: ServerIncarnation,
-        /// The session.
+        /// Identifier of the session.
         id: CallId,
-        /// The connection of the viewer that waits for it.
+        /// Connection of the viewer that waits for the answer.
         connection: ViewerConnection,
-        /// The bytes to write.
+        /// Bytes to write.
         line: Vec<u8>,
-        /// It must not be sent later than this, however long it waits for a connection: by then the attempt is
-        /// abandoned, and a retry of a keyed set-up would run a second time.
+        /// Time after which the set-up must not be sent, however long it waits for a connection. The attempt is
+        /// abandoned by then, and a late retry of a keyed set-up would be processed a second time.
         send_by: Micros,
     },
-    /// No viewer waits for a set-up any more: do not send it if it was not sent yet.
+    /// Discards a set-up that was not sent yet, because no viewer waits for it.
     DiscardUnsent(ServerIncarnation, CallId),
-    /// Stop waiting for the answer of a set-up: write the line on its connection before anything else is sent.
+    /// Stops waiting for the answer to a set-up, and writes the line to the set-up's connection before anything else is
+    /// sent.
     AbandonAttempt {
-        /// The media server.
+        /// Incarnation of the media server that received the set-up.
         incarnation: ServerIncarnation,
-        /// The session.
+        /// Identifier of the session.
         id: CallId,
-        /// The bytes to write.
+        /// Bytes to write.
         line: Vec<u8>,
-        /// The media server did not answer in time.
+        /// Whether the media server did not answer in time.
         timed_out: bool,
     },
-    /// Write a line on a connection of the incarnation, preferably that of the session's set-up.
+    /// Writes a line to a connection of the incarnation, preferably to the connection that carried the session's
+    /// set-up.
     SendToServer(ServerIncarnation, CallId, Vec<u8>),
-    /// A line for the log.
+    /// Writes a line to the log.
     Log(String),
 }
--- a/crates/platform/front-node/src/lib.rs
+++ b/crates/platform/front-node/src/lib.rs
@@ -1,8 +1,9 @@
-//! The front node as a state machine without sockets, clock and threads: [`Node::handle`] takes the time and an input and
-//! returns outputs, which an event loop carries out.
+//! The front node as a state machine without sockets, a clock or threads.
 //!
-//! The machine holds sessions, attempts, pending answers and the incarnations of media servers around the policy, which
-//! makes every choice of server, rung, retry, rejection and rate. `docs/node.md` describes the messages and the rules.
+//! [`Node::handle`] takes the current time and an input, and returns the outputs that the event loop carries out. The
+//! state machine tracks sessions, attempts, pending answers and the incarnations of media servers. The policy inside
+//! it makes every choice of media server, rung, retry, rejection and rate. `docs/node.md` describes the messages and
+//! the rules.
 #![forbid(unsafe_code)]
 
 mod backoff;
--- a/crates/platform/front-node/src/node/attempts.rs
+++ b/crates/platform/front-node/src/node/attempts.rs
@@ -1,6 +1,6 @@
-//! Attempts: how they are sent, time out, fail and end.
+//! Start, timeout, failure and end of attempts.
 
-use beechloft::api::{Attempt as AttemptNumber, Event, LoadReport, Micros, Outcome, ServerId, SessionId};
+use beechloft::api::{Attempt as AttemptOrdinal, Event, LoadReport, Micros, Outcome, ServerId, SessionId};
 use beechloft_protocol::server::ToServer;
 use beechloft_protocol::{CallId, Cause};
 
@@ -13,48 +13,52 @@
 struct PreparedSetUp {
     incarnation: ServerIncarnation,
     line: Vec<u8>,
+    /// Timeout of the attempt.
     deadline: Micros,
 }
 
 impl Node {
-    /// Sends a pending session's set-up to a server, until a time or the answer's deadline.
+    /// Sends a pending session's set-up to a media server. The attempt times out at `until` or at the answer's
+    /// deadline.
     pub(super) fn start_attempt(&mut self, id: CallId, server: ServerId, until: Micros) {
-        let target = self.directory.incarnation(server);
+        let target_incarnation = self.directory.incarnation(server);
         let Some(session) = self.sessions.get_mut(&id) else { return };
-        let number = session.attempts;
+        let ordinal = session.attempts;
         session.attempts = session.attempts.saturating_add(1);
         let connection = session.connection;
-        let prepared = target.and_then(|target| prepare(session, id, target, self.now, until));
+        let prepared = target_incarnation
+            .and_then(|incarnation| prepare_set_up(session, id, incarnation, self.now, until));
         let Some(PreparedSetUp { incarnation, line, deadline }) = prepared else {
-            self.queue_attempt_ended(id, number, server, self.now, Outcome::NotSent, LoadReport::default());
+            self.queue_attempt_ended(id, ordinal, server, self.now, Outcome::NotSent, LoadReport::default());
             return;
         };
         if let Phase::Pending { in_flight, .. } = &mut session.phase {
-            *in_flight = Some(Attempt { number, incarnation, server, sent_at: self.now });
+            *in_flight = Some(Attempt { ordinal, incarnation, server, sent_at: self.now });
         }
         if let Some(state) = self.directory.incarnations.get_mut(&incarnation) {
             state.in_flight.insert(id);
         }
-        self.timers.set(deadline, Timer::Attempt(id, number));
+        self.timers.set(deadline, Timer::Attempt(id, ordinal));
         self.outputs.push(Output::SendSetUp { incarnation, id, connection, line, send_by: deadline });
     }
 
-    /// The policy does not want an attempt any more.
-    pub(super) fn cancel_attempt(&mut self, id: CallId, number: u16) {
+    /// Cancels an attempt that the policy no longer needs.
+    pub(super) fn cancel_attempt(&mut self, id: CallId, ordinal: u16) {
         let in_flight = self.sessions.get(&id).and_then(Session::in_flight);
-        if let Some(attempt) = in_flight.filter(|attempt| attempt.number == number) {
+        if let Some(attempt) = in_flight.filter(|attempt| attempt.ordinal == ordinal) {
             self.abandon_attempt(id, attempt, Outcome::Cancelled);
         }
     }
 
-    pub(super) fn attempt_timed_out(&mut self, id: CallId, number: u16) {
+    /// Abandons an attempt whose timeout has expired.
+    pub(super) fn attempt_timed_out(&mut self, id: CallId, ordinal: u16) {
         let in_flight = self.sessions.get(&id).and_then(Session::in_flight);
-        if let Some(attempt) = in_flight.filter(|attempt| attempt.number == number) {
+        if let Some(attempt) = in_flight.filter(|attempt| attempt.ordinal == ordinal) {
             self.abandon_attempt(id, attempt, Outcome::Timeout);
         }
     }
 
-    /// An attempt failed without an answer.
+    /// Handles an attempt that failed without an answer from the media server.
     pub(super) fn attempt_failed(
         &mut self,
         incarnation: ServerIncarnation,
@@ -72,7 +76,9 @@
         self.attempt_ended(id, &attempt, outcome, LoadReport::default());
     }
 
-    /// Stops waiting for an attempt. The media server is told first, so that no other attempt is sent before it.
+    /// Stops waiting for the result of an attempt.
+    ///
+    /// The release for the media server comes first in the outputs, so that no other attempt is sent before it.
     pub(super) fn abandon_attempt(&mut self, id: CallId, attempt: Attempt, outcome: Outcome) {
         if let Some(line) = ToServer::End(id, Cause::Normal).encode() {
             let timed_out = outcome == Outcome::Timeout;
@@ -83,7 +89,7 @@
         self.attempt_ended(id, &attempt, outcome, LoadReport::default());
     }
 
-    /// An attempt is no longer in flight; an abandoned session ends with it.
+    /// Records that an attempt is no longer in flight. An abandoned session is removed with its attempt.
     pub(super) fn close_attempt(&mut self, id: CallId, attempt: &Attempt) {
         self.remove_in_flight(attempt.incarnation, id);
         self.ended_sessions.insert(self.now, attempt.incarnation, id);
@@ -96,6 +102,7 @@
         }
     }
 
+    /// Removes an attempt from those that are in flight to an incarnation.
     pub(super) fn remove_in_flight(&mut self, incarnation: ServerIncarnation, id: CallId) {
         if let Some(state) = self.directory.incarnations.get_mut(&incarnation) {
             state.in_flight.remove(&id);
@@ -103,7 +110,7 @@
         self.maybe_unused.insert(incarnation);
     }
 
-    /// Reports to the policy how an attempt ended that its session no longer has.
+    /// Reports the end of an attempt to the policy.
     pub(super) fn attempt_ended(
         &mut self,
         id: CallId,
@@ -111,13 +118,13 @@
         outcome: Outcome,
         report: LoadReport,
     ) {
-        self.queue_attempt_ended(id, attempt.number, attempt.server, attempt.sent_at, outcome, report);
+        self.queue_attempt_ended(id, attempt.ordinal, attempt.server, attempt.sent_at, outcome, report);
     }
 
     fn queue_attempt_ended(
         &mut self,
         id: CallId,
-        number: u16,
+        ordinal: u16,
         server: ServerId,
         sent_at: Micros,
         outcome: Outcome,
@@ -126,7 +133,7 @@
         let is_pending = self.sessions.get(&id).is_some_and(Session::is_pending);
         self.queue_event(Event::AttemptEnded {
             session: SessionId(id.0),
-            attempt: AttemptNumber(number),
+            attempt: AttemptOrdinal(ordinal),
             server,
             outcome,
             is_final: !is_pending,
@@ -136,8 +143,10 @@
     }
 }
 
-/// The set-up of a pending session without an attempt in flight: there are never two for one session.
-fn prepare(
+/// Encodes the set-up of a pending session for a media server.
+///
+/// Returns `None` if the session is not pending or has an attempt in flight already, or if the set-up is too long.
+fn prepare_set_up(
     session: &Session,
     id: CallId,
     incarnation: ServerIncarnation,
--- a/crates/platform/front-node/src/node/established.rs
+++ b/crates/platform/front-node/src/node/established.rs
@@ -1,4 +1,4 @@
-//! Established sessions: their start, their end and their migration.
+//! Start, end and migration of established sessions.
 
 use beechloft::api::{LoadReport, Outcome};
 use beechloft_protocol::server::ToServer;
@@ -11,12 +11,14 @@
 
 /// An established session that has ended.
 pub(super) struct EndedSession {
+    /// State of the session at its end.
     pub session: Session,
+    /// Attempt that established the session.
     pub attempt: Attempt,
 }
 
 impl Node {
-    /// A session is established that was set up on the connection.
+    /// Records that a session that was set up on the connection is established.
     pub(super) fn session_established(
         &mut self,
         incarnation: ServerIncarnation,
@@ -32,8 +34,10 @@
         }
     }
 
-    /// Ends an established session here and reports it to the policy. The caller tells the media server and the viewer
-    /// where they need it. None, and without effect on the policy, if it is not established.
+    /// Removes an established session and reports its end to the policy.
+    ///
+    /// The caller notifies the media server and the viewer if necessary. Returns `None`, without an event for the
+    /// policy, if the session is unknown or has no attempt.
     pub(super) fn end_established(
         &mut self,
         id: CallId,
@@ -55,19 +59,19 @@
         Some(EndedSession { session, attempt })
     }
 
-    /// Sends the end of an established session to its viewer.
+    /// Sends the release of an ended session to its viewer.
     pub(super) fn release_to_viewer(&mut self, ended: &EndedSession, message: ToViewer) {
         self.connections.release(self.now, ended.session.connection, message, &mut self.outputs);
     }
 
-    /// Ends a session at a media server.
+    /// Releases a session at a media server.
     pub(super) fn release_at_server(&mut self, incarnation: ServerIncarnation, id: CallId, cause: Cause) {
         if let Some(line) = ToServer::End(id, cause).encode() {
             self.outputs.push(Output::SendToServer(incarnation, id, line));
         }
     }
 
-    /// Takes a session off its server; the viewer sets it up again.
+    /// Ends an established session at its media server, and requests its viewer to set it up again.
     pub(super) fn migrate(&mut self, id: CallId) {
         if !self.sessions.get(&id).is_some_and(Session::is_established) {
             return;
@@ -78,15 +82,17 @@
         self.release_at_server(ended.attempt.incarnation, id, Cause::Cancelled);
     }
 
-    /// The answer of a session was not written whole, so nobody watches it: it ends at its media server at once. Without
-    /// this the session of a viewer that disconnects during the answer would play until its own end.
+    /// Ends an established session whose answer was not written completely.
+    ///
+    /// Otherwise the session of a viewer that disconnects during the answer would occupy its media server until its
+    /// end.
     pub(super) fn answer_undelivered(&mut self, id: CallId) {
         if !self.sessions.get(&id).is_some_and(Session::is_established) {
             return;
         }
         let Some(ended) = self.end_established(id, Outcome::Cancelled, LoadReport::default()) else { return };
         self.release_at_server(ended.attempt.incarnation, id, Cause::Normal);
-        // It was established, so its viewer gets the end of it on any connection there is.
+        // The session was established, so its release may be sent on any open connection.
         self.release_to_viewer(&ended, ToViewer::Release(id, Cause::TemporaryFailure));
     }
 }
--- a/crates/platform/front-node/src/node/mod.rs
+++ b/crates/platform/front-node/src/node/mod.rs
@@ -1,4 +1,5 @@
-//! The state machine: its state, the dispatch of inputs and timers, and the exchange of events and actions with the policy.
+//! The state machine: its state, the dispatch of inputs and timers, and the exchange of events and actions with the
+//! policy.
 
 mod actions;
 mod attempts;
@@ -23,46 +24,46 @@
 use crate::timers::{Timer, Timers};
 use crate::viewer_connections::{ConnectionUse, ViewerConnections};
 
-/// How often what is remembered for a while is checked for its age.
+/// Interval between removals of expired state.
 const EXPIRY_INTERVAL: Micros = Micros(500_000);
-/// The minimum for which an ended session is remembered, as answers may be delayed on their way.
+/// Minimum time for which the end of a session stays recorded, because an answer may be delayed in the network.
 const MIN_ENDED_RETENTION: Micros = Micros(15_000_000);
-/// The maximum of lines of diagnostics.
+/// Maximum number of lines of diagnostics.
 const MAX_DIAGNOSTIC_LINES: usize = 64;
 
-/// Limits that the event loop sets.
+/// Limits that the event loop sets for the state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NodeLimits {
-    /// An answer is sent so long before the viewer's timeout: time for it to arrive.
+    /// Time between the latest answer and the viewer's timeout, which lets the answer arrive.
     pub answer_margin: Micros,
-    /// The timeout of a health check.
+    /// Timeout of a health check.
     pub health_check_timeout: Micros,
-    /// The maximum of sessions in any state.
+    /// Maximum number of sessions in any phase.
     pub max_sessions: usize,
-    /// All pending answers are given so long after SIGTERM.
+    /// Time after SIGTERM at which all pending set-ups are answered.
     pub shutdown_deadline: Micros,
 }
 
-/// How many of each thing the machine holds.
+/// Sizes of the collections in the state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Counts {
-    /// Sessions whose viewer waits for the answer.
+    /// Number of sessions whose viewer waits for the answer.
     pub pending: usize,
-    /// Established sessions.
+    /// Number of established sessions.
     pub established: usize,
-    /// Sessions that are over, with an attempt still in flight.
+    /// Number of sessions that are over while an attempt is still in flight.
     pub abandoned: usize,
-    /// Incarnations of media servers.
+    /// Number of incarnations of media servers.
     pub incarnations: usize,
-    /// Media servers that the policy knows.
+    /// Number of media servers that the policy knows.
     pub servers: usize,
-    /// Releases that wait for a viewer's connection.
+    /// Number of releases that wait for a viewer's connection.
     pub queued_releases: usize,
-    /// Timers.
+    /// Number of timers that are set.
     pub timers: usize,
 }
 
-/// The front node's state machine.
+/// State machine of the front node.
 #[derive(Debug)]
 pub struct Node {
     limits: NodeLimits,
@@ -72,7 +73,7 @@
     policy: Policy,
     now: Micros,
     directory: Directory,
-    /// Incarnations that may have nothing left.
+    /// Incarnations that may have lost their last session or attempt.
     maybe_unused: BTreeSet<ServerIncarnation>,
     sessions: BTreeMap<CallId, Session>,
     ended_sessions: EndedSessions,
@@ -81,14 +82,14 @@
     health_checks: HealthChecks,
     timers: Timers,
     shutdown: Shutdown,
-    /// The list of media servers is known.
-    has_list: bool,
+    /// Whether an endpoint list was received.
+    has_endpoint_list: bool,
     events: VecDeque<Event>,
     outputs: Vec<Output>,
 }
 
 impl Node {
-    /// A front node with its settings, before its first input.
+    /// Creates a front node from its settings, in the state before its first input.
     pub fn new(parsed: Parsed, seed: u64, limits: NodeLimits) -> Self {
         Node {
             limits,
@@ -106,24 +107,26 @@
             health_checks: HealthChecks::new(seed),
             timers: Timers::default(),
             shutdown: Shutdown::default(),
-            has_list: false,
+            has_endpoint_list: false,
             events: VecDeque::new(),
             outputs: Vec::new(),
         }
     }
 
-    /// The window over which the policy limits the rate to a server that started lately.
+    /// Returns the window over which the policy limits the rate of set-ups to a media server that started recently.
     pub fn slow_start_window(&self) -> Micros {
         self.settings.slow_start.overload_window
     }
 
-    /// Applies one input. Timers only run with [`Input::Tick`], so that the event loop can apply all that has arrived
-    /// before it lets anything time out.
+    /// Applies one input at time `now`, and returns the resulting outputs.
+    ///
+    /// Timers fire only on [`Input::Tick`], so the event loop can apply all received messages before timeouts take
+    /// effect.
     pub fn handle(&mut self, now: Micros, input: Input) -> Vec<Output> {
         self.now = now.max(self.now);
         match input {
-            Input::InitialTopologies(topologies) => self.initial_topologies(&topologies),
-            Input::Topology(topology) => self.topology(&topology),
+            Input::InitialTopologies(topologies) => self.apply_initial_topologies(&topologies),
+            Input::Topology(topology) => self.apply_topology(&topology),
             Input::ViewerMessage(connection, message) => self.viewer_message(connection, message),
             Input::ViewerConnectionClosed(connection) => self.viewer_connection_closed(connection),
             Input::AnswerUndelivered(id) => self.answer_undelivered(id),
@@ -139,32 +142,32 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// When the next timer is due.
+    /// Returns the time of the next timer.
     pub fn next_due(&self) -> Option<Micros> {
         self.timers.next_due()
     }
 
-    /// Whether it serves and goes on serving: it knows its list, and there was no SIGTERM.
+    /// Returns whether the front node is ready: it has an endpoint list and has not received SIGTERM.
     pub fn ready(&self) -> bool {
-        self.has_list && self.shutdown.requested_at().is_none()
+        self.has_endpoint_list && self.shutdown.requested_at().is_none()
     }
 
-    /// Lines on what the policy assumes, for a log.
+    /// Returns lines for the log that describe the policy's state.
     pub fn diagnostics(&self) -> Vec<String> {
         self.policy.describe(self.now, MAX_DIAGNOSTIC_LINES)
     }
 
-    /// What a viewer's connection is used for.
+    /// Returns the most important use of a viewer's connection.
     pub fn connection_use(&self, connection: ViewerConnection) -> ConnectionUse {
         self.connections.connection_use(connection)
     }
 
-    /// When SIGTERM came.
-    pub fn terminated(&self) -> Option<Micros> {
+    /// Returns the time at which SIGTERM was received.
+    pub fn shutdown_requested_at(&self) -> Option<Micros> {
         self.shutdown.requested_at()
     }
 
-    /// How much it holds.
+    /// Returns the number of sessions, incarnations, timers and other objects in the state machine.
     pub fn counts(&self) -> Counts {
         let mut counts = Counts {
             incarnations: self.directory.incarnations.len(),
@@ -183,6 +186,7 @@
         counts
     }
 
+    /// Starts the shutdown. Further calls have no effect.
     fn terminate(&mut self) {
         if self.shutdown == Shutdown::NotRequested {
             self.shutdown = Shutdown::Requested { at: self.now };
@@ -190,6 +194,7 @@
         }
     }
 
+    /// Fires all timers that are due.
     fn run_timers(&mut self) {
         while let Some(timer) = self.timers.pop(self.now) {
             match timer {
@@ -211,22 +216,23 @@
         }
     }
 
+    /// Removes expired state, and schedules the next removal.
     fn expire(&mut self) {
         self.timers.set(self.now + EXPIRY_INTERVAL, Timer::Expiry);
         self.connections.expire(self.now);
         self.migrated_viewers.expire(self.now);
-        // A media server may answer up to the longest deadline of all classes.
+        // A media server may answer until the longest deadline of all classes.
         let max_deadline = self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
         let retention = (max_deadline + EXPIRY_INTERVAL).max(MIN_ENDED_RETENTION);
         self.ended_sessions.expire(self.now, retention);
     }
 
-    /// Queues an event for the policy, behind those that it has not handled yet.
+    /// Appends an event to the queue of events for the policy.
     fn queue_event(&mut self, event: Event) {
         self.events.push_back(event);
     }
 
-    /// Lets the policy handle all queued events, and performs its actions.
+    /// Passes all queued events to the policy, and performs the actions that it returns.
     fn run_policy(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
--- a/crates/platform/front-node/src/node/server_messages.rs
+++ b/crates/platform/front-node/src/node/server_messages.rs
@@ -1,8 +1,8 @@
-//! Messages of media servers.
+//! Handling of messages from media servers.
 
 use beechloft::api::{self, Event, Feedback, LoadReport, Outcome, ReportField, Rung, SessionId};
 use beechloft_protocol::load::LoadValue;
-use beechloft_protocol::server::{FromServer, Note, ServerMessage};
+use beechloft_protocol::server::{FromServer, Measurement, ServerMessage};
 use beechloft_protocol::viewer::ToViewer;
 use beechloft_protocol::{CallId, Cause, load};
 
@@ -11,6 +11,7 @@
 use crate::session::{Attempt, Phase};
 
 impl Node {
+    /// Handles a message from a media server.
     pub(super) fn server_message(&mut self, incarnation: ServerIncarnation, message: ServerMessage) {
         let report = self.load_report(message.load.as_deref());
         match message.event {
@@ -18,9 +19,9 @@
                 self.accept_received(incarnation, id, description, report);
             }
             FromServer::End(id, cause) => self.end_received(incarnation, id, cause, report),
-            FromServer::Note(id, note) => {
+            FromServer::Measurement(id, measurement) => {
                 self.report_load(incarnation, report);
-                self.note_received(incarnation, id, note);
+                self.measurement_received(incarnation, id, measurement);
             }
             FromServer::TestResult(id, passed) => {
                 if let Some(server) = self.health_checks.remove(id) {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// The values of a load report that the settings name.
+    /// Parses a load report. Values that the settings don't name are ignored.
     fn load_report(&self, text: Option<&str>) -> LoadReport {
         let mut report = LoadReport::default();
         for LoadValue { name, value } in load::parse(text.unwrap_or_default()) {
@@ -47,7 +48,7 @@
         report
     }
 
-    /// Passes a load report to the policy that came with a message of no other meaning to it.
+    /// Passes a load report to the policy as an event of its own. An empty report is ignored.
     fn report_load(&mut self, incarnation: ServerIncarnation, report: LoadReport) {
         if report == LoadReport::default() {
             return;
@@ -58,6 +59,7 @@
         }
     }
 
+    /// Handles the acceptance of a set-up.
     fn accept_received(
         &mut self,
         incarnation: ServerIncarnation,
@@ -80,9 +82,9 @@
                 let attempt = *attempt;
                 self.abandon_attempt(id, attempt, Outcome::Cancelled);
             }
-            // A duplicate of the answer.
+            // The answer is a duplicate.
             Some(Phase::Established(attempt)) if attempt.incarnation == incarnation => {}
-            // The session was abandoned, or is with another media server by now: it must not play here.
+            // The session was abandoned or is at another media server, so it must not continue at this one.
             _ => {
                 if self.ended_sessions.contains(incarnation, id) {
                     self.release_at_server(incarnation, id, Cause::Normal);
@@ -91,11 +93,11 @@
         }
     }
 
-    /// The session is established: its viewer gets the answer.
+    /// Establishes a session, and sends the answer to its viewer.
     fn answer_with_session(&mut self, id: CallId, attempt: Attempt, description: String, report: LoadReport) {
         let message = ToViewer::Answer(id, description);
         if message.encode().is_none() {
-            // An answer that can't be passed on counts as one that broke off.
+            // An answer that is too long for the viewer's protocol is treated as a connection reset.
             self.release_at_server(attempt.incarnation, id, Cause::Normal);
             return self.attempt_failed(attempt.incarnation, id, AttemptFailure::ConnectionReset);
         }
@@ -108,13 +110,14 @@
         self.session_established(attempt.incarnation, connection, id);
         self.queue_event(Event::Started {
             session: SessionId(id.0),
-            attempt: api::Attempt(attempt.number),
+            attempt: api::Attempt(attempt.ordinal),
             server: attempt.server,
             elapsed: self.now - attempt.sent_at,
         });
         self.report_load(attempt.incarnation, report);
     }
 
+    /// Handles a refusal of a set-up or the end of a session.
     fn end_received(&mut self, incarnation: ServerIncarnation, id: CallId, cause: Cause, report: LoadReport) {
         let session = self.sessions.get(&id);
         let attempt = session.and_then(|session| session.attempt());
@@ -125,15 +128,16 @@
                 self.close_attempt(id, &attempt);
                 self.attempt_ended(id, &attempt, refusal_outcome(cause), report);
             }
-            // A duplicate, or the end of an abandoned session; the report counts all the same.
+            // The message is a duplicate or ends an abandoned session. Its load report is still valid.
             None => self.report_load(incarnation, report),
         }
     }
 
+    /// Ends an established session that its media server has ended.
     fn established_session_ended(&mut self, id: CallId, cause: Cause, report: LoadReport) {
         let (outcome, release) = match cause {
             Cause::Normal => (Outcome::Ok, Some(Cause::Normal)),
-            // It was moved, or released by its viewer, who needs no release.
+            // The session was migrated or released by its viewer, so the viewer needs no release.
             Cause::Cancelled => (Outcome::Cancelled, None),
             _ => (Outcome::Reset, Some(Cause::TemporaryFailure)),
         };
@@ -144,31 +148,32 @@
         }
     }
 
-    fn note_received(&mut self, incarnation: ServerIncarnation, id: CallId, note: Note) {
+    /// Passes a measurement of an established session to the policy.
+    fn measurement_received(&mut self, incarnation: ServerIncarnation, id: CallId, measurement: Measurement) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let Phase::Established(attempt) = session.phase else { return };
         if attempt.incarnation != incarnation {
             return;
         }
-        let feedback = match note {
-            Note::DeliveredFraction(fraction) => Feedback::DeliveredFraction(fraction),
-            Note::Rung(number) => {
-                let rung = rung_of(number);
+        let feedback = match measurement {
+            Measurement::DeliveredFraction(fraction) => Feedback::DeliveredFraction(fraction),
+            Measurement::Rung(value) => {
+                let rung = rung_from_measurement(value);
                 if usize::from(rung) >= self.settings.ladder.rates_kb.len() {
                     return;
                 }
                 session.rung = rung;
                 Feedback::Rung(Rung(rung))
             }
-            Note::LinkUtilization(utilization) => Feedback::LinkUtilization(utilization),
-            Note::UplinkUtilization(utilization) => Feedback::UplinkUtilization(utilization),
+            Measurement::LinkUtilization(utilization) => Feedback::LinkUtilization(utilization),
+            Measurement::UplinkUtilization(utilization) => Feedback::UplinkUtilization(utilization),
         };
         let server = attempt.server;
         self.queue_event(Event::FeedbackReceived { session: SessionId(id.0), server, feedback });
     }
 }
 
-/// How an attempt ended that a media server refused.
+/// Returns the outcome of an attempt that a media server refused.
 fn refusal_outcome(cause: Cause) -> Outcome {
     match cause {
         Cause::NoCircuit => Outcome::Overloaded,
@@ -178,11 +183,12 @@
     }
 }
 
+/// Converts a measured rung to an integer.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "the protocol gives no negative number, and larger ones are limited; a fraction is to be dropped"
+    reason = "the protocol rejects negative numbers, larger ones are limited, and a fraction is truncated"
 )]
-fn rung_of(number: f64) -> u8 {
-    number.min(f64::from(u8::MAX)) as u8
+fn rung_from_measurement(value: f64) -> u8 {
+    value.min(f64::from(u8::MAX)) as u8
 }
--- a/crates/platform/front-node/src/node/topology.rs
+++ b/crates/platform/front-node/src/node/topology.rs
@@ -1,4 +1,4 @@
-//! The list of media servers: what its events change, and the end of incarnations.
+//! Updates of the endpoint list, and the end of incarnations.
 
 use beechloft::api::{self, Event, LoadReport, Outcome, ServerId, UpdateKind};
 use beechloft_protocol::Cause;
@@ -11,8 +11,8 @@
 use crate::timers::Timer;
 
 impl Node {
-    /// The list that results from the events of the configuration; it may be stale.
-    pub(super) fn initial_topologies(&mut self, topologies: &[Topology]) {
+    /// Applies the endpoint list that results from the events of the configuration. It may be stale.
+    pub(super) fn apply_initial_topologies(&mut self, topologies: &[Topology]) {
         let mut entries: Vec<api::Endpoint> = Vec::new();
         for topology in topologies {
             let changed = self.apply_endpoints(topology);
@@ -25,28 +25,30 @@
         let listed = self.directory.listed();
         entries.retain(|entry| listed.contains(&entry.server));
         self.queue_event(Event::EndpointsUpdated { kind: UpdateKind::Cached, endpoints: entries });
-        if !self.has_list {
-            self.has_list = true;
+        if !self.has_endpoint_list {
+            self.has_endpoint_list = true;
             self.timers.set(self.now + EXPIRY_INTERVAL, Timer::Expiry);
         }
     }
 
-    pub(super) fn topology(&mut self, topology: &Topology) {
+    /// Applies a complete endpoint list or an update to it.
+    pub(super) fn apply_topology(&mut self, topology: &Topology) {
         let entries = self.apply_endpoints(topology);
         let kind = if topology.snapshot { UpdateKind::Full } else { UpdateKind::Delta };
         self.queue_event(Event::EndpointsUpdated { kind, endpoints: entries });
-        self.has_list = true;
+        self.has_endpoint_list = true;
         if topology.snapshot {
-            // The policy decides whether servers that a whole list leaves out are removed: it does not trust an empty one.
+            // The policy decides whether media servers that a complete list omits are removed. It ignores an empty
+            // list.
             self.run_policy();
             let listed = self.directory.listed();
-            let trusted: Vec<ServerId> =
+            let retained: Vec<ServerId> =
                 listed.into_iter().filter(|server| self.policy.lists(*server)).collect();
-            self.remove_listed(|server| !trusted.contains(&server));
+            self.remove_listed(|server| !retained.contains(&server));
         }
     }
 
-    /// Removes servers that a list leaves out.
+    /// Removes listed media servers for which `is_absent` returns true.
     fn remove_listed(&mut self, is_absent: impl Fn(ServerId) -> bool) {
         let absent: Vec<ServerId> =
             self.directory.listed().into_iter().filter(|server| is_absent(*server)).collect();
@@ -58,7 +60,9 @@
         }
     }
 
-    /// Applies the endpoints of a list, and ends the sessions of incarnations that are down by it.
+    /// Applies the endpoints of a list, and ends the sessions of incarnations that it replaces.
+    ///
+    /// Returns the valid endpoints in the form that the policy takes.
     fn apply_endpoints(&mut self, topology: &Topology) -> Vec<api::Endpoint> {
         let mut entries = Vec::with_capacity(topology.endpoints.len());
         for endpoint in &topology.endpoints {
@@ -77,8 +81,9 @@
         entries
     }
 
+    /// Adds an incarnation, and ends earlier ones with the same address.
     fn incarnation_added(&mut self, added: &NewIncarnation) {
-        // Earlier incarnations with its address are down, whether the list has told so or not.
+        // Earlier incarnations with the same address are down, even if the list has not removed them.
         let earlier: Vec<ServerIncarnation> = self
             .directory
             .incarnations_at(added.address)
@@ -90,13 +95,13 @@
         self.outputs.push(Output::AddIncarnation(added.incarnation, added.address));
     }
 
-    /// It was removed from the list. Its sessions may go on, so it is checked first.
+    /// Handles the removal of an incarnation from the endpoint list. Its sessions may continue, so it is checked first.
     fn incarnation_removed(&mut self, incarnation: ServerIncarnation) {
         self.outputs.push(Output::CheckReachability(incarnation));
         self.maybe_unused.insert(incarnation);
     }
 
-    /// Its process has ended, and its sessions with it.
+    /// Handles the end of an incarnation's process, and ends its sessions.
     pub(super) fn incarnation_down(&mut self, incarnation: ServerIncarnation) {
         let state = self.directory.incarnations.get(&incarnation);
         for id in state.map(|state| state.established.clone()).unwrap_or_default() {
@@ -107,8 +112,9 @@
         self.maybe_unused.insert(incarnation);
     }
 
-    /// Removes incarnations that nothing belongs to any more. It comes after all other outputs of an input, as those may
-    /// still need the connections.
+    /// Removes incarnations that have lost their last session or attempt.
+    ///
+    /// This runs after all other outputs of an input, because those may still need the connections.
     pub(super) fn remove_unused_incarnations(&mut self) {
         for incarnation in std::mem::take(&mut self.maybe_unused) {
             if self.directory.remove_unused(incarnation) {
--- a/crates/platform/front-node/src/node/viewer_messages.rs
+++ b/crates/platform/front-node/src/node/viewer_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of viewers, the end of their connections, and the deadlines of their answers.
+//! Handling of messages from viewers, of closed viewer connections and of answer deadlines.
 
 use beechloft::api::{
     ClassId, Event, LoadReport, Micros, Outcome, Request, Rung, ServerId, SessionId, TenantId, TitleId,
@@ -15,6 +15,7 @@
 use crate::timers::Timer;
 
 impl Node {
+    /// Handles a message from a viewer.
     pub(super) fn viewer_message(&mut self, connection: ViewerConnection, message: FromViewer) {
         match message {
             FromViewer::SetUp(id, Ok(setup)) => self.set_up(connection, id, setup),
@@ -31,8 +32,10 @@
         }
     }
 
-    /// Answers a set-up that the policy does not see. One with the identifier of a known session must not disturb that
-    /// session, nor bring a second answer for it: on another connection it closes that connection.
+    /// Rejects a set-up that is not passed to the policy.
+    ///
+    /// A set-up with the identifier of a known session must neither affect that session nor cause a second answer. If
+    /// it was received on another connection, that connection is closed.
     fn reject_set_up(&mut self, connection: ViewerConnection, id: CallId, cause: Cause) {
         match self.sessions.get(&id) {
             None => self.outputs.push(Output::SendToViewer(connection, ToViewer::Release(id, cause))),
@@ -41,9 +44,10 @@
         }
     }
 
+    /// Handles a valid set-up.
     fn set_up(&mut self, connection: ViewerConnection, id: CallId, setup: Box<SetUp>) {
         if self.sessions.contains_key(&id) {
-            // A viewer may name a session that plays already more than once.
+            // A viewer may announce a session that is already established more than once.
             if setup.attributes.playing_at.is_none() {
                 self.reject_set_up(connection, id, Cause::InvalidElement);
             }
@@ -58,7 +62,9 @@
         }
     }
 
-    /// A set-up in the policy's form; none if its class, its cells or their number can't be.
+    /// Converts a set-up to a request for the policy.
+    ///
+    /// Returns `None` if the class is unknown or the range of cells is not valid.
     fn request(&mut self, id: CallId, setup: &SetUp) -> Option<Request> {
         let attributes = &setup.attributes;
         let class = self.names.classes.iter().position(|name| *name == setup.class)?;
@@ -86,6 +92,7 @@
         })
     }
 
+    /// Adds a pending session, and passes its request to the policy.
     fn accept_request(
         &mut self,
         connection: ViewerConnection,
@@ -93,12 +100,13 @@
         setup: Box<SetUp>,
         request: Request,
     ) {
-        // A set-up that can't be encoded for a media server never reaches the policy.
+        // A set-up that is too long for the media servers' protocol is not passed to the policy.
         let longest_offer = ToServer::Offer { id, setup: &setup, timeout_ms: u64::MAX, rung: u8::MAX };
         if longest_offer.encode().is_none() {
             return self.reject_set_up(connection, id, Cause::InvalidElement);
         }
-        // Memory is bounded, and a process that is killed soon could not answer any more.
+        // The number of sessions is limited to bound memory. After the shutdown deadline the process is killed soon and
+        // could not answer.
         if self.sessions.len() >= self.limits.max_sessions || self.shutdown.rejects_set_ups() {
             return self.reject_set_up(connection, id, Cause::Congestion);
         }
@@ -110,15 +118,15 @@
         self.queue_event(Event::Request(request));
     }
 
-    /// Adopts a session that plays already at a media server.
+    /// Adopts a session that is already established at a media server.
     fn adopt(&mut self, connection: ViewerConnection, id: CallId, request: Request, server_name: &str) {
-        let has_room = self.sessions.len() < self.limits.max_sessions;
-        let Some((server, incarnation)) = self.known_server(server_name).filter(|_| has_room) else {
-            // Without its media server the session can't be managed, so its viewer has to set it up again.
+        let has_capacity = self.sessions.len() < self.limits.max_sessions;
+        let Some((server, incarnation)) = self.known_server(server_name).filter(|_| has_capacity) else {
+            // A session without a known media server can't be managed, so its viewer has to set it up again.
             let message = ToViewer::Release(id, Cause::TemporaryFailure);
             return self.outputs.push(Output::SendToViewer(connection, message));
         };
-        let attempt = Attempt { number: 0, incarnation, server, sent_at: self.now };
+        let attempt = Attempt { ordinal: 0, incarnation, server, sent_at: self.now };
         let phase = Phase::Established(attempt);
         let session = Session { connection, viewer: request.viewer, attempts: 1, rung: 0, phase };
         self.sessions.insert(id, session);
@@ -126,13 +134,14 @@
         self.queue_event(Event::SessionAdopted { request, server });
     }
 
+    /// Returns a known media server with its latest incarnation.
     fn known_server(&self, name: &str) -> Option<(ServerId, ServerIncarnation)> {
         let server = self.directory.server(name)?;
         let incarnation = self.directory.incarnation(server)?;
         Some((server, incarnation))
     }
 
-    /// A viewer withdraws a set-up, or ends its session.
+    /// Handles a release, by which a viewer withdraws a set-up or ends its session.
     fn release_received(&mut self, connection: ViewerConnection, id: CallId) {
         self.outputs.push(Output::SendToViewer(connection, ToViewer::ReleaseComplete(id)));
         match self.sessions.get(&id).map(|session| &session.phase) {
@@ -146,7 +155,7 @@
         }
     }
 
-    /// No viewer waits for a pending session's answer any more.
+    /// Withdraws a pending session, whose viewer no longer waits for the answer.
     fn withdraw(&mut self, id: CallId) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         self.connections.remove_pending(session.connection, id);
@@ -162,15 +171,17 @@
         self.queue_event(Event::Withdrawn(SessionId(id.0)));
     }
 
-    /// Set-ups that waited on the connection are withdrawn; established sessions belong to no connection.
+    /// Withdraws the set-ups that were waiting on a closed connection. Established sessions are not bound to a
+    /// connection.
     pub(super) fn viewer_connection_closed(&mut self, connection: ViewerConnection) {
         for id in self.connections.remove(connection) {
             self.withdraw(id);
         }
     }
 
-    /// The process is killed soon: all pending answers are given now. A class's deadline may be longer than the time
-    /// between SIGTERM and SIGKILL.
+    /// Answers all pending set-ups, because the process is killed soon.
+    ///
+    /// Their own deadlines may be too late, as the deadline of a class may exceed the time between SIGTERM and SIGKILL.
     pub(super) fn shutdown_deadline_reached(&mut self) {
         self.shutdown = Shutdown::DeadlineReached { requested_at: self.shutdown.requested_at() };
         let pending: Vec<(CallId, Option<Attempt>)> = self
@@ -188,7 +199,8 @@
         }
     }
 
-    /// The deadline of a session's answer, in case the end of its attempt was lost or the policy did not answer.
+    /// Ends a pending session at its answer's deadline, if the end of its attempt was lost or the policy did not
+    /// answer.
     pub(super) fn answer_deadline_reached(&mut self, id: CallId) {
         let Some(session) = self.sessions.get(&id) else { return };
         let Phase::Pending { deadline, in_flight, .. } = session.phase else { return };
@@ -204,7 +216,11 @@
     }
 }
 
-#[expect(clippy::cast_possible_truncation, reason = "settings name fewer classes than the type can count")]
+/// Returns the identifier of the class at an index of the settings.
+#[expect(
+    clippy::cast_possible_truncation,
+    reason = "settings define fewer classes than the integer type can count"
+)]
 fn class_id(index: usize) -> ClassId {
     ClassId(index as u16)
 }
--- a/crates/platform/front-node/src/session.rs
+++ b/crates/platform/front-node/src/session.rs
@@ -1,55 +1,58 @@
-//! A session in the state machine.
+//! State of one session.
 
 use beechloft::api::{Micros, ServerId, ViewerId};
 use beechloft_protocol::viewer::SetUp;
 
 use crate::io::{ServerIncarnation, ViewerConnection};
 
-/// An attempt to set a session up at a media server.
+/// An attempt to establish a session at a media server.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Attempt {
-    /// Its number within the session, from 0.
-    pub number: u16,
-    /// The process that it was sent to.
+    /// Ordinal of the attempt within its session, starting at 0.
+    pub ordinal: u16,
+    /// Incarnation that the set-up was sent to.
     pub incarnation: ServerIncarnation,
-    /// That process's server.
+    /// Media server that the incarnation belongs to.
     pub server: ServerId,
-    /// When it was sent.
+    /// Time at which the set-up was handed to the event loop.
     pub sent_at: Micros,
 }
 
-/// The state of a session.
+/// Phase of a session.
 #[derive(Debug)]
 pub(crate) enum Phase {
-    /// The viewer waits for the answer.
+    /// The viewer waits for the answer to its set-up.
     Pending {
-        /// The viewer's set-up.
+        /// Set-up that the viewer sent.
         setup: Box<SetUp>,
-        /// When the answer has to be sent.
+        /// Time by which the answer must be sent.
         deadline: Micros,
-        /// The attempt that is in flight.
+        /// Attempt that waits for its result. `None` if there is none at the moment.
         in_flight: Option<Attempt>,
     },
-    /// Answered, or withdrawn by the viewer, while an attempt is still in flight.
+    /// The set-up was answered with a release or withdrawn by the viewer, while an attempt is still in flight.
     Abandoned(Attempt),
-    /// It plays.
+    /// The session is established at a media server.
     Established(Attempt),
 }
 
+/// A session that is pending, established or abandoned.
 #[derive(Debug)]
 pub(crate) struct Session {
-    /// The connection of its set-up.
+    /// Connection that the set-up or the adoption was received on.
     pub connection: ViewerConnection,
+    /// Viewer that the session belongs to.
     pub viewer: ViewerId,
-    /// How many attempts were started.
+    /// Number of attempts that were started.
     pub attempts: u16,
-    /// The rung that the policy wants.
+    /// Rung that the policy chose or the media server reported last.
     pub rung: u8,
+    /// Phase that the session is in.
     pub phase: Phase,
 }
 
 impl Session {
-    /// The attempt that is in flight.
+    /// Returns the attempt that is in flight.
     pub fn in_flight(&self) -> Option<Attempt> {
         match self.phase {
             Phase::Pending { in_flight, .. } => in_flight,
@@ -58,7 +61,7 @@
         }
     }
 
-    /// The attempt that is in flight or established.
+    /// Returns the attempt that is in flight or has established the session.
     pub fn attempt(&self) -> Option<Attempt> {
         match self.phase {
             Phase::Pending { in_flight, .. } => in_flight,
--- a/crates/platform/front-node/src/shutdown.rs
+++ b/crates/platform/front-node/src/shutdown.rs
@@ -1,27 +1,27 @@
-//! The end of the front node after SIGTERM.
+//! State of the shutdown that SIGTERM starts.
 
 use beechloft::api::Micros;
 
-/// How far the shutdown is.
+/// Progress of the shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) enum Shutdown {
-    /// There was no SIGTERM.
+    /// SIGTERM was not received.
     #[default]
     NotRequested,
-    /// SIGTERM came; set-ups are still served.
+    /// SIGTERM was received. Set-ups are still served.
     Requested {
-        /// When it came.
+        /// Time at which SIGTERM was received.
         at: Micros,
     },
-    /// All pending answers were given, and new set-ups are rejected: the process is killed soon.
+    /// All pending set-ups were answered and new ones are rejected, because the process is killed soon.
     DeadlineReached {
-        /// When SIGTERM came; none if the machine was told nothing of it.
+        /// Time at which SIGTERM was received. `None` if the deadline was reached without it.
         requested_at: Option<Micros>,
     },
 }
 
 impl Shutdown {
-    /// When SIGTERM came.
+    /// Returns the time at which SIGTERM was received.
     pub fn requested_at(self) -> Option<Micros> {
         match self {
             Shutdown::NotRequested => None,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether new set-ups are rejected.
+    /// Returns whether new set-ups are rejected.
     pub fn rejects_set_ups(self) -> bool {
         matches!(self, Shutdown::DeadlineReached { .. })
     }
--- a/crates/platform/front-node/src/timers.rs
+++ b/crates/platform/front-node/src/timers.rs
@@ -6,24 +6,24 @@
 use beechloft::api::{Micros, ServerId, TimerToken};
 use beechloft_protocol::CallId;
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// A timer of the policy.
+    /// Timer that the policy set.
     Policy(TimerToken),
-    /// The timeout of a session's attempt, by its number.
+    /// Timeout of the attempt of a session with this ordinal.
     Attempt(CallId, u16),
-    /// After SIGTERM: all pending answers are given, as the process is killed soon.
+    /// Time after SIGTERM at which all pending set-ups are answered, because the process is killed soon.
     ShutdownDeadline,
-    /// The deadline of a session's answer.
+    /// Deadline for the answer to a session's set-up.
     Answer(CallId),
-    /// The timeout of a health check.
+    /// Timeout of a health check.
     HealthCheck(CallId, ServerId),
-    /// What is remembered for a while is checked for its age.
+    /// Periodic removal of expired state.
     Expiry,
 }
 
-/// Timers in the order of their time, and of their setting within the same instant.
+/// Queue of timers, ordered by their time. Timers with the same time fire in the order in which they were set.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     heap: BinaryHeap<Reverse<(Micros, u64, Timer)>>,
@@ -31,12 +31,13 @@
 }
 
 impl Timers {
+    /// Adds a timer that is due at `at`.
     pub fn set(&mut self, at: Micros, timer: Timer) {
         self.last_sequence += 1;
         self.heap.push(Reverse((at, self.last_sequence, timer)));
     }
 
-    /// Removes the next timer that is due by now.
+    /// Removes and returns the next timer that is due at `now`. Returns `None` if no timer is due.
     pub fn pop(&mut self, now: Micros) -> Option<Timer> {
         if self.next_due()? > now {
             return None;
@@ -44,10 +45,12 @@
         self.heap.pop().map(|Reverse((_, _, timer))| timer)
     }
 
+    /// Returns the time of the next timer.
     pub fn next_due(&self) -> Option<Micros> {
         self.heap.peek().map(|Reverse((at, _, _))| *at)
     }
 
+    /// Returns the number of timers that are set.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
--- a/crates/platform/front-node/src/viewer_connections.rs
+++ b/crates/platform/front-node/src/viewer_connections.rs
@@ -1,4 +1,4 @@
-//! Viewers' connections, and releases of established sessions that wait for one.
+//! Connections of viewers, and the queue of releases that wait for a connection.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,41 +8,43 @@
 
 use crate::io::{Output, ViewerConnection};
 
-/// How long a release waits for a connection.
+/// Time for which a release waits for a connection.
 const RELEASE_RETENTION: Micros = Micros(10_000_000);
-/// The maximum of waiting releases; the oldest is dropped first.
+/// Maximum number of queued releases. If the queue is full, the oldest release is dropped.
 const MAX_QUEUED_RELEASES: usize = 4096;
 
-/// What a viewer's connection is used for, the least important first.
+/// Use of a viewer's connection, in ascending order of importance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionUse {
-    /// Nothing yet, or only malformed or rejected set-ups.
+    /// The connection has carried nothing, or only malformed or rejected set-ups.
     None,
-    /// It carried the answer of an established session: others can be released on it.
+    /// The connection carried the answer of an established session, so it can carry releases of other sessions.
     Answered,
-    /// Sessions that were set up on it are established.
+    /// At least one session that was set up on the connection is established.
     Established,
-    /// A set-up on it waits for its answer.
+    /// At least one set-up on the connection is waiting for its answer.
     Pending,
 }
 
+/// State of a viewer's connection.
 #[derive(Debug, Default)]
 struct ConnectionState {
-    /// Set-ups that wait for their answers.
+    /// Set-ups that are waiting for their answers.
     pending: BTreeSet<CallId>,
-    /// How many established sessions were set up on it.
+    /// Number of established sessions that were set up on the connection.
     established: u32,
-    /// A session that was set up on it was established once.
+    /// Whether any session that was set up on the connection has been established.
     answered: bool,
 }
 
+/// A release that waits for a connection.
 #[derive(Debug)]
 struct QueuedRelease {
-    since: Micros,
+    queued_at: Micros,
     message: ToViewer,
 }
 
-/// Viewers' connections on which a set-up was received, and releases that wait for one.
+/// Connections of viewers on which a set-up was received, and releases that wait for a connection.
 #[derive(Debug, Default)]
 pub(crate) struct ViewerConnections {
     connections: BTreeMap<ViewerConnection, ConnectionState>,
@@ -50,6 +52,7 @@
 }
 
 impl ViewerConnections {
+    /// Returns the most important use of a connection.
     pub fn connection_use(&self, connection: ViewerConnection) -> ConnectionUse {
         match self.connections.get(&connection) {
             Some(state) if !state.pending.is_empty() => ConnectionUse::Pending,
@@ -59,26 +62,29 @@
         }
     }
 
-    /// A set-up on the connection waits for its answer.
+    /// Records that a set-up on the connection is waiting for its answer.
     pub fn add_pending(&mut self, connection: ViewerConnection, id: CallId) {
         self.connections.entry(connection).or_default().pending.insert(id);
     }
 
-    /// A set-up on the connection waits no longer.
+    /// Records that a set-up on the connection is no longer waiting.
     pub fn remove_pending(&mut self, connection: ViewerConnection, id: CallId) {
         if let Some(state) = self.connections.get_mut(&connection) {
             state.pending.remove(&id);
         }
     }
 
-    /// The connection is closed; returns the set-ups that waited on it.
+    /// Removes a closed connection, and returns the set-ups that were waiting on it.
     pub fn remove(&mut self, connection: ViewerConnection) -> BTreeSet<CallId> {
         self.connections.remove(&connection).map(|state| state.pending).unwrap_or_default()
     }
 
-    /// Sends the end of an established session on the connection of its set-up if it is open, else on the newest that
-    /// carried the answer of an established session, else on the next that does. A set-up alone does not make a
-    /// connection fit for it: a client that sends malformed ones would receive the message in the viewer's place.
+    /// Sends the release of an established session.
+    ///
+    /// The release uses the connection of the session's set-up if that is open, otherwise the newest connection that
+    /// carried the answer of an established session. If there is none, the release waits for the next session that is
+    /// established. A set-up alone does not qualify a connection: a client that sends malformed set-ups would receive
+    /// the release instead of the viewer.
     pub fn release(
         &mut self,
         now: Micros,
@@ -86,8 +92,8 @@
         message: ToViewer,
         outputs: &mut Vec<Output>,
     ) {
-        let own = Some(connection).filter(|own| self.connections.contains_key(own));
-        match own.or_else(|| self.newest_answered()) {
+        let open_connection = Some(connection).filter(|candidate| self.connections.contains_key(candidate));
+        match open_connection.or_else(|| self.newest_answered()) {
             Some(chosen) => outputs.push(Output::SendToViewer(chosen, message)),
             None => self.queue(now, message),
         }
@@ -101,10 +107,10 @@
         if self.queued.len() >= MAX_QUEUED_RELEASES {
             self.queued.pop_front();
         }
-        self.queued.push_back(QueuedRelease { since: now, message });
+        self.queued.push_back(QueuedRelease { queued_at: now, message });
     }
 
-    /// A session that was set up on the connection is established: releases that waited are sent on it.
+    /// Records that a session that was set up on the connection is established, and sends all queued releases on it.
     pub fn session_established(&mut self, connection: ViewerConnection, outputs: &mut Vec<Output>) {
         for release in self.queued.drain(..) {
             outputs.push(Output::SendToViewer(connection, release.message));
@@ -114,20 +120,21 @@
         state.established += 1;
     }
 
-    /// An established session that was set up on the connection ended.
+    /// Records that an established session that was set up on the connection ended.
     pub fn session_ended(&mut self, connection: ViewerConnection) {
         if let Some(state) = self.connections.get_mut(&connection) {
             state.established = state.established.saturating_sub(1);
         }
     }
 
-    /// Drops releases that waited too long: their viewers have left by then.
+    /// Drops releases that waited longer than [`RELEASE_RETENTION`], because their viewers have left by then.
     pub fn expire(&mut self, now: Micros) {
-        while self.queued.front().is_some_and(|release| now - release.since > RELEASE_RETENTION) {
+        while self.queued.front().is_some_and(|release| now - release.queued_at > RELEASE_RETENTION) {
             self.queued.pop_front();
         }
     }
 
+    /// Returns the number of releases that wait for a connection.
     pub fn queued_releases(&self) -> usize {
         self.queued.len()
     }
--- a/crates/platform/front-node/tests/cases.rs
+++ b/crates/platform/front-node/tests/cases.rs
@@ -1,6 +1,4 @@
-//! The machine, case by case.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::shadow_unrelated)]
+//! Single cases of the state machine: set-ups, releases, timeouts, endpoint lists and health checks.
 
 mod support;
 
@@ -8,21 +6,23 @@
 use beechloft_front_node::{AttemptFailure, ConnectionUse, Input, Output, ViewerConnection};
 use beechloft_protocol::bus::{Status, Topology};
 use beechloft_protocol::server::{FromServer, ServerMessage};
-use beechloft_protocol::viewer::{FromViewer, SetUpError, ToViewer};
+use beechloft_protocol::viewer::{FromViewer, SetUp, SetUpError, ToViewer};
 use beechloft_protocol::{CallId, Cause};
-use support::{Harness, SETTINGS, endpoint, line, set_up};
+use support::{Harness, SETTINGS, endpoint, server_message, set_up};
 
-fn to_viewers(outputs: &[Output]) -> Vec<(u64, ToViewer)> {
-    let told = |o: &Output| match o {
-        Output::SendToViewer(conn, message) => Some((conn.0, message.clone())),
+/// Returns the messages to viewers, with the number of the connection that each is sent on.
+fn messages_to_viewers(outputs: &[Output]) -> Vec<(u64, ToViewer)> {
+    let sent = |output: &Output| match output {
+        Output::SendToViewer(connection, message) => Some((connection.0, message.clone())),
         _ => None,
     };
-    outputs.iter().filter_map(told).collect()
+    outputs.iter().filter_map(sent).collect()
 }
 
-fn to_servers(outputs: &[Output]) -> Vec<String> {
+/// Returns the lines to media servers without their line feeds.
+fn lines_to_servers(outputs: &[Output]) -> Vec<String> {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).trim_end().to_owned();
-    let sent = |o: &Output| match o {
+    let sent = |output: &Output| match output {
         Output::SendToServer(_, _, bytes) | Output::SendSetUp { line: bytes, .. } => Some(text(bytes)),
         Output::AbandonAttempt { line, .. } => Some(text(line)),
         _ => None,
@@ -31,80 +31,83 @@
 }
 
 #[test]
-fn an_answer_is_passed_on_unchanged_and_the_end_is_sent_on_the_connection_of_the_set_up() {
+fn forwards_answer_unchanged_and_releases_on_set_up_connection() {
     let mut harness = Harness::new(1, 4);
-    let out = harness.set_up(5, 7, 2_000);
-    let offer = to_servers(&out);
+    let offer = lines_to_servers(&harness.set_up(5, 7, 2_000));
     assert!(offer[0].contains(r#""op":"offer","call":"0000000000000007""#), "{offer:?}");
     let incarnation = harness.in_flight[&CallId(7)];
     let text = "odd \u{1f37a} \r\n\t\"\\";
-    let out =
-        harness.handle(Input::ServerMessage(incarnation, line(FromServer::Accept(CallId(7), text.into()))));
-    assert_eq!(to_viewers(&out), [(5, ToViewer::Answer(CallId(7), text.into()))]);
-    let out = harness.end(incarnation, 7, Cause::Normal);
-    assert_eq!(to_viewers(&out), [(5, ToViewer::Release(CallId(7), Cause::Normal))]);
-    // Told twice, it counts once.
-    assert_eq!(to_viewers(&harness.end(incarnation, 7, Cause::Normal)), []);
+    let accept = server_message(FromServer::Accept(CallId(7), text.into()));
+    let answer = harness.handle(Input::ServerMessage(incarnation, accept));
+    assert_eq!(messages_to_viewers(&answer), [(5, ToViewer::Answer(CallId(7), text.into()))]);
+    let release = harness.end(incarnation, 7, Cause::Normal);
+    assert_eq!(messages_to_viewers(&release), [(5, ToViewer::Release(CallId(7), Cause::Normal))]);
+    // A duplicate of the end has no effect.
+    assert_eq!(messages_to_viewers(&harness.end(incarnation, 7, Cause::Normal)), []);
     assert_eq!((harness.node.counts().established, harness.node.counts().pending), (0, 0));
 }
 
 #[test]
-fn a_release_uses_another_answered_connection_or_waits_for_one() {
+fn release_uses_other_answered_connection_or_waits_for_one() {
     let mut harness = Harness::new(1, 4);
     harness.set_up(5, 7, 2_000);
     harness.accept(7);
     harness.set_up(6, 8, 2_000);
     harness.accept(8);
     harness.handle(Input::ViewerConnectionClosed(ViewerConnection(5)));
-    let incarnation = harness.established[&CallId(7)];
-    let out = harness.end(incarnation, 7, Cause::TemporaryFailure);
-    assert_eq!(to_viewers(&out), [(6, ToViewer::Release(CallId(7), Cause::TemporaryFailure))]);
+    let incarnation_of_7 = harness.established[&CallId(7)];
+    let release_of_7 = harness.end(incarnation_of_7, 7, Cause::TemporaryFailure);
+    assert_eq!(
+        messages_to_viewers(&release_of_7),
+        [(6, ToViewer::Release(CallId(7), Cause::TemporaryFailure))]
+    );
     harness.handle(Input::ViewerConnectionClosed(ViewerConnection(6)));
-    let incarnation = harness.established[&CallId(8)];
-    assert_eq!(to_viewers(&harness.end(incarnation, 8, Cause::Normal)), []);
-    // MalformedSetUp does not make a connection good.
-    let bad = FromViewer::SetUp(CallId(9), Err(SetUpError::Missing(1)));
-    let out = harness.handle(Input::ViewerMessage(ViewerConnection(9), bad));
-    assert_eq!(to_viewers(&out), [(9, ToViewer::Release(CallId(9), Cause::MissingElement))]);
-    // Nor does a set-up that reads well and comes to nothing.
+    let incarnation_of_8 = harness.established[&CallId(8)];
+    assert_eq!(messages_to_viewers(&harness.end(incarnation_of_8, 8, Cause::Normal)), []);
+    // A malformed set-up does not qualify its connection for releases.
+    let malformed = FromViewer::SetUp(CallId(9), Err(SetUpError::Missing(1)));
+    let rejection = harness.handle(Input::ViewerMessage(ViewerConnection(9), malformed));
+    assert_eq!(messages_to_viewers(&rejection), [(9, ToViewer::Release(CallId(9), Cause::MissingElement))]);
+    // Neither does a valid set-up that fails.
     harness.set_up(10, 11, 2_000);
     for _ in 0..3 {
-        let incarnation = harness.in_flight[&CallId(11)];
+        let refusing = harness.in_flight[&CallId(11)];
         assert!(
-            to_viewers(&harness.end(incarnation, 11, Cause::ResourceUnavailable))
+            messages_to_viewers(&harness.end(refusing, 11, Cause::ResourceUnavailable))
                 .iter()
-                .all(|t| t.1 != ToViewer::Release(CallId(8), Cause::Normal))
+                .all(|(_, message)| *message != ToViewer::Release(CallId(8), Cause::Normal))
         );
     }
     assert_eq!(harness.node.connection_use(ViewerConnection(10)), ConnectionUse::None);
     harness.advance(3_000);
     harness.set_up(12, 13, 2_000);
-    let out = to_viewers(&harness.accept(13));
-    assert!(out.contains(&(12, ToViewer::Release(CallId(8), Cause::Normal))), "{out:?}");
+    let sent = messages_to_viewers(&harness.accept(13));
+    assert!(sent.contains(&(12, ToViewer::Release(CallId(8), Cause::Normal))), "{sent:?}");
     assert_eq!(harness.node.connection_use(ViewerConnection(12)), ConnectionUse::Established);
 }
 
 #[test]
-fn an_attempt_that_times_out_is_abandoned_before_the_next_is_sent() {
+fn timed_out_attempt_is_abandoned_before_retry() {
     let mut harness = Harness::new(3, 4);
     harness.set_up(1, 7, 3_000);
     let first = harness.in_flight[&CallId(7)];
     harness.advance(500);
     let second = harness.in_flight[&CallId(7)];
     assert_ne!(first, second);
-    // Its late answer must not stand there, and is not passed on.
-    let out = harness.handle(Input::ServerMessage(first, line(FromServer::Accept(CallId(7), "late".into()))));
-    assert_eq!(to_viewers(&out), []);
-    assert!(to_servers(&out)[0].contains(r#""op":"end","call":"0000000000000007","with":{},"why":16"#));
-    let out = harness.accept(7);
-    assert_eq!(to_viewers(&out).len(), 1);
+    // The late answer of the first media server is not forwarded, and its session is released there.
+    let late_accept = server_message(FromServer::Accept(CallId(7), "late".into()));
+    let after_late_accept = harness.handle(Input::ServerMessage(first, late_accept));
+    assert_eq!(messages_to_viewers(&after_late_accept), []);
+    let lines = lines_to_servers(&after_late_accept);
+    assert!(lines[0].contains(r#""op":"end","call":"0000000000000007","with":{},"why":16"#));
+    assert_eq!(messages_to_viewers(&harness.accept(7)).len(), 1);
 }
 
 #[test]
-fn a_request_that_all_servers_refuse_is_rejected_at_once_with_a_retry_after() {
+fn rejects_with_retry_after_when_all_servers_refuse() {
     let mut harness = Harness::new(3, 4);
     harness.set_up(1, 7, 3_000);
-    let before = harness.now;
+    let requested_at = harness.now;
     for _ in 0..3 {
         let incarnation = harness.in_flight[&CallId(7)];
         harness.end(incarnation, 7, Cause::NoCircuit);
@@ -113,40 +116,42 @@
         harness.answers[&CallId(7)],
         [ToViewer::ReleaseWithRetryAfter(CallId(7), Cause::NoCircuit, 500)]
     );
-    assert_eq!(harness.now, before);
+    assert_eq!(harness.now, requested_at);
 }
 
 #[test]
-fn a_withdrawn_set_up_is_abandoned_at_the_server_and_not_answered() {
+fn withdrawn_set_up_is_abandoned_and_not_answered() {
     let mut harness = Harness::new(3, 4);
     harness.set_up(1, 7, 3_000);
-    let out = harness.handle(Input::ViewerMessage(ViewerConnection(1), FromViewer::Release(CallId(7))));
-    assert_eq!(to_viewers(&out), [(1, ToViewer::ReleaseComplete(CallId(7)))]);
-    assert!(to_servers(&out)[0].contains(r#""op":"end""#));
+    let release = FromViewer::Release(CallId(7));
+    let after_release = harness.handle(Input::ViewerMessage(ViewerConnection(1), release));
+    assert_eq!(messages_to_viewers(&after_release), [(1, ToViewer::ReleaseComplete(CallId(7)))]);
+    assert!(lines_to_servers(&after_release)[0].contains(r#""op":"end""#));
     assert!(harness.in_flight.is_empty());
-    // The same when its connection closes.
+    // Closing the connection has the same effect.
     harness.set_up(2, 8, 3_000);
     harness.pending.clear();
-    let out = harness.handle(Input::ViewerConnectionClosed(ViewerConnection(2)));
-    assert!(to_servers(&out)[0].contains(r#""op":"end""#));
+    let after_close = harness.handle(Input::ViewerConnectionClosed(ViewerConnection(2)));
+    assert!(lines_to_servers(&after_close)[0].contains(r#""op":"end""#));
     assert_eq!((harness.node.counts().pending, harness.node.counts().abandoned), (0, 0));
 }
 
 #[test]
-fn a_viewer_releases_its_session_from_any_connection() {
+fn accepts_release_on_any_connection() {
     let mut harness = Harness::new(3, 4);
     harness.set_up(1, 7, 3_000);
     harness.accept(7);
-    let out = harness.handle(Input::ViewerMessage(ViewerConnection(44), FromViewer::Release(CallId(7))));
-    assert_eq!(to_viewers(&out), [(44, ToViewer::ReleaseComplete(CallId(7)))]);
-    assert!(to_servers(&out)[0].contains(r#""op":"end""#));
+    let release = |id| Input::ViewerMessage(ViewerConnection(44), FromViewer::Release(CallId(id)));
+    let released = harness.handle(release(7));
+    assert_eq!(messages_to_viewers(&released), [(44, ToViewer::ReleaseComplete(CallId(7)))]);
+    assert!(lines_to_servers(&released)[0].contains(r#""op":"end""#));
     assert_eq!(harness.node.counts().established, 0);
-    let out = harness.handle(Input::ViewerMessage(ViewerConnection(44), FromViewer::Release(CallId(99))));
-    assert_eq!(out, [Output::SendToViewer(ViewerConnection(44), ToViewer::ReleaseComplete(CallId(99)))]);
+    let unknown = harness.handle(release(99));
+    assert_eq!(unknown, [Output::SendToViewer(ViewerConnection(44), ToViewer::ReleaseComplete(CallId(99)))]);
 }
 
 #[test]
-fn a_session_whose_answer_is_undelivered_ends_at_its_server_at_once() {
+fn undelivered_answer_ends_session_at_server() {
     let mut harness = Harness::new(3, 4);
     harness.set_up(1, 7, 3_000);
     harness.accept(7);
@@ -154,102 +159,106 @@
     harness.accept(8);
     let incarnation = harness.established[&CallId(7)];
     harness.handle(Input::ViewerConnectionClosed(ViewerConnection(1)));
-    let out = harness.handle(Input::AnswerUndelivered(CallId(7)));
-    assert!(to_servers(&out)[0].contains(r#""op":"end","call":"0000000000000007""#), "{out:?}");
-    assert_eq!(to_viewers(&out), [(2, ToViewer::Release(CallId(7), Cause::TemporaryFailure))]);
-    // The media server's own word of it comes too late to count, and so does a second one of the shell's.
-    assert_eq!(to_viewers(&harness.end(incarnation, 7, Cause::Normal)), []);
+    let outputs = harness.handle(Input::AnswerUndelivered(CallId(7)));
+    let lines = lines_to_servers(&outputs);
+    assert!(lines[0].contains(r#""op":"end","call":"0000000000000007""#), "{outputs:?}");
+    assert_eq!(messages_to_viewers(&outputs), [(2, ToViewer::Release(CallId(7), Cause::TemporaryFailure))]);
+    // The media server's own message about the end, and a repeated input, have no effect.
+    assert_eq!(messages_to_viewers(&harness.end(incarnation, 7, Cause::Normal)), []);
     assert_eq!(harness.handle(Input::AnswerUndelivered(CallId(7))), []);
     assert_eq!(harness.node.counts().established, 1);
 }
 
 #[test]
-fn a_duplicate_set_up_neither_disturbs_the_first_nor_gets_a_second_answer() {
+fn duplicate_set_up_gets_no_answer_and_keeps_first() {
     let mut harness = Harness::new(3, 4);
     harness.set_up(1, 7, 3_000);
-    let again = || FromViewer::SetUp(CallId(7), Ok(set_up(99, 3_000)));
-    assert_eq!(harness.handle(Input::ViewerMessage(ViewerConnection(1), again())), []);
+    let duplicate = || FromViewer::SetUp(CallId(7), Ok(set_up(99, 3_000)));
+    assert_eq!(harness.handle(Input::ViewerMessage(ViewerConnection(1), duplicate())), []);
     assert_eq!(
-        harness.handle(Input::ViewerMessage(ViewerConnection(2), again())),
+        harness.handle(Input::ViewerMessage(ViewerConnection(2), duplicate())),
         [Output::CloseViewerConnection(ViewerConnection(2))]
     );
     assert_eq!(
-        to_viewers(&harness.accept(7)),
+        messages_to_viewers(&harness.accept(7)),
         [(1, ToViewer::Answer(CallId(7), "answer 0000000000000007".into()))]
     );
 }
 
 #[test]
-fn an_invalid_set_up_is_rejected_before_the_policy_sees_it() {
+fn rejects_invalid_set_up_without_policy() {
     let mut harness = Harness::new(3, 4);
     let mut id = 100;
-    let mut fails = |change: &dyn Fn(&mut beechloft_protocol::viewer::SetUp)| {
+    let mut assert_rejected = |change: &dyn Fn(&mut SetUp)| {
         id += 1;
         let mut setup = set_up(id, 3_000);
         change(&mut setup);
-        let out = harness
-            .handle(Input::ViewerMessage(ViewerConnection(1), FromViewer::SetUp(CallId(id), Ok(setup))));
-        assert_eq!(to_viewers(&out), [(1, ToViewer::Release(CallId(id), Cause::InvalidElement))]);
-        assert_eq!(out.len(), 1);
+        let message = FromViewer::SetUp(CallId(id), Ok(setup));
+        let outputs = harness.handle(Input::ViewerMessage(ViewerConnection(1), message));
+        assert_eq!(
+            messages_to_viewers(&outputs),
+            [(1, ToViewer::Release(CallId(id), Cause::InvalidElement))]
+        );
+        assert_eq!(outputs.len(), 1);
     };
-    fails(&|s| s.class = "nobody".into());
-    fails(&|s| s.attributes.home_cell = 4);
-    fails(&|s| s.attributes.copies = 0);
-    fails(&|s| s.attributes.copies = 5);
-    fails(&|s| s.description = "\u{1}".repeat(8_000));
+    assert_rejected(&|setup| setup.class = "nobody".into());
+    assert_rejected(&|setup| setup.attributes.home_cell = 4);
+    assert_rejected(&|setup| setup.attributes.copies = 0);
+    assert_rejected(&|setup| setup.attributes.copies = 5);
+    assert_rejected(&|setup| setup.description = "\u{1}".repeat(8_000));
 }
 
 #[test]
-fn a_server_that_is_down_ends_its_own_sessions_and_no_others() {
+fn server_down_ends_only_its_own_sessions() {
     let mut harness = Harness::new(3, 4);
     for id in 1..=12 {
         harness.set_up(1, id, 3_000);
         harness.accept(id);
     }
-    let dead = harness.established[&CallId(1)];
-    let there = harness.established.values().filter(|l| **l == dead).count();
-    let out = harness.handle(Input::ServerDown(dead));
-    assert_eq!(to_viewers(&out).len(), there);
-    assert_eq!(harness.node.counts().established, 12 - there);
-    assert_eq!(to_viewers(&harness.handle(Input::ServerDown(dead))), []);
+    let down = harness.established[&CallId(1)];
+    let sessions_at_down = harness.established.values().filter(|incarnation| **incarnation == down).count();
+    let outputs = harness.handle(Input::ServerDown(down));
+    assert_eq!(messages_to_viewers(&outputs).len(), sessions_at_down);
+    assert_eq!(harness.node.counts().established, 12 - sessions_at_down);
+    assert_eq!(messages_to_viewers(&harness.handle(Input::ServerDown(down))), []);
 }
 
 #[test]
-fn a_new_server_at_the_address_of_another_inherits_nothing() {
+fn new_server_at_same_address_inherits_no_sessions() {
     let mut harness = Harness::new(3, 1);
     harness.set_up(1, 7, 3_000);
     harness.accept(7);
-    let old = harness.established[&CallId(7)];
-    let mut new = endpoint(9, Status::Ready);
-    new.address = endpoint(0, Status::Ready).address;
-    let out = harness.bus(vec![endpoint(0, Status::Gone), new]);
-    assert_eq!(to_viewers(&out), [(1, ToViewer::Release(CallId(7), Cause::TemporaryFailure))]);
-    assert!(out.contains(&Output::RemoveIncarnation(old)), "{out:?}");
-    assert!(!harness.incarnations.contains_key(&old) && harness.incarnations.len() == 1);
+    let previous = harness.established[&CallId(7)];
+    let mut successor = endpoint(9, Status::Ready);
+    successor.address = endpoint(0, Status::Ready).address;
+    let outputs = harness.update_endpoints(vec![endpoint(0, Status::Gone), successor]);
+    assert_eq!(messages_to_viewers(&outputs), [(1, ToViewer::Release(CallId(7), Cause::TemporaryFailure))]);
+    assert!(outputs.contains(&Output::RemoveIncarnation(previous)), "{outputs:?}");
+    assert!(!harness.incarnations.contains_key(&previous) && harness.incarnations.len() == 1);
 }
 
 #[test]
-fn a_restart_on_the_list_ends_the_sessions_before_it() {
+fn restart_on_endpoint_list_ends_earlier_sessions() {
     let mut harness = Harness::new(3, 1);
     harness.set_up(1, 7, 3_000);
     harness.accept(7);
-    let mut new = endpoint(0, Status::Ready);
-    new.started_ms = harness.now.0 / 1000;
-    let out = harness.bus(vec![new.clone()]);
-    assert_eq!(to_viewers(&out).len(), 1);
-    // Told again, it is no other start.
-    let out = harness.handle(Input::Topology(Topology { snapshot: true, endpoints: vec![new] }));
-    assert_eq!(out, []);
+    let mut restarted = endpoint(0, Status::Ready);
+    restarted.started_ms = harness.now.0 / 1000;
+    let after_restart = harness.update_endpoints(vec![restarted.clone()]);
+    assert_eq!(messages_to_viewers(&after_restart).len(), 1);
+    // The same start on a later list is not another restart.
+    let repeated = Topology { snapshot: true, endpoints: vec![restarted] };
+    assert_eq!(harness.handle(Input::Topology(repeated)), []);
 }
 
 #[test]
 fn removed_servers_leave_no_state() {
     let mut harness = Harness::new(3, 2);
     let incarnations = harness.node.counts().incarnations;
-    for n in 10..400 {
-        harness.bus(vec![endpoint(n, Status::Ready)]);
-        harness.bus(vec![endpoint(n, Status::Terminating)]);
-        harness.bus(vec![endpoint(n, Status::Gone)]);
+    for index in 10..400 {
+        harness.update_endpoints(vec![endpoint(index, Status::Ready)]);
+        harness.update_endpoints(vec![endpoint(index, Status::Terminating)]);
+        harness.update_endpoints(vec![endpoint(index, Status::Gone)]);
         harness.advance(100);
     }
     assert_eq!(harness.node.counts().incarnations, incarnations);
@@ -258,58 +267,60 @@
 }
 
 #[test]
-fn adopted_sessions_keep_a_connection_and_may_be_named_twice() {
+fn adopted_session_keeps_connection_and_accepts_repetition() {
     let mut harness = Harness::new(3, 2);
-    let handed = |at: &str| {
+    let adoption = |server: &str| {
         let mut setup = set_up(7, 4_294_967);
-        setup.attributes.playing_at = Some(at.into());
+        setup.attributes.playing_at = Some(server.into());
         Input::ViewerMessage(ViewerConnection(1), FromViewer::SetUp(CallId(7), Ok(setup)))
     };
-    let out = harness.handle(handed("s-00000001"));
-    let [Output::KeepConnected(incarnation, true)] = out[..] else { panic!("{out:?}") };
-    assert_eq!(harness.handle(handed("s-00000001")), []);
+    let adopted = harness.handle(adoption("s-00000001"));
+    let [Output::KeepConnected(incarnation, true)] = adopted[..] else { panic!("{adopted:?}") };
+    assert_eq!(harness.handle(adoption("s-00000001")), []);
     assert_eq!(harness.node.counts().established, 1);
-    let out = harness.end(incarnation, 7, Cause::Normal);
-    assert_eq!(to_viewers(&out), [(1, ToViewer::Release(CallId(7), Cause::Normal))]);
+    let ended = harness.end(incarnation, 7, Cause::Normal);
+    assert_eq!(messages_to_viewers(&ended), [(1, ToViewer::Release(CallId(7), Cause::Normal))]);
 }
 
 #[test]
-fn health_checks_pass_with_a_list_and_fail_after_sigterm_while_set_ups_are_still_served() {
+fn health_check_fails_after_sigterm_while_set_ups_are_served() {
     let mut harness = Harness::new(3, 2);
-    let test = || Input::ViewerMessage(ViewerConnection(1), FromViewer::Test(CallId(1)));
-    assert_eq!(to_viewers(&harness.handle(test())), [(1, ToViewer::TestResult(CallId(1), true))]);
+    let health_check = || Input::ViewerMessage(ViewerConnection(1), FromViewer::Test(CallId(1)));
+    let passed = harness.handle(health_check());
+    assert_eq!(messages_to_viewers(&passed), [(1, ToViewer::TestResult(CallId(1), true))]);
     harness.handle(Input::Terminate);
-    assert_eq!(to_viewers(&harness.handle(test())), [(1, ToViewer::TestResult(CallId(1), false))]);
+    let failed = harness.handle(health_check());
+    assert_eq!(messages_to_viewers(&failed), [(1, ToViewer::TestResult(CallId(1), false))]);
     harness.set_up(2, 7, 3_000);
-    assert_eq!(to_viewers(&harness.accept(7)).len(), 1);
+    assert_eq!(messages_to_viewers(&harness.accept(7)).len(), 1);
 }
 
+/// All four media servers report full links with their refusals, so the policy sends no further set-up to them.
 #[test]
-fn the_load_report_of_a_refusal_reaches_the_policy() {
-    // All four servers say that their links are full; no set-up is tried there any more.
+fn load_report_of_refusal_reaches_policy() {
     let mut harness = Harness::new(3, 4);
     for id in 1..=4 {
         harness.set_up(1, id, 3_000);
         if let Some(incarnation) = harness.in_flight.get(&CallId(id)).copied() {
-            let full = ServerMessage {
+            let refusal = ServerMessage {
                 event: FromServer::End(CallId(id), Cause::ResourceUnavailable),
                 load: Some("utilization:1.1;x1:1.1".into()),
             };
-            harness.handle(Input::ServerMessage(incarnation, full));
+            harness.handle(Input::ServerMessage(incarnation, refusal));
         }
     }
-    let out = harness.set_up(1, 50, 3_000);
+    let outputs = harness.set_up(1, 50, 3_000);
     assert!(
         matches!(
-            to_viewers(&out)[..],
+            messages_to_viewers(&outputs)[..],
             [(1, ToViewer::ReleaseWithRetryAfter(CallId(50), Cause::NoCircuit, _))]
         ),
-        "{out:?}"
+        "{outputs:?}"
     );
 }
 
 #[test]
-fn a_failed_connection_leads_to_an_attempt_at_another_server_at_once() {
+fn failed_connection_is_retried_at_other_server() {
     let mut harness = Harness::new(3, 4);
     harness.set_up(1, 7, 3_000);
     let first = harness.in_flight[&CallId(7)];
@@ -317,15 +328,16 @@
     assert_ne!(harness.in_flight[&CallId(7)], first);
 }
 
-/// A whole list that names nobody says nothing of the servers that are known: those that play there play on, and new sessions are
-/// set up. Seen before: each was taken for gone, and every session was refused.
+/// Guards against treating all media servers as removed if a complete endpoint list is empty, which would end every
+/// session and reject all set-ups.
 #[test]
-fn an_empty_list_ends_no_session_and_rejects_none() {
+fn empty_list_ends_and_rejects_no_session() {
     let mut harness = Harness::new(1, 4);
     harness.set_up(1, 1, 3_000);
     harness.accept(1);
-    let out = harness.handle(Input::Topology(Topology { snapshot: true, endpoints: Vec::new() }));
-    assert_eq!(out, [], "it ends nothing");
+    let empty_list = Topology { snapshot: true, endpoints: Vec::new() };
+    let outputs = harness.handle(Input::Topology(empty_list));
+    assert_eq!(outputs, [], "an empty list causes no outputs");
     for id in 2..20 {
         harness.set_up(1, id, 3_000);
         harness.accept(id);
@@ -333,55 +345,62 @@
     assert_eq!(harness.node.counts().established, 19);
 }
 
-/// Nobody waits for a set-up any more: it is taken back if it has not left, also where cancelling is not allowed.
+/// A set-up that no viewer waits for is discarded before it is sent, even if the settings don't allow cancellation.
 #[test]
-fn a_withdrawn_set_up_that_is_not_sent_yet_is_discarded() {
+fn discards_withdrawn_set_up_that_is_not_sent() {
     for cancel in ["true", "false"] {
-        let mut harness =
-            Harness::with(&SETTINGS.replace("\"cancel\": true", &format!("\"cancel\": {cancel}")), 1, 4);
+        let settings = SETTINGS.replace("\"cancel\": true", &format!("\"cancel\": {cancel}"));
+        let mut harness = Harness::with_settings(&settings, 1, 4);
         harness.set_up(1, 1, 3_000);
-        let incarnation = harness.in_flight[&CallId(1)];
-        let out = harness.handle(Input::ViewerMessage(ViewerConnection(1), FromViewer::Release(CallId(1))));
-        assert!(out.contains(&Output::DiscardUnsent(incarnation, CallId(1))), "{out:?}");
-        let closes = harness.set_up(2, 2, 3_000);
-        assert!(!closes.is_empty());
-        let incarnation = harness.in_flight[&CallId(2)];
-        let out = harness.handle(Input::ViewerConnectionClosed(ViewerConnection(2)));
-        assert!(out.contains(&Output::DiscardUnsent(incarnation, CallId(2))), "{out:?}");
+        let incarnation_of_1 = harness.in_flight[&CallId(1)];
+        let release = FromViewer::Release(CallId(1));
+        let after_release = harness.handle(Input::ViewerMessage(ViewerConnection(1), release));
+        assert!(
+            after_release.contains(&Output::DiscardUnsent(incarnation_of_1, CallId(1))),
+            "{after_release:?}"
+        );
+        assert!(!harness.set_up(2, 2, 3_000).is_empty());
+        let incarnation_of_2 = harness.in_flight[&CallId(2)];
+        let after_close = harness.handle(Input::ViewerConnectionClosed(ViewerConnection(2)));
+        assert!(after_close.contains(&Output::DiscardUnsent(incarnation_of_2, CallId(2))), "{after_close:?}");
     }
 }
 
-/// A repeat of a keyed set-up that waits for its connection must not leave once its window is over.
+/// A retry of a keyed set-up that waits for a connection must not be sent after the deduplication window.
 #[test]
-fn a_retry_of_a_keyed_set_up_states_by_when_it_must_be_sent() {
+fn keyed_retry_has_send_deadline_within_window() {
     let keyed = "\"effect\": \"by_key\", \"group\": \"all\", \"window_us\": 500000";
-    let mut harness = Harness::with(&SETTINGS.replace("\"effect\": \"repeatable\"", keyed), 1, 4);
-    let began = harness.now;
+    let settings = SETTINGS.replace("\"effect\": \"repeatable\"", keyed);
+    let mut harness = Harness::with_settings(&settings, 1, 4);
+    let requested_at = harness.now;
     harness.set_up(1, 1, 3_000);
     harness.advance(100);
-    let out = harness.handle(Input::AttemptFailed(
+    let outputs = harness.handle(Input::AttemptFailed(
         harness.in_flight[&CallId(1)],
         CallId(1),
         AttemptFailure::ConnectionReset,
     ));
-    let by = out.iter().find_map(|o| match o {
-        Output::SendSetUp { send_by, .. } => Some(*send_by),
-        _ => None,
-    });
-    let by = by.expect("a further attempt inside the window");
-    assert!(by <= began + Micros(480_000), "{} us after the first", (by - began).0);
+    let send_by = outputs
+        .iter()
+        .find_map(|output| match output {
+            Output::SendSetUp { send_by, .. } => Some(*send_by),
+            _ => None,
+        })
+        .expect("a retry within the window");
+    assert!(send_by <= requested_at + Micros(480_000), "{} us after the set-up", (send_by - requested_at).0);
 }
 
-/// With a deadline of 20 s a media server may answer long after the session was given up: it is released there all the same.
+/// With a deadline of 20 s, a media server may answer long after its session was abandoned. The session must still be
+/// released there.
 #[test]
-fn an_abandoned_session_is_remembered_as_long_as_its_media_server_may_answer() {
-    let long = SETTINGS.replace("\"deadline_us\": 4000000", "\"deadline_us\": 20000000");
-    let mut harness = Harness::with(&long, 1, 1);
+fn late_answer_is_released_until_longest_deadline() {
+    let settings = SETTINGS.replace("\"deadline_us\": 4000000", "\"deadline_us\": 20000000");
+    let mut harness = Harness::with_settings(&settings, 1, 1);
     harness.set_up(1, 1, 20_000);
     let incarnation = harness.in_flight[&CallId(1)];
     harness.advance(19_000);
     assert!(harness.pending.is_empty());
-    let answer = line(FromServer::Accept(CallId(1), "late".into()));
-    let out = harness.handle(Input::ServerMessage(incarnation, answer));
-    assert_eq!(to_servers(&out).len(), 1, "{out:?}");
+    let late_accept = server_message(FromServer::Accept(CallId(1), "late".into()));
+    let outputs = harness.handle(Input::ServerMessage(incarnation, late_accept));
+    assert_eq!(lines_to_servers(&outputs).len(), 1, "{outputs:?}");
 }
--- a/crates/platform/front-node/tests/memory.rs
+++ b/crates/platform/front-node/tests/memory.rs
@@ -1,66 +1,92 @@
-//! Two hundred media servers of which a hundred and twenty are replaced at once, again and again. Alone in its process,
-//! as it reads that process's memory.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::shadow_unrelated)]
+//! Memory use while most of a large endpoint list is replaced many times.
+//!
+//! The test is alone in its file, because it measures the memory of its process.
 
 mod support;
 
+use beechloft_front_node::Input;
+use beechloft_protocol::CallId;
 use beechloft_protocol::bus::Status;
 use support::{Harness, endpoint};
 
-/// Memory that the process has in use, in kB; none: the system does not tell.
+const SERVERS: u16 = 200;
+const REPLACED_SERVERS: u16 = 120;
+const SET_UPS_PER_REPLACEMENT: u64 = 50;
+/// Maximum number of media servers that the policy may know: those on the list, those that were replaced last, and a
+/// margin.
+const MAX_KNOWN_SERVERS: usize = SERVERS as usize + REPLACED_SERVERS as usize + 50;
+const MAX_GROWTH_KB: u64 = 1024;
+
+/// Returns the resident memory of the process in kB, or `None` if the system does not provide it.
 fn resident_kb() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
-    let line = status.lines().find(|l| l.starts_with("VmRSS:"))?;
+    let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-#[test]
-fn a_list_that_is_mostly_replaced_at_once_leaks_no_memory() {
-    let mut harness = Harness::new(1, 200);
-    let mut made = 200;
-    let mut next = 1;
-    let mut replace = |harness: &mut Harness| {
-        let old = (made - 120..made).map(|n| endpoint(n, Status::Gone));
-        let new = (made..made + 120).map(|n| endpoint(n, Status::Ready));
-        harness.bus(old.chain(new).collect());
-        made += 120;
-        // Their processes end, with all that stands there.
-        for incarnation in harness.connected.clone() {
-            harness.handle(beechloft_front_node::Input::ServerDown(incarnation));
+/// A harness whose endpoint list is replaced again and again.
+struct ReplacedServers {
+    harness: Harness,
+    next_server: u16,
+    next_session: u64,
+}
+
+impl ReplacedServers {
+    fn new() -> Self {
+        ReplacedServers { harness: Harness::new(1, SERVERS), next_server: SERVERS, next_session: 1 }
+    }
+
+    fn replace(&mut self) {
+        let first_new = self.next_server;
+        let removed = (first_new - REPLACED_SERVERS..first_new).map(|index| endpoint(index, Status::Gone));
+        let added = (first_new..first_new + REPLACED_SERVERS).map(|index| endpoint(index, Status::Ready));
+        self.harness.update_endpoints(removed.chain(added).collect());
+        self.next_server += REPLACED_SERVERS;
+        // The processes of the media servers end, with all their sessions.
+        for incarnation in self.harness.connected.clone() {
+            self.harness.handle(Input::ServerDown(incarnation));
         }
-        // Sessions come meanwhile, and what is known of their servers with them.
-        for _ in 0..50 {
-            harness.set_up(1, next, 2_000);
-            if harness.in_flight.contains_key(&beechloft_protocol::CallId(next)) {
-                harness.accept(next);
+        self.establish_sessions();
+        // The harness's own records do not count.
+        self.harness.answers.clear();
+        self.harness.advance(20_000);
+    }
+
+    fn establish_sessions(&mut self) {
+        for _ in 0..SET_UPS_PER_REPLACEMENT {
+            self.harness.set_up(1, self.next_session, 2_000);
+            if self.harness.in_flight.contains_key(&CallId(self.next_session)) {
+                self.harness.accept(self.next_session);
             }
-            next += 1;
+            self.next_session += 1;
         }
-        // The harness's own books are no part of it.
-        harness.answers.clear();
-        harness.advance(20_000);
-    };
-    // What is gone is forgotten a while later, with the next word of the list.
-    let twice = |harness: &mut Harness, replace: &mut dyn FnMut(&mut Harness)| {
-        replace(harness);
-        replace(harness);
-        let counts = harness.node.counts();
-        (counts.servers, counts.incarnations)
-    };
-    let first = twice(&mut harness, &mut replace);
-    assert!(first.0 <= 200 + 120 + 50, "{first:?}");
+    }
+
+    /// Replaces the media servers twice, and returns the number of those that the policy knows. The policy removes
+    /// servers some time after their removal from the list, on the next update of the list.
+    fn replace_twice(&mut self) -> usize {
+        self.replace();
+        self.replace();
+        self.harness.node.counts().servers
+    }
+}
+
+#[test]
+fn repeated_replacement_of_servers_leaks_no_memory() {
+    let mut servers = ReplacedServers::new();
+    let known_first = servers.replace_twice();
+    assert!(known_first <= MAX_KNOWN_SERVERS, "{known_first}");
 
     for _ in 0..4 {
-        twice(&mut harness, &mut replace);
+        servers.replace_twice();
     }
-    let early = resident_kb();
+    let early_kb = resident_kb();
     for _ in 0..30 {
-        twice(&mut harness, &mut replace);
+        servers.replace_twice();
     }
-    let late = twice(&mut harness, &mut replace);
-    assert!(late.0 <= 200 + 120 + 50, "{late:?}");
-    if let (Some(early), Some(late)) = (early, resident_kb()) {
-        assert!(late < early + 1024, "{early} kB, then {late} kB");
+    let known_last = servers.replace_twice();
+    assert!(known_last <= MAX_KNOWN_SERVERS, "{known_last}");
+    if let (Some(early), Some(late)) = (early_kb, resident_kb()) {
+        assert!(late < early + MAX_GROWTH_KB, "{early} kB, then {late} kB");
     }
 }
--- a/crates/platform/front-node/tests/orders.rs
+++ b/crates/platform/front-node/tests/orders.rs
@@ -1,189 +1,251 @@
-//! Any order of inputs keeps the rules: the harness checks them on each output.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::too_many_lines)]
+//! Property test: any order of inputs keeps the invariants that the harness checks on each output.
 
 mod support;
 
+use std::collections::BTreeMap;
+
+use beechloft::api::Micros;
 use beechloft_front_node::{AttemptFailure, Input, Output, ServerIncarnation, ViewerConnection};
 use beechloft_protocol::bus::{Status, Topology};
-use beechloft_protocol::server::{FromServer, Note, ServerMessage};
+use beechloft_protocol::server::{FromServer, Measurement, ServerMessage};
 use beechloft_protocol::viewer::{FromViewer, SetUpError, ToViewer};
 use beechloft_protocol::{CallId, Cause};
 use proptest::prelude::*;
-use support::{Harness, SHUTDOWN_DEADLINE_MS, endpoint, line, set_up};
+use support::{Harness, SHUTDOWN_DEADLINE_MS, endpoint, server_message, server_name, set_up};
+
+/// Number of media servers that endpoint lists and adoptions may name.
+const SERVERS: u16 = 6;
+
+/// Codes of the causes with which media servers end sessions.
+const CAUSE_CODES: [u8; 5] = [34, 47, 102, 41, 16];
+
+/// Identifier of a session that is never set up.
+const UNKNOWN_SESSION: CallId = CallId(1 << 40);
 
+/// One input or a lapse of time. An `index` selects one of the known sessions.
 #[derive(Debug, Clone)]
 enum Step {
-    SetUp { conn: u64, timeout_ms: u64 },
-    DuplicateSetUp { conn: u64, which: usize },
-    MalformedSetUp { conn: u64, which: usize },
-    Leave { conn: u64, which: usize },
-    Close { conn: u64 },
-    UndeliveredAnswer { which: usize },
-    Accept { which: usize },
-    AcceptAnywhere { which: usize, incarnation: u32 },
-    End { which: usize, cause: u8, load: bool },
-    EndAnywhere { which: usize, incarnation: u32, cause: u8 },
-    Note { which: usize, value: f64 },
-    Break { which: usize, how: u8 },
+    SetUp { connection: u64, timeout_ms: u64 },
+    DuplicateSetUp { connection: u64, index: usize },
+    MalformedSetUp { connection: u64, index: usize },
+    Release { connection: u64, index: usize },
+    CloseConnection { connection: u64 },
+    UndeliveredAnswer { index: usize },
+    Accept { index: usize },
+    AcceptAnywhere { index: usize, incarnation: u32 },
+    End { index: usize, cause: u8, load: bool },
+    EndAnywhere { index: usize, incarnation: u32, cause: u8 },
+    Measurement { index: usize, value: f64 },
+    FailAttempt { index: usize, failure: u8 },
     ServerDown { incarnation: u32 },
-    List { n: u16, status: u8, restart: bool, snapshot: bool },
+    EndpointList { server: u16, status: u8, restart: bool, snapshot: bool },
     EmptyList,
     Terminate,
-    Pass { ms: u64 },
-    HandOver { conn: u64, n: u16 },
+    Advance { ms: u64 },
+    Adopt { connection: u64, server: u16 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let conn = || 0..4u64;
-    let which = || 0..64usize;
+    let connection = || 0..4u64;
+    let index = || 0..64usize;
     prop_oneof![
-        8 => (conn(), 0..4_000u64).prop_map(|(conn, timeout_ms)| Step::SetUp { conn, timeout_ms }),
-        1 => (conn(), which()).prop_map(|(conn, which)| Step::DuplicateSetUp { conn, which }),
-        1 => (conn(), which()).prop_map(|(conn, which)| Step::MalformedSetUp { conn, which }),
-        1 => (conn(), which()).prop_map(|(conn, which)| Step::Leave { conn, which }),
-        1 => conn().prop_map(|conn| Step::Close { conn }),
-        1 => which().prop_map(|which| Step::UndeliveredAnswer { which }),
-        6 => which().prop_map(|which| Step::Accept { which }),
-        1 => (which(), 0..8u32).prop_map(|(which, incarnation)| Step::AcceptAnywhere { which, incarnation }),
-        3 => (which(), any::<u8>(), any::<bool>()).prop_map(|(which, cause, load)| Step::End { which, cause, load }),
-        1 => (which(), 0..8u32, any::<u8>()).prop_map(|(which, incarnation, cause)| Step::EndAnywhere { which, incarnation, cause }),
-        1 => (which(), 0.0..3.0).prop_map(|(which, value)| Step::Note { which, value }),
-        2 => (which(), 0..3u8).prop_map(|(which, how)| Step::Break { which, how }),
+        8 => (connection(), 0..4_000u64)
+            .prop_map(|(connection, timeout_ms)| Step::SetUp { connection, timeout_ms }),
+        1 => (connection(), index()).prop_map(|(connection, index)| Step::DuplicateSetUp { connection, index }),
+        1 => (connection(), index()).prop_map(|(connection, index)| Step::MalformedSetUp { connection, index }),
+        1 => (connection(), index()).prop_map(|(connection, index)| Step::Release { connection, index }),
+        1 => connection().prop_map(|connection| Step::CloseConnection { connection }),
+        1 => index().prop_map(|index| Step::UndeliveredAnswer { index }),
+        6 => index().prop_map(|index| Step::Accept { index }),
+        1 => (index(), 0..8u32).prop_map(|(index, incarnation)| Step::AcceptAnywhere { index, incarnation }),
+        3 => (index(), any::<u8>(), any::<bool>())
+            .prop_map(|(index, cause, load)| Step::End { index, cause, load }),
+        1 => (index(), 0..8u32, any::<u8>())
+            .prop_map(|(index, incarnation, cause)| Step::EndAnywhere { index, incarnation, cause }),
+        1 => (index(), 0.0..3.0).prop_map(|(index, value)| Step::Measurement { index, value }),
+        2 => (index(), 0..3u8).prop_map(|(index, failure)| Step::FailAttempt { index, failure }),
         1 => (0..8u32).prop_map(|incarnation| Step::ServerDown { incarnation }),
-        2 => (0..6u16, 0..3u8, any::<bool>(), prop::bool::weighted(0.2))
-            .prop_map(|(n, status, restart, snapshot)| Step::List { n, status, restart, snapshot }),
+        2 => (0..SERVERS, 0..3u8, any::<bool>(), prop::bool::weighted(0.2))
+            .prop_map(|(server, status, restart, snapshot)| {
+                Step::EndpointList { server, status, restart, snapshot }
+            }),
         1 => Just(Step::EmptyList),
-        1 => prop::bool::weighted(0.1).prop_map(|ends| if ends { Step::Terminate } else { Step::Pass { ms: 1 } }),
-        5 => (0..900u64).prop_map(|ms| Step::Pass { ms }),
-        1 => (conn(), 0..6u16).prop_map(|(conn, n)| Step::HandOver { conn, n }),
+        1 => prop::bool::weighted(0.1)
+            .prop_map(|terminates| if terminates { Step::Terminate } else { Step::Advance { ms: 1 } }),
+        5 => (0..900u64).prop_map(|ms| Step::Advance { ms }),
+        1 => (connection(), 0..SERVERS).prop_map(|(connection, server)| Step::Adopt { connection, server }),
     ]
 }
 
-const CAUSES: [u8; 5] = [34, 47, 102, 41, 16];
-
-fn play(harness: &mut Harness, step: Step, made: &mut u64) {
-    let pick = |map: &std::collections::BTreeMap<CallId, ServerIncarnation>, which: usize| {
-        map.iter().nth(which % map.len().max(1)).map(|(id, incarnation)| (*id, *incarnation))
-    };
-    let any = CallId;
-    match step {
-        Step::SetUp { conn, timeout_ms } => {
-            *made += 1;
-            harness.set_up(conn, *made, timeout_ms);
-        }
-        Step::DuplicateSetUp { conn, which } => {
-            if let Some((id, _)) = pick(&harness.in_flight, which) {
-                harness.handle(Input::ViewerMessage(
-                    ViewerConnection(conn),
-                    FromViewer::SetUp(id, Ok(set_up(1, 900))),
-                ));
+/// Returns the session that an index selects.
+fn pick(sessions: &BTreeMap<CallId, ServerIncarnation>, index: usize) -> Option<(CallId, ServerIncarnation)> {
+    let selected = sessions.iter().nth(index % sessions.len().max(1));
+    selected.map(|(id, incarnation)| (*id, *incarnation))
+}
+
+/// Returns the identifier of a session that may or may not exist.
+fn any_session(index: usize) -> CallId {
+    CallId(1 + index as u64)
+}
+
+/// Returns the message of a media server that ends a session.
+fn end_message(id: CallId, cause: Cause, load: Option<String>) -> ServerMessage {
+    ServerMessage { event: FromServer::End(id, cause), load }
+}
+
+/// Applies the steps of a run.
+struct Run {
+    harness: Harness,
+    /// Number of sessions that were set up or adopted.
+    sessions: u64,
+}
+
+impl Run {
+    fn apply(&mut self, step: Step) {
+        match step {
+            Step::SetUp { connection, timeout_ms } => {
+                self.sessions += 1;
+                self.harness.set_up(connection, self.sessions, timeout_ms);
             }
-        }
-        Step::MalformedSetUp { conn, which } => {
-            let id = pick(&harness.in_flight, which).map_or(any(1 << 40), |p| p.0);
-            harness.handle(Input::ViewerMessage(
-                ViewerConnection(conn),
-                FromViewer::SetUp(id, Err(SetUpError::Invalid(3))),
-            ));
-        }
-        Step::Leave { conn, which } => {
-            let id = any(1 + which as u64);
-            harness.handle(Input::ViewerMessage(ViewerConnection(conn), FromViewer::Release(id)));
-        }
-        Step::Close { conn } => {
-            harness.handle(Input::ViewerConnectionClosed(ViewerConnection(conn)));
-        }
-        Step::UndeliveredAnswer { which } => {
-            harness.handle(Input::AnswerUndelivered(any(1 + which as u64)));
-        }
-        Step::Accept { which } => {
-            if let Some((id, _)) = pick(&harness.in_flight, which) {
-                harness.accept(id.0);
+            Step::DuplicateSetUp { connection, index } => self.duplicate_set_up(connection, index),
+            Step::MalformedSetUp { connection, index } => {
+                let id = pick(&self.harness.in_flight, index).map_or(UNKNOWN_SESSION, |(id, _)| id);
+                self.viewer_message(connection, FromViewer::SetUp(id, Err(SetUpError::Invalid(3))));
             }
-        }
-        Step::AcceptAnywhere { which, incarnation } => {
-            let id = any(1 + which as u64);
-            if harness.in_flight.get(&id) != Some(&ServerIncarnation(incarnation)) {
-                harness.handle(Input::ServerMessage(
-                    ServerIncarnation(incarnation),
-                    line(FromServer::Accept(id, "x".into())),
-                ));
+            Step::Release { connection, index } => {
+                self.viewer_message(connection, FromViewer::Release(any_session(index)));
+            }
+            Step::CloseConnection { connection } => {
+                self.harness.handle(Input::ViewerConnectionClosed(ViewerConnection(connection)));
+            }
+            Step::UndeliveredAnswer { index } => {
+                self.harness.handle(Input::AnswerUndelivered(any_session(index)));
             }
+            Step::EmptyList => {
+                self.harness.handle(Input::Topology(Topology { snapshot: true, endpoints: Vec::new() }));
+            }
+            Step::EndpointList { server, status, restart, snapshot } => {
+                self.apply_endpoint_list(server, status, restart, snapshot);
+            }
+            Step::Terminate => {
+                self.harness.handle(Input::Terminate);
+            }
+            Step::Advance { ms } => self.harness.advance(ms),
+            Step::Adopt { connection, server } => self.adopt(connection, server),
+            server_step => self.apply_at_server(server_step),
         }
-        Step::End { which, cause, load } => {
-            let map = if cause % 2 == 0 { &harness.in_flight } else { &harness.established };
-            if let Some((id, incarnation)) = pick(map, which) {
-                let cause = Cause::from(CAUSES[usize::from(cause) % CAUSES.len()]);
-                let load = load.then(|| "utilization:0.9;x1:0.3;y:NaN".into());
-                harness.handle(Input::ServerMessage(
-                    incarnation,
-                    ServerMessage { event: FromServer::End(id, cause), load },
-                ));
+    }
+
+    /// Applies a step of a media server.
+    fn apply_at_server(&mut self, step: Step) {
+        match step {
+            Step::Accept { index } => {
+                if let Some((id, _)) = pick(&self.harness.in_flight, index) {
+                    self.harness.accept(id.0);
+                }
+            }
+            Step::AcceptAnywhere { index, incarnation } => {
+                let (id, incarnation) = (any_session(index), ServerIncarnation(incarnation));
+                if self.harness.in_flight.get(&id) != Some(&incarnation) {
+                    let accept = server_message(FromServer::Accept(id, "x".into()));
+                    self.harness.handle(Input::ServerMessage(incarnation, accept));
+                }
+            }
+            Step::End { index, cause, load } => self.end(index, cause, load),
+            Step::EndAnywhere { index, incarnation, cause } => {
+                let end = end_message(any_session(index), Cause::from(cause), None);
+                self.harness.handle(Input::ServerMessage(ServerIncarnation(incarnation), end));
             }
+            Step::Measurement { index, value } => self.report_measurement(index, value),
+            Step::FailAttempt { index, failure } => self.fail_attempt(index, failure),
+            Step::ServerDown { incarnation } => {
+                self.harness.handle(Input::ServerDown(ServerIncarnation(incarnation)));
+            }
+            other => unreachable!("{other:?} is not a step of a media server"),
         }
-        Step::EndAnywhere { which, incarnation, cause } => {
-            harness.handle(Input::ServerMessage(
-                ServerIncarnation(incarnation),
-                line(FromServer::End(any(1 + which as u64), Cause::from(cause))),
-            ));
+    }
+
+    fn viewer_message(&mut self, connection: u64, message: FromViewer) -> Vec<Output> {
+        self.harness.handle(Input::ViewerMessage(ViewerConnection(connection), message))
+    }
+
+    fn duplicate_set_up(&mut self, connection: u64, index: usize) {
+        if let Some((id, _)) = pick(&self.harness.in_flight, index) {
+            self.viewer_message(connection, FromViewer::SetUp(id, Ok(set_up(1, 900))));
         }
-        Step::Note { which, value } => {
-            if let Some((id, incarnation)) = pick(&harness.established, which) {
-                let note = match which % 4 {
-                    0 => Note::DeliveredFraction(value),
-                    1 => Note::Rung(value),
-                    2 => Note::LinkUtilization(value),
-                    _ => Note::UplinkUtilization(value),
-                };
-                harness.handle(Input::ServerMessage(incarnation, line(FromServer::Note(id, note))));
-            }
+    }
+
+    fn end(&mut self, index: usize, cause: u8, load: bool) {
+        let sessions =
+            if cause.is_multiple_of(2) { &self.harness.in_flight } else { &self.harness.established };
+        if let Some((id, incarnation)) = pick(sessions, index) {
+            let code = CAUSE_CODES[usize::from(cause) % CAUSE_CODES.len()];
+            let load = load.then(|| "utilization:0.9;x1:0.3;y:NaN".into());
+            let end = end_message(id, Cause::from(code), load);
+            self.harness.handle(Input::ServerMessage(incarnation, end));
         }
-        Step::Break { which, how } => {
-            if let Some((id, incarnation)) = pick(&harness.in_flight, which) {
-                let how =
-                    [AttemptFailure::NoConnection, AttemptFailure::NotSent, AttemptFailure::ConnectionReset]
-                        [usize::from(how)];
-                harness.handle(Input::AttemptFailed(incarnation, id, how));
-            }
+    }
+
+    fn report_measurement(&mut self, index: usize, value: f64) {
+        if let Some((id, incarnation)) = pick(&self.harness.established, index) {
+            let measurement = match index % 4 {
+                0 => Measurement::DeliveredFraction(value),
+                1 => Measurement::Rung(value),
+                2 => Measurement::LinkUtilization(value),
+                _ => Measurement::UplinkUtilization(value),
+            };
+            let message = server_message(FromServer::Measurement(id, measurement));
+            self.harness.handle(Input::ServerMessage(incarnation, message));
         }
-        Step::ServerDown { incarnation } => {
-            harness.handle(Input::ServerDown(ServerIncarnation(incarnation)));
+    }
+
+    fn fail_attempt(&mut self, index: usize, failure: u8) {
+        let failures =
+            [AttemptFailure::NoConnection, AttemptFailure::NotSent, AttemptFailure::ConnectionReset];
+        if let Some((id, incarnation)) = pick(&self.harness.in_flight, index) {
+            let failure = failures[usize::from(failure)];
+            self.harness.handle(Input::AttemptFailed(incarnation, id, failure));
         }
-        Step::List { n, status, restart, snapshot } => {
-            let status = [Status::Ready, Status::Terminating, Status::Gone][usize::from(status)];
-            let mut e = endpoint(n, status);
-            if restart {
-                e.started_ms = harness.now.0 / 1000;
-            }
-            let mut endpoints = vec![e];
-            if snapshot {
-                endpoints.extend((0..6).filter(|m| *m != n).map(|m| endpoint(m, Status::Ready)));
-            }
-            harness.handle(Input::Topology(Topology { snapshot, endpoints }));
+    }
+
+    fn apply_endpoint_list(&mut self, server: u16, status: u8, restart: bool, snapshot: bool) {
+        let status = [Status::Ready, Status::Terminating, Status::Gone][usize::from(status)];
+        let mut changed = endpoint(server, status);
+        if restart {
+            changed.started_ms = self.harness.now.0 / 1000;
         }
-        Step::EmptyList => {
-            harness.handle(Input::Topology(Topology { snapshot: true, endpoints: Vec::new() }));
+        let mut endpoints = vec![changed];
+        if snapshot {
+            let others = (0..SERVERS).filter(|other| *other != server);
+            endpoints.extend(others.map(|other| endpoint(other, Status::Ready)));
         }
-        Step::Terminate => {
-            harness.handle(Input::Terminate);
+        self.harness.handle(Input::Topology(Topology { snapshot, endpoints }));
+    }
+
+    fn adopt(&mut self, connection: u64, server: u16) {
+        self.sessions += 1;
+        let id = CallId(self.sessions);
+        let mut setup = set_up(id.0, 4_294_967);
+        setup.attributes.playing_at = Some(server_name(server));
+        let outputs = self.viewer_message(connection, FromViewer::SetUp(id, Ok(setup)));
+        // Queued releases of other sessions may be sent on this connection too.
+        let is_own_release = |output: &Output| {
+            let Output::SendToViewer(_, ToViewer::Release(released, _)) = output else { return false };
+            *released == id
+        };
+        if !outputs.iter().any(is_own_release) {
+            self.harness.add_adopted(id, server);
         }
-        Step::Pass { ms } => harness.advance(ms),
-        Step::HandOver { conn, n } => {
-            *made += 1;
-            let mut setup = set_up(*made, 4_294_967);
-            setup.attributes.playing_at = Some(format!("s-{n:08x}"));
-            let out = harness.handle(Input::ViewerMessage(
-                ViewerConnection(conn),
-                FromViewer::SetUp(any(*made), Ok(setup)),
-            ));
-            // Releases that waited for a connection may go out on this one.
-            let own =
-                |o: &Output| matches!(o, Output::SendToViewer(_, ToViewer::Release(id, _)) if id.0 == *made);
-            let refused = out.iter().any(own);
-            if !refused {
-                harness.add_adopted(any(*made), n);
-            }
+    }
+
+    /// Reports all media servers as removed and down.
+    fn remove_all_servers(&mut self) {
+        for index in 0..SERVERS {
+            self.harness.update_endpoints(vec![endpoint(index, Status::Gone)]);
+        }
+        let incarnations: Vec<ServerIncarnation> = self.harness.incarnations.keys().copied().collect();
+        for incarnation in incarnations {
+            self.harness.handle(Input::ServerDown(incarnation));
         }
     }
 }
@@ -191,35 +253,44 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
     #[test]
-    fn any_order_of_inputs_keeps_the_invariants_and_leaves_no_state(seed in any::<u64>(), steps in prop::collection::vec(step(), 1..120)) {
-        let mut harness = Harness::new(seed, 4);
-        let mut made = 0;
+    fn any_input_order_keeps_invariants(
+        seed in any::<u64>(),
+        steps in prop::collection::vec(step(), 1..120),
+    ) {
+        let mut run = Run { harness: Harness::new(seed, 4), sessions: 0 };
         for step in steps {
-            play(&mut harness, step, &mut made);
-            let counts = harness.node.counts();
-            prop_assert_eq!(counts.pending, harness.pending.len());
-            let waiting = harness.established.len() - counts.established.min(harness.established.len());
-            prop_assert!(waiting <= counts.queued_releases && counts.established <= harness.established.len());
+            run.apply(step);
+            let counts = run.harness.node.counts();
+            let expected_established = run.harness.established.len();
+            prop_assert_eq!(counts.pending, run.harness.pending.len());
+            // A session that has ended without its release counts as established until the release is sent.
+            let unreleased = expected_established.saturating_sub(counts.established);
+            prop_assert!(unreleased <= counts.queued_releases && counts.established <= expected_established);
         }
-        // After SIGTERM all is answered by the last call, whatever was asked for when; without it, in time.
-        if let Some(since) = harness.node.terminated() {
-            let call = since + beechloft::api::Micros(SHUTDOWN_DEADLINE_MS * 1000);
-            harness.advance((call - harness.now).0.div_ceil(1000));
-            prop_assert!(harness.pending.is_empty() && harness.node.counts().pending == 0, "after the last call: {:?}", harness.pending);
-            harness.set_up(0, 1 << 50, 3_000);
-            prop_assert!(harness.pending.is_empty() && harness.in_flight.is_empty(), "begun after the last call");
-        }
-        // All that was taken is answered in time, and all that stands ends when its media servers do.
-        harness.advance(5_000);
-        prop_assert!(harness.pending.is_empty() && harness.in_flight.is_empty(), "{:?} {:?}", harness.pending, harness.in_flight);
-        for n in 0..6 {
-            harness.bus(vec![endpoint(n, Status::Gone)]);
-        }
-        let incarnations: Vec<ServerIncarnation> = harness.incarnations.keys().copied().collect();
-        for incarnation in incarnations {
-            harness.handle(Input::ServerDown(incarnation));
+        // After SIGTERM, all set-ups are answered by the shutdown deadline, and later ones are not served.
+        if let Some(terminated_at) = run.harness.node.shutdown_requested_at() {
+            let deadline = terminated_at + Micros(SHUTDOWN_DEADLINE_MS * 1000);
+            run.harness.advance((deadline - run.harness.now).0.div_ceil(1000));
+            let pending = run.harness.node.counts().pending;
+            prop_assert!(
+                run.harness.pending.is_empty() && pending == 0,
+                "pending after the shutdown deadline: {:?}", run.harness.pending
+            );
+            run.harness.set_up(0, 1 << 50, 3_000);
+            prop_assert!(
+                run.harness.pending.is_empty() && run.harness.in_flight.is_empty(),
+                "a set-up was served after the shutdown deadline"
+            );
         }
-        let counts = harness.node.counts();
-        prop_assert_eq!((counts.pending, counts.established, counts.abandoned, counts.incarnations), (0, 0, 0, 0));
+        // All set-ups are answered in time, and all sessions end with their media servers.
+        run.harness.advance(5_000);
+        prop_assert!(
+            run.harness.pending.is_empty() && run.harness.in_flight.is_empty(),
+            "{:?} {:?}", run.harness.pending, run.harness.in_flight
+        );
+        run.remove_all_servers();
+        let counts = run.harness.node.counts();
+        let remaining = (counts.pending, counts.established, counts.abandoned, counts.incarnations);
+        prop_assert_eq!(remaining, (0, 0, 0, 0));
     }
 }
--- a/crates/platform/front-node/tests/support/mod.rs
+++ b/crates/platform/front-node/tests/support/mod.rs
@@ -1,7 +1,8 @@
-//! A harness around the machine: it drives it and checks the rules on what comes out.
+//! Harness that drives the state machine and checks its invariants on every output.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
 
 use beechloft::api::Micros;
 use beechloft_front_node::{Input, Node, NodeLimits, Output, ServerIncarnation, ViewerConnection};
@@ -26,26 +27,37 @@
     "weights": "rough"
 }"#;
 
-/// So long after SIGTERM all is answered.
+/// Time after SIGTERM at which all pending set-ups are answered.
 pub const SHUTDOWN_DEADLINE_MS: u64 = 2_000;
 
-pub fn endpoint(n: u16, status: Status) -> Endpoint {
+/// Time after the start of a drain during which set-ups may still be sent.
+const DRAIN_GRACE: Micros = Micros(1_000_000);
+
+/// Returns the name of the media server with this index.
+pub fn server_name(index: u16) -> String {
+    format!("s-{index:08x}")
+}
+
+/// Returns the endpoint of the media server with this index.
+pub fn endpoint(index: u16, status: Status) -> Endpoint {
     Endpoint {
-        name: format!("s-{n:08x}"),
-        address: format!("127.0.{}.{}:2905", n / 200, n % 200 + 1),
+        name: server_name(index),
+        address: format!("127.0.{}.{}:2905", index / 200, index % 200 + 1),
         zone: "a".into(),
-        kind: "small".into(),
-        cell: n % 4,
+        server_type: "small".into(),
+        cell: index % 4,
         status,
         weight: 1.0,
         started_ms: 0,
     }
 }
 
-pub fn line(event: FromServer) -> ServerMessage {
+/// Returns a message of a media server without a load report.
+pub fn server_message(event: FromServer) -> ServerMessage {
     ServerMessage { event, load: None }
 }
 
+/// Returns a valid set-up.
 pub fn set_up(viewer: u64, timeout_ms: u64) -> Box<SetUp> {
     Box::new(SetUp {
         class: "stall-video".into(),
@@ -64,62 +76,66 @@
     })
 }
 
-/// Drives a machine, plays the other side's part of the books, and checks the rules.
+/// Drives a state machine, tracks the expected state of sessions, and checks the invariants.
 pub struct Harness {
     pub node: Node,
     pub now: Micros,
-    /// Where each attempt is out.
+    /// Incarnation of each attempt that is in flight.
     pub in_flight: BTreeMap<CallId, ServerIncarnation>,
-    /// Sessions that stand, by what was said to viewers and media servers.
+    /// Incarnation of each session that is established according to the messages to viewers and media servers.
     pub established: BTreeMap<CallId, ServerIncarnation>,
-    /// Set-ups that are owed an answer, and by when.
+    /// Set-ups that are waiting for their answers, with the timeouts of their viewers.
     pub pending: BTreeMap<CallId, Micros>,
-    /// The connection of each set-up that is owed an answer.
-    requested_on: BTreeMap<CallId, u64>,
-    /// Sessions that their media servers have ended, whose viewers may have to hear of it.
-    due: BTreeSet<CallId>,
+    /// Connection of each set-up.
+    set_up_connections: BTreeMap<CallId, u64>,
+    /// Sessions that their media servers have ended and whose viewers may have to receive a release.
+    unreleased: BTreeSet<CallId>,
+    /// Answers to each set-up.
     pub answers: BTreeMap<CallId, Vec<ToViewer>>,
-    pub incarnations: BTreeMap<ServerIncarnation, std::net::SocketAddr>,
+    /// Address of each known incarnation.
+    pub incarnations: BTreeMap<ServerIncarnation, SocketAddr>,
+    /// Incarnations to which a connection is kept open.
     pub connected: BTreeSet<ServerIncarnation>,
-    /// Since when the machine has known that nothing new may go to an address.
-    pub drained: BTreeMap<std::net::SocketAddr, Micros>,
-    pub last: Vec<Output>,
+    /// Time of the latest update of the endpoint list that excluded an address from new set-ups.
+    pub excluded_since: BTreeMap<SocketAddr, Micros>,
 }
 
 impl Harness {
+    /// Creates a harness whose endpoint list has `servers` media servers.
     pub fn new(seed: u64, servers: u16) -> Harness {
-        Harness::with(SETTINGS, seed, servers)
+        Harness::with_settings(SETTINGS, seed, servers)
     }
 
-    pub fn with(settings: &str, seed: u64, servers: u16) -> Harness {
+    /// Creates a harness with settings of its own.
+    pub fn with_settings(settings: &str, seed: u64, servers: u16) -> Harness {
         let parsed = beechloft_settings::parse(settings.as_bytes()).expect("settings");
-        let bounds = NodeLimits {
+        let limits = NodeLimits {
             answer_margin: Micros(20_000),
             health_check_timeout: Micros(250_000),
             max_sessions: 500,
             shutdown_deadline: Micros(SHUTDOWN_DEADLINE_MS * 1000),
         };
         let mut harness = Harness {
-            node: Node::new(parsed, seed, bounds),
+            node: Node::new(parsed, seed, limits),
             now: Micros(1_700_000_000_000_000),
             in_flight: BTreeMap::new(),
             established: BTreeMap::new(),
             pending: BTreeMap::new(),
-            requested_on: BTreeMap::new(),
-            due: BTreeSet::new(),
+            set_up_connections: BTreeMap::new(),
+            unreleased: BTreeSet::new(),
             answers: BTreeMap::new(),
             incarnations: BTreeMap::new(),
             connected: BTreeSet::new(),
-            drained: BTreeMap::new(),
-            last: Vec::new(),
+            excluded_since: BTreeMap::new(),
         };
-        let endpoints = (0..servers).map(|n| endpoint(n, Status::Ready)).collect();
+        let endpoints = (0..servers).map(|index| endpoint(index, Status::Ready)).collect();
         harness.handle(Input::InitialTopologies(vec![Topology { snapshot: true, endpoints }]));
-        // Past the time in which each may be cold from a start before this one.
+        // Waits until no media server counts as recently started any more.
         harness.advance(1_500);
         harness
     }
 
+    /// Passes an input to the state machine, and checks the outputs.
     pub fn handle(&mut self, input: Input) -> Vec<Output> {
         match &input {
             Input::ViewerMessage(_, FromViewer::Release(id)) => {
@@ -132,22 +148,22 @@
                 }
                 if self.established.get(id) == Some(incarnation) {
                     self.established.remove(id);
-                    self.due.insert(*id);
+                    self.unreleased.insert(*id);
                 }
             }
-            Input::ViewerConnectionClosed(conn) => {
-                let on = &self.requested_on;
-                self.pending.retain(|id, _| on.get(id) != Some(&conn.0));
+            Input::ViewerConnectionClosed(connection) => {
+                let connections = &self.set_up_connections;
+                self.pending.retain(|id, _| connections.get(id) != Some(&connection.0));
             }
             Input::AttemptFailed(incarnation, id, _) if self.in_flight.get(id) == Some(incarnation) => {
                 self.in_flight.remove(id);
             }
             Input::Topology(topology) => {
-                for e in &topology.endpoints {
-                    let addr = e.address.parse().expect("an address");
-                    match e.status {
-                        Status::Ready => self.drained.remove(&addr),
-                        _ => self.drained.insert(addr, self.now),
+                for endpoint in &topology.endpoints {
+                    let address = endpoint.address.parse().expect("a valid address");
+                    match endpoint.status {
+                        Status::Ready => self.excluded_since.remove(&address),
+                        _ => self.excluded_since.insert(address, self.now),
                     };
                 }
             }
@@ -157,33 +173,17 @@
         for output in &outputs {
             self.check(output);
         }
-        self.last = outputs.clone();
         outputs
     }
 
+    /// Checks the invariants on one output, and updates the expected state.
     fn check(&mut self, output: &Output) {
         match output {
-            Output::AddIncarnation(incarnation, addr) => {
-                assert!(self.incarnations.insert(*incarnation, *addr).is_none(), "incarnations are new");
-            }
-            Output::RemoveIncarnation(incarnation) => {
-                assert!(self.incarnations.remove(incarnation).is_some());
-                // What stood there has been released, or its release waits for a connection that is fit for it.
-                let left: Vec<CallId> =
-                    self.established.iter().filter(|(_, l)| *l == incarnation).map(|(id, _)| *id).collect();
-                assert!(
-                    left.len() <= self.node.counts().queued_releases,
-                    "something stands on a incarnation that is forgotten"
-                );
-                for id in left {
-                    self.established.remove(&id);
-                    self.due.insert(id);
-                }
-                assert!(
-                    !self.in_flight.values().any(|l| l == incarnation),
-                    "something is out on a incarnation that is forgotten"
-                );
+            Output::AddIncarnation(incarnation, address) => {
+                let previous = self.incarnations.insert(*incarnation, *address);
+                assert!(previous.is_none(), "an incarnation is added twice");
             }
+            Output::RemoveIncarnation(incarnation) => self.check_removed(*incarnation),
             Output::KeepConnected(incarnation, true) => {
                 self.connected.insert(*incarnation);
             }
@@ -191,31 +191,40 @@
                 self.connected.remove(incarnation);
             }
             Output::SendSetUp { incarnation, id, line: bytes, .. } => {
-                assert!(bytes.ends_with(b"\n") && bytes.len() <= beechloft_protocol::MAX_MESSAGE);
-                let addr = self.incarnations.get(incarnation).expect("a known incarnation");
-                assert!(self.in_flight.insert(*id, *incarnation).is_none(), "two attempts out for {id}");
-                assert!(self.pending.contains_key(id), "an attempt for {id}, to which nothing is owed");
-                let grace = |since: &Micros| self.now - *since <= Micros(1_000_000);
-                assert!(self.drained.get(addr).is_none_or(grace), "a set-up past the grace of a drain");
+                assert!(bytes.ends_with(b"\n") && bytes.len() <= beechloft_protocol::MAX_MESSAGE_BYTES);
+                let address = self.incarnations.get(incarnation).expect("a known incarnation");
+                assert!(
+                    self.in_flight.insert(*id, *incarnation).is_none(),
+                    "two attempts are in flight for {id}"
+                );
+                assert!(self.pending.contains_key(id), "an attempt for {id}, which is not pending");
+                let within_grace = |since: &Micros| self.now - *since <= DRAIN_GRACE;
+                assert!(
+                    self.excluded_since.get(address).is_none_or(within_grace),
+                    "a set-up to a draining media server after the grace period"
+                );
             }
             Output::AbandonAttempt { incarnation, id, .. } => {
-                assert_eq!(self.in_flight.remove(id), Some(*incarnation), "given up where it is not out");
+                assert_eq!(
+                    self.in_flight.remove(id),
+                    Some(*incarnation),
+                    "the abandoned attempt is not in flight"
+                );
             }
             Output::SendToViewer(_, message) => match message {
                 ToViewer::Answer(id, _) => {
-                    self.answered(*id, message);
-                    let incarnation =
-                        self.in_flight.remove(id).expect("the answer of an attempt that is out");
+                    self.check_answer(*id, message);
+                    let incarnation = self.in_flight.remove(id).expect("the answer of an attempt in flight");
                     self.established.insert(*id, incarnation);
                 }
                 ToViewer::Release(id, _) | ToViewer::ReleaseWithRetryAfter(id, ..)
                     if self.pending.contains_key(id) =>
                 {
-                    self.answered(*id, message);
+                    self.check_answer(*id, message);
                 }
                 ToViewer::Release(id, _) | ToViewer::Move(id) => {
-                    let stood = self.established.remove(id).is_some() || self.due.remove(id);
-                    assert!(stood || !self.answers.contains_key(id), "{id} is over and released again");
+                    let is_unreleased = self.established.remove(id).is_some() || self.unreleased.remove(id);
+                    assert!(is_unreleased || !self.answers.contains_key(id), "{id} is released twice");
                 }
                 _ => {}
             },
@@ -227,54 +236,91 @@
         }
     }
 
-    fn answered(&mut self, id: CallId, message: &ToViewer) {
-        let by = self.pending.remove(&id).expect("an answer that is owed");
-        assert!(self.now <= by, "{id} is answered after its viewer gave up");
-        let all = self.answers.entry(id).or_default();
-        all.push(message.clone());
-        assert_eq!(all.len(), 1, "{id} is answered twice");
+    /// Checks that no session or attempt belongs to a removed incarnation. Its sessions were released, or their
+    /// releases wait for a connection.
+    fn check_removed(&mut self, incarnation: ServerIncarnation) {
+        assert!(self.incarnations.remove(&incarnation).is_some());
+        let remaining: Vec<CallId> = self
+            .established
+            .iter()
+            .filter(|(_, location)| **location == incarnation)
+            .map(|(id, _)| *id)
+            .collect();
+        assert!(
+            remaining.len() <= self.node.counts().queued_releases,
+            "an unreleased session belongs to a removed incarnation"
+        );
+        for id in remaining {
+            self.established.remove(&id);
+            self.unreleased.insert(id);
+        }
+        assert!(
+            !self.in_flight.values().any(|location| *location == incarnation),
+            "an attempt is in flight to a removed incarnation"
+        );
+    }
+
+    /// Checks that a set-up gets one answer within its viewer's timeout.
+    fn check_answer(&mut self, id: CallId, message: &ToViewer) {
+        let viewer_timeout = self.pending.remove(&id).expect("a pending set-up");
+        assert!(self.now <= viewer_timeout, "{id} is answered after its viewer's timeout");
+        let answers = self.answers.entry(id).or_default();
+        answers.push(message.clone());
+        assert_eq!(answers.len(), 1, "{id} is answered twice");
     }
 
-    /// A good set-up on a connection.
-    pub fn set_up(&mut self, conn: u64, id: u64, timeout_ms: u64) -> Vec<Output> {
+    /// Sends a valid set-up on a connection.
+    pub fn set_up(&mut self, connection: u64, id: u64, timeout_ms: u64) -> Vec<Output> {
         let id = CallId(id);
         self.pending.insert(id, self.now + Micros(timeout_ms * 1000));
-        self.requested_on.insert(id, conn);
+        self.set_up_connections.insert(id, connection);
         self.handle(Input::ViewerMessage(
-            ViewerConnection(conn),
+            ViewerConnection(connection),
             FromViewer::SetUp(id, Ok(set_up(id.0, timeout_ms))),
         ))
     }
 
-    /// The media server that has an attempt accepts it.
+    /// Accepts the attempt that is in flight for a session.
     pub fn accept(&mut self, id: u64) -> Vec<Output> {
         let id = CallId(id);
         let incarnation = self.in_flight[&id];
-        self.handle(Input::ServerMessage(incarnation, line(FromServer::Accept(id, format!("answer {id}")))))
+        self.handle(Input::ServerMessage(
+            incarnation,
+            server_message(FromServer::Accept(id, format!("answer {id}"))),
+        ))
     }
 
-    /// A session was handed over that plays at this server.
-    pub fn add_adopted(&mut self, id: CallId, n: u16) {
-        let addr = endpoint(n, Status::Ready).address.parse().expect("an address");
-        let incarnation = self.incarnations.iter().filter(|(_, a)| **a == addr).map(|(l, _)| *l).next_back();
-        self.established.insert(id, incarnation.expect("a incarnation"));
+    /// Records that a session was adopted at the media server with this index.
+    pub fn add_adopted(&mut self, id: CallId, index: u16) {
+        let address: SocketAddr = endpoint(index, Status::Ready).address.parse().expect("a valid address");
+        let (latest, _) = self
+            .incarnations
+            .iter()
+            .rfind(|(_, known_address)| **known_address == address)
+            .expect("a known incarnation");
+        self.established.insert(id, *latest);
     }
 
+    /// Ends a session, or refuses its set-up, at a media server.
     pub fn end(&mut self, incarnation: ServerIncarnation, id: u64, cause: Cause) -> Vec<Output> {
-        self.handle(Input::ServerMessage(incarnation, line(FromServer::End(CallId(id), cause))))
+        self.handle(Input::ServerMessage(incarnation, server_message(FromServer::End(CallId(id), cause))))
     }
 
-    pub fn bus(&mut self, endpoints: Vec<Endpoint>) -> Vec<Output> {
+    /// Applies an update to the endpoint list.
+    pub fn update_endpoints(&mut self, endpoints: Vec<Endpoint>) -> Vec<Output> {
         self.handle(Input::Topology(Topology { snapshot: false, endpoints }))
     }
 
-    /// Time passes; what is due comes when it is due.
+    /// Advances the time, and fires each timer when it is due.
     pub fn advance(&mut self, ms: u64) {
         let end = self.now + Micros(ms * 1000);
-        while let Some(due) = self.node.next_due().filter(|d| *d <= end) {
+        while let Some(due) = self.node.next_due().filter(|due| *due <= end) {
             self.now = self.now.max(due);
             self.handle(Input::Tick);
-            assert!(self.pending.values().all(|by| self.now <= *by), "an answer is late");
+            assert!(
+                self.pending.values().all(|viewer_timeout| self.now <= *viewer_timeout),
+                "a set-up is not answered within its viewer's timeout"
+            );
         }
         self.now = end;
     }
--- a/crates/platform/protocol/src/attributes.rs
+++ b/crates/platform/protocol/src/attributes.rs
@@ -1,13 +1,13 @@
-//! The attributes of a set-up, one parameter of its message: `home:4;copies:3;top:4;viewer:00000000b4d65521`.
+//! Attributes of a set-up, which are one parameter of its message: `home:4;copies:3;top:4;viewer:00000000b4d65521`.
 
 use thiserror::Error;
 
 use crate::id::parse_hex64;
 
-/// The maximum of a numeric attribute.
-const MAX_VALUE: f64 = 1e6;
+/// Maximum value of a numeric attribute.
+const MAX_ATTRIBUTE_VALUE: f64 = 1e6;
 
-/// Why text is not the attributes of a set-up.
+/// Error of parsing the attributes of a set-up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum AttributeError {
     /// A required attribute is missing.
@@ -18,29 +18,31 @@
     Invalid(&'static str),
 }
 
-/// The attributes of a set-up.
+/// Attributes of a set-up.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Attributes {
-    /// `home`: the first cell that holds the title.
+    /// First cell that holds the title (`home`).
     pub home_cell: u32,
-    /// `copies`: how many consecutive cells hold it.
+    /// Number of consecutive cells that hold the title (`copies`).
     pub copies: u32,
-    /// `top`: the highest rung that the viewer can play.
+    /// Highest rung that the viewer can play (`top`).
     pub max_rung: u32,
-    /// `viewer`: the viewer's identifier.
+    /// Identifier of the viewer (`viewer`).
     pub viewer: u64,
-    /// `again`: the viewer retries.
+    /// Whether the set-up is a retry of the viewer (`again`).
     pub is_retry: bool,
-    /// `at`: the media server that the session plays on already.
+    /// Name of the media server at which the session is already established (`at`).
     pub playing_at: Option<String>,
 }
 
 impl Attributes {
-    /// Parses the text of the parameter. Unknown attributes are ignored; of one that repeats the last counts.
+    /// Parses the text of the parameter.
+    ///
+    /// Unknown attributes are ignored. If an attribute repeats, its last value is used.
     ///
     /// # Errors
     ///
-    /// An [`AttributeError`] for an attribute that is missing or not valid.
+    /// Returns an [`AttributeError`] if an attribute is missing or not valid.
     pub fn parse(text: &str) -> Result<Attributes, AttributeError> {
         let mut home_cell = None;
         let mut copies = None;
@@ -51,9 +53,9 @@
         for entry in text.split(';') {
             let Some((name, value)) = entry.split_once(':') else { continue };
             match name {
-                "home" => home_cell = Some(parse_number(value, "home")?),
-                "copies" => copies = Some(parse_number(value, "copies")?),
-                "top" => max_rung = Some(parse_number(value, "top")?),
+                "home" => home_cell = Some(parse_integer(value, "home")?),
+                "copies" => copies = Some(parse_integer(value, "copies")?),
+                "top" => max_rung = Some(parse_integer(value, "top")?),
                 "viewer" => {
                     viewer = Some(parse_hex64(value).map_err(|_| AttributeError::Invalid("viewer"))?);
                 }
@@ -73,15 +75,15 @@
     }
 }
 
-/// A number from 0 to [`MAX_VALUE`]; its fraction is dropped.
+/// Parses a number from 0 to [`MAX_ATTRIBUTE_VALUE`], and truncates its fraction.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "the value is checked to be from 0 to MAX_VALUE; its fraction is to be dropped"
+    reason = "the value is checked to be from 0 to MAX_ATTRIBUTE_VALUE, and its fraction is truncated"
 )]
-fn parse_number(text: &str, name: &'static str) -> Result<u32, AttributeError> {
+fn parse_integer(text: &str, name: &'static str) -> Result<u32, AttributeError> {
     let value: f64 = text.parse().map_err(|_| AttributeError::Invalid(name))?;
-    if !(0.0..=MAX_VALUE).contains(&value) {
+    if !(0.0..=MAX_ATTRIBUTE_VALUE).contains(&value) {
         return Err(AttributeError::Invalid(name));
     }
     Ok(value as u32)
--- a/crates/platform/protocol/src/bus.rs
+++ b/crates/platform/protocol/src/bus.rs
@@ -1,4 +1,4 @@
-//! Events of the event bus: the list of media servers and its changes, as JSON.
+//! Events of the event bus: the endpoint list of the media servers and its updates, as JSON.
 
 use std::fmt;
 
@@ -6,88 +6,88 @@
 use serde::de::{Deserializer, SeqAccess, Visitor};
 use serde_json::Value;
 
-/// Characters that are kept of an error about an endpoint, as it may repeat the endpoint.
+/// Maximum length of an error about an endpoint, in characters. The error may quote the endpoint.
 const MAX_ERROR_CHARS: usize = 200;
 
-/// A media server's state on the list.
+/// State of a media server on the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub enum Status {
-    /// It accepts sessions.
+    /// The media server accepts sessions.
     Ready,
-    /// It is draining: it finishes its sessions and accepts no new ones.
+    /// The media server is draining. It finishes its sessions and accepts no new ones.
     Terminating,
-    /// It was removed.
+    /// The media server was removed from the list.
     Gone,
 }
 
-/// A media server on the list.
+/// A media server on the endpoint list.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Endpoint {
-    /// Its name, unique on the list.
+    /// Name of the media server, which is unique on the list.
     pub name: String,
-    /// The IP address and port that it listens on.
+    /// IP address and port that the media server listens on.
     pub address: String,
-    /// The name of its zone.
+    /// Name of the zone that the media server is in.
     #[serde(default)]
     pub zone: String,
-    /// The name of its kind.
+    /// Name of the server type.
     #[serde(default, rename = "type")]
-    pub kind: String,
-    /// Its cell.
+    pub server_type: String,
+    /// Cell that the media server belongs to.
     #[serde(default, rename = "group")]
     pub cell: u16,
-    /// Its state.
+    /// State of the media server.
     pub status: Status,
-    /// Its capacity relative to its kind's.
+    /// Capacity relative to that of the server type.
     #[serde(default)]
     pub weight: f64,
-    /// When its process started, as a Unix time in milliseconds; 0 if it is not known.
+    /// Start of the media server's process as a Unix time in milliseconds, or 0 if it is not known.
     #[serde(default, rename = "since_ms")]
     pub started_ms: u64,
 }
 
-/// The list of media servers, or a change of it.
+/// The complete endpoint list, or an update to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Topology {
-    /// Whether it is the whole list.
+    /// Whether the list is complete.
     pub snapshot: bool,
-    /// All media servers, or those that changed.
+    /// All media servers, or those that the update changes.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// An event of the bus. An event of another kind has no topology.
+/// An event of the event bus.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(from = "RawEvent")]
 pub struct Event {
-    /// Its offset in the stream of events; 0 if it has none.
+    /// Offset of the event in the stream, or 0 if it has none.
     pub offset: u64,
-    /// The list, or its change.
+    /// Endpoint list or update. `None` for an event of another type.
     pub topology: Option<Topology>,
     /// Endpoints that were skipped because they are not valid.
     pub skipped: SkippedEndpoints,
 }
 
-/// Endpoints of an event that are not valid.
+/// Summary of the endpoints of an event that were skipped because they are not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct SkippedEndpoints {
-    /// How many.
+    /// Number of skipped endpoints.
     pub count: usize,
-    /// The error of the first, truncated.
+    /// Error of the first skipped endpoint, truncated to a maximum length.
     pub first_error: String,
 }
 
-/// The events that a configuration holds.
+/// Events in the configuration of a front node.
 #[derive(Debug, Clone, PartialEq, Default, Deserialize)]
 pub struct InitialEvents {
-    /// The offset of the last.
+    /// Offset of the last event.
     #[serde(default)]
     pub offset: u64,
-    /// The events, in order.
+    /// Events in the order of the stream.
     #[serde(default)]
     pub batch: Vec<Event>,
 }
 
-/// An event as it is written.
+/// An event as encoded in JSON.
 #[derive(Deserialize)]
 struct RawEvent {
     #[serde(default)]
@@ -95,6 +95,7 @@
     topology: Option<RawTopology>,
 }
 
+/// The endpoint list of an event as encoded in JSON.
 #[derive(Deserialize)]
 struct RawTopology {
     #[serde(default)]
@@ -108,14 +109,16 @@
             return Event { offset: raw.offset, topology: None, skipped: SkippedEndpoints::default() };
         };
         let LenientEndpoints { endpoints, skipped } = topology.endpoints;
-        // A list without some of its endpoints is not whole: those would count as removed.
+        // A list without its invalid endpoints is not complete. Otherwise these would be treated as removed.
         let snapshot = topology.snapshot && skipped.count == 0;
         Event { offset: raw.offset, topology: Some(Topology { snapshot, endpoints }), skipped }
     }
 }
 
-/// Endpoints that are parsed one by one, so that one that is not valid, as of a newer version, does not invalidate the
-/// event. Not more than one is held unparsed.
+/// Endpoints that are parsed one by one.
+///
+/// An endpoint that is not valid, for example because of a newer version, does not invalidate the event. At most one
+/// unparsed endpoint is in memory at a time.
 #[derive(Default)]
 struct LenientEndpoints {
     endpoints: Vec<Endpoint>,
@@ -123,6 +126,7 @@
 }
 
 impl LenientEndpoints {
+    /// Parses an endpoint, and adds it or counts it as skipped.
     fn add(&mut self, endpoint: &Value) {
         match Endpoint::deserialize(endpoint) {
             Ok(endpoint) => self.endpoints.push(endpoint),
@@ -132,6 +136,7 @@
 }
 
 impl SkippedEndpoints {
+    /// Counts a skipped endpoint, and keeps the error of the first one.
     fn add(&mut self, error: &serde_json::Error) {
         if self.count == 0 {
             self.first_error = error.to_string().chars().take(MAX_ERROR_CHARS).collect();
@@ -146,6 +151,7 @@
     }
 }
 
+/// Visitor that parses a list of endpoints one by one.
 struct EndpointsVisitor;
 
 impl<'de> Visitor<'de> for EndpointsVisitor {
--- a/crates/platform/protocol/src/cause.rs
+++ b/crates/platform/protocol/src/cause.rs
@@ -1,34 +1,34 @@
-//! Causes of a release, by the codes of ITU-T Q.850.
+//! Release causes with the codes of ITU-T Q.850.
 
-/// Why a session or a set-up is released.
+/// Reason for the release of a session or a set-up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// 16: normal clearing; before the answer, the set-up is abandoned.
+    /// Code 16, normal clearing. Before the answer it means that the set-up is abandoned.
     Normal,
-    /// 31: the session was moved, or released by its viewer.
+    /// Code 31. The session was migrated, or released by its viewer.
     Cancelled,
-    /// 34: no circuit available: the server is full and ran nothing, so a retry is safe.
+    /// Code 34, no circuit available. The media server is full and did not process the set-up, so a retry is safe.
     NoCircuit,
-    /// 41: temporary failure: the connection broke.
+    /// Code 41, temporary failure. The connection broke.
     TemporaryFailure,
-    /// 42: congestion: refused before anything ran, so a retry is safe.
+    /// Code 42, congestion. The set-up was refused before it was processed, so a retry is safe.
     Congestion,
-    /// 47: resource unavailable: an error of the media server.
+    /// Code 47, resource unavailable. The media server failed.
     ResourceUnavailable,
-    /// 96: a mandatory element is missing.
+    /// Code 96. A mandatory element is missing.
     MissingElement,
-    /// 100: an element's content is not valid.
+    /// Code 100. The content of an element is not valid.
     InvalidElement,
-    /// 102: a timer expired before the set-up was sent, so a retry is safe.
+    /// Code 102. A timer expired before the set-up was sent, so a retry is safe.
     TimerExpiry,
-    /// 111: a protocol error.
+    /// Code 111. The peer violated the protocol.
     Protocol,
-    /// Any other code.
+    /// A code without a variant.
     Other(u8),
 }
 
 impl Cause {
-    /// The code on the wire.
+    /// Returns the code on the wire.
     pub fn code(self) -> u8 {
         match self {
             Cause::Normal => 16,
--- a/crates/platform/protocol/src/config.rs
+++ b/crates/platform/protocol/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file that a front node starts with.
+//! Configuration file of a front node.
 
 use std::net::SocketAddr;
 
@@ -9,19 +9,20 @@
 use crate::bus::InitialEvents;
 use crate::id::parse_hex64;
 
-/// The FNV-1a hash of 64 bits, by Fowler, Noll and Vo: its initial value and its prime.
+/// Initial value of the 64-bit FNV-1a hash (Fowler, Noll and Vo).
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// The resources that the front node may use.
+/// Resources that the front node may use.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct ResourceLimits {
-    /// Processor time, as a fraction of a core.
+    /// Processor time in cores.
     pub cores: f64,
     /// Memory in megabytes.
     pub memory_mb: f64,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: usize,
 }
 
@@ -31,70 +32,71 @@
     }
 }
 
-/// The configuration. Unknown fields are ignored.
+/// Configuration of a front node. Unknown fields are ignored.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Config {
-    /// The front node's name.
+    /// Name of the front node.
     pub name: String,
-    /// The address that viewers connect to.
+    /// Address that viewers connect to.
     pub listen: SocketAddr,
-    /// The seed of random numbers: 16 hexadecimal digits, or any text.
+    /// Seed of the random numbers, which is 16 hexadecimal digits or any other text.
     #[serde(default)]
     pub seed: String,
-    /// The resources that it may use.
+    /// Resources that the front node may use.
     #[serde(default)]
     pub limits: ResourceLimits,
-    /// The event bus's address.
+    /// Address of the event bus.
     pub bus: SocketAddr,
-    /// The events of the event bus up to the start.
+    /// Events of the event bus up to the start of the front node.
     #[serde(default, rename = "known")]
     pub initial_events: InitialEvents,
-    /// The platform's settings, as `beechloft-settings` parses them.
+    /// Settings of the platform, which `beechloft-settings` parses.
     pub settings: Value,
 }
 
-/// What the environment states beside the configuration.
+/// Environment variables that must agree with the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Environment {
-    /// `ROUTER_NAME`, if set.
+    /// Value of `ROUTER_NAME`. `None` if it is not set.
     pub name: Option<String>,
-    /// `ROUTER_LISTEN`, if set.
+    /// Value of `ROUTER_LISTEN`. `None` if it is not set.
     pub listen: Option<String>,
 }
 
-/// The environment and the configuration describe two different front nodes.
+/// Error for an environment variable that differs from the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("{variable} says {stated:?}, the configuration says {configured:?}")]
+#[error("{variable} says {value:?}, the configuration says {configured:?}")]
 pub struct EnvironmentMismatch {
-    /// The environment variable.
+    /// Name of the environment variable.
     pub variable: &'static str,
-    /// Its value.
-    pub stated: String,
-    /// The configuration's value.
+    /// Value of the environment variable.
+    pub value: String,
+    /// Value in the configuration.
     pub configured: String,
 }
 
 impl Config {
-    /// Parses the text of the file.
+    /// Parses the text of the configuration file.
     ///
     /// # Errors
     ///
-    /// The JSON error if a required field is missing or a field is not valid.
+    /// Returns the JSON error if a required field is missing or a field is not valid.
     pub fn parse(text: &[u8]) -> Result<Config, serde_json::Error> {
         serde_json::from_slice(text)
     }
 
-    /// Checks that the environment describes this front node. One that takes another's name or address would answer for
-    /// sessions that are not its own.
+    /// Checks that the environment agrees with the configuration.
+    ///
+    /// A front node with the name or the address of another one would answer for sessions that are not its own.
     ///
     /// # Errors
     ///
-    /// The first variable that differs from the configuration.
+    /// Returns the first variable that differs from the configuration.
     pub fn check_environment(&self, environment: &Environment) -> Result<(), EnvironmentMismatch> {
         if let Some(name) = environment.name.as_ref().filter(|name| **name != self.name) {
             return Err(EnvironmentMismatch {
                 variable: "ROUTER_NAME",
-                stated: name.clone(),
+                value: name.clone(),
                 configured: self.name.clone(),
             });
         }
@@ -102,14 +104,14 @@
         if let Some(listen) = environment.listen.as_ref().filter(|listen| !matches(listen)) {
             return Err(EnvironmentMismatch {
                 variable: "ROUTER_LISTEN",
-                stated: listen.clone(),
+                value: listen.clone(),
                 configured: self.listen.to_string(),
             });
         }
         Ok(())
     }
 
-    /// The seed as a number: its hexadecimal value, or the FNV-1a hash of other text.
+    /// Returns the seed as a number, which is its hexadecimal value or the FNV-1a hash of any other text.
     pub fn seed(&self) -> u64 {
         parse_hex64(&self.seed).unwrap_or_else(|_| fnv1a(self.seed.as_bytes()))
     }
--- a/crates/platform/protocol/src/id.rs
+++ b/crates/platform/protocol/src/id.rs
@@ -1,27 +1,27 @@
-//! Identifiers of sessions.
+//! Session identifiers and their hexadecimal form.
 
 use std::fmt;
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// Digits of a 64-bit number in hexadecimal.
+/// Number of hexadecimal digits of a 64-bit number.
 const HEX64_DIGITS: usize = 16;
 
-/// A session's identifier: 8 bytes in the binary framing, 16 hexadecimal digits in JSON.
+/// Identifier of a session. It has 8 bytes in the binary framing and 16 hexadecimal digits in JSON.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Text that is not 16 hexadecimal digits.
+/// Error for text that is not 16 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("not 16 hexadecimal digits")]
 pub struct ParseHexError;
 
-/// Parses a number of exactly 16 hexadecimal digits, without a sign.
+/// Parses a number that is written as exactly 16 hexadecimal digits without a sign.
 ///
 /// # Errors
 ///
-/// [`ParseHexError`] for any other text.
+/// Returns [`ParseHexError`] for any other text.
 pub fn parse_hex64(text: &str) -> Result<u64, ParseHexError> {
     if text.len() != HEX64_DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return Err(ParseHexError);
--- a/crates/platform/protocol/src/lib.rs
+++ b/crates/platform/protocol/src/lib.rs
@@ -1,8 +1,9 @@
-//! The front node's protocol without I/O: both framings as incremental, bounded decoders, typed messages, release causes,
-//! load reports, the configuration and the events of the event bus.
+//! The front node's protocols without I/O.
 //!
-//! Malformed input is an error value, never a panic, and no decoder holds more than one message beyond what it was given.
-//! `docs/node.md` describes the messages.
+//! The crate has incremental, bounded decoders for both framings, typed messages, release causes, load reports, the
+//! configuration and the events of the event bus. Malformed input results in an error value and never in a panic. A
+//! decoder buffers at most one incomplete message beyond the bytes of the last call. `docs/node.md` describes the
+//! messages.
 #![forbid(unsafe_code)]
 
 pub mod attributes;
@@ -19,5 +20,5 @@
 pub use cause::Cause;
 pub use id::CallId;
 
-/// The maximum size of a message in bytes, in either framing.
-pub const MAX_MESSAGE: usize = 16 * 1024;
+/// Maximum size of a message in either framing.
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
--- a/crates/platform/protocol/src/lines.rs
+++ b/crates/platform/protocol/src/lines.rs
@@ -1,57 +1,57 @@
-//! The framing of media servers: one JSON object a line.
+//! Line framing of the media servers' protocol: each line is one JSON object.
 
 use thiserror::Error;
 
-use crate::MAX_MESSAGE;
+use crate::MAX_MESSAGE_BYTES;
 
-/// A line that exceeds [`MAX_MESSAGE`]. The rest of the stream can't be decoded.
+/// Error for a line that exceeds [`MAX_MESSAGE_BYTES`]. The rest of the stream can't be decoded after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("a line is longer than {MAX_MESSAGE} bytes")]
+#[error("a line is longer than {MAX_MESSAGE_BYTES} bytes")]
 pub struct LineTooLong;
 
-/// Decodes a stream of bytes, in pieces of any size, into lines.
+/// Incremental decoder that splits a stream of bytes into lines. The stream may arrive in pieces of any size.
 #[derive(Debug, Default)]
 pub struct LineDecoder {
     buffer: Vec<u8>,
-    /// Bytes at the start of the buffer that are decoded.
+    /// Number of bytes at the start of the buffer that are already decoded.
     consumed: usize,
-    /// Bytes after those that hold no end of a line, so that none is searched twice.
+    /// Number of bytes after those that are known to contain no line feed, so that no byte is searched twice.
     searched: usize,
 }
 
 impl LineDecoder {
-    /// Adds bytes of the stream.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.drain(..std::mem::take(&mut self.consumed));
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next line without its end; none if it is not complete yet.
+    /// Returns the next line without its line feed, or `None` if it is not complete yet.
     ///
     /// # Errors
     ///
-    /// [`LineTooLong`] once a line exceeds the bound, whether its end has come or not.
+    /// Returns [`LineTooLong`] as soon as a line exceeds [`MAX_MESSAGE_BYTES`], even if its end was not received yet.
     pub fn next_line(&mut self) -> Result<Option<Vec<u8>>, LineTooLong> {
         let rest = &self.buffer[self.consumed..];
         let Some(offset) = rest[self.searched..].iter().position(|byte| *byte == b'\n') else {
             self.searched = rest.len();
-            return if rest.len() > MAX_MESSAGE { Err(LineTooLong) } else { Ok(None) };
+            return if rest.len() > MAX_MESSAGE_BYTES { Err(LineTooLong) } else { Ok(None) };
         };
         let end = self.searched + offset;
-        if end > MAX_MESSAGE {
+        if end > MAX_MESSAGE_BYTES {
             return Err(LineTooLong);
         }
         let line = rest[..end].to_vec();
         self.consumed += end + 1;
         self.searched = 0;
         if self.consumed == self.buffer.len() {
-            // An idle connection holds no memory.
+            // Frees the buffer, so that an idle connection uses no memory.
             *self = LineDecoder::default();
         }
         Ok(Some(line))
     }
 
-    /// Bytes that are not decoded yet.
+    /// Returns the number of bytes that are not decoded yet.
     pub fn pending(&self) -> usize {
         self.buffer.len() - self.consumed
     }
--- a/crates/platform/protocol/src/server.rs
+++ b/crates/platform/protocol/src/server.rs
@@ -1,67 +1,67 @@
-//! Messages between the front node and media servers, one JSON object a line.
+//! Messages between the front node and media servers, with one JSON object per line.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use thiserror::Error;
 
 use crate::viewer::SetUp;
-use crate::{CallId, Cause, MAX_MESSAGE};
+use crate::{CallId, Cause, MAX_MESSAGE_BYTES};
 
-/// Why a line is no message of a media server. The connection is of no use after it.
+/// Error of parsing a line from a media server. The connection can't be used after it.
 #[derive(Debug, Error)]
 pub enum ServerMessageError {
-    /// The line is not JSON of the expected form.
+    /// The line is not JSON with the expected fields.
     #[error("not a message: {0}")]
     Json(#[from] serde_json::Error),
-    /// The session's identifier is not valid.
+    /// The identifier of the session is not valid.
     #[error("the session's identifier is not valid")]
     InvalidId,
-    /// The operation is not known.
+    /// The operation is unknown.
     #[error("unknown operation")]
     UnknownOperation,
-    /// A field that the operation needs is missing.
+    /// A field that the operation requires is missing.
     #[error("the field {0} is missing")]
     MissingField(&'static str),
 }
 
 /// A measurement of an established session.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Note {
-    /// `kept_up`: the delivered fraction of the rate.
+pub enum Measurement {
+    /// Fraction of the rate that is delivered (`kept_up`).
     DeliveredFraction(f64),
-    /// `tier`: the rung in use.
+    /// Rung in use (`tier`).
     Rung(f64),
-    /// `wire`: utilization of the server's link.
+    /// Utilization of the media server's link (`wire`).
     LinkUtilization(f64),
-    /// `trunk`: utilization of the rack's uplink.
+    /// Utilization of the rack's uplink (`trunk`).
     UplinkUtilization(f64),
 }
 
-/// What a media server reports.
+/// Event that a media server reports.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FromServer {
-    /// The session is established; its description.
+    /// The session is established, with its description.
     Accept(CallId, String),
-    /// A refusal, a failure or the end of a session.
+    /// The set-up is refused, or the session failed or ended.
     End(CallId, Cause),
-    /// A measurement.
-    Note(CallId, Note),
-    /// Whether a health check or a probe passed.
+    /// A measurement of an established session.
+    Measurement(CallId, Measurement),
+    /// Result of a health check or a probe: whether it passed.
     TestResult(CallId, bool),
-    /// A message that needs no action: progress, a release is complete, an unknown or invalid note.
+    /// A message that requires no action: progress, the completion of a release, or an unknown or invalid measurement.
     Ignored(CallId),
 }
 
-/// A message of a media server.
+/// A message from a media server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerMessage {
-    /// What it reports.
+    /// Event that the message reports.
     pub event: FromServer,
-    /// The text of the load report that came with it, see [`crate::load`].
+    /// Text of the load report in the message, which [`crate::load`] parses. `None` if there is none.
     pub load: Option<String>,
 }
 
-/// A line of a media server as written.
+/// A line from a media server as encoded in JSON.
 #[derive(Deserialize)]
 struct RawMessage {
     op: String,
@@ -73,11 +73,11 @@
 }
 
 impl ServerMessage {
-    /// Parses a line.
+    /// Parses a line without its line feed.
     ///
     /// # Errors
     ///
-    /// A [`ServerMessageError`] if the line is not a known message with the fields that it needs.
+    /// Returns a [`ServerMessageError`] if the line is not a known message with the required fields.
     pub fn parse(line: &[u8]) -> Result<ServerMessage, ServerMessageError> {
         let raw: RawMessage = serde_json::from_slice(line)?;
         let id: CallId = raw.call.parse().map_err(|_| ServerMessageError::InvalidId)?;
@@ -88,6 +88,7 @@
 }
 
 impl RawMessage {
+    /// Converts the line to the event that it reports.
     fn event(self, id: CallId) -> Result<FromServer, ServerMessageError> {
         let why = self.why.ok_or(ServerMessageError::MissingField("why"));
         match self.op.as_str() {
@@ -97,7 +98,9 @@
             }
             "end" => Ok(FromServer::End(id, why?.into())),
             "tested" => Ok(FromServer::TestResult(id, why? == 1)),
-            "info" => Ok(self.note().map_or(FromServer::Ignored(id), |note| FromServer::Note(id, note))),
+            "info" => Ok(self
+                .measurement()
+                .map_or(FromServer::Ignored(id), |value| FromServer::Measurement(id, value))),
             "ringing" | "ended" | "test" | "set" | "redirect" | "group" | "offer" => {
                 Ok(FromServer::Ignored(id))
             }
@@ -105,21 +108,22 @@
         }
     }
 
-    fn note(&self) -> Option<Note> {
+    /// Returns the measurement of an `info` line. Returns `None` if it is unknown or not valid.
+    fn measurement(&self) -> Option<Measurement> {
         let name = self.with.get("note").and_then(Value::as_str)?;
-        let value = self.with.get("value").and_then(parse_measurement)?;
+        let value = self.with.get("value").and_then(parse_measured_value)?;
         match name {
-            "kept_up" => Some(Note::DeliveredFraction(value)),
-            "tier" => Some(Note::Rung(value)),
-            "wire" => Some(Note::LinkUtilization(value)),
-            "trunk" => Some(Note::UplinkUtilization(value)),
+            "kept_up" => Some(Measurement::DeliveredFraction(value)),
+            "tier" => Some(Measurement::Rung(value)),
+            "wire" => Some(Measurement::LinkUtilization(value)),
+            "trunk" => Some(Measurement::UplinkUtilization(value)),
             _ => None,
         }
     }
 }
 
-/// A finite number from 0 on, as a number or as text.
-fn parse_measurement(value: &Value) -> Option<f64> {
+/// Parses a finite, non-negative number, which is encoded as a JSON number or as text.
+fn parse_measured_value(value: &Value) -> Option<f64> {
     let number: f64 = match value {
         Value::Number(number) => number.as_f64()?,
         Value::String(text) => text.parse().ok()?,
@@ -131,26 +135,26 @@
 /// A message to a media server.
 #[derive(Debug, Clone, Copy)]
 pub enum ToServer<'a> {
-    /// A set-up.
+    /// Requests a session.
     Offer {
-        /// The session.
+        /// Identifier of the session.
         id: CallId,
-        /// What the viewer stated.
+        /// Set-up that the viewer sent.
         setup: &'a SetUp,
-        /// How long the front node waits for the answer, in milliseconds.
+        /// Time for which the front node waits for the answer, in milliseconds.
         timeout_ms: u64,
-        /// The rung, from 0.
+        /// Rung to start with, counted from 0.
         rung: u8,
     },
-    /// A set-up is abandoned, or a session released.
+    /// Abandons a set-up, or releases a session.
     End(CallId, Cause),
-    /// The session's rung changes.
+    /// Changes the rung of a session.
     SetRung(CallId, u8),
-    /// A health check; with `true` a probe, whose result has a load report.
+    /// Requests a health check, or a probe if the flag is set. The result of a probe includes a load report.
     Test(CallId, bool),
 }
 
-/// A line to a media server as written; the fields' order is that of the wire.
+/// A line to a media server as encoded in JSON. The fields are in the order of the wire.
 #[derive(Serialize)]
 struct RawCommand<'a> {
     op: &'a str,
@@ -174,11 +178,11 @@
 }
 
 impl ToServer<'_> {
-    /// The line with its end; none if it would exceed [`MAX_MESSAGE`].
+    /// Encodes the line with its line feed. Returns `None` if it would exceed [`MAX_MESSAGE_BYTES`].
     pub fn encode(&self) -> Option<Vec<u8>> {
         let mut line = serde_json::to_vec(&self.raw()).ok()?;
         line.push(b'\n');
-        (line.len() <= MAX_MESSAGE).then_some(line)
+        (line.len() <= MAX_MESSAGE_BYTES).then_some(line)
     }
 
     fn raw(&self) -> RawCommand<'_> {
--- a/crates/platform/protocol/src/viewer.rs
+++ b/crates/platform/protocol/src/viewer.rs
@@ -1,4 +1,4 @@
-//! Messages between viewers and the front node, in the binary framing.
+//! Messages between viewers and the front node in the binary framing.
 
 use thiserror::Error;
 
@@ -8,7 +8,7 @@
 use crate::{CallId, Cause};
 
 /// Types of messages.
-mod kind {
+mod message_type {
     pub const SET_UP: u8 = 1;
     pub const PROGRESS: u8 = 6;
     pub const ANSWER: u8 = 9;
@@ -21,7 +21,7 @@
 }
 
 /// Codes of parameters.
-mod code {
+mod parameter_code {
     pub const CLASS: u8 = 1;
     pub const TIMEOUT: u8 = 3;
     pub const TITLE: u8 = 9;
@@ -31,27 +31,27 @@
     pub const DESCRIPTION: u8 = 31;
 }
 
-/// The maximum timeout of a set-up, in milliseconds.
+/// Maximum timeout of a set-up.
 const MAX_TIMEOUT_MS: u64 = 600_000;
 
-/// A set-up as a viewer states it.
+/// A set-up as sent by a viewer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SetUp {
-    /// The name of the session's class.
+    /// Name of the session's class.
     pub class: String,
-    /// How long the viewer waits for the answer, in milliseconds.
+    /// Time for which the viewer waits for the answer, in milliseconds.
     pub timeout_ms: u64,
-    /// The title as the viewer wrote it.
+    /// Title as the viewer wrote it.
     pub title: String,
-    /// The title as a number.
+    /// Title as a number.
     pub title_id: u64,
-    /// Where the title lies, and what the viewer can play.
+    /// Cells that hold the title, and the capabilities and the identifier of the viewer.
     pub attributes: Attributes,
-    /// The session description, passed on unchanged.
+    /// Session description, which is forwarded unchanged.
     pub description: String,
 }
 
-/// Why a set-up is not valid. It concerns this set-up only; the connection stays usable.
+/// Error of a set-up that is not valid. It affects only this set-up, and the connection remains usable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SetUpError {
     /// The session's identifier is 0.
@@ -63,7 +63,7 @@
     /// A parameter occurs more than once.
     #[error("parameter {0} occurs more than once")]
     Duplicate(u8),
-    /// A parameter is not text, or its text is not valid.
+    /// A parameter is not valid UTF-8, or its text is not valid.
     #[error("parameter {0} is not valid")]
     Invalid(u8),
     /// The attributes are not valid.
@@ -74,13 +74,13 @@
 /// A message from a viewer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FromViewer {
-    /// A set-up, or why it is not valid.
+    /// Requests a session. The result has the error if the set-up is not valid.
     SetUp(CallId, Result<Box<SetUp>, SetUpError>),
-    /// A set-up is abandoned, or a session released.
+    /// Abandons a set-up, or releases a session.
     Release(CallId),
-    /// A message that needs no action: a release is complete, progress, a note.
+    /// A message that requires no action: the completion of a release, progress or a measurement.
     Ignored(CallId),
-    /// A health check.
+    /// Requests a health check.
     Test(CallId),
 }
 
@@ -89,43 +89,47 @@
     ///
     /// # Errors
     ///
-    /// [`FrameError::UnknownType`], after which the connection is of no use. An invalid set-up is no error here.
+    /// Returns [`FrameError::UnknownType`], after which the connection can't be used. An invalid set-up is not an
+    /// error of this function.
     pub fn parse(frame: &Frame) -> Result<FromViewer, FrameError> {
         match frame.kind {
-            kind::SET_UP => Ok(FromViewer::SetUp(frame.id, SetUp::parse(frame))),
-            kind::RELEASE => Ok(FromViewer::Release(frame.id)),
-            kind::RELEASE_COMPLETE | kind::PROGRESS | kind::NOTE => Ok(FromViewer::Ignored(frame.id)),
-            kind::TEST => Ok(FromViewer::Test(frame.id)),
+            message_type::SET_UP => Ok(FromViewer::SetUp(frame.id, SetUp::parse(frame))),
+            message_type::RELEASE => Ok(FromViewer::Release(frame.id)),
+            message_type::RELEASE_COMPLETE | message_type::PROGRESS | message_type::NOTE => {
+                Ok(FromViewer::Ignored(frame.id))
+            }
+            message_type::TEST => Ok(FromViewer::Test(frame.id)),
             other => Err(FrameError::UnknownType(other)),
         }
     }
 }
 
 impl SetUp {
+    /// Parses the parameters of a set-up.
     fn parse(frame: &Frame) -> Result<Box<SetUp>, SetUpError> {
         if frame.id == CallId(0) {
             return Err(SetUpError::MissingId);
         }
-        let timeout = text_parameter(frame, code::TIMEOUT)?;
-        let timeout_ms: u64 = timeout.parse().map_err(|_| SetUpError::Invalid(code::TIMEOUT))?;
-        let attributes = Attributes::parse(text_parameter(frame, code::ATTRIBUTES)?)?;
-        // A session that plays already waits for no answer, and may state any time.
+        let timeout = text_parameter(frame, parameter_code::TIMEOUT)?;
+        let timeout_ms: u64 = timeout.parse().map_err(|_| SetUpError::Invalid(parameter_code::TIMEOUT))?;
+        let attributes = Attributes::parse(text_parameter(frame, parameter_code::ATTRIBUTES)?)?;
+        // The viewer of an established session waits for no answer, so its timeout is not limited.
         if timeout_ms > MAX_TIMEOUT_MS && attributes.playing_at.is_none() {
-            return Err(SetUpError::Invalid(code::TIMEOUT));
+            return Err(SetUpError::Invalid(parameter_code::TIMEOUT));
         }
-        let title = text_parameter(frame, code::TITLE)?;
+        let title = text_parameter(frame, parameter_code::TITLE)?;
         Ok(Box::new(SetUp {
-            class: text_parameter(frame, code::CLASS)?.to_owned(),
+            class: text_parameter(frame, parameter_code::CLASS)?.to_owned(),
             timeout_ms,
             title: title.to_owned(),
-            title_id: parse_hex64(title).map_err(|_| SetUpError::Invalid(code::TITLE))?,
+            title_id: parse_hex64(title).map_err(|_| SetUpError::Invalid(parameter_code::TITLE))?,
             attributes,
-            description: text_parameter(frame, code::DESCRIPTION)?.to_owned(),
+            description: text_parameter(frame, parameter_code::DESCRIPTION)?.to_owned(),
         }))
     }
 }
 
-/// The text of a parameter that has to occur once.
+/// Returns the text of a parameter that must occur exactly once.
 fn text_parameter(frame: &Frame, code: u8) -> Result<&str, SetUpError> {
     let mut matching = frame.parameters.iter().filter(|parameter| parameter.code == code);
     let parameter = matching.next().ok_or(SetUpError::Missing(code))?;
@@ -138,44 +142,45 @@
 /// A message to a viewer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ToViewer {
-    /// The session is established; the description as the media server gave it.
+    /// The session is established, with the description from the media server.
     Answer(CallId, String),
-    /// A refusal, a failure, or the end of an established session.
+    /// The set-up is refused, or the session failed or ended.
     Release(CallId, Cause),
-    /// A refusal, and for how many milliseconds the viewer should not retry.
+    /// The set-up is refused, with the time in milliseconds for which the viewer should not retry.
     ReleaseWithRetryAfter(CallId, Cause, u64),
-    /// The session moves: the viewer sets it up again.
+    /// The session is migrated, and the viewer has to set it up again.
     Move(CallId),
-    /// A release was received.
+    /// Confirms a release.
     ReleaseComplete(CallId),
-    /// Whether the health check passed.
+    /// Result of a health check: whether it passed.
     TestResult(CallId, bool),
 }
 
 impl ToViewer {
-    /// The bytes on the wire; none if they would exceed [`MAX_MESSAGE`](crate::MAX_MESSAGE).
+    /// Encodes the message. Returns `None` if it would exceed [`MAX_MESSAGE_BYTES`](crate::MAX_MESSAGE_BYTES).
     pub fn encode(&self) -> Option<Vec<u8>> {
         self.frame().encode()
     }
 
+    /// Converts the message to the binary framing.
     fn frame(&self) -> Frame {
         match self {
-            ToViewer::Answer(id, description) => {
-                Frame::new(kind::ANSWER, *id).with(code::DESCRIPTION, description.as_bytes())
-            }
+            ToViewer::Answer(id, description) => Frame::new(message_type::ANSWER, *id)
+                .with(parameter_code::DESCRIPTION, description.as_bytes()),
             ToViewer::Release(id, cause) => release_frame(*id, *cause),
             ToViewer::ReleaseWithRetryAfter(id, cause, ms) => {
-                release_frame(*id, *cause).with(code::RETRY_AFTER, ms.to_string())
+                release_frame(*id, *cause).with(parameter_code::RETRY_AFTER, ms.to_string())
             }
-            ToViewer::Move(id) => Frame::new(kind::MOVE, *id),
-            ToViewer::ReleaseComplete(id) => Frame::new(kind::RELEASE_COMPLETE, *id),
+            ToViewer::Move(id) => Frame::new(message_type::MOVE, *id),
+            ToViewer::ReleaseComplete(id) => Frame::new(message_type::RELEASE_COMPLETE, *id),
             ToViewer::TestResult(id, passed) => {
-                Frame::new(kind::TEST_RESULT, *id).with(code::CAUSE, [u8::from(*passed)])
+                Frame::new(message_type::TEST_RESULT, *id).with(parameter_code::CAUSE, [u8::from(*passed)])
             }
         }
     }
 }
 
+/// Returns a release with its cause.
 fn release_frame(id: CallId, cause: Cause) -> Frame {
-    Frame::new(kind::RELEASE, id).with(code::CAUSE, [cause.code()])
+    Frame::new(message_type::RELEASE, id).with(parameter_code::CAUSE, [cause.code()])
 }
--- a/crates/platform/protocol/tests/attributes.rs
+++ b/crates/platform/protocol/tests/attributes.rs
@@ -1,9 +1,9 @@
-//! Attributes of set-ups as they are parsed.
+//! Parsing of set-up attributes.
 
 use beechloft_protocol::attributes::{AttributeError, Attributes};
 
 #[test]
-fn attributes_are_parsed_and_invalid_ones_are_named() {
+fn parses_attributes_and_names_invalid_ones() {
     let parsed = Attributes::parse("home:4;copies:3;top:4;viewer:00000000b4d65521;again:1;new:9;at:s-1");
     let expected = Attributes {
         home_cell: 4,
