--- a/crates/platform/protocol/tests/binary.rs
+++ b/crates/platform/protocol/tests/binary.rs
@@ -1,9 +1,12 @@
-//! The binary framing under any split of the stream, and malformed streams.
+//! Binary framing: any split of the stream, and malformed streams.
 
 use beechloft_protocol::binary::{Frame, FrameDecoder, FrameError, Parameter};
-use beechloft_protocol::{CallId, MAX_MESSAGE};
+use beechloft_protocol::{CallId, MAX_MESSAGE_BYTES};
 use proptest::prelude::*;
 
+/// Size of the length that precedes a message.
+const LENGTH_PREFIX_BYTES: usize = 2;
+
 fn frames() -> impl Strategy<Value = Vec<Frame>> {
     let parameter = (any::<u8>(), prop::collection::vec(any::<u8>(), 0..60))
         .prop_map(|(code, value)| Parameter { code, value });
@@ -16,12 +19,12 @@
 
 proptest! {
     #[test]
-    fn encoded_frames_are_decoded_under_any_split(sent in frames(), step in 1..40usize) {
-        let bytes: Vec<u8> = sent.iter().flat_map(|f| f.encode().expect("short")).collect();
+    fn decodes_frames_under_any_split(sent in frames(), chunk_bytes in 1..40usize) {
+        let bytes: Vec<u8> = sent.iter().flat_map(|frame| frame.encode().expect("a frame within the limit")).collect();
         let (mut decoder, mut received) = (FrameDecoder::default(), Vec::new());
-        for part in bytes.chunks(step) {
-            decoder.push(part);
-            while let Some(frame) = decoder.next_frame().expect("sound") {
+        for chunk in bytes.chunks(chunk_bytes) {
+            decoder.push(chunk);
+            while let Some(frame) = decoder.next_frame().expect("a valid frame") {
                 received.push(frame);
             }
         }
@@ -30,24 +33,24 @@
     }
 
     #[test]
-    fn any_bytes_neither_panic_nor_buffer_more_than_a_message(bytes in prop::collection::vec(any::<u8>(), 0..400), step in 1..50usize) {
+    fn arbitrary_bytes_neither_panic_nor_exceed_buffer(bytes in prop::collection::vec(any::<u8>(), 0..400), chunk_bytes in 1..50usize) {
         let mut decoder = FrameDecoder::default();
-        'bytes: for part in bytes.chunks(step) {
-            decoder.push(part);
+        'stream: for chunk in bytes.chunks(chunk_bytes) {
+            decoder.push(chunk);
             loop {
                 match decoder.next_frame() {
                     Ok(Some(_)) => {}
                     Ok(None) => break,
-                    Err(_) => break 'bytes,
+                    Err(_) => break 'stream,
                 }
             }
-            prop_assert!(decoder.pending() <= 2 + MAX_MESSAGE);
+            prop_assert!(decoder.pending() <= LENGTH_PREFIX_BYTES + MAX_MESSAGE_BYTES);
         }
     }
 }
 
 #[test]
-fn invalid_lengths_are_errors_as_soon_as_they_are_received() {
+fn rejects_invalid_lengths_immediately() {
     let decode = |bytes: &[u8]| {
         let mut decoder = FrameDecoder::default();
         decoder.push(bytes);
--- a/crates/platform/protocol/tests/cause.rs
+++ b/crates/platform/protocol/tests/cause.rs
@@ -3,7 +3,7 @@
 use beechloft_protocol::Cause;
 
 #[test]
-fn every_code_round_trips() {
+fn all_codes_round_trip() {
     for code in 0..=u8::MAX {
         assert_eq!(Cause::from(code).code(), code);
         assert!(!matches!(
--- a/crates/platform/protocol/tests/lines.rs
+++ b/crates/platform/protocol/tests/lines.rs
@@ -1,18 +1,18 @@
-//! The line framing under any split of the stream, and lines past its bound.
+//! Line framing: any split of the stream, and lines that are too long.
 
-use beechloft_protocol::MAX_MESSAGE;
+use beechloft_protocol::MAX_MESSAGE_BYTES;
 use beechloft_protocol::lines::{LineDecoder, LineTooLong};
 use proptest::prelude::*;
 
 proptest! {
     #[test]
-    fn lines_are_decoded_under_any_split(lines in prop::collection::vec("[ -~]{0,50}", 1..8), step in 1..30usize) {
-        let bytes: Vec<u8> = lines.iter().flat_map(|l| [l.as_bytes(), b"\n"].concat()).collect();
+    fn decodes_lines_under_any_split(lines in prop::collection::vec("[ -~]{0,50}", 1..8), chunk_bytes in 1..30usize) {
+        let bytes: Vec<u8> = lines.iter().flat_map(|line| [line.as_bytes(), b"\n"].concat()).collect();
         let (mut decoder, mut received) = (LineDecoder::default(), Vec::new());
-        for part in bytes.chunks(step) {
-            decoder.push(part);
-            while let Some(line) = decoder.next_line().expect("short") {
-                received.push(String::from_utf8(line).expect("text"));
+        for chunk in bytes.chunks(chunk_bytes) {
+            decoder.push(chunk);
+            while let Some(line) = decoder.next_line().expect("a line within the limit") {
+                received.push(String::from_utf8(line).expect("valid UTF-8"));
             }
         }
         prop_assert_eq!(received, lines);
@@ -21,15 +21,16 @@
 }
 
 #[test]
-fn a_line_without_end_is_an_error_within_its_bound() {
+fn rejects_overlong_line() {
+    const CHUNK_BYTES: usize = 1000;
     let mut decoder = LineDecoder::default();
-    let mut pushed = 0;
+    let mut pushed_bytes = 0;
     while decoder.next_line() == Ok(None) {
-        decoder.push(&[b'x'; 1000]);
-        pushed += 1000;
+        decoder.push(&[b'x'; CHUNK_BYTES]);
+        pushed_bytes += CHUNK_BYTES;
     }
-    assert!(pushed <= MAX_MESSAGE + 1000, "{pushed}");
-    let mut decoder_of_one_push = LineDecoder::default();
-    decoder_of_one_push.push(&[vec![b'x'; MAX_MESSAGE + 1], vec![b'\n']].concat());
-    assert_eq!(decoder_of_one_push.next_line(), Err(LineTooLong));
+    assert!(pushed_bytes <= MAX_MESSAGE_BYTES + CHUNK_BYTES, "{pushed_bytes}");
+    let mut single_push_decoder = LineDecoder::default();
+    single_push_decoder.push(&[vec![b'x'; MAX_MESSAGE_BYTES + 1], vec![b'\n']].concat());
+    assert_eq!(single_push_decoder.next_line(), Err(LineTooLong));
 }
--- a/crates/platform/protocol/tests/viewer.rs
+++ b/crates/platform/protocol/tests/viewer.rs
@@ -1,4 +1,4 @@
-//! Messages of viewers as they are parsed.
+//! Parsing of messages from viewers.
 
 use beechloft_protocol::CallId;
 use beechloft_protocol::binary::{Frame, FrameError};
@@ -12,7 +12,7 @@
 const ATTRIBUTES: u8 = 11;
 const DESCRIPTION: u8 = 31;
 
-fn valid() -> Frame {
+fn valid_set_up() -> Frame {
     Frame::new(SET_UP, CallId(7))
         .with(CLASS, "paid")
         .with(TIMEOUT, "1500")
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn a_set_up_is_parsed_as_stated() {
-    let set_up = parse_set_up(&valid()).expect("sound");
+fn parses_set_up() {
+    let set_up = parse_set_up(&valid_set_up()).expect("a valid set-up");
     assert_eq!(
         (set_up.class.as_str(), set_up.timeout_ms, set_up.title_id),
         ("paid", 1500, 0x7f3a_9c21_e0b4_d655)
@@ -45,23 +45,23 @@
 }
 
 #[test]
-fn a_session_that_plays_already_may_state_any_timeout() {
-    let not_playing = "home:9;copies:3;top:2;viewer:000f4c3cc09d2c2f";
+fn accepts_any_timeout_for_established_session() {
+    let attributes_of_new = "home:9;copies:3;top:2;viewer:000f4c3cc09d2c2f";
     let parse = |timeout: &str, attributes: &str| {
-        let mut frame = valid();
+        let mut frame = valid_set_up();
         set_parameter(&mut frame, TIMEOUT, timeout.as_bytes());
         set_parameter(&mut frame, ATTRIBUTES, attributes.as_bytes());
         parse_set_up(&frame)
     };
-    assert_eq!(parse("4294967", not_playing), Err(SetUpError::Invalid(TIMEOUT)));
-    let set_up = parse("4294967", &format!("{not_playing};at:s-a4c91747")).expect("sound");
+    assert_eq!(parse("4294967", attributes_of_new), Err(SetUpError::Invalid(TIMEOUT)));
+    let set_up = parse("4294967", &format!("{attributes_of_new};at:s-a4c91747")).expect("a valid set-up");
     assert_eq!((set_up.timeout_ms, set_up.attributes.playing_at.as_deref()), (4_294_967, Some("s-a4c91747")));
 }
 
 #[test]
-fn an_invalid_set_up_is_an_error_of_its_own_and_not_of_the_connection() {
+fn invalid_set_up_does_not_invalidate_connection() {
     let parse_with = |code: u8, value: &[u8]| {
-        let mut frame = valid();
+        let mut frame = valid_set_up();
         set_parameter(&mut frame, code, value);
         parse_set_up(&frame)
     };
@@ -70,10 +70,10 @@
     }
     assert_eq!(parse_with(TITLE, b"zz"), Err(SetUpError::Invalid(TITLE)));
     assert_eq!(parse_with(DESCRIPTION, &[0xff, 0xfe]), Err(SetUpError::Invalid(DESCRIPTION)));
-    assert_eq!(parse_set_up(&valid().with(TIMEOUT, "3")), Err(SetUpError::Duplicate(TIMEOUT)));
-    let mut without_class = valid();
+    assert_eq!(parse_set_up(&valid_set_up().with(TIMEOUT, "3")), Err(SetUpError::Duplicate(TIMEOUT)));
+    let mut without_class = valid_set_up();
     without_class.parameters.remove(0);
     assert_eq!(parse_set_up(&without_class), Err(SetUpError::Missing(CLASS)));
-    assert_eq!(parse_set_up(&Frame { id: CallId(0), ..valid() }), Err(SetUpError::MissingId));
+    assert_eq!(parse_set_up(&Frame { id: CallId(0), ..valid_set_up() }), Err(SetUpError::MissingId));
     assert_eq!(FromViewer::parse(&Frame::new(99, CallId(1))), Err(FrameError::UnknownType(99)));
 }
--- a/crates/platform/protocol/tests/wire.rs
+++ b/crates/platform/protocol/tests/wire.rs
@@ -1,22 +1,22 @@
-//! The exact bytes of each message, in both framings and both directions.
+//! Exact encoding of each message, in both framings and both directions.
 
 use beechloft_protocol::attributes::{AttributeError, Attributes};
 use beechloft_protocol::binary::{Frame, FrameDecoder, FrameError};
-use beechloft_protocol::server::{FromServer, Note, ServerMessage, ServerMessageError, ToServer};
+use beechloft_protocol::server::{FromServer, Measurement, ServerMessage, ServerMessageError, ToServer};
 use beechloft_protocol::viewer::{FromViewer, SetUp, SetUpError, ToViewer};
 use beechloft_protocol::{CallId, Cause};
 
 const ID: CallId = CallId(0x9b1f_03aa_5c7e_2d41);
 const ID_BYTES: [u8; 8] = [0x9b, 0x1f, 0x03, 0xaa, 0x5c, 0x7e, 0x2d, 0x41];
 
-/// A message: type, the id of the fixtures, and parameters as bytes.
+/// Encodes a message from its type, the identifier of the fixtures and encoded parameters.
 fn message(kind: u8, parameters: &[&[u8]]) -> Vec<u8> {
     let body = [&[kind][..], &ID_BYTES[..], &parameters.concat()].concat();
     let length = u16::try_from(body.len()).expect("a short message");
     [&length.to_be_bytes()[..], &body].concat()
 }
 
-/// A parameter: code, length, value.
+/// Encodes a parameter.
 fn parameter(code: u8, value: &[u8]) -> Vec<u8> {
     let length = u16::try_from(value.len()).expect("a short value");
     [&[code][..], &length.to_be_bytes(), value].concat()
@@ -25,7 +25,7 @@
 fn decode(bytes: &[u8]) -> Frame {
     let mut decoder = FrameDecoder::default();
     decoder.push(bytes);
-    decoder.next_frame().expect("a sound frame").expect("a whole frame")
+    decoder.next_frame().expect("a valid frame").expect("a complete frame")
 }
 
 fn set_up() -> SetUp {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn messages_to_viewers_have_these_bytes() {
+fn encodes_messages_to_viewers() {
     let cases: [(ToViewer, &[u8]); 7] = [
         (
             ToViewer::Answer(ID, "v=0\r\n\u{e9}".into()),
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_set_up_of_a_viewer_is_parsed_from_these_bytes() {
+fn parses_set_up_of_viewer() {
     let bytes = b"\x00\x82\x01\x9b\x1f\x03\xaa\x5c\x7e\x2d\x41\
         \x01\x00\x04paid\
         \x03\x00\x041500\
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn other_messages_of_viewers_are_parsed_from_these_bytes() {
+fn parses_other_messages_of_viewers() {
     let cases = [
         (6, FromViewer::Ignored(ID)),
         (12, FromViewer::Release(ID)),
@@ -106,8 +106,8 @@
 }
 
 #[test]
-fn an_invalid_set_up_names_the_parameter() {
-    let good: [(u8, &[u8]); 5] = [
+fn invalid_set_up_names_parameter() {
+    let valid: [(u8, &[u8]); 5] = [
         (1, b"paid"),
         (3, b"1500"),
         (9, b"7f3a9c21e0b4d655"),
@@ -122,23 +122,23 @@
             other => panic!("{other:?}"),
         }
     };
-    assert_eq!(parse(&good), Ok(()));
-    for index in 0..good.len() {
-        let mut without = good.to_vec();
+    assert_eq!(parse(&valid), Ok(()));
+    for index in 0..valid.len() {
+        let mut without = valid.to_vec();
         let (code, _) = without.remove(index);
         assert_eq!(parse(&without), Err(SetUpError::Missing(code)));
-        let mut twice = good.to_vec();
-        twice.push(good[index]);
+        let mut twice = valid.to_vec();
+        twice.push(valid[index]);
         assert_eq!(parse(&twice), Err(SetUpError::Duplicate(code)));
-        let mut no_text = good;
-        no_text[index].1 = b"\xff";
-        assert_eq!(parse(&no_text), Err(SetUpError::Invalid(code)));
+        let mut not_utf8 = valid;
+        not_utf8[index].1 = b"\xff";
+        assert_eq!(parse(&not_utf8), Err(SetUpError::Invalid(code)));
     }
-    let mut attributes = good;
+    let mut attributes = valid;
     attributes[3].1 = b"home:4;copies:-3;top:2;viewer:00000000b4d65521";
     assert_eq!(parse(&attributes), Err(SetUpError::Attributes(AttributeError::Invalid("copies"))));
-    // Ten minutes at most, but for a session that plays.
-    let mut timeout = good;
+    // The maximum timeout of a new session is ten minutes.
+    let mut timeout = valid;
     timeout[1].1 = b"600000";
     assert_eq!(parse(&timeout), Ok(()));
     timeout[1].1 = b"600001";
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn lines_to_media_servers_have_these_bytes() {
+fn encodes_lines_to_servers() {
     let set_up = set_up();
     let cases: [(ToServer<'_>, &str); 5] = [
         (
@@ -172,15 +172,15 @@
         ),
     ];
     for (message, expected) in cases {
-        let bytes = message.encode().expect("a message within its bound");
-        assert_eq!(String::from_utf8(bytes).expect("text"), expected);
+        let bytes = message.encode().expect("a message within the limit");
+        assert_eq!(String::from_utf8(bytes).expect("valid UTF-8"), expected);
     }
     let long = SetUp { description: "x".repeat(16 * 1024), ..set_up };
     assert_eq!(ToServer::Offer { id: ID, setup: &long, timeout_ms: 1, rung: 0 }.encode(), None);
 }
 
 #[test]
-fn lines_of_media_servers_are_parsed_from_these_bytes() {
+fn parses_lines_of_servers() {
     let parse = |text: &str| ServerMessage::parse(text.as_bytes()).unwrap_or_else(|e| panic!("{text}: {e}"));
     let line = |event| ServerMessage { event, load: None };
     let cases = [
@@ -195,19 +195,19 @@
         (r#"{"op":"tested","call":"9b1f03aa5c7e2d41","why":2}"#, FromServer::TestResult(ID, false)),
         (
             r#"{"op":"info","call":"9b1f03aa5c7e2d41","with":{"note":"kept_up","value":"0.75"}}"#,
-            FromServer::Note(ID, Note::DeliveredFraction(0.75)),
+            FromServer::Measurement(ID, Measurement::DeliveredFraction(0.75)),
         ),
         (
             r#"{"op":"info","call":"9b1f03aa5c7e2d41","with":{"note":"tier","value":2}}"#,
-            FromServer::Note(ID, Note::Rung(2.0)),
+            FromServer::Measurement(ID, Measurement::Rung(2.0)),
         ),
         (
             r#"{"op":"info","call":"9b1f03aa5c7e2d41","with":{"note":"wire","value":1.5}}"#,
-            FromServer::Note(ID, Note::LinkUtilization(1.5)),
+            FromServer::Measurement(ID, Measurement::LinkUtilization(1.5)),
         ),
         (
             r#"{"op":"info","call":"9b1f03aa5c7e2d41","with":{"note":"trunk","value":"0"}}"#,
-            FromServer::Note(ID, Note::UplinkUtilization(0.0)),
+            FromServer::Measurement(ID, Measurement::UplinkUtilization(0.0)),
         ),
         (
             r#"{"op":"info","call":"9b1f03aa5c7e2d41","with":{"note":"wire","value":"-1"}}"#,
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn invalid_lines_of_media_servers_are_errors_of_their_kind() {
+fn invalid_lines_have_specific_errors() {
     let error = |text: &str| ServerMessage::parse(text.as_bytes()).expect_err(text);
     assert!(matches!(error("{"), ServerMessageError::Json(_)));
     assert!(matches!(
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn causes_have_the_codes_of_q_850() {
+fn causes_have_q850_codes() {
     let codes = [
         (Cause::Normal, 16),
         (Cause::Cancelled, 31),
--- a/crates/testing/fleet-simulation/src/media_server.rs
+++ b/crates/testing/fleet-simulation/src/media_server.rs
@@ -114,7 +114,7 @@
             name: self.name(),
             address: self.address().to_string(),
             zone: ["a", "b"][usize::from(self.number) % 2].into(),
-            kind: "small".into(),
+            server_type: "small".into(),
             cell: self.number % settings.cells,
             status: self.status,
             weight: 1.0,
--- a/crates/testing/fleet-simulation/tests/machine_hash/canonical.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/canonical.rs
@@ -2,7 +2,7 @@
 
 use beechloft_front_node::{AttemptFailure, Input, Output};
 use beechloft_protocol::bus::{Status, Topology};
-use beechloft_protocol::server::{FromServer, Note, ServerMessage};
+use beechloft_protocol::server::{FromServer, Measurement, ServerMessage};
 use beechloft_protocol::viewer::{FromViewer, SetUp, SetUpError};
 
 /// Number of input kinds; their tags are `0..INPUT_KINDS`.
@@ -136,7 +136,7 @@
             self.text(&endpoint.name);
             self.text(&endpoint.address);
             self.text(&endpoint.zone);
-            self.text(&endpoint.kind);
+            self.text(&endpoint.server_type);
             self.number(endpoint.cell.into());
             self.tag(match endpoint.status {
                 Status::Ready => 0,
@@ -201,14 +201,14 @@
                 self.number(id.0);
                 self.tag(cause.code());
             }
-            FromServer::Note(id, note) => {
+            FromServer::Measurement(id, note) => {
                 self.tag(2);
                 self.number(id.0);
                 let (kind, value) = match note {
-                    Note::DeliveredFraction(value) => (0, value),
-                    Note::Rung(value) => (1, value),
-                    Note::LinkUtilization(value) => (2, value),
-                    Note::UplinkUtilization(value) => (3, value),
+                    Measurement::DeliveredFraction(value) => (0, value),
+                    Measurement::Rung(value) => (1, value),
+                    Measurement::LinkUtilization(value) => (2, value),
+                    Measurement::UplinkUtilization(value) => (3, value),
                 };
                 self.tag(kind);
                 self.float(*value);
--- a/crates/testing/fleet-simulation/tests/machine_hash/driver.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/driver.rs
@@ -275,7 +275,7 @@
         name: format!("s-{number:08x}"),
         address: format!("127.0.0.{}:2905", number + 1),
         zone: ["a", "b"][usize::from(number) % 2].into(),
-        kind: "small".into(),
+        server_type: "small".into(),
         cell: number % 4,
         status: Status::Ready,
         weight: 1.0,
--- a/crates/testing/fleet-simulation/tests/machine_hash/steps.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/steps.rs
@@ -4,7 +4,7 @@
 use beechloft_front_node::{AttemptFailure, Input};
 use beechloft_protocol::attributes::Attributes;
 use beechloft_protocol::bus::{Status, Topology};
-use beechloft_protocol::server::{FromServer, Note};
+use beechloft_protocol::server::{FromServer, Measurement};
 use beechloft_protocol::viewer::{FromViewer, SetUp, SetUpError};
 use beechloft_protocol::{CallId, Cause};
 use rand::RngExt;
@@ -81,12 +81,12 @@
         let Some((id, server)) = self.pick(&playing) else { return };
         let value = self.rng.random_range(0.0..1.5);
         let note = match self.rng.random_range(0..4) {
-            0 => Note::DeliveredFraction(value),
-            1 => Note::Rung(value),
-            2 => Note::LinkUtilization(value),
-            _ => Note::UplinkUtilization(value),
+            0 => Measurement::DeliveredFraction(value),
+            1 => Measurement::Rung(value),
+            2 => Measurement::LinkUtilization(value),
+            _ => Measurement::UplinkUtilization(value),
         };
-        self.server_line(server, FromServer::Note(id, note));
+        self.server_line(server, FromServer::Measurement(id, note));
     }
 
     pub(super) fn leave(&mut self) {
