--- a/crates/testing/checker/src/topic.rs
+++ b/crates/testing/checker/src/topic.rs
@@ -123,6 +123,21 @@
         all.filter(|saw| matches!(saw, Saw::CaughtUp(_))).count()
     }
 
+    /// How often a subscriber fell behind after it had been caught up.
+    pub fn fell_behind(&self, subscriber: &str) -> usize {
+        let all = self.seen.get(subscriber).into_iter().flatten();
+        all.filter(|saw| matches!(saw, Saw::Behind)).count()
+    }
+
+    /// Values under keys with this prefix that were acknowledged at this offset or after it.
+    pub fn values_since(&self, key_prefix: &str, offset: u64) -> usize {
+        let counts = |sent: &&Sent| {
+            let is_since = matches!(sent.told, Told::Written(at) if at >= offset);
+            is_since && sent.key.starts_with(key_prefix.as_bytes()) && matches!(sent.write, Write::Value(_))
+        };
+        self.sent.iter().filter(counts).count()
+    }
+
     /// A message is to be written: what it is called from now on.
     pub fn sends(&mut self, key: &[u8], write: Write) -> usize {
         self.sent.push(Sent { key: key.to_vec(), write, told: Told::Unsure });
--- a/crates/testing/fakes/src/topic.rs
+++ b/crates/testing/fakes/src/topic.rs
@@ -154,11 +154,15 @@
     }
 }
 
+/// How often a paused reader checks whether it may go on.
+const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+
 /// Follows a topic and records what it sees.
 pub struct Reader {
     name: String,
     follower: Follower,
     record: Recorded,
+    paused: Arc<AtomicBool>,
 }
 
 impl Reader {
@@ -174,7 +178,12 @@
         record: &Recorded,
     ) -> io::Result<Reader> {
         let (whose, into) = (name.to_owned(), record.clone());
+        let paused = Arc::new(AtomicBool::new(false));
+        let waits = Arc::clone(&paused);
         let hear = move |followed| {
+            while waits.load(Ordering::Relaxed) {
+                thread::sleep(PAUSE_CHECK_INTERVAL);
+            }
             if let Some(saw) = saw(followed) {
                 into.lock().saw(&whose, saw);
             }
@@ -188,7 +197,17 @@
             ..SubscriberSettings::default()
         };
         let follower = Follower::start(set, topic.clone(), settings, hear)?;
-        Ok(Reader { name: name.to_owned(), follower, record: record.clone() })
+        Ok(Reader { name: name.to_owned(), follower, record: record.clone(), paused })
+    }
+
+    /// Stops taking events, from the next one on, until [`Reader::resume`] is called.
+    pub fn pause(&self) {
+        self.paused.store(true, Ordering::Relaxed);
+    }
+
+    /// Takes events again.
+    pub fn resume(&self) {
+        self.paused.store(false, Ordering::Relaxed);
     }
 
     /// What is known of the topic.
@@ -219,6 +238,12 @@
     }
 }
 
+impl Drop for Reader {
+    fn drop(&mut self) {
+        self.resume();
+    }
+}
+
 fn saw(followed: FollowerEvent) -> Option<Saw> {
     Some(match followed {
         FollowerEvent::Updated(message) => {
--- a/crates/testing/fakes/tests/topic_planted.rs
+++ b/crates/testing/fakes/tests/topic_planted.rs
@@ -14,7 +14,7 @@
 use beechloft_fakes::topic::{Pace, Reader, Writer};
 use beechloft_fault_proxy::ports::ReservedPort;
 use beechloft_fault_proxy::{LinkFault, TcpProxy};
-use beechloft_topic::{Fault, Name};
+use beechloft_topic::{Fault, Layout, Name, SubscriberSettings};
 
 const KEEPERS: usize = 3;
 const TOPIC: &str = "planted";
@@ -74,11 +74,51 @@
     FleetSettings::read(&text).expect("sound")
 }
 
+/// A reader that is caught up before anything is written, and that takes nothing while more is written than a subscription's window
+/// and the log's tail hold together: its feed is following then, and finds the reader's place outside the tail.
+struct StalledReader(Reader);
+
+impl StalledReader {
+    const NAME: &str = "stalls";
+    /// The writer whose values are counted.
+    const WRITER: &str = "w0/";
+    const MAX_WAIT: Duration = Duration::from_secs(30);
+
+    /// Starts to read an empty topic, and pauses once it is caught up.
+    fn start(set: &FleetSettings, topic: &Name, record: &Recorded) -> StalledReader {
+        let reader = Reader::start(set, topic, Self::NAME, Duration::ZERO, record).expect("it starts");
+        let began = Instant::now();
+        while record.lock().caught_up(Self::NAME) == 0 {
+            assert!(began.elapsed() < Self::MAX_WAIT, "the stalled reader is not caught up");
+            thread::sleep(Duration::from_millis(5));
+        }
+        reader.pause();
+        StalledReader(reader)
+    }
+
+    /// Waits until its place is outside the log's tail, and reads on.
+    fn resume_outside_tail(self, record: &Recorded) -> Reader {
+        let at = self.0.complete_to().expect("it was caught up");
+        // The window is what the feed may have sent ahead; the second tail allows for a batch that exceeds it.
+        let bytes = SubscriberSettings::default().window as usize + 2 * Layout::default().tail_bytes;
+        let values = bytes / PACE.bytes + 1;
+        let began = Instant::now();
+        while record.lock().values_since(Self::WRITER, at) < values {
+            assert!(began.elapsed() < Self::MAX_WAIT, "too little is written to leave the tail");
+            thread::sleep(Duration::from_millis(20));
+        }
+        self.0.resume();
+        self.0
+    }
+}
+
 /// Some write; one follows, one is slow, one sleeps for `sleep` and wakes, and others join every while.
 fn play(fault: Option<Fault>, paces: &[Pace], retention_ms: u32, sleep: Duration) -> Verdict {
     let fleet = Fleet::new(retention_ms, fault);
     let (set, record) = (settings(&fleet.addresses, ""), Recorded::default());
     let name = Name::try_from(TOPIC.to_owned()).expect("a name");
+    let stalls = matches!(fault, None | Some(Fault::DropsOldest));
+    let stalled = stalls.then(|| StalledReader::start(&set, &name, &record));
     let writers: Vec<Writer> = paces
         .iter()
         .enumerate()
@@ -98,6 +138,7 @@
     while readers[2].complete_to().is_none_or(|to| to < 1_500) && began.elapsed() < Duration::from_secs(30) {
         thread::sleep(Duration::from_millis(20));
     }
+    readers.extend(stalled.map(|reader| reader.resume_outside_tail(&record)));
     relays.iter().for_each(|r| r.set_fault(LinkFault::partition()));
     relays.iter().for_each(TcpProxy::close_connections);
     let until = Instant::now() + sleep;
@@ -115,6 +156,9 @@
         reader.ends(needs, Duration::from_secs(20));
     }
     let sound = record.lock().clone();
+    if stalls {
+        assert!(sound.fell_behind(StalledReader::NAME) > 0, "the stalled reader did not leave the tail");
+    }
     sound.judge()
 }
 
