--- a/crates/fleet/leases/src/drift_bound.rs
+++ b/crates/fleet/leases/src/drift_bound.rs
@@ -1,15 +1,18 @@
-//! A bound on how far the rates of clocks differ.
+//! Bound on the difference between clock rates.
 
 use std::time::Duration;
 
-/// The bound: each clock runs at a rate between 1 - d and 1 + d of true time, with d in parts per million.
+/// Bound `d`, in parts per million, such that each clock runs at a rate between `1 - d` and `1 + d` of true time.
 ///
-/// It is an assumption, and the only one about clocks. If a clock runs at another rate, two holders may be active at once, and
-/// only fencing tokens protect the resource.
+/// This bound is the only assumption about clocks. If a clock violates it, two holders may be active at once, and only fencing
+/// tokens protect the resource.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct DriftBound(u32);
 
-const MILLION: u128 = 1_000_000;
+const PARTS_PER_MILLION: u128 = 1_000_000;
+
+/// Exclusive upper limit of a bound, parts per million.
+const PPM_LIMIT: u32 = 100_000;
 
 #[derive(Clone, Copy)]
 enum Rounding {
@@ -18,33 +21,33 @@
 }
 
 impl DriftBound {
-    /// A bound in parts per million; `None` from a tenth on.
+    /// Creates a bound of `ppm` parts per million. Returns `None` if the bound is 10% or more.
     pub fn ppm(ppm: u32) -> Option<DriftBound> {
-        (ppm < 100_000).then_some(DriftBound(ppm))
+        (ppm < PPM_LIMIT).then_some(DriftBound(ppm))
     }
 
-    /// The bound, in parts per million.
+    /// Returns the bound in parts per million.
     pub fn as_ppm(self) -> u32 {
         self.0
     }
 
-    /// A time by this clock that has passed before `span` of true time has, at any rate within the bound.
+    /// Returns a duration on a local clock that elapses no later than `span` of true time, at any rate within the bound.
     pub fn shorter(self, span: Duration) -> Duration {
-        scale(span, MILLION - u128::from(self.0), Rounding::Down)
+        scale(span, PARTS_PER_MILLION - u128::from(self.0), Rounding::Down)
     }
 
-    /// A time by this clock that has not passed before `span` of true time has, at any rate within the bound.
+    /// Returns a duration on a local clock that elapses no earlier than `span` of true time, at any rate within the bound.
     pub fn longer(self, span: Duration) -> Duration {
-        scale(span, MILLION + u128::from(self.0), Rounding::Up)
+        scale(span, PARTS_PER_MILLION + u128::from(self.0), Rounding::Up)
     }
 }
 
-/// The span times so many millionths.
-fn scale(span: Duration, millionths: u128, rounding: Rounding) -> Duration {
-    let product = span.as_nanos() * millionths;
+/// Multiplies `span` by `factor_ppm` parts per million.
+fn scale(span: Duration, factor_ppm: u128, rounding: Rounding) -> Duration {
+    let product = span.as_nanos() * factor_ppm;
     let nanos = match rounding {
-        Rounding::Down => product / MILLION,
-        Rounding::Up => product.div_ceil(MILLION),
+        Rounding::Down => product / PARTS_PER_MILLION,
+        Rounding::Up => product.div_ceil(PARTS_PER_MILLION),
     };
     Duration::from_nanos(u64::try_from(nanos).unwrap_or(u64::MAX))
 }
--- a/crates/fleet/leases/src/fault_injection.rs
+++ b/crates/fleet/leases/src/fault_injection.rs
@@ -1,32 +1,32 @@
 //! Faults that tests inject, one at a time, to verify that the checks detect them.
 
-/// A fault. Without the feature `fault_injection` none can be injected.
+/// Deliberate defect in the lease protocol. It can be injected only with the feature `fault_injection`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Fault {
     /// Replicas and holders ignore the drift bound.
     DriftIgnored,
-    /// A holder measures the time to live from the arrival of the answer.
+    /// A holder measures the time to live from the arrival of the answer instead of the creation of the request.
     TtlFromArrival,
-    /// A grant gets the token of the grant before it.
+    /// A grant gets the token of the previous grant.
     TokenReused,
     /// A renewal of a released lease is accepted.
     ReleasedGrantRenewed,
     /// A new leader does not restart the time to live of existing grants.
     TtlNotRestartedOnElection,
-    /// A new slot is used at once.
+    /// A holder uses a new slot without the wait.
     SlotUsedAtOnce,
-    /// A smaller slot count is used at once.
+    /// A holder uses a smaller slot count without the wait.
     SmallerCountAtOnce,
     /// Two concurrent grants of a task may have the same slot.
     SlotGrantedTwice,
-    /// A slot that was taken over is used at once, whatever its last holder did.
+    /// A successor ignores the remaining wait of its predecessor and uses the slot immediately.
     RemainderIgnored,
     /// A holder uses its slot after it has handed it off.
     UsedAfterHandoff,
-    /// A successor does not take over the slot count.
+    /// A successor does not inherit the slot count of its predecessor.
     SlotCountNotInherited,
-    /// A slot that was handed off is taken over repeatedly.
+    /// More than one successor takes over the same handed-off slot.
     HandoffRepeated,
-    /// A slot is taken over whatever grants have ended since its holder was last renewed.
+    /// A succession is granted although an unknown grant has ended since the predecessor's last renewal.
     EndedGrantIgnored,
 }
--- a/crates/fleet/leases/src/holder/io.rs
+++ b/crates/fleet/leases/src/holder/io.rs
@@ -2,43 +2,43 @@
 
 use crate::message::{Rejection, Request, Response, Token};
 
-/// What a holder that has an instance name hands off with its slot. See [`Handoff`](crate::Handoff).
+/// State that a holder with an instance name passes to its successor. See [`Handoff`](crate::Handoff).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct HandoffOffer {
-    /// The slot count that it last used.
+    /// Slot count that the holder used last.
     pub slot_count: u32,
-    /// For how long its use of the slot still counts, milliseconds.
+    /// Time in milliseconds for which the holder's use of the slot still counts.
     pub remaining_ms: u32,
-    /// For how long the slot is reserved for the next holder of the instance, milliseconds.
+    /// Time in milliseconds for which the slot is reserved for the next holder of the instance.
     pub reserve_ms: u32,
 }
 
-/// An input of a holder.
+/// Input of a holder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HolderInput {
     /// Time has passed.
     Tick,
-    /// Acquire the lease and keep it renewed.
+    /// The lease is to be acquired and kept renewed.
     Acquire,
-    /// Release the lease. Whoever used it has stopped.
+    /// The lease is to be released. All use of it has stopped.
     Release,
-    /// Hand the slot off to the next holder of the instance; release it, if the holder has no instance name. Whoever used it
-    /// has stopped for good.
+    /// The slot is to be handed off to the next holder of the instance, or released if the holder has no instance name. All use
+    /// of it has stopped permanently.
     HandOff(HandoffOffer),
-    /// A response of a replica.
+    /// A response of a replica has arrived.
     Response(Response),
 }
 
-/// An output of a holder.
+/// Output of a holder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HolderOutput {
-    /// Send a request to the leading replica, or to any other if that one has not responded.
+    /// The request is to be sent to the leading replica, or to any other replica if that one has not responded.
     Send(Request),
     /// The lease is held from now on.
     Acquired(Token),
-    /// The lease is no longer held, because its time has passed or a replica has said so. Its use must stop before anything
-    /// else is done.
+    /// The lease is no longer held, because it has expired or a replica has reported that the grant has ended. All use of it
+    /// must stop before anything else is done.
     Lost(Token),
-    /// The lease can't be acquired with this specification, now or later.
+    /// The lease cannot be acquired with this specification, now or later.
     Rejected(Rejection),
 }
--- a/crates/fleet/leases/src/holder/mod.rs
+++ b/crates/fleet/leases/src/holder/mod.rs
@@ -1,4 +1,4 @@
-//! The client of one lease: it acquires and renews the lease and issues permits.
+//! Client of one lease, which acquires and renews the lease and issues permits.
 
 mod io;
 mod permit;
@@ -22,7 +22,7 @@
 pub use self::permit::Permit;
 pub use self::spec::{LeaseSpec, LeaseSpecError};
 
-/// The client of one lease, as a state machine without I/O.
+/// Client of one lease, as a state machine without I/O.
 #[derive(Debug, Clone)]
 pub struct Holder {
     id: HolderId,
@@ -37,7 +37,7 @@
     fault: Option<Fault>,
 }
 
-/// All that decides its next outputs, except the random numbers.
+/// Hashes everything that determines the next outputs, except for the random numbers.
 impl std::hash::Hash for Holder {
     fn hash<H: std::hash::Hasher>(&self, hasher: &mut H) {
         (self.id, &self.state, self.last_seq, self.now).hash(hasher);
@@ -45,7 +45,7 @@
 }
 
 impl Holder {
-    /// An idle holder. `id` must be drawn at random for each run of the process.
+    /// Creates an idle holder. `id` must be drawn at random for each run of the process.
     pub fn new(id: HolderId, spec: LeaseSpec, drift: DriftBound, seed: u64) -> Holder {
         Holder {
             id,
@@ -61,9 +61,10 @@
         }
     }
 
-    /// Gives the holder an instance name, which stays the same over restarts of the process: it takes over a slot that was
-    /// handed off to the instance, and may hand off its own. One process at a time is to use a name; if two do, they hold two
-    /// slots.
+    /// Sets the instance name, which stays the same across restarts of the process.
+    ///
+    /// A holder with an instance name takes over a slot that was handed off to the instance, and may hand off its own. Only one
+    /// process at a time should use a name. If two processes use the same name, they hold two slots.
     pub fn with_instance(mut self, instance: Name) -> Holder {
         self.instance = Some(instance);
         self
@@ -79,18 +80,18 @@
         cfg!(feature = "fault_injection") && self.fault == Some(fault)
     }
 
-    /// The part of the time to live in which the lease may be used, counted from the creation of the request.
+    /// Returns the part of the time to live in which the lease may be used, measured from the creation of the request.
     fn usable_ttl(&self) -> Duration {
         let ttl = self.spec.ttl();
         if self.has_fault(Fault::DriftIgnored) { ttl } else { self.drift.shorter(ttl) }
     }
 
-    /// Its id.
+    /// Returns the id of the holder.
     pub fn id(&self) -> HolderId {
         self.id
     }
 
-    /// A permit, if the lease is held at `now`.
+    /// Returns a permit. Returns `None` if the lease is not held at `now`.
     pub fn permit(&self, now: Duration) -> Option<Permit> {
         match self.state {
             State::Held(held) if now < held.expires_at => Some(Permit {
@@ -103,26 +104,27 @@
         }
     }
 
-    /// When it needs a [`HolderInput::Tick`].
+    /// Returns when the next [`HolderInput::Tick`] is due. Returns `None` if the holder is idle.
     pub fn next_due(&self) -> Option<Duration> {
         self.state.next_due()
     }
 
-    /// Whether nothing is held and no request is pending.
+    /// Returns whether the lease is not held and no request for it is pending.
     pub fn is_idle(&self) -> bool {
         self.state == State::Idle
     }
 
-    /// Whether its slot is reserved for the next holder of the instance.
+    /// Returns whether the holder has handed its slot off to the next holder of the instance.
     pub fn has_handed_off(&self) -> bool {
         self.handed_off
     }
 
-    /// Handles an input. `now` is of the clock that permits are checked against, which never goes back.
+    /// Handles an input. `now` is read from the monotonic clock that permits are checked against.
     pub fn handle(&mut self, now: Duration, input: HolderInput) -> Vec<HolderOutput> {
         self.now = self.now.max(now);
         let mut outputs = Vec::new();
-        // Comes before the input: a process that was paused beyond its time has lost the lease, whatever messages wait for it.
+        // Expiry comes before the input, because a process that was paused beyond the time to live has lost the lease even if a
+        // renewal's answer is waiting.
         self.expire(&mut outputs);
         match input {
             HolderInput::Tick => self.on_tick(&mut outputs),
@@ -135,7 +137,7 @@
         outputs
     }
 
-    /// Ends a state whose time has passed.
+    /// Leaves a state whose time has passed.
     fn expire(&mut self, outputs: &mut Vec<HolderOutput>) {
         match self.state {
             State::Held(held) if self.now >= held.expires_at => {
@@ -157,7 +159,7 @@
         outputs.push(self.send(request.seq, self.spec.acquire(self.instance.as_ref())));
     }
 
-    /// The operation that ends a grant.
+    /// Returns the operation that ends a grant.
     fn ending_op(&self, token: Token, handoff: Option<Handoff>) -> Op {
         let name = self.spec.name.clone();
         match handoff {
@@ -166,17 +168,17 @@
         }
     }
 
-    /// Releases what is held, or hands it off.
+    /// Releases the grant, or hands it off if there is an offer.
     fn end(&mut self, offer: Option<HandoffOffer>, outputs: &mut Vec<HolderOutput>) {
         match self.state {
-            State::Held(held) => self.end_held(held, offer, outputs),
+            State::Held(held) => self.end_grant(held, offer, outputs),
             State::Ending(_) => {}
-            // A grant that is not known yet expires by itself.
+            // A grant whose answer has not arrived expires without a release.
             State::Idle | State::Acquiring(_) | State::Waiting(_) => self.state = State::Idle,
         }
     }
 
-    fn end_held(&mut self, held: HeldGrant, offer: Option<HandoffOffer>, outputs: &mut Vec<HolderOutput>) {
+    fn end_grant(&mut self, held: HeldGrant, offer: Option<HandoffOffer>, outputs: &mut Vec<HolderOutput>) {
         let request = self.new_request();
         let offer = offer.filter(|_| self.instance.is_some());
         let handoff = offer.map(|HandoffOffer { slot_count, remaining_ms, reserve_ms }| Handoff {
@@ -185,7 +187,7 @@
             reserve_ms,
             newest_token: held.instance_grant.newest_token,
         });
-        // A handoff is valid for as long as a table may have the grant, which is longer than the grant may be used.
+        // A handoff can succeed as long as the table may contain the grant, which is longer than the grant may be used.
         let until = handoff.map_or(held.expires_at, |_| held.expires_at + self.spec.ttl());
         self.state = State::Ending(EndingGrant { token: held.token, until, request, handoff });
         outputs.push(self.send(request.seq, self.ending_op(held.token, handoff)));
--- a/crates/fleet/leases/src/holder/permit.rs
+++ b/crates/fleet/leases/src/holder/permit.rs
@@ -1,13 +1,13 @@
-//! The right to perform a protected operation.
+//! Permission to perform protected operations.
 
 use std::time::Duration;
 
 use crate::message::{GrantPosition, Succession, Token};
 
-/// The right to act until a time.
+/// Permission to perform protected operations until a given time.
 ///
-/// It can't be copied and yields its token for the present moment alone, so that a process that was paused in between finds it
-/// expired.
+/// A permit cannot be copied, and it returns its token only for the current time. A process that was paused after it took the
+/// permit therefore finds it expired.
 #[derive(Debug)]
 pub struct Permit {
     pub(super) token: Token,
@@ -17,23 +17,24 @@
 }
 
 impl Permit {
-    /// The token to act with now, or `None` if the permit has expired. `now` must be read right before the operation, from the
-    /// clock that the holder uses.
+    /// Returns the token for an operation at `now`. Returns `None` if the permit has expired.
+    ///
+    /// `now` must be read from the holder's clock right before the operation.
     pub fn token_at(&self, now: Duration) -> Option<Token> {
         (now < self.expires_at).then_some(self.token)
     }
 
-    /// The position of the grant, as of its last renewal.
+    /// Returns the position of the grant, as of its last renewal.
     pub fn position(&self) -> GrantPosition {
         self.position
     }
 
-    /// What was taken over with the slot, if it was handed off to this holder.
+    /// Returns the state inherited with the slot. Returns `None` if the slot was not handed off to this holder.
     pub fn succession(&self) -> Option<Succession> {
         self.succession
     }
 
-    /// When it expires, unless the lease is renewed and another permit taken.
+    /// Returns when the permit expires. A renewal of the lease does not extend an existing permit.
     pub fn expires_at(&self) -> Duration {
         self.expires_at
     }
--- a/crates/fleet/leases/src/holder/response.rs
+++ b/crates/fleet/leases/src/holder/response.rs
@@ -7,16 +7,19 @@
 use crate::fault_injection::Fault;
 use crate::message::{Answer, GrantPosition, InstanceGrant, Rejection, Response, Token};
 
-/// Maximum delay before a lease without free slot is acquired again.
-const MAX_WAIT: Duration = Duration::from_secs(1);
+/// Maximum delay before the next attempt to acquire a lease that had no free slot.
+const MAX_ACQUIRE_DELAY: Duration = Duration::from_secs(1);
 
-/// What an answer says of a grant.
+/// Description of a grant in an answer.
 struct GrantReport {
     token: Token,
     position: GrantPosition,
     instance_grant: InstanceGrant,
 }
 
+/// A renewal is due when one part in this many of the time to live has passed.
+const RENEWAL_DIVISOR: u32 = 3;
+
 impl GrantReport {
     fn of_acquisition(answer: Answer) -> Option<GrantReport> {
         match answer {
@@ -72,7 +75,7 @@
         if let Some(report) = GrantReport::of_acquisition(answer) {
             let held = self.held_grant(request, report);
             if self.now >= held.expires_at {
-                // The answer came too late to be of use.
+                // The answer arrived after the grant had expired.
                 return self.acquire(outputs);
             }
             outputs.push(HolderOutput::Acquired(held.token));
@@ -81,7 +84,7 @@
         }
         match answer {
             Answer::Rejected(Rejection::NoFreeSlot | Rejection::Superseded) => {
-                let delay = self.jittered(self.spec.ttl().min(MAX_WAIT) / 2);
+                let delay = self.jittered(self.spec.ttl().min(MAX_ACQUIRE_DELAY) / 2);
                 self.state = State::Waiting(self.now + delay);
             }
             Answer::Rejected(rejection) => {
@@ -101,7 +104,7 @@
     ) {
         if let Some(report) = GrantReport::of_renewal(answer).filter(|report| report.token == held.token) {
             let mut renewed = self.held_grant(request, report);
-            // What was taken over with the grant stays with it.
+            // Answers to renewals do not repeat the succession.
             renewed.instance_grant.succession = held.instance_grant.succession;
             self.state = State::Held(renewed);
             self.expire(outputs);
@@ -111,17 +114,17 @@
         }
     }
 
-    /// A grant, with its times counted from the creation of the request.
+    /// Creates the state of a grant. Its times are measured from the creation of the request.
     fn held_grant(&self, request: PendingRequest, report: GrantReport) -> HeldGrant {
         let from_arrival = self.has_fault(Fault::TtlFromArrival);
-        let counted_from = if from_arrival { self.now } else { request.created_at };
+        let measured_from = if from_arrival { self.now } else { request.created_at };
         let GrantReport { token, position, instance_grant } = report;
         HeldGrant {
             token,
             position,
             instance_grant,
-            expires_at: counted_from + self.usable_ttl(),
-            renew_at: counted_from + self.spec.ttl() / 3,
+            expires_at: measured_from + self.usable_ttl(),
+            renew_at: measured_from + self.spec.ttl() / RENEWAL_DIVISOR,
             renewal: None,
         }
     }
--- a/crates/fleet/leases/src/holder/retry.rs
+++ b/crates/fleet/leases/src/holder/retry.rs
@@ -7,20 +7,22 @@
 use super::Holder;
 use super::state::{PendingRequest, State};
 
-/// Delay of the first retransmission. It doubles with each further one, up to eight times, except for renewals, whose time is
-/// limited.
+/// Maximum delay of the first retransmission. The delay doubles with each further one, up to eightfold. Renewals keep the same
+/// delay because they must succeed within the time to live.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
-/// A renewal has half a dozen tries within the time to live that is left when it begins.
+/// Minimum number of retransmission delays per time to live. It gives a renewal at least six transmissions within the time to
+/// live that remains when it starts.
 const MIN_RETRIES_PER_TTL: u32 = 12;
-/// After so many transmissions a new request replaces the old one, since a time to live counts from the creation of its request.
-const MAX_TRIES: u32 = 4;
-/// A request that must stay the same counts at most so many transmissions.
-const MAX_TRIES_OF_SAME: u32 = 2;
-/// The delay doubles at most this often.
+/// Number of transmissions after which a new request replaces the pending one, because the time to live is measured from the
+/// creation of the request.
+const MAX_TRANSMISSIONS: u32 = 4;
+/// Maximum transmission count that is recorded for a request that must not be replaced by a new one.
+const MAX_COUNTED_TRANSMISSIONS: u32 = 2;
+/// Maximum number of times that the delay doubles.
 const MAX_DOUBLINGS: u32 = 3;
 
 impl Holder {
-    /// A random delay between half the span and all of it, so that holders that failed together do not retry together.
+    /// Returns a random delay between half of `span` and `span`, so that holders that failed together do not retry together.
     #[expect(clippy::cast_possible_truncation, reason = "spans are hours at most")]
     pub(super) fn jittered(&mut self, span: Duration) -> Duration {
         let micros = span.as_micros() as u64;
@@ -30,27 +32,32 @@
     pub(super) fn new_request(&mut self) -> PendingRequest {
         self.last_seq += 1;
         let delay = self.jittered(self.retry_delay());
-        PendingRequest { seq: self.last_seq, created_at: self.now, retry_at: self.now + delay, tries: 1 }
+        PendingRequest {
+            seq: self.last_seq,
+            created_at: self.now,
+            retry_at: self.now + delay,
+            transmissions: 1,
+        }
     }
 
     fn retry_delay(&self) -> Duration {
         RETRY_DELAY.min(self.spec.ttl() / MIN_RETRIES_PER_TTL)
     }
 
-    /// The next transmission of a request: the same one, or a new one after [`MAX_TRIES`].
+    /// Returns the next transmission of a request, which is a new request after [`MAX_TRANSMISSIONS`].
     pub(super) fn retry(&mut self, request: PendingRequest) -> PendingRequest {
-        if request.tries >= MAX_TRIES {
+        if request.transmissions >= MAX_TRANSMISSIONS {
             return self.new_request();
         }
         let is_renewal = matches!(self.state, State::Held(_));
-        let doublings = if is_renewal { 0 } else { request.tries.min(MAX_DOUBLINGS) };
+        let doublings = if is_renewal { 0 } else { request.transmissions.min(MAX_DOUBLINGS) };
         let delay = self.jittered(self.retry_delay() * 2u32.pow(doublings));
-        PendingRequest { tries: request.tries + 1, retry_at: self.now + delay, ..request }
+        PendingRequest { transmissions: request.transmissions + 1, retry_at: self.now + delay, ..request }
     }
 
-    /// The next transmission of a request that must stay the same, so that it is applied once.
+    /// Returns the next transmission of a request that must keep its sequence number, so that it is applied only once.
     pub(super) fn retry_same(&mut self, request: PendingRequest) -> PendingRequest {
-        let tries = request.tries.min(MAX_TRIES_OF_SAME);
-        self.retry(PendingRequest { tries, ..request })
+        let transmissions = request.transmissions.min(MAX_COUNTED_TRANSMISSIONS);
+        self.retry(PendingRequest { transmissions, ..request })
     }
 }
--- a/crates/fleet/leases/src/holder/state.rs
+++ b/crates/fleet/leases/src/holder/state.rs
@@ -1,20 +1,20 @@
-//! The states of a holder.
+//! States of a holder.
 
 use std::time::Duration;
 
 use crate::message::{GrantPosition, Handoff, InstanceGrant, Token};
 
-/// A request without answer so far.
+/// Request that has not been answered yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct PendingRequest {
     pub seq: u64,
-    /// When it was created, before its first transmission. The time to live is counted from here.
+    /// Time of creation, before the first transmission. The time to live is measured from here.
     pub created_at: Duration,
     pub retry_at: Duration,
-    pub tries: u32,
+    pub transmissions: u32,
 }
 
-/// A grant that is held.
+/// Grant that is currently held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct HeldGrant {
     pub token: Token,
@@ -25,31 +25,34 @@
     pub renewal: Option<PendingRequest>,
 }
 
-/// A grant that is being released or handed off. Nobody uses it any more.
+/// Grant that is being released or handed off, and is no longer used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct EndingGrant {
     pub token: Token,
-    /// When retries stop.
+    /// Time at which retries stop.
     pub until: Duration,
     pub request: PendingRequest,
-    /// Present if it is handed off.
+    /// Present if the grant is being handed off.
     pub handoff: Option<Handoff>,
 }
 
+/// State of a holder.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum State {
-    /// The lease is not wanted.
+    /// The lease is neither held nor requested.
     Idle,
-    /// A request to acquire it is pending.
+    /// A request to acquire the lease is pending.
     Acquiring(PendingRequest),
-    /// No slot was free; acquired again at this time.
+    /// No slot was free. The next attempt is due at this time.
     Waiting(Duration),
+    /// The lease is held.
     Held(HeldGrant),
+    /// The grant is being released or handed off.
     Ending(EndingGrant),
 }
 
 impl State {
-    /// When a holder in this state needs a tick.
+    /// Returns when a holder in this state needs a tick. Returns `None` if it needs none.
     pub fn next_due(&self) -> Option<Duration> {
         match self {
             State::Idle => None,
--- a/crates/fleet/leases/src/lib.rs
+++ b/crates/fleet/leases/src/lib.rs
@@ -1,15 +1,15 @@
-//! Leases on tasks that at most a given number of processes may run at a time, agreed on by a group of replicas.
+//! Replicated leases that limit how many processes run a task concurrently.
 //!
 //! A lease (Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency", SOSP
 //! 1989) is granted for a time to live (TTL) and renewed before it expires. [`Table`] is the state machine that consensus
 //! replicates. It has no clock: the leading replica (`beechloft_replica`) measures TTLs and proposes expiries.
 //! [`Holder`] acquires and renews a lease and issues [`Permit`]s, which must be checked right before each protected operation.
-//! Each grant has a fencing [`Token`], above those of all earlier grants; a protected resource refuses a token lower than one it
-//! has seen.
+//! Each grant has a fencing [`Token`] that is greater than the tokens of all earlier grants. A protected resource rejects any
+//! token lower than the highest one that it has seen.
 //!
-//! Wall clocks are not used and readings of different clocks are never compared: [`DriftBound`] bounds how far clock rates
-//! differ, a holder measures from before it sent its request and a replica from after the commit. `docs/fleet.md` has the
-//! argument.
+//! The protocol uses no wall clocks and never compares readings of different clocks. [`DriftBound`] bounds how far clock rates
+//! differ. A holder measures the TTL from before it sent its request, and a replica measures it from after the commit, so the
+//! holder's measurement always ends first. `docs/fleet.md` has the full argument.
 #![forbid(unsafe_code)]
 
 mod drift_bound;
--- a/crates/fleet/leases/src/message/request.rs
+++ b/crates/fleet/leases/src/message/request.rs
@@ -1,101 +1,102 @@
-//! Requests of holders, and the commands that the log carries.
+//! Requests of holders and commands of the replicated log.
 
 use serde::{Deserialize, Serialize};
 
 use super::{HolderId, Token};
 use crate::name::Name;
 
-/// An operation on one task's lease.
+/// Operation on the lease of one task.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Op {
     /// Acquires the lease.
     Acquire {
-        /// The task.
+        /// Name of the task.
         name: Name,
         /// Maximum number of concurrent holders.
         #[serde(rename = "places")]
         slots: u16,
-        /// Time to live of the grant, milliseconds.
+        /// Time to live of the grant, in milliseconds.
         ttl_ms: u32,
     },
     /// Renews a grant for its time to live.
     Renew {
-        /// The task.
+        /// Name of the task.
         name: Name,
-        /// The grant.
+        /// Token of the grant.
         token: Token,
     },
     /// Releases a grant.
     Release {
-        /// The task.
+        /// Name of the task.
         name: Name,
-        /// The grant.
+        /// Token of the grant.
         token: Token,
     },
-    /// Acquires the lease as a named instance: takes over the slot that was handed off to the instance, if there is one.
+    /// Acquires the lease as a named instance. The new grant takes over the slot that was handed off to the instance, if there
+    /// is one.
     AcquireAs {
-        /// The task.
+        /// Name of the task.
         name: Name,
         /// Maximum number of concurrent holders.
         #[serde(rename = "places")]
         slots: u16,
-        /// Time to live of the grant, milliseconds.
+        /// Time to live of the grant, in milliseconds.
         ttl_ms: u32,
-        /// The instance.
+        /// Name of the instance.
         #[serde(rename = "seat")]
         instance: Name,
     },
-    /// Hands the slot off to the next holder of the same instance. Whoever used the grant must have stopped for good.
+    /// Hands the slot off to the next holder of the same instance. All use of the grant must have stopped permanently.
     #[serde(rename = "Leave")]
     HandOff {
-        /// The task.
+        /// Name of the task.
         name: Name,
-        /// The grant.
+        /// Token of the grant.
         token: Token,
-        /// What the successor needs to know.
+        /// State that the successor needs.
         #[serde(rename = "will")]
         handoff: Handoff,
     },
 }
 
-/// What a holder that ends hands off with its slot.
+/// State that a holder passes to its successor together with its slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Handoff {
-    /// The slot count that it last used.
+    /// Slot count that the holder used last.
     #[serde(rename = "of")]
     pub slot_count: u32,
-    /// For how long its use of the slot still counts, milliseconds.
+    /// Time in milliseconds for which the holder's use of the slot still counts.
     #[serde(rename = "rest_ms")]
     pub remaining_ms: u32,
-    /// The newest token of the table that it knew of, from when it was last granted or renewed.
+    /// Newest token of the table that the holder knew, as of its last grant or renewal.
     #[serde(rename = "newest")]
     pub newest_token: Token,
-    /// For how long the slot is reserved, milliseconds.
+    /// Time in milliseconds for which the slot is reserved.
     #[serde(rename = "keep_ms")]
     pub reserve_ms: u32,
 }
 
-/// A request. A retransmission has the same sequence number and is applied once.
+/// Request of a holder. A retransmission has the same sequence number and is applied only once.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Request {
-    /// Who sent it.
+    /// Holder that sent the request.
     pub holder: HolderId,
-    /// Its sequence number, which increases with each request of a holder.
+    /// Sequence number, which increases with each new request of a holder.
     pub seq: u64,
-    /// The operation.
+    /// Requested operation.
     pub op: Op,
 }
 
-/// A command of the replicated log.
+/// Command of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// A holder's request.
+    /// Applies the request of a holder.
     Request(Request),
-    /// Expires a grant, unless it was renewed since.
+    /// Expires a grant, unless it was renewed after the expiry was proposed.
     Expire {
-        /// The grant.
+        /// Token of the grant.
         token: Token,
-        /// The number of renewals when its time to live had passed.
+        /// Number of renewals of the grant when its time to live elapsed.
         renewals: u64,
     },
 }
--- a/crates/fleet/leases/src/message/response.rs
+++ b/crates/fleet/leases/src/message/response.rs
@@ -1,21 +1,21 @@
-//! Responses of replicas.
+//! Responses of replicas to holders.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use super::{HolderId, ReplicaId, Token};
 
-/// Why a request was rejected.
+/// Reason why a request was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, Error)]
 pub enum Rejection {
     /// All slots are held.
     #[error("all slots are held")]
     #[serde(rename = "Taken")]
     NoFreeSlot,
-    /// The grant has ended.
+    /// The holder does not hold the grant, because it has ended or belongs to another holder.
     #[error("the lease is not held")]
     NotHeld,
-    /// The task is held with another number of slots, or the number is out of range.
+    /// The lease is held with a different number of slots, or the number is out of range.
     #[error("the lease is held with another number of slots, or the number is out of range")]
     #[serde(rename = "Places")]
     SlotCount,
@@ -23,65 +23,67 @@
     #[error("the time to live of the lease is out of range")]
     #[serde(rename = "Time")]
     TtlOutOfRange,
-    /// A later request of the same holder was applied already.
+    /// A later request of the same holder has already been applied.
     #[error("a later request of the same holder was applied already")]
     #[serde(rename = "Overtaken")]
     Superseded,
-    /// The table is full.
+    /// The table has reached its maximum number of leases.
     #[error("too many leases")]
     #[serde(rename = "TooMany")]
     TooManyLeases,
 }
 
-/// The position of a grant among all grants of its task, as of the answer.
+/// Position of a grant among all grants of its task, as of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub struct GrantPosition {
-    /// Its slot: the lowest that was free, counted from zero. It stays the same for as long as the grant is renewed.
+    /// Zero-based slot of the grant, the lowest one that was free. It stays the same as long as the grant is renewed.
     #[serde(rename = "place")]
     pub slot: u16,
-    /// One more than the highest slot that was held.
+    /// Exclusive upper bound of the slots that were held.
     #[serde(rename = "reach")]
     pub slot_bound: u16,
-    /// The longest time to live of all grants of the task, milliseconds.
+    /// Longest time to live of all grants of the task, in milliseconds.
     #[serde(rename = "longest_ms")]
     pub max_ttl_ms: u32,
 }
 
-/// What a successor takes over with a slot.
+/// State that a successor inherits together with a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Succession {
-    /// See [`Handoff::slot_count`](super::Handoff::slot_count).
+    /// Slot count that the predecessor used last. See [`Handoff::slot_count`](super::Handoff::slot_count).
     #[serde(rename = "of")]
     pub slot_count: u32,
-    /// See [`Handoff::remaining_ms`](super::Handoff::remaining_ms); counted from when the successor receives it.
+    /// Time in milliseconds for which the predecessor's use of the slot still counts, measured from when the successor receives
+    /// it. See [`Handoff::remaining_ms`](super::Handoff::remaining_ms).
     #[serde(rename = "rest_ms")]
     pub remaining_ms: u32,
 }
 
-/// What an answer tells a holder with an instance name in addition.
+/// Additional part of an answer to a holder with an instance name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub struct InstanceGrant {
-    /// The newest token of the table, as of the answer.
+    /// Newest token of the table, as of the answer.
     #[serde(rename = "newest")]
     pub newest_token: Token,
-    /// Present if the slot was handed off to this instance and no unknown grant has ended in between.
+    /// State inherited from the predecessor. Present if the slot was handed off to this instance and no grant unknown to the
+    /// predecessor has ended in between.
     #[serde(rename = "inherited")]
     pub succession: Option<Succession>,
 }
 
-/// The result of a request that was applied.
+/// Result of an applied request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Answer {
-    /// Granted.
+    /// The lease was granted to a holder without an instance name.
     Granted(Token, GrantPosition),
-    /// Renewed.
+    /// The grant was renewed by a holder without an instance name.
     Renewed(Token, GrantPosition),
-    /// Released.
+    /// The grant was released.
     Released,
-    /// Rejected.
+    /// The request was rejected.
     #[serde(rename = "Unable")]
     Rejected(Rejection),
-    /// Granted to or renewed by a holder with an instance name.
+    /// The lease was granted to, or renewed by, a holder with an instance name.
     #[serde(rename = "Seat")]
     HeldByInstance(Token, GrantPosition, InstanceGrant),
     /// The slot is reserved for the next holder of the instance.
@@ -89,26 +91,26 @@
     HandedOff,
 }
 
-/// A message from a replica to a holder.
+/// Message from a replica to a holder.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Response {
-    /// The answer to a request. It names the holder, since several may share a connection.
+    /// Result of a request. It names the holder, because several holders may share a connection.
     Answer {
-        /// Who sent the request.
+        /// Holder that sent the request.
         holder: HolderId,
-        /// The sequence number of the request.
+        /// Sequence number of the request.
         seq: u64,
-        /// The result.
+        /// Result of the request.
         answer: Answer,
     },
-    /// This replica does not lead; the leader, if it knows one.
+    /// The replica is not the leader. Contains the leader, if the replica knows it.
     NotLeader(Option<ReplicaId>),
-    /// The request can't be accepted now and is to be retried later.
+    /// The replica cannot accept the request now. The holder should retry later.
     Busy,
 }
 
 impl Response {
-    /// The answer to the given request, if this is one.
+    /// Returns the answer to the given request. Returns `None` if this is another message.
     pub fn answer_to(&self, to_holder: HolderId, to_seq: u64) -> Option<Answer> {
         match self {
             Response::Answer { holder, seq, answer } if (*holder, *seq) == (to_holder, to_seq) => {
--- a/crates/fleet/leases/src/name.rs
+++ b/crates/fleet/leases/src/name.rs
@@ -1,19 +1,19 @@
-//! Names of tasks and instances.
+//! Validated names of tasks and instances.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Maximum length of a [`Name`], bytes.
+/// Maximum length of a [`Name`] in bytes.
 pub const MAX_NAME_LEN: usize = 96;
 
-/// The name of a task or of an instance: 1 to [`MAX_NAME_LEN`] ASCII letters, digits, `.`, `-`, `_` and `/`.
+/// Name of a task or of an instance, with 1 to [`MAX_NAME_LEN`] ASCII letters, digits, `.`, `-`, `_` and `/`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(String);
 
-/// A text that is not a valid [`Name`].
+/// Error for a text that is not a valid [`Name`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a name has 1 to {MAX_NAME_LEN} letters, digits, '.', '-', '_' or '/'")]
 pub struct NameError;
--- a/crates/fleet/leases/src/slot_assignment.rs
+++ b/crates/fleet/leases/src/slot_assignment.rs
@@ -1,40 +1,43 @@
-//! The slot that a front has by lease: which share of a fleet-wide rate it may use now.
+//! Share of a fleet-wide rate limit that a front may use, derived from the slot of its lease.
 //!
-//! The slot of a front's grant is its slot here, so that no two concurrent holders have the same. The slot count must agree,
-//! too, and fronts learn of a change at different moments. Four rules keep the sum of all shares under the whole at each moment,
-//! and over any span of the rate:
+//! A front uses the slot of its grant, so no two concurrent holders have the same slot. The fronts must also agree on the slot
+//! count, although they learn of a change at different moments. Four rules keep the sum of all shares within the limit at each
+//! moment and over any measurement span of the rate:
 //!
-//! - The slot count is a power of two. A front's share of a larger count is no more than its share of a smaller one, and where
-//!   shares are under one, the fronts that have one of the larger count are among those that have one of the smaller (a turn that
-//!   is under the bound modulo `2n` is under it modulo `n`). So fronts with different counts use together no more than all with
-//!   the smallest count in use, as long as no slot is past that count.
-//! - A new holder waits before it uses its slot: for the longest time to live of all grants of this lease, after which every
-//!   other front has either renewed since, and received the new slot bound, or has lost its own; and for the span, after which
-//!   nothing counts that others did with larger shares, or that the slot's last holder did.
-//! - A larger count is used at once, a smaller one after the span: what those did that had slots past it is over then.
-//! - Without a lease a front has no share at all: the number of such fronts is not bounded, so any share above zero would make a
-//!   sum without bound.
+//! - The slot count is a power of two. A front's share with a larger count is at most its share with a smaller one. If the
+//!   limit is below the slot count, only some slots have a share, and the slots that have one with the larger count are a
+//!   subset of those with the smaller count, because a value below the limit modulo `2n` is also below it modulo `n`. So
+//!   fronts with different counts use at most as much as if all of them used the smallest of these counts, provided that every
+//!   slot is below that count.
+//! - A new holder waits before it uses its slot. The wait is the sum of two periods. The first is the longest time to live of
+//!   all grants of the lease, after which every other front has either renewed its grant and received the new slot bound, or
+//!   lost its grant. The second is the measurement span, after which operations that other fronts performed with larger shares,
+//!   or that the slot's last holder performed, no longer count.
+//! - A larger count is used immediately. A smaller one is used after the measurement span, when the operations of fronts with
+//!   slots at or above the smaller count no longer count.
+//! - A front without a lease has no share. The number of such fronts is unbounded, so any positive share would make the sum
+//!   unbounded.
 //!
 //! # Handoff
 //!
-//! A front that ends stops using its slot for good ([`SlotAssignment::stop`]), and hands it off to the next front of the same
-//! instance ([`SlotAssignment::handoff_offer`]). That one is granted the same slot with another token and waits for the remaining
-//! time alone. Why the four rules hold then:
+//! A front that shuts down stops using its slot permanently ([`SlotAssignment::stop`]) and hands it off to the next front of the
+//! same instance ([`SlotAssignment::handoff_offer`]). The successor is granted the same slot with another token and waits only
+//! for the remaining time. The four rules still hold, for these reasons:
 //!
-//! - The slot is never free in between. For all other fronts nothing has changed: all that have renewed use a count above it, as
-//!   the predecessor had waited until they did.
-//! - What the predecessor did counts for the span from when it stopped. A part of that has passed by its clock at the handoff; the
-//!   remaining time goes with the slot and is counted from when the successor receives its grant, which is later. Both parts, by
-//!   clocks within the drift bound, come to the span extended by the drift, so that the span is over by true time. If the
-//!   predecessor was itself waiting, the rest of that wait goes with the slot instead.
-//! - Using a smaller count than the slot of a front that acted within the span: the successor begins with the predecessor's
-//!   count, and changes to a smaller one after a span like any other. The predecessor knew of all grants that existed at its last
-//!   renewal. A grant that was made after that and has ended before the succession is detected by the table, as its token is above
-//!   the newest that the predecessor knew; then the successor waits like any new holder.
-//! - Two fronts with one instance name at once: the slot is handed off once and taken over once; the other has another slot, and
-//!   waits.
+//! - The slot is never free in between, so nothing changes for the other fronts. All fronts that have renewed use a count above
+//!   the slot, because the predecessor waited until they did.
+//! - The predecessor's operations count for one span from when it stopped. Part of that span has passed by the predecessor's
+//!   clock at the handoff. The remaining time is passed on with the slot and is counted from when the successor receives its
+//!   grant, which is later. By clocks within the drift bound, both parts together are the span extended by the drift, so the
+//!   span has passed in true time. If the predecessor was still waiting itself, the rest of its wait is passed on instead.
+//! - The successor never uses a count that is too small for the slot of a front that was active within the span. It starts with
+//!   the predecessor's count and changes to a smaller one after a span, as any front does. The predecessor knew of all grants
+//!   that existed at its last renewal. The table detects a grant that was made later and ended before the succession, because
+//!   its token is above the newest token that the predecessor knew. The successor then waits like any new holder.
+//! - If two fronts use one instance name at the same time, the slot is handed off once and taken over once. The other front gets
+//!   another slot and waits.
 //!
-//! If the handoff is lost, or its sender was killed, the grant expires as any other.
+//! If the handoff is lost or the predecessor was killed, the grant expires like any other.
 
 use std::time::Duration;
 
@@ -43,31 +46,31 @@
 use crate::holder::{HandoffOffer, Permit};
 use crate::message::{Succession, Token};
 
-/// Maximum slot count that is taken over from a predecessor.
+/// Maximum slot count that a successor inherits from its predecessor.
 const MAX_INHERITED_SLOT_COUNT: u32 = 1 << 20;
 
-/// The share of the whole that a front may use.
+/// Share of the fleet-wide limit that a front may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum SlotShare {
-    /// Nothing.
+    /// No share.
     None,
-    /// The share of a slot.
+    /// The share of one slot out of `slot_count`.
     Of {
-        /// The slot, counted from zero.
+        /// Zero-based index of the slot.
         slot: u32,
-        /// The slot count: a power of two above each slot.
+        /// Slot count, a power of two that is greater than `slot`.
         slot_count: u32,
     },
 }
 
-/// A smaller slot count that is used later.
+/// Smaller slot count that takes effect later.
 #[derive(Debug, Clone, Copy)]
 struct PendingCount {
     slot_count: u32,
     effective_at: Duration,
 }
 
-/// The slot of a grant.
+/// Slot of the current grant.
 #[derive(Debug, Clone, Copy)]
 struct HeldSlot {
     token: Token,
@@ -78,19 +81,19 @@
     pending_count: Option<PendingCount>,
 }
 
-/// The end of a front's use of its slot.
+/// End of a front's use of its slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoppedUse {
-    /// When it stopped.
+    /// Time at which the front stopped using its slot.
     pub at: Duration,
-    /// For how long its use counts after that.
+    /// Duration after `at` during which the front's earlier operations still count against the limit.
     pub counts_for: Duration,
 }
 
-/// Tracks a front's slot and the slot count that it uses.
+/// Tracks the slot of a front and the slot count that it uses.
 #[derive(Debug)]
 pub struct SlotAssignment {
-    /// The span of the rate, extended by the drift.
+    /// Measurement span of the rate, extended by the drift bound.
     span: Duration,
     drift: DriftBound,
     held: Option<HeldSlot>,
@@ -99,7 +102,7 @@
 }
 
 impl SlotAssignment {
-    /// No slot yet. `span` is the time over which the rate is measured.
+    /// Creates an assignment without a slot. `span` is the time over which the rate is measured.
     pub fn new(drift: DriftBound, span: Duration) -> SlotAssignment {
         SlotAssignment { span: drift.longer(span), drift, held: None, stopped_at: None, fault: None }
     }
@@ -114,14 +117,16 @@
         cfg!(feature = "fault_injection") && self.fault == Some(fault)
     }
 
-    /// Takes the holder's permit into account. To be called whenever the holder has received a response or lost its lease, and
-    /// before [`SlotAssignment::share`] at any other time.
+    /// Updates the slot and the slot count from the holder's current permit.
+    ///
+    /// Callers must call this whenever the holder has received a response or lost its lease, and before any other call of
+    /// [`SlotAssignment::share`].
     pub fn update(&mut self, now: Duration, permit: Option<&Permit>) {
         let Some((token, permit)) = permit.and_then(|permit| Some((permit.token_at(now)?, permit))) else {
             self.held = None;
             return;
         };
-        // There are 4,096 slots at most: no overflow.
+        // The table permits at most 4,096 slots, so this cannot overflow.
         let needed_count = u32::from(permit.position().slot_bound).next_power_of_two();
         let known = self.held.filter(|held| held.token == token);
         let mut held = known.unwrap_or_else(|| self.new_slot(now, token, permit, needed_count));
@@ -130,7 +135,7 @@
         self.held = Some(held);
     }
 
-    /// The slot of a new grant, with the wait before its use.
+    /// Creates the state for a new grant, with the wait before its slot may be used.
     fn new_slot(&self, now: Duration, token: Token, permit: &Permit, needed_count: u32) -> HeldSlot {
         let position = permit.position();
         let max_ttl = self.drift.longer(Duration::from_millis(u64::from(position.max_ttl_ms)));
@@ -150,7 +155,7 @@
         }
     }
 
-    /// The wait and the slot count of a successor.
+    /// Returns the wait and the slot count of a successor.
     fn succeed(&self, full_wait: Duration, needed_count: u32, succession: Succession) -> (Duration, u32) {
         let remaining = Duration::from_millis(u64::from(succession.remaining_ms));
         let wait =
@@ -158,7 +163,7 @@
         if self.has_fault(Fault::SlotCountNotInherited) {
             return (wait, needed_count);
         }
-        // The count that was sent should be a power of two; rounding another one up makes the share smaller.
+        // The predecessor should have sent a power of two. Rounding any other count up makes the share smaller.
         let inherited = succession.slot_count.min(MAX_INHERITED_SLOT_COUNT).next_power_of_two();
         (wait, needed_count.max(inherited))
     }
@@ -170,7 +175,8 @@
             return;
         }
         let after_span = PendingCount { slot_count: needed_count, effective_at: now + self.span };
-        // A pending count that is needed no more was enough before and still is: its wait goes on. A larger need replaces it.
+        // If the needed count has dropped further, the pending count is still sufficient and its wait continues. If the needed
+        // count has grown, it replaces the pending count within the same wait.
         let pending = held.pending_count.unwrap_or(after_span);
         let pending = PendingCount { slot_count: pending.slot_count.max(needed_count), ..pending };
         if now < pending.effective_at {
@@ -178,11 +184,11 @@
             return;
         }
         held.slot_count = pending.slot_count;
-        // What is needed now may be less than what was when the wait began.
+        // The needed count may have dropped further since the wait began, which requires another wait.
         held.pending_count = (needed_count < pending.slot_count).then_some(after_span);
     }
 
-    /// This front's share at `now`.
+    /// Returns the share that this front may use at `now`.
     pub fn share(&self, now: Duration) -> SlotShare {
         let has_stopped = self.stopped_at.is_some() && !self.has_fault(Fault::UsedAfterHandoff);
         match self.held {
@@ -193,18 +199,18 @@
         }
     }
 
-    /// Ends the use of any slot for good.
+    /// Permanently ends the use of any slot.
     pub fn stop(&mut self, now: Duration) {
         self.stopped_at.get_or_insert(now);
     }
 
-    /// When the use of slots was stopped, if it was.
+    /// Returns when the use of slots was stopped. Returns `None` if it was not.
     pub fn stopped(&self) -> Option<StoppedUse> {
         self.stopped_at.map(|at| StoppedUse { at, counts_for: self.span })
     }
 
-    /// What is handed off with the slot; `None` without a slot or before [`SlotAssignment::stop`]. `reserve_ms` is for how long
-    /// the slot is reserved, milliseconds.
+    /// Returns the data to hand off with the slot. Returns `None` if there is no slot or [`SlotAssignment::stop`] was not called.
+    /// `reserve_ms` is the time in milliseconds for which the slot stays reserved.
     pub fn handoff_offer(&self, now: Duration, reserve_ms: u32) -> Option<HandoffOffer> {
         let (held, stopped_at) = (self.held?, self.stopped_at?);
         let was_used = stopped_at >= held.usable_from;
@@ -214,7 +220,7 @@
         Some(HandoffOffer { slot_count: held.slot_count, remaining_ms, reserve_ms })
     }
 
-    /// Its slot, whether it may be used yet or not.
+    /// Returns the slot, even if it may not be used yet.
     pub fn slot(&self) -> Option<u32> {
         self.held.map(|held| held.slot)
     }
--- a/crates/fleet/leases/src/table/acquire.rs
+++ b/crates/fleet/leases/src/table/acquire.rs
@@ -1,4 +1,4 @@
-//! Grants of new leases.
+//! Acquisition of leases.
 
 use super::lease::{InstanceState, Lease};
 use super::{Event, Executed, Grant, MAX_LEASES, MAX_SLOTS, TTL_RANGE_MS, Table};
@@ -6,12 +6,12 @@
 use crate::message::{Answer, Handoff, HolderId, Rejection, Token};
 use crate::name::Name;
 
-/// The grant whose slot a new one takes over.
+/// Existing grant whose slot a new grant takes over, if there is one.
 #[derive(Debug, Clone, Copy, Default)]
 struct Predecessor {
-    /// An earlier grant of the same holder, or one that was handed off to its instance.
+    /// Token of an earlier grant of the same holder, or of a grant that was handed off to its instance.
     token: Option<Token>,
-    /// Present if it was handed off.
+    /// Present if the grant was handed off.
     handoff: Option<Handoff>,
 }
 
@@ -31,7 +31,7 @@
             return Err(Rejection::SlotCount);
         }
         let predecessor = self.predecessor(holder, name, slots, instance)?;
-        let kept_slot = predecessor.token.and_then(|token| self.grant(token)).map(|grant| grant.slot);
+        let inherited_slot = predecessor.token.and_then(|token| self.grant(token)).map(|grant| grant.slot);
         let repeats_handoff = self.has_fault(Fault::HandoffRepeated) && predecessor.handoff.is_some();
         if let Some(token) = predecessor.token
             && !repeats_handoff
@@ -39,8 +39,8 @@
             self.end(token);
         }
         let token = self.next_token();
-        let slot =
-            self.insert_grant(token, name, slots, kept_slot, Grant { holder, slot: 0, ttl_ms, renewals: 0 });
+        let grant = Grant { holder, slot: 0, ttl_ms, renewals: 0 };
+        let slot = self.insert_grant(token, name, slots, inherited_slot, grant);
         let position = self.position(name, slot);
         let answer = match instance {
             Some(instance) => {
@@ -54,7 +54,7 @@
         Ok(Executed { answer, event })
     }
 
-    /// Finds the grant that a new one replaces, and checks that there is a slot.
+    /// Finds the grant that a new one replaces, and checks that a slot is available.
     fn predecessor(
         &self,
         holder: HolderId,
@@ -69,8 +69,8 @@
         if lease.slots != slots {
             return Err(Rejection::SlotCount);
         }
-        // The holder's TTL passed or its answer was lost: what it did under the earlier grant must not be attributed to the new
-        // one.
+        // The holder's TTL has elapsed or its answer was lost. Operations under the earlier grant must not be attributed to the
+        // new one, so the new grant gets another token.
         if let Some(token) = lease.token_of(holder) {
             return Ok(Predecessor { token: Some(token), handoff: None });
         }
@@ -90,18 +90,18 @@
         Token(self.last_token)
     }
 
-    /// Inserts a grant in the kept slot or the lowest free one, which is returned.
+    /// Inserts a grant with the inherited slot or the lowest free one. Returns the slot.
     fn insert_grant(
         &mut self,
         token: Token,
         name: &Name,
         slots: u16,
-        kept_slot: Option<u16>,
+        inherited_slot: Option<u16>,
         grant: Grant,
     ) -> u16 {
         let grants_twice = self.has_fault(Fault::SlotGrantedTwice);
         let lease = self.leases.entry(name.clone()).or_insert_with(|| Lease::new(slots));
-        let slot = if grants_twice { 0 } else { kept_slot.unwrap_or_else(|| lease.free_slot()) };
+        let slot = if grants_twice { 0 } else { inherited_slot.unwrap_or_else(|| lease.free_slot()) };
         lease.grants.insert(token, Grant { slot, ..grant });
         self.tasks.insert(token, name.clone());
         slot
--- a/crates/fleet/leases/src/table/event.rs
+++ b/crates/fleet/leases/src/table/event.rs
@@ -1,32 +1,32 @@
-//! Changes of the table, for watchers and the leader's deadlines.
+//! Changes of the table, as reported to subscribers and to the leader's expiry timers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::message::{HolderId, Token};
 use crate::name::Name;
 
-/// A change of the table.
+/// Change of the table.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Event {
-    /// Granted.
+    /// A lease was granted.
     Granted {
-        /// The task.
+        /// Name of the task.
         name: Name,
-        /// The new grant.
+        /// Token of the new grant.
         token: Token,
-        /// Its holder.
+        /// Holder of the new grant.
         holder: HolderId,
-        /// The grant that it replaces: an earlier one of the holder, or one that was handed off to it.
+        /// Token of the replaced grant, which is an earlier one of the holder or one that was handed off to it.
         #[serde(rename = "before")]
         previous: Option<Token>,
     },
-    /// Renewed.
+    /// A grant was renewed.
     Renewed(Name, Token),
-    /// Released.
+    /// A grant was released.
     Released(Name, Token),
-    /// Expired.
+    /// A grant has expired.
     Expired(Name, Token),
-    /// Handed off: the holder has stopped, and the slot is reserved for the next holder of its instance.
+    /// A grant was handed off. Its holder has stopped, and the slot is reserved for the next holder of the instance.
     #[serde(rename = "Left")]
     HandedOff(Name, Token),
 }
--- a/crates/fleet/leases/src/table/handoff.rs
+++ b/crates/fleet/leases/src/table/handoff.rs
@@ -26,27 +26,29 @@
         };
         instance.handoff = Some(handoff);
         grant.ttl_ms = handoff.reserve_ms;
-        // Counts as a renewal, so that an expiry already in the log has no effect.
+        // The handoff counts as a renewal, so that an expiry that was proposed before it has no effect.
         grant.renewals += 1;
         Ok(Executed { answer: Answer::HandedOff, event: Event::HandedOff(name.clone(), token) })
     }
 
-    /// The handoff of a grant, once it was handed off.
+    /// Returns the handoff of a grant. Returns `None` if the grant was not handed off.
     pub(super) fn handoff_of(&self, token: Token) -> Option<Handoff> {
         self.instances.get(&token)?.handoff
     }
 
-    /// The grant that was handed off to an instance.
+    /// Returns the grant that was handed off to an instance. Returns `None` if there is none.
     pub(super) fn handed_off_to(&self, lease: &Lease, instance: Option<&Name>) -> Option<(Token, Handoff)> {
         let instance = instance?;
         let of_instance =
             |token: &Token| self.instances.get(token).is_some_and(|state| state.name == *instance);
-        let own = lease.grants.keys().filter(|token| of_instance(token));
-        own.filter_map(|token| Some((*token, self.handoff_of(*token)?))).next()
+        let tokens = lease.grants.keys().filter(|token| of_instance(token));
+        tokens.filter_map(|token| Some((*token, self.handoff_of(*token)?))).next()
     }
 
-    /// What is taken over with a slot. Nothing, if a grant has ended that the last holder did not know of: that one may have
-    /// used a larger slot count than all that are in use now.
+    /// Returns the state that a successor inherits with a slot.
+    ///
+    /// Returns `None` if a grant has ended that the predecessor did not know of, because that grant may have used a larger slot
+    /// count than all grants that are in use now.
     pub(super) fn succession(&self, name: &Name, handoff: Handoff) -> Option<Succession> {
         let unknown_ended = self.newest_ended.get(name).is_some_and(|ended| *ended > handoff.newest_token);
         if unknown_ended && !self.has_fault(Fault::EndedGrantIgnored) {
--- a/crates/fleet/leases/src/table/lease.rs
+++ b/crates/fleet/leases/src/table/lease.rs
@@ -1,4 +1,4 @@
-//! The grants of one task.
+//! Lease of one task with its grants.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,33 +7,33 @@
 use crate::message::{Handoff, HolderId, Token};
 use crate::name::Name;
 
-/// A grant.
+/// Grant of a lease to one holder.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
-    /// Its holder.
+    /// Holder of the grant.
     pub holder: HolderId,
-    /// Its slot: no two concurrent grants of a task have the same.
+    /// Slot of the grant. No two concurrent grants of a task have the same slot.
     pub slot: u16,
-    /// Time to live after the grant and after each renewal, milliseconds.
+    /// Time to live after the grant and after each renewal, in milliseconds.
     pub ttl_ms: u32,
-    /// How often it was renewed.
+    /// Number of renewals of the grant.
     pub renewals: u64,
 }
 
-/// A grant with its task and token.
+/// Grant together with its task and token.
 #[derive(Debug, Clone, Copy)]
 pub struct GrantEntry<'a> {
-    /// The task.
+    /// Name of the task.
     pub task: &'a Name,
     /// Maximum number of concurrent holders of the task.
     pub slots: u16,
-    /// The grant's token.
+    /// Token of the grant.
     pub token: Token,
-    /// The grant.
+    /// The grant itself.
     pub grant: &'a Grant,
 }
 
-/// The lease of one task.
+/// Lease of one task.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct Lease {
     pub slots: u16,
@@ -45,7 +45,7 @@
         Lease { slots, grants: BTreeMap::new() }
     }
 
-    /// The lowest free slot.
+    /// Returns the lowest free slot, or the slot count if no slot is free.
     pub fn free_slot(&self) -> u16 {
         let taken: BTreeSet<u16> = self.grants.values().map(|grant| grant.slot).collect();
         (0..self.slots).find(|slot| !taken.contains(slot)).unwrap_or(self.slots)
@@ -66,10 +66,10 @@
     }
 }
 
-/// The instance of a grant's holder.
+/// Instance to which the holder of a grant belongs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct InstanceState {
     pub name: Name,
-    /// Present once the slot is handed off to the next holder of the instance.
+    /// Present once the slot was handed off to the next holder of the instance.
     pub handoff: Option<Handoff>,
 }
--- a/crates/fleet/leases/src/table/mod.rs
+++ b/crates/fleet/leases/src/table/mod.rs
@@ -1,6 +1,6 @@
-//! The state machine that consensus replicates: which holder has which slot of which task.
+//! Replicated state machine that records which holder has which slot of which task.
 //!
-//! It has no clock. The leading replica measures times to live and puts expiries into the log.
+//! The table has no clock. The leading replica measures times to live and proposes expiries as commands of the log.
 
 mod acquire;
 mod event;
@@ -27,29 +27,29 @@
 pub use self::lease::{Grant, GrantEntry};
 pub use self::snapshot::TableError;
 
-/// Maximum number of tasks with a holder.
+/// Maximum number of tasks with at least one grant.
 const MAX_LEASES: usize = 4096;
 /// Maximum number of slots of a task.
 const MAX_SLOTS: u16 = 4096;
-/// Permitted times to live, milliseconds.
+/// Permitted times to live, in milliseconds.
 const TTL_RANGE_MS: std::ops::RangeInclusive<u32> = 100..=3_600_000;
 
-/// What a command has done.
+/// Effect of a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Applied {
-    /// The answer for the holder, if the command was a request.
+    /// Answer for the holder. `None` if the command was not a request.
     pub answer: Option<Answer>,
-    /// The change, if there was one.
+    /// Change of the table. `None` if the command changed nothing.
     pub event: Option<Event>,
 }
 
-/// A request that was executed.
+/// Effect of a request that was not rejected.
 struct Executed {
     answer: Answer,
     event: Event,
 }
 
-/// The table of leases.
+/// Table of all leases and their grants.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub struct Table {
     leases: BTreeMap<Name, Lease>,
@@ -57,9 +57,9 @@
     last_answers: BTreeMap<HolderId, LastAnswer>,
     last_token: u64,
     commands_applied: u64,
-    /// Of grants whose holders have an instance name. Snapshots of earlier versions end before this field.
+    /// Instances of the grants whose holders have an instance name. Snapshots of earlier versions end before this field.
     instances: BTreeMap<Token, InstanceState>,
-    /// Of each held task, the newest grant that has ended without another taking over its slot.
+    /// For each task with a grant, the newest grant that ended without a successor in its slot.
     newest_ended: BTreeMap<Name, Token>,
     #[serde(skip)]
     fault: Option<Fault>,
@@ -76,12 +76,12 @@
         cfg!(feature = "fault_injection") && self.fault == Some(fault)
     }
 
-    /// All grants, by task and token.
+    /// Returns all grants, ordered by task and token.
     pub fn grants(&self) -> impl Iterator<Item = GrantEntry<'_>> {
         self.leases.iter().flat_map(|(task, lease)| lease.entries(task))
     }
 
-    /// The grant of a token, while it lasts.
+    /// Returns the grant with a token. Returns `None` if there is none or it has ended.
     pub fn grant(&self, token: Token) -> Option<&Grant> {
         self.leases.get(self.tasks.get(&token)?)?.grants.get(&token)
     }
@@ -147,8 +147,10 @@
         Some(Event::Expired(name, token))
     }
 
-    /// The position of a slot among all grants of its task. A grant that was handed off is not in use, and no new holder needs
-    /// to wait for its time to live.
+    /// Returns the position of a slot among all grants of its task.
+    ///
+    /// The maximum time to live excludes grants that were handed off. They are not in use, so new holders need not wait for
+    /// them.
     fn position(&self, name: &Name, slot: u16) -> GrantPosition {
         let Some(lease) = self.leases.get(name) else { return GrantPosition::default() };
         let slot_bound = lease.grants.values().map(|grant| grant.slot + 1).max().unwrap_or(0);
@@ -161,7 +163,7 @@
         InstanceGrant { newest_token: Token(self.last_token), succession }
     }
 
-    /// Ends a grant; the name of its task, if there was one.
+    /// Ends a grant. Returns the name of its task, or `None` if there is no such grant.
     fn end(&mut self, token: Token) -> Option<Name> {
         let name = self.tasks.remove(&token)?;
         self.instances.remove(&token);
@@ -174,14 +176,14 @@
         Some(name)
     }
 
-    /// Ends a grant whose slot nobody takes over.
+    /// Ends a grant whose slot is not taken over by a successor.
     fn end_without_successor(&mut self, token: Token) -> Option<Name> {
         let name = self.end(token)?;
         if self.leases.contains_key(&name) {
             let newest = self.newest_ended.entry(name.clone()).or_default();
             *newest = token.max(*newest);
         } else {
-            // No grant is left that could have been handed off.
+            // Without any grant left, no handoff can be pending for this task.
             self.newest_ended.remove(&name);
         }
         Some(name)
--- a/crates/fleet/leases/src/table/requests.rs
+++ b/crates/fleet/leases/src/table/requests.rs
@@ -1,4 +1,4 @@
-//! Duplicate detection: a request is applied once, however often it is sent.
+//! Duplicate detection, which ensures that a retransmitted request is applied only once.
 
 use std::collections::BTreeSet;
 
@@ -7,16 +7,16 @@
 use super::{Applied, Table};
 use crate::message::{Answer, HolderId, Rejection, Request};
 
-/// Maximum number of holders whose last answer is kept.
+/// Maximum number of holders whose last answer is stored.
 pub(super) const MAX_HOLDERS: usize = 8192;
 
-/// The last answer to a holder.
+/// Last answer that was sent to a holder.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct LastAnswer {
     pub seq: u64,
     pub answer: Answer,
-    /// The number of commands applied by then.
-    pub command_number: u64,
+    /// Number of commands that the table had applied at that time, this one included.
+    pub applied_at: u64,
 }
 
 impl Table {
@@ -33,21 +33,21 @@
             Ok(executed) => (executed.answer, Some(executed.event)),
             Err(rejection) => (Answer::Rejected(rejection), None),
         };
-        self.remember(request, answer);
+        self.store_answer(request, answer);
         Applied { answer: Some(answer), event }
     }
 
-    /// Keeps the last answer of a holder. At the maximum, the least recently active holder without a grant is evicted.
-    fn remember(&mut self, request: &Request, answer: Answer) {
+    /// Stores the last answer to a holder. At the maximum, this evicts the least recently active holder without a grant.
+    fn store_answer(&mut self, request: &Request, answer: Answer) {
         if self.last_answers.len() >= MAX_HOLDERS && !self.last_answers.contains_key(&request.holder) {
             let grants = self.leases.values().flat_map(|lease| lease.grants.values());
             let active: BTreeSet<HolderId> = grants.map(|grant| grant.holder).collect();
             let idle = self.last_answers.iter().filter(|(id, _)| !active.contains(id));
-            if let Some(oldest) = idle.min_by_key(|(_, last)| last.command_number).map(|(id, _)| *id) {
+            if let Some(oldest) = idle.min_by_key(|(_, last)| last.applied_at).map(|(id, _)| *id) {
                 self.last_answers.remove(&oldest);
             }
         }
-        let last = LastAnswer { seq: request.seq, answer, command_number: self.commands_applied };
+        let last = LastAnswer { seq: request.seq, answer, applied_at: self.commands_applied };
         self.last_answers.insert(request.holder, last);
     }
 }
--- a/crates/fleet/leases/src/table/snapshot.rs
+++ b/crates/fleet/leases/src/table/snapshot.rs
@@ -1,4 +1,4 @@
-//! The encoded form of the table.
+//! Encoding of the table in snapshots.
 
 use std::collections::BTreeMap;
 
@@ -11,12 +11,12 @@
 use crate::message::{HolderId, Token};
 use crate::name::Name;
 
-/// A snapshot that can't be decoded.
+/// Error for a snapshot that cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("the table of leases can't be decoded: {0}")]
+#[error("cannot decode the lease table: {0}")]
 pub struct TableError(#[from] postcard::Error);
 
-/// A table as written by versions without instances.
+/// Table as written by versions without instances.
 #[derive(Deserialize)]
 struct TableWithoutInstances {
     leases: BTreeMap<Name, Lease>,
@@ -36,14 +36,15 @@
 impl Table {
     /// Encodes the table.
     pub fn write(&self) -> Vec<u8> {
-        // Encoding fails only for sequences of unknown length, and the table has none.
+        // Encoding fails only for sequences of unknown length, which the table does not contain.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Decodes what [`Table::write`] wrote in this version or in one without instances. No bytes are an empty table.
+    /// Decodes a table that [`Table::write`] encoded, in this version or in one without instances. No bytes decode to an empty
+    /// table.
     ///
     /// # Errors
-    /// The bytes are no table.
+    /// Returns an error if the bytes are not an encoded table.
     pub fn read(bytes: &[u8]) -> Result<Table, TableError> {
         if bytes.is_empty() {
             return Ok(Table::default());
--- a/crates/fleet/leases/src/table/tests.rs
+++ b/crates/fleet/leases/src/table/tests.rs
@@ -1,4 +1,4 @@
-//! The table under sequences of commands.
+//! Sequences of commands applied to the table.
 
 use std::collections::BTreeSet;
 
@@ -10,15 +10,16 @@
 use crate::name::Name;
 
 fn name(text: &str) -> Name {
-    Name::try_from(text.to_owned()).expect("a name")
+    Name::try_from(text.to_owned()).expect("a valid name")
 }
 
+/// Applies a request and returns the answer.
 fn request(table: &mut Table, holder: u64, seq: u64, op: Op) -> Answer {
     let command = Command::Request(Request { holder: HolderId(holder), seq, op });
-    table.apply(&command).answer.expect("an answer")
+    table.apply(&command).answer.expect("a request has an answer")
 }
 
-/// The token of a grant.
+/// Returns the granted token. Returns `None` if the answer is not a grant.
 fn token(answer: Answer) -> Option<u64> {
     match answer {
         Answer::Granted(token, _) => Some(token.0),
@@ -31,14 +32,14 @@
 }
 
 #[test]
-fn a_retransmitted_request_is_applied_once_and_an_earlier_one_not_at_all() {
+fn applies_retransmitted_request_once() {
     let mut table = Table::default();
     assert_eq!(token(request(&mut table, 1, 5, acquire(1))), Some(1));
     assert_eq!(token(request(&mut table, 1, 5, acquire(1))), Some(1));
     let release = Op::Release { name: name("task"), token: Token(1) };
     assert_eq!(request(&mut table, 1, 6, release.clone()), Answer::Released);
     assert_eq!(token(request(&mut table, 2, 1, acquire(1))), Some(2));
-    // Late retransmissions.
+    // Retransmissions may also arrive late.
     assert_eq!(request(&mut table, 1, 5, acquire(1)), Answer::Rejected(Rejection::Superseded));
     assert_eq!(request(&mut table, 1, 6, release), Answer::Released);
     assert_eq!(
@@ -48,14 +49,14 @@
 }
 
 #[test]
-fn the_number_of_slots_is_enforced_and_tokens_increase() {
+fn enforces_slot_count_and_increases_tokens() {
     let mut table = Table::default();
-    for (holder, given) in [(1, 1), (2, 2)] {
-        assert_eq!(token(request(&mut table, holder, 1, acquire(2))), Some(given));
+    for (holder, expected) in [(1, 1), (2, 2)] {
+        assert_eq!(token(request(&mut table, holder, 1, acquire(2))), Some(expected));
     }
     assert_eq!(request(&mut table, 3, 1, acquire(2)), Answer::Rejected(Rejection::NoFreeSlot));
     assert_eq!(request(&mut table, 3, 2, acquire(3)), Answer::Rejected(Rejection::SlotCount));
-    // A holder that acquires again has a new grant instead of its earlier one.
+    // A repeated acquisition replaces the holder's earlier grant.
     assert_eq!(token(request(&mut table, 1, 2, acquire(2))), Some(3));
     assert_eq!(table.grants().map(|entry| entry.token).collect::<Vec<_>>(), [Token(2), Token(3)]);
     let renew = |token| Op::Renew { name: name("task"), token: Token(token) };
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn each_grant_has_the_lowest_free_slot_and_its_answer_has_the_slot_bound() {
+fn grants_lowest_free_slot() {
     let mut table = Table::default();
     let mut acquire = |holder, seq, ttl_ms| {
         let op = Op::Acquire { name: name("task"), slots: 9, ttl_ms };
@@ -84,7 +85,7 @@
     let second = acquire(2, 1, 9_000);
     assert_eq!(second.1, (1, 2, 9_000));
     assert_eq!(acquire(3, 1, 3_000).1, (2, 3, 9_000));
-    // Acquired again it is the same slot, with another grant.
+    // A repeated acquisition keeps the slot and gets another token.
     assert_eq!(acquire(1, 2, 3_000).1, (0, 3, 9_000));
     let third = acquire(3, 2, 3_000).0;
     request(&mut table, 2, 2, Op::Release { name: name("task"), token: second.0 });
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn a_grant_that_was_renewed_since_does_not_expire() {
+fn ignores_expiry_of_renewed_grant() {
     let mut table = Table::default();
     request(&mut table, 1, 1, acquire(1));
     request(&mut table, 1, 2, Op::Renew { name: name("task"), token: Token(1) });
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn a_table_reads_as_it_was_written_and_malformed_bytes_are_an_error() {
+fn round_trips_table_and_rejects_malformed_bytes() {
     let mut table = Table::default();
     request(&mut table, 1, 1, acquire(2));
     request(&mut table, 2, 1, acquire(2));
@@ -134,14 +135,14 @@
     Op::AcquireAs { name: name("task"), slots: 9, ttl_ms: 3_000, instance: name(instance) }
 }
 
-fn hand_off(token: u64, newest: u64) -> Op {
+fn hand_off(token: u64, newest_token: u64) -> Op {
     let handoff =
-        Handoff { slot_count: 8, remaining_ms: 700, newest_token: Token(newest), reserve_ms: 5_000 };
+        Handoff { slot_count: 8, remaining_ms: 700, newest_token: Token(newest_token), reserve_ms: 5_000 };
     Op::HandOff { name: name("task"), token: Token(token), handoff }
 }
 
-/// Slot, token and what was taken over.
-fn succession(answer: Answer) -> (u16, u64, Option<Succession>) {
+/// Returns the slot, the token and the succession of a grant to an instance.
+fn instance_grant(answer: Answer) -> (u16, u64, Option<Succession>) {
     match answer {
         Answer::HeldByInstance(token, position, grant) => (position.slot, token.0, grant.succession),
         other => panic!("{other:?}"),
@@ -149,10 +150,11 @@
 }
 
 #[test]
-fn a_slot_that_is_handed_off_is_taken_over_once_by_its_instance_and_by_no_other() {
+fn hands_slot_to_one_successor_of_same_instance() {
     let mut table = Table::default();
     for (holder, slot, instance) in [(1, 0, "a"), (2, 1, "b")] {
-        assert_eq!(succession(request(&mut table, holder, 1, acquire_as(instance))), (slot, holder, None));
+        let answer = request(&mut table, holder, 1, acquire_as(instance));
+        assert_eq!(instance_grant(answer), (slot, holder, None));
     }
     assert_eq!(
         request(&mut table, 2, 2, hand_off(1, 2)),
@@ -161,7 +163,7 @@
     );
     assert_eq!(request(&mut table, 1, 2, hand_off(1, 2)), Answer::HandedOff);
     assert_eq!(table.grant(Token(1)).map(|grant| (grant.slot, grant.ttl_ms)), Some((0, 5_000)));
-    // It is handed off once, and its holder has it no more.
+    // The handed-off grant cannot be handed off again or renewed.
     assert_eq!(request(&mut table, 1, 3, hand_off(1, 2)), Answer::Rejected(Rejection::NotHeld));
     let renew = Op::Renew { name: name("task"), token: Token(1) };
     assert_eq!(request(&mut table, 1, 4, renew), Answer::Rejected(Rejection::NotHeld));
@@ -170,33 +172,34 @@
         table.apply(&Command::Expire { token: Token(1), renewals: 0 }),
         Applied { answer: None, event: None }
     );
-    // Another instance, or none, has a slot of its own.
-    assert_eq!(succession(request(&mut table, 3, 1, acquire_as("c"))), (2, 3, None));
+    // Holders of another instance or without an instance get another slot.
+    assert_eq!(instance_grant(request(&mut table, 3, 1, acquire_as("c"))), (2, 3, None));
     assert_eq!(token(request(&mut table, 4, 1, acquire(9))), Some(4));
-    let handed_off = Some(Succession { slot_count: 8, remaining_ms: 700 });
-    let taken = table.apply(&Command::Request(Request { holder: HolderId(5), seq: 1, op: acquire_as("a") }));
-    assert_eq!(taken.answer.map(succession), Some((0, 5, handed_off)));
-    assert!(matches!(taken.event, Some(Event::Granted { previous: Some(Token(1)), .. })), "{taken:?}");
-    // A second holder of the same instance.
-    assert_eq!(succession(request(&mut table, 6, 1, acquire_as("a"))), (4, 6, None));
+    let succession = Some(Succession { slot_count: 8, remaining_ms: 700 });
+    let applied =
+        table.apply(&Command::Request(Request { holder: HolderId(5), seq: 1, op: acquire_as("a") }));
+    assert_eq!(applied.answer.map(instance_grant), Some((0, 5, succession)));
+    assert!(matches!(applied.event, Some(Event::Granted { previous: Some(Token(1)), .. })), "{applied:?}");
+    // A second holder of the same instance gets another slot without a succession.
+    assert_eq!(instance_grant(request(&mut table, 6, 1, acquire_as("a"))), (4, 6, None));
     let slots: BTreeSet<u16> = table.grants().map(|entry| entry.grant.slot).collect();
     assert_eq!(slots.len(), 5);
     assert_eq!(Table::read(&table.write()), Ok(table));
 }
 
 #[test]
-fn a_table_of_a_version_without_instances_is_read() {
+fn reads_table_without_instances() {
     let mut table = Table::default();
     request(&mut table, 1, 1, acquire(2));
     request(&mut table, 2, 1, acquire(2));
-    // Such a version did not write the two maps at the end, which are empty.
+    // Versions without instances did not write the last two maps, which are empty here.
     let bytes = table.write();
     assert_eq!(bytes[bytes.len() - 2..], [0, 0]);
     assert_eq!(Table::read(&bytes[..bytes.len() - 2]), Ok(table));
 }
 
 #[test]
-fn values_out_of_range_are_rejected_and_idle_holders_past_the_maximum_are_evicted() {
+fn rejects_out_of_range_values_and_evicts_idle_holders() {
     let mut table = Table::default();
     for ttl_ms in [0, 99, 3_600_001] {
         let op = Op::Acquire { name: name("task"), slots: 1, ttl_ms };
@@ -211,5 +214,5 @@
         request(&mut table, holder, 1, acquire(1));
     }
     assert_eq!(table.last_answers.len(), MAX_HOLDERS);
-    assert!(table.last_answers.contains_key(&HolderId(3)), "it has a grant");
+    assert!(table.last_answers.contains_key(&HolderId(3)), "a holder with a grant was evicted");
 }
--- a/crates/fleet/leases/tests/encodings.rs
+++ b/crates/fleet/leases/tests/encodings.rs
@@ -1,7 +1,7 @@
-//! The encoded bytes of each message, command and event, and of the written table, compared with fixtures in both directions.
+//! Encodings of all messages, commands and events and of the table, compared with fixtures in both directions.
 //!
-//! Peers of other versions read these messages and replicas read tables that earlier versions wrote, so a change here breaks an
-//! upgrade.
+//! Peers of other versions decode these messages, and replicas decode tables that earlier versions wrote, so a changed encoding
+//! breaks upgrades.
 
 use std::fmt::Debug;
 
@@ -16,19 +16,19 @@
 const JSON: &str = include_str!("fixtures/json.txt");
 const TABLE: &str = include_str!("fixtures/table.txt");
 
-fn hex(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Vec<u8> {
-    assert!(text.len().is_multiple_of(2), "half a byte in {text}");
-    (0..text.len())
+fn from_hex(digits: &str) -> Vec<u8> {
+    assert!(digits.len().is_multiple_of(2), "odd number of digits in {digits}");
+    (0..digits.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits"))
+        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits"))
         .collect()
 }
 
-/// One fixture: each value has a line of the postcard file and a line of the JSON file, in the same order.
+/// Encoded lines of the postcard and JSON fixtures. Each value has one line in each of them, in the same order.
 struct Fixtures {
     postcard: Vec<String>,
     json: Vec<String>,
@@ -39,23 +39,24 @@
         Fixtures { postcard: Vec::new(), json: Vec::new() }
     }
 
-    /// Encodes the values, and decodes the fixtures' lines at the same positions.
+    /// Encodes the values, and checks that the corresponding lines of the fixtures decode to them.
     fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, values: &[T]) {
         for value in values {
-            let at = self.postcard.len();
-            self.postcard.push(hex(&postcard::to_allocvec(value).expect("encodes")));
-            self.json.push(serde_json::to_string(value).expect("encodes"));
-            if let Some(line) = POSTCARD.lines().nth(at) {
-                let decoded: T = postcard::from_bytes(&unhex(line)).expect("the fixture decodes");
-                assert_eq!(decoded, *value, "line {at} of the postcard fixture");
+            let index = self.postcard.len();
+            self.postcard.push(to_hex(&postcard::to_allocvec(value).expect("the value encodes")));
+            self.json.push(serde_json::to_string(value).expect("the value encodes"));
+            if let Some(line) = POSTCARD.lines().nth(index) {
+                let decoded: T = postcard::from_bytes(&from_hex(line)).expect("the fixture decodes");
+                assert_eq!(decoded, *value, "line {index} of the postcard fixture");
             }
-            if let Some(line) = JSON.lines().nth(at) {
+            if let Some(line) = JSON.lines().nth(index) {
                 let decoded: T = serde_json::from_str(line).expect("the fixture decodes");
-                assert_eq!(decoded, *value, "line {at} of the JSON fixture");
+                assert_eq!(decoded, *value, "line {index} of the JSON fixture");
             }
         }
     }
 
+    /// Checks that the encoded lines are equal to the fixtures.
     fn finish(self) {
         let differences =
             [difference("postcard", &self.postcard, POSTCARD), difference("JSON", &self.json, JSON)];
@@ -63,10 +64,10 @@
     }
 }
 
-/// What the fixture would have to be, if it differs; else empty.
+/// Returns a description of the difference between the encoded lines and a fixture, which is empty if they are equal.
 fn difference(kind: &str, encoded: &[String], fixture: &str) -> String {
     let text: String = encoded.iter().map(|line| format!("{line}\n")).collect();
-    if text == fixture { String::new() } else { format!("the {kind} fixture differs; encoded now:\n{text}") }
+    if text == fixture { String::new() } else { format!("{kind} fixture differs from the encoding:\n{text}") }
 }
 
 fn name(text: &str) -> Name {
@@ -120,10 +121,10 @@
     ]
 }
 
-fn replies() -> Vec<Response> {
-    let reply = |(seq, answer)| Response::Answer { holder: HolderId(77), seq, answer };
-    let to_requests = (1..).zip(answers()).map(reply);
-    to_requests
+fn responses() -> Vec<Response> {
+    let response = |(seq, answer)| Response::Answer { holder: HolderId(77), seq, answer };
+    let answers = (1..).zip(answers()).map(response);
+    answers
         .chain([Response::NotLeader(None), Response::NotLeader(Some(ReplicaId(200))), Response::Busy])
         .collect()
 }
@@ -142,18 +143,18 @@
 }
 
 #[test]
-fn messages_commands_and_events_keep_their_encodings() {
+fn messages_match_fixtures() {
     let mut fixtures = Fixtures::new();
     fixtures.check(&operations());
     fixtures.check(&requests());
     fixtures.check(&commands());
     fixtures.check(&answers());
-    fixtures.check(&replies());
+    fixtures.check(&responses());
     fixtures.check(&events());
     fixtures.finish();
 }
 
-/// A table with grants with and without slots, one that is kept for its successor, one that ended and the last answers.
+/// Returns a table with grants with and without instances, a handed-off grant, an ended grant and the last answers.
 fn table() -> Table {
     let mut table = Table::default();
     let acquire_as =
@@ -177,8 +178,8 @@
 }
 
 #[test]
-fn a_written_table_keeps_its_encoding() {
+fn table_matches_fixture() {
     let fixture: Vec<&str> = TABLE.lines().collect();
-    assert_eq!(difference("table", &[hex(&table().write())], TABLE), "");
-    assert_eq!(Table::read(&unhex(fixture[0])), Ok(table()));
+    assert_eq!(difference("table", &[to_hex(&table().write())], TABLE), "");
+    assert_eq!(Table::read(&from_hex(fixture[0])), Ok(table()));
 }
--- a/crates/fleet/leases/tests/leader_locator.rs
+++ b/crates/fleet/leases/tests/leader_locator.rs
@@ -3,7 +3,7 @@
 use beechloft_leases::LeaderLocator;
 
 #[test]
-fn a_silent_replica_is_skipped_and_a_named_leader_is_believed() {
+fn skips_silent_replica_and_follows_named_leader() {
     let mut locator = LeaderLocator::new(3, 4);
     let targets = (locator.next_target(), locator.next_target(), locator.next_target());
     assert_eq!(targets, (1, 2, 0));
