--- a/crates/fleet/consensus/src/entry.rs
+++ b/crates/fleet/consensus/src/entry.rs
@@ -8,31 +8,31 @@
 use crate::membership::Membership;
 use crate::snapshot_data::SnapshotData;
 
-/// Approximate bytes of an entry's position in a message.
+/// Approximate size of an entry's position in a message, in bytes.
 const POSITION_BYTES: usize = 24;
 
-/// The content of a log entry.
+/// Content of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: the first entry of a leader's term, with which it commits entries of earlier terms (section 3.6.2).
+    /// No content. A leader appends such an entry at the start of its term, to commit entries of earlier terms (section 3.6.2).
     Noop,
-    /// A command for the replicated state machine, which this crate does not interpret.
+    /// Command for the replicated state machine, which this crate does not interpret.
     Command(Arc<[u8]>),
-    /// The membership from this entry on.
+    /// Membership of the cluster from this entry on.
     Membership(Membership),
 }
 
-/// A log entry.
+/// Entry of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its term and index.
+    /// Term and index of the entry.
     pub at: LogPosition,
-    /// Its content.
+    /// Content of the entry.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// Approximate bytes of the entry in a message.
+    /// Returns the approximate size of the entry in a message, in bytes.
     pub fn size(&self) -> usize {
         POSITION_BYTES
             + match &self.payload {
@@ -43,13 +43,13 @@
     }
 }
 
-/// The replicated state up to an entry (chapter 5).
+/// Snapshot of the replicated state as of a log entry (chapter 5).
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Snapshot {
-    /// The last entry that the state includes.
+    /// Position of the last entry that the state includes.
     pub at: LogPosition,
-    /// The membership as of that entry.
+    /// Membership as of that entry.
     pub members: Membership,
-    /// The state, which this crate does not interpret.
+    /// Replicated state, which this crate does not interpret.
     pub state: SnapshotData,
 }
--- a/crates/fleet/consensus/src/error.rs
+++ b/crates/fleet/consensus/src/error.rs
@@ -1,26 +1,27 @@
-//! Errors of requests to a node.
+//! Errors of client requests to a node.
 
 use thiserror::Error;
 
 use crate::ids::NodeId;
 use crate::membership::MembershipChangeError;
 
-/// Why a node did not accept a proposal, a read or a membership change.
+/// Reason why a node did not accept a proposal, a read or a membership change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// It is not the leader. Holds the leader, as far as it is known.
+    /// The node is not the leader. Contains the leader, if the node knows it.
     #[error("not the leader")]
     NotLeader(Option<NodeId>),
-    /// It is the leader, and transfers leadership or has too many uncommitted entries. The request may be retried later.
+    /// The node is the leader, but it is transferring leadership, or has too many uncommitted entries or pending reads. The
+    /// request may be retried later.
     #[error("busy")]
     Busy,
     /// The proposal is larger than [`Settings::max_proposal_bytes`](crate::Settings::max_proposal_bytes).
-    #[error("too long")]
+    #[error("proposal too large")]
     ProposalTooLarge,
-    /// Leadership was lost before the outcome was known: the request may still take effect, or never.
-    #[error("the lead was lost")]
+    /// The node lost leadership before the outcome was known. The request may or may not take effect later.
+    #[error("leadership lost before the outcome was known")]
     LeadershipLost,
-    /// The membership change is not possible.
+    /// The membership change was rejected.
     #[error(transparent)]
     Change(#[from] MembershipChangeError),
 }
--- a/crates/fleet/consensus/src/ids.rs
+++ b/crates/fleet/consensus/src/ids.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-macro_rules! number {
+macro_rules! u64_newtypes {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {$(
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
@@ -12,14 +12,14 @@
     )*};
 }
 
-number! {
-    /// A node of the cluster, by the id that was drawn when its storage was created.
+u64_newtypes! {
+    /// Identifier of a node, drawn when its storage is created.
     NodeId,
-    /// A term: a period with at most one leader (section 3.3).
+    /// Number of a term, which is a period with at most one leader (section 3.3).
     Term,
-    /// The index of a log entry. The first entry has index 1.
+    /// Index of a log entry. The first entry has index 1.
     Index,
-    /// Identifies a proposal, a read or a membership change to the caller that made it.
+    /// Identifier of a proposal, a read or a membership change, chosen by the caller.
     RequestId,
 }
 
@@ -30,23 +30,24 @@
 }
 
 impl Index {
-    /// The index after it.
+    /// Returns the following index.
     pub fn next(self) -> Index {
         Index(self.0 + 1)
     }
 
-    /// The index before it; 0 stays 0.
+    /// Returns the preceding index, or 0 for index 0.
     pub fn previous(self) -> Index {
         Index(self.0.saturating_sub(1))
     }
 }
 
-/// The term and index of a log entry. The order is that of section 3.6.1: of two logs, the one whose last position is greater is
-/// the more up-to-date.
+/// Term and index of a log entry.
+///
+/// The ordering is that of section 3.6.1. Of two logs, the one whose last position is greater is more up-to-date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The term in which the entry was created.
+    /// Term in which the entry was created.
     pub term: Term,
-    /// The index of the entry.
+    /// Index of the entry.
     pub index: Index,
 }
--- a/crates/fleet/consensus/src/lib.rs
+++ b/crates/fleet/consensus/src/lib.rs
@@ -1,18 +1,20 @@
-//! The Raft consensus algorithm as a state machine without I/O: [`Raft::handle`] takes the time and an [`Input`] and adds to
-//! [`PendingOutputs`]. It uses no sockets, clocks, threads or files.
+//! Raft consensus algorithm as a state machine without I/O.
 //!
-//! The sources are Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (USENIX ATC 2014), and Ongaro's
-//! dissertation "Consensus: Bridging Theory and Practice" (Stanford 2014). Sections in comments are those of the dissertation,
-//! unless they say "paper". Implemented are elections with a pre-vote (9.6), leaders that step down without a quorum (6.2),
-//! leadership transfer (3.10), learners (4.2.1), membership changes of one server at a time (4.1, with the amendment that a
-//! leader first commits an entry of its own term), snapshots (5) and linearizable reads without a log write (6.4).
+//! [`Raft::handle`] takes the current time and an [`Input`] and adds its outputs to [`PendingOutputs`]. The crate uses no
+//! sockets, clocks, threads or files.
 //!
-//! What must be durable before anything that depends on it is sent is enforced by types: messages, committed entries and
-//! answers are held in [`PendingOutputs`] and come out of [`PendingOutputs::persist`] alone, which first gives the
+//! The implementation follows Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (USENIX ATC 2014), and
+//! Ongaro's dissertation "Consensus: Bridging Theory and Practice" (Stanford 2014). Section numbers in comments refer to the
+//! dissertation, unless they say "paper". It covers elections with a pre-vote (9.6), leaders that step down without a quorum
+//! (6.2), leadership transfer (3.10), learners (4.2.1), membership changes of one server at a time (4.1, with the amendment that
+//! a leader first commits an entry of its own term), snapshots (5) and linearizable reads without a log write (6.4).
+//!
+//! Types enforce that state is durable before any output that depends on it is released. Messages, committed entries and results
+//! are held back in [`PendingOutputs`]. The only way to obtain them is [`PendingOutputs::persist`], which first saves the
 //! [`StateUpdate`] to the [`Storage`].
 //!
-//! A node is identified by its storage, not by its address: its id is drawn when the storage is created. A node whose storage
-//! is lost never comes back under its old id. It joins as a new node, and the lost one is removed.
+//! A node is identified by its storage, not by its address, because its id is drawn when the storage is created. A node whose
+//! storage is lost must never return under its old id. It joins as a new node, and the lost one is removed.
 #![forbid(unsafe_code)]
 
 mod entry;
--- a/crates/fleet/consensus/src/log.rs
+++ b/crates/fleet/consensus/src/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory: the newest snapshot, and the entries behind a base.
+//! In-memory log, which consists of the newest snapshot and the entries after a base position.
 
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
@@ -8,22 +8,23 @@
 use crate::membership::Membership;
 use crate::storage::PersistentState;
 
-/// The log of a node.
+/// Log of a node.
 #[derive(Debug, Clone)]
 pub(crate) struct Log {
-    /// The last entry that was removed from the front. Its term is 0 if it is unknown.
+    /// Position of the last entry that was removed from the front. The term is 0 if it is unknown.
     base: LogPosition,
     entries: VecDeque<Entry>,
-    /// For each entry, the size of all entries up to it since the process started: the size of any range is a difference.
+    /// For each entry, the total size of all entries up to it since the process started, in bytes. The size of any range is the
+    /// difference of two of these.
     cumulative_sizes: VecDeque<usize>,
-    /// The size of all entries that were removed from the front.
+    /// Total size of all entries that were removed from the front, in bytes.
     removed_size: usize,
     pub snapshot: Option<Snapshot>,
-    /// The memberships of entries that are newer than the snapshot, by index.
+    /// Memberships of entries that are newer than the snapshot, ordered by index.
     memberships: VecDeque<(Index, Membership)>,
 }
 
-/// The content alone: the sizes depend on what was removed.
+/// Hashes only the content, because the sizes depend on which entries were removed earlier.
 impl Hash for Log {
     fn hash<H: Hasher>(&self, into: &mut H) {
         (self.base, &self.entries, &self.snapshot, &self.memberships).hash(into);
@@ -31,7 +32,7 @@
 }
 
 impl Log {
-    /// The log of a node that starts.
+    /// Restores the log of a node that starts.
     pub fn restore(stored: PersistentState) -> Log {
         let base = stored.snapshot.as_ref().map(|snapshot| snapshot.at).unwrap_or_default();
         let mut log = Log {
@@ -42,11 +43,11 @@
             snapshot: stored.snapshot,
             memberships: VecDeque::new(),
         };
-        // Entries that the snapshot includes may be retained for followers that are behind.
+        // Entries that the snapshot includes may have been retained for followers that are behind.
         if let Some(first) = stored.entries.first()
             && first.at.index <= base.index
         {
-            // The term of the entry before them is unknown. No follower is sent entries from there.
+            // The term of the entry before the first one is unknown, so no follower is sent entries from the first one on.
             log.base = LogPosition { term: Term(0), index: first.at.index.previous() };
         }
         for entry in stored.entries {
@@ -57,7 +58,7 @@
         log
     }
 
-    /// Appends an entry.
+    /// Appends an entry, which must have the index after the last one.
     pub fn push(&mut self, entry: Entry) {
         if let Payload::Membership(membership) = &entry.payload {
             self.memberships.push_back((entry.at.index, membership.clone()));
@@ -66,7 +67,7 @@
         self.entries.push_back(entry);
     }
 
-    /// The size of all entries since the process started, up to the last one.
+    /// Returns the total size of all entries since the process started, in bytes.
     fn total_size(&self) -> usize {
         self.cumulative_sizes.back().copied().unwrap_or(self.removed_size)
     }
@@ -76,17 +77,17 @@
         self.removed_size = self.cumulative_sizes.pop_front().unwrap_or(self.removed_size);
     }
 
-    /// The last entry.
+    /// Returns the position of the last entry.
     pub fn last(&self) -> LogPosition {
         self.entries.back().map_or(self.base, |entry| entry.at)
     }
 
-    /// The index of the first entry that is present, or that the next one will have.
+    /// Returns the index of the first entry that is present. If the log is empty, this is the index of the next entry.
     pub fn first_index(&self) -> Index {
         self.base.index.next()
     }
 
-    /// The term of the entry at an index, if it is known.
+    /// Returns the term of the entry at an index. Returns `None` if it is unknown.
     pub fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.base.index && (index == Index(0) || self.base.term != Term(0)) {
             return Some(self.base.term);
@@ -97,13 +98,13 @@
         self.get(index).map(|entry| entry.at.term)
     }
 
-    /// The entry at an index.
+    /// Returns the entry at an index. Returns `None` if it is not present.
     pub fn get(&self, index: Index) -> Option<&Entry> {
         let offset = index.0.checked_sub(self.first_index().0)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Entries from an index on, up to a number of bytes. At least one, if there is one.
+    /// Returns the entries from an index on, up to `max_bytes`. A first entry that is larger is returned by itself.
     pub fn entries_from(&self, first: Index, max_bytes: usize) -> Vec<Entry> {
         let mut remaining = max_bytes;
         let mut entries = Vec::new();
@@ -119,23 +120,23 @@
         entries
     }
 
-    /// Entries after one index, up to and including another.
+    /// Returns the entries after the index `after`, up to and including the index `through`.
     pub fn entries_between(&self, after: Index, through: Index) -> impl Iterator<Item = &Entry> {
         (after.0 + 1..=through.0).filter_map(|index| self.get(Index(index)))
     }
 
-    /// Bytes of the entries after an index.
+    /// Returns the size of the entries after an index, in bytes.
     pub fn bytes_after(&self, index: Index) -> usize {
         let offset =
             index.0.checked_sub(self.first_index().0).and_then(|offset| usize::try_from(offset).ok());
-        // After the last entry: none; before the first: all that are present.
+        // No bytes follow an index beyond the last entry. All bytes present follow an index before the first entry.
         let size_through = offset.map_or(self.removed_size, |offset| {
             self.cumulative_sizes.get(offset).copied().unwrap_or(self.total_size())
         });
         self.total_size() - size_through
     }
 
-    /// Removes the entries from an index on.
+    /// Removes all entries from an index on.
     pub fn truncate(&mut self, from: Index) {
         while self.entries.back().is_some_and(|entry| entry.at.index >= from) {
             self.entries.pop_back();
@@ -146,32 +147,35 @@
         }
     }
 
-    /// The latest membership in the log, committed or not: a node always uses that one (section 4.1).
+    /// Returns the latest membership in the log. A node uses it whether it is committed or not (section 4.1).
     pub fn membership(&self) -> Membership {
         let of_snapshot = || self.snapshot.as_ref().map(|snapshot| snapshot.members.clone());
         let latest = self.memberships.back().map(|(_, membership)| membership.clone());
         latest.or_else(of_snapshot).unwrap_or_default()
     }
 
-    /// The index of the entry, or of the snapshot, with the latest membership.
+    /// Returns the index of the entry or snapshot with the latest membership.
     pub fn membership_index(&self) -> Index {
         let of_snapshot = || self.snapshot.as_ref().map(|snapshot| snapshot.at.index);
         self.memberships.back().map(|(index, _)| *index).or_else(of_snapshot).unwrap_or_default()
     }
 
-    /// The membership as of an index.
+    /// Returns the membership as of an index.
     pub fn membership_at(&self, index: Index) -> Membership {
         let of_entry = self.memberships.iter().rev().find(|(at, _)| *at <= index);
         let of_snapshot = || self.snapshot.as_ref().map(|snapshot| snapshot.members.clone());
         of_entry.map(|(_, membership)| membership.clone()).or_else(of_snapshot).unwrap_or_default()
     }
 
-    /// Replaces the snapshot by one of this node, and removes the entries that it includes, except for the newest `retained` ones
-    /// of at most `max_bytes`. Returns the index of the last removed entry.
+    /// Replaces the snapshot with one of this node, and removes the entries that it includes.
+    ///
+    /// Of these entries, the newest `retained` ones are kept, up to `max_bytes`. Returns the index of the last removed entry.
     pub fn compact(&mut self, snapshot: Snapshot, retained: u64, max_bytes: usize) -> Index {
-        let at = snapshot.at.index;
-        let mut through = Index(at.0.saturating_sub(retained)).max(self.base.index);
-        while through < at && self.bytes_after(through) - self.bytes_after(at) > max_bytes {
+        let snapshot_index = snapshot.at.index;
+        let mut through = Index(snapshot_index.0.saturating_sub(retained)).max(self.base.index);
+        while through < snapshot_index
+            && self.bytes_after(through) - self.bytes_after(snapshot_index) > max_bytes
+        {
             through = through.next();
         }
         let term = self.term_at(through).unwrap_or_default();
@@ -179,13 +183,14 @@
             self.pop_front();
         }
         self.base = LogPosition { term, index: through };
-        self.memberships.retain(|(index, _)| *index > snapshot.at.index);
+        self.memberships.retain(|(index, _)| *index > snapshot_index);
         self.snapshot = Some(snapshot);
         through
     }
 
-    /// Replaces the snapshot by one of the leader. Entries that continue from it are kept. Returns whether the log continues
-    /// from the snapshot; otherwise it is empty.
+    /// Replaces the snapshot with one of the leader. Returns whether the log continues from the snapshot.
+    ///
+    /// If it does, the entries after the snapshot are kept. Otherwise all entries are removed.
     pub fn install(&mut self, snapshot: Snapshot) -> bool {
         let continues = self.term_at(snapshot.at.index) == Some(snapshot.at.term);
         if continues {
--- a/crates/fleet/consensus/src/membership/change.rs
+++ b/crates/fleet/consensus/src/membership/change.rs
@@ -1,4 +1,4 @@
-//! Membership changes of one node, and why they are rejected.
+//! Membership changes of one node at a time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,51 +9,51 @@
 use super::{MAX_ADDRESS_BYTES, MAX_MEMBERS, Member, Membership};
 use crate::ids::NodeId;
 
-/// A change of one member.
+/// Change of one member.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MembershipChange {
     /// Adds a learner with its address.
     AddLearner(NodeId, String),
-    /// Makes a learner that has caught up a voter.
+    /// Promotes a learner that has caught up to a voter.
     Promote(NodeId),
     /// Removes a member.
     Remove(NodeId),
 }
 
-/// Why a membership change is rejected.
+/// Reason why a membership change was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum MembershipChangeError {
-    /// The node is a member already.
-    #[error("{0} is a member already")]
+    /// The node is already a member.
+    #[error("node {0} is already a member")]
     AlreadyMember(NodeId),
     /// The node is not a member.
-    #[error("{0} is no member")]
+    #[error("node {0} is not a member")]
     NotMember(NodeId),
     /// The member is not a learner.
-    #[error("{0} does not learn")]
+    #[error("node {0} is not a learner")]
     NotLearner(NodeId),
     /// The learner has not caught up with the log.
-    #[error("{0} has not caught up yet")]
+    #[error("learner {0} has not caught up with the log")]
     NotCaughtUp(NodeId),
-    /// No voter would be left.
-    #[error("nobody would be left to vote")]
+    /// The change would remove the last voter.
+    #[error("the change would remove the last voter")]
     NoVoterLeft,
     /// The maximum number of members is reached.
-    #[error("{MAX_MEMBERS} members at most")]
+    #[error("a cluster has at most {MAX_MEMBERS} members")]
     TooManyMembers,
     /// The address is too long.
-    #[error("an address has {MAX_ADDRESS_BYTES} bytes at most")]
+    #[error("an address has at most {MAX_ADDRESS_BYTES} bytes")]
     AddressTooLong,
     /// The last change is not committed, or the leader has not committed an entry of its term. The change may be retried later.
-    #[error("another change is under way")]
+    #[error("another membership change is in progress")]
     ChangeInProgress,
 }
 
 impl Membership {
-    /// The membership after a change.
+    /// Returns the membership after a change.
     ///
     /// # Errors
-    /// The change does not fit this membership, or a bound is exceeded.
+    /// Returns an error if the change does not apply to this membership or would exceed a limit.
     pub fn changed(&self, change: &MembershipChange) -> Result<Membership, MembershipChangeError> {
         let mut changed = self.clone();
         let members = Arc::make_mut(&mut changed.0);
--- a/crates/fleet/consensus/src/message.rs
+++ b/crates/fleet/consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes. Any message may be lost, delayed, duplicated or reordered.
+//! Messages between nodes. The network may lose, delay, duplicate or reorder any of them.
 
 use std::sync::Arc;
 
@@ -8,89 +8,90 @@
 use crate::ids::{Index, LogPosition, NodeId, Term};
 use crate::membership::Membership;
 
-/// A message. Nodes encode it with postcard: the order of fields and variants is part of the protocol.
+/// Message from one node to another. Nodes encode it with postcard, so the order of fields and variants is part of the protocol.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender.
+    /// Sender of the message.
     pub from: NodeId,
-    /// The receiver.
+    /// Receiver of the message.
     pub to: NodeId,
-    /// The sender's term. For a pre-vote request and its consent it is the term that the election would have.
+    /// Term of the sender. In a pre-vote request and in a response that grants it, this is the term of the proposed election.
     pub term: Term,
-    /// The content.
+    /// Content of the message.
     pub body: MessageBody,
 }
 
-/// The outcome of an AppendEntries or InstallSnapshot request at a follower.
+/// Outcome of an AppendEntries or InstallSnapshot request at a follower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum AppendResult {
-    /// The follower's log matches the leader's up to this index, and is durable.
+    /// The follower's log matches the leader's log up to this index and is durable up to there.
     Match(Index),
-    /// The follower has no entry, or another one, at the previous position. Holds the index that the leader may try next.
+    /// The follower has no entry, or a different one, at the previous position. Contains the index that the leader may try next.
     Conflict(Index),
 }
 
-/// The content of a message, named as in the paper.
+/// Content of a message. The variants are named as in the paper.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Asks whether the receiver would grant a vote (section 9.6). It changes the state of neither node.
+    /// Asks whether the receiver would grant a vote, without a change of either node's state (section 9.6).
     PreVoteRequest {
-        /// The sender's last entry.
+        /// Position of the sender's last entry.
         last_entry: LogPosition,
     },
-    /// Whether the sender would grant its vote.
+    /// Reports whether the sender would grant its vote.
     PreVoteResponse(bool),
-    /// Asks for a vote (section 3.4).
+    /// Requests a vote (section 3.4).
     VoteRequest {
-        /// The candidate's last entry.
+        /// Position of the candidate's last entry.
         last_entry: LogPosition,
-        /// The previous leader transferred leadership to the candidate: the request counts although a leader was heard recently.
+        /// Whether the previous leader transferred leadership to the candidate. The receiver then handles the request even if
+        /// it has heard from a leader recently.
         leadership_transfer: bool,
     },
-    /// Whether the sender grants its vote.
+    /// Reports whether the sender grants its vote.
     VoteResponse(bool),
-    /// Entries of a leader, or none as a heartbeat (section 3.5).
+    /// Sends entries of the leader, or none as a heartbeat (section 3.5).
     AppendEntries {
-        /// The entry before them.
+        /// Position of the entry that precedes `entries`.
         prev: LogPosition,
-        /// The entries, in order.
+        /// Entries to append, in order.
         entries: Vec<Entry>,
-        /// The leader's commit index.
+        /// Commit index of the leader.
         commit: Index,
-        /// The leader's heartbeat round, for reads and for the check of its quorum.
+        /// Heartbeat round of the leader, which confirms reads and contact with a quorum.
         round: u64,
     },
-    /// The answer to `AppendEntries`, and to the last part of a snapshot.
+    /// Answers `AppendEntries`, or the `InstallSnapshot` message with the last part of a snapshot.
     AppendEntriesResponse {
-        /// The outcome.
+        /// Outcome of the request.
         result: AppendResult,
-        /// The round of the request.
+        /// Heartbeat round of the request.
         round: u64,
     },
-    /// A part of a snapshot (section 5.3).
+    /// Sends a part of a snapshot (section 5.3).
     InstallSnapshot {
-        /// The last entry that the snapshot includes.
+        /// Position of the last entry that the snapshot includes.
         last_included: LogPosition,
-        /// The membership as of that entry.
+        /// Membership as of that entry.
         membership: Membership,
-        /// The offset of the part, in bytes.
+        /// Offset of the part in the encoded snapshot, in bytes.
         offset: u64,
-        /// The bytes of the part.
+        /// Bytes of the part.
         data: Arc<[u8]>,
         /// Whether this is the last part.
         is_last: bool,
-        /// The leader's heartbeat round.
+        /// Heartbeat round of the leader.
         round: u64,
     },
-    /// The answer to a part that is not the last one.
+    /// Answers an `InstallSnapshot` message with a part that is not the last one.
     InstallSnapshotResponse {
-        /// The last entry that the snapshot includes.
+        /// Position of the last entry that the snapshot includes.
         last_included: LogPosition,
-        /// Bytes received so far.
+        /// Number of bytes received so far.
         offset: u64,
-        /// The round of the request.
+        /// Heartbeat round of the request.
         round: u64,
     },
-    /// The leader transfers leadership: the receiver starts an election at once (section 3.10).
+    /// Transfers leadership to the receiver, which starts an election immediately (section 3.10).
     TimeoutNow,
 }
--- a/crates/fleet/consensus/src/output.rs
+++ b/crates/fleet/consensus/src/output.rs
@@ -1,4 +1,4 @@
-//! What a node wants done, held back until the state that it depends on is durable.
+//! Outputs of a node, held back until the state that they depend on is durable.
 
 use crate::entry::{Entry, Snapshot};
 use crate::error::RequestError;
@@ -7,7 +7,7 @@
 use crate::message::Message;
 use crate::storage::{StateUpdate, Storage};
 
-/// Reads that may now be answered from the replicated state, or were rejected.
+/// Results of reads. A successful read may now be answered from the replicated state.
 pub type Reads = Vec<(RequestId, Result<(), RequestError>)>;
 
 /// Outputs whose preconditions are durable.
@@ -15,54 +15,56 @@
 pub struct Ready {
     /// Messages to other nodes.
     pub messages: Vec<Message>,
-    /// A snapshot that replaces the replicated state, before the entries below are applied.
+    /// Snapshot that replaces the replicated state before `committed_entries` are applied.
     pub installed_snapshot: Option<Snapshot>,
-    /// Committed entries to apply, in order, each once in the life of this process.
+    /// Committed entries to apply, in order. Each entry is returned once per run of the process.
     pub committed_entries: Vec<Entry>,
-    /// Proposals and membership changes: either their positions in the log, or why they were rejected. A proposal is committed
-    /// once the entry with its term and index is.
+    /// Results of proposals and membership changes, which are positions in the log or errors. A proposal is committed once the
+    /// entry with its term and index is.
     pub proposals: Vec<(RequestId, Result<LogPosition, RequestError>)>,
-    /// Answers to reads.
+    /// Results of reads.
     pub reads: Reads,
-    /// The membership, if it changed.
+    /// New membership, if it changed.
     pub membership: Option<Membership>,
 }
 
-/// What a node wants done. It is accessible only through [`PendingOutputs::persist`], so that nothing is sent before the state
-/// that it depends on is durable. Several inputs may be handled into the same outputs, to share one write to the storage.
+/// Outputs of a node and the state update that they depend on.
+///
+/// The outputs are accessible only through [`PendingOutputs::persist`], so that nothing is sent before the state that it depends
+/// on is durable. Several inputs may be handled into the same outputs, to share one write to the storage.
 #[derive(Debug, Default)]
 pub struct PendingOutputs {
-    pub(crate) save: StateUpdate,
+    pub(crate) update: StateUpdate,
     pub(crate) ready: Ready,
-    /// Only with an injected fault: messages that are sent whether the update becomes durable or not.
-    pub(crate) early: Vec<Message>,
+    /// Messages that are sent whether the update becomes durable or not. Used only with an injected fault.
+    pub(crate) premature_messages: Vec<Message>,
 }
 
 impl PendingOutputs {
-    /// Whether there is nothing to do.
+    /// Returns whether there are neither outputs nor state updates.
     pub fn is_empty(&self) -> bool {
-        self.save.is_empty() && self.ready == Ready::default() && self.early.is_empty()
+        self.update.is_empty() && self.ready == Ready::default() && self.premature_messages.is_empty()
     }
 
-    /// Saves the state update, then returns what depends on it.
+    /// Saves the state update and then returns the outputs that depend on it.
     ///
     /// # Errors
-    /// The storage failed. Nothing is returned, and the node must stop.
+    /// Returns the error of the storage if the save fails. The outputs are discarded, and the node must stop.
     pub fn persist<S: Storage>(&mut self, storage: &mut S) -> Result<Ready, S::Error> {
-        let update = std::mem::take(&mut self.save);
+        let update = std::mem::take(&mut self.update);
         let mut ready = std::mem::take(&mut self.ready);
-        ready.messages.extend(std::mem::take(&mut self.early));
+        ready.messages.extend(std::mem::take(&mut self.premature_messages));
         if !update.is_empty() {
             storage.save(&update)?;
         }
         Ok(ready)
     }
 
-    /// What a crash before the save sends: nothing, except with an injected fault.
+    /// Discards all outputs, as a crash before the save does. Returns the messages that an injected fault has already sent.
     #[cfg(feature = "fault_injection")]
     pub fn crash(&mut self) -> Vec<Message> {
-        let early = std::mem::take(&mut self.early);
+        let premature_messages = std::mem::take(&mut self.premature_messages);
         *self = PendingOutputs::default();
-        early
+        premature_messages
     }
 }
--- a/crates/fleet/consensus/src/raft/dispatch.rs
+++ b/crates/fleet/consensus/src/raft/dispatch.rs
@@ -1,4 +1,4 @@
-//! Messages of other nodes: the check of their terms, then the handler of each kind.
+//! Dispatch of received messages, after a check of their terms.
 
 use super::Raft;
 use super::follower::{ReceivedEntries, SnapshotPart};
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Handles the term of a message that is later than the node's. Returns whether the message itself is to be handled.
+    /// Handles a message term that is later than the node's. Returns whether the message itself should be handled.
     fn observe_later_term(
         &mut self,
         from: NodeId,
@@ -54,9 +54,9 @@
         out: &mut PendingOutputs,
     ) -> bool {
         match body {
-            // The term of these has not begun.
+            // These carry the term of a proposed election, which has not begun.
             MessageBody::PreVoteRequest { .. } | MessageBody::PreVoteResponse(true) => true,
-            // The candidate was cut off from the live leader, or was removed, and must not disrupt it (section 4.2.3).
+            // The candidate was partitioned from the live leader or was removed. It must not disrupt that leader (section 4.2.3).
             MessageBody::VoteRequest { leadership_transfer: false, .. } if self.has_recent_leader() => false,
             _ => {
                 let from_leader =
--- a/crates/fleet/consensus/src/raft/election.rs
+++ b/crates/fleet/consensus/src/raft/election.rs
@@ -15,11 +15,14 @@
         }
     }
 
-    /// Whether the node may start an election: it is a voter of the latest membership, or of the one before a change that may not
-    /// be committed (a process that restarted does not know what is).
+    /// Returns whether the node may start an election.
     ///
-    /// The second case concerns a leader that removes itself and loses leadership with the change in its log alone: the others
-    /// need its vote, and nobody else can win because its log is the longest (section 4.2.2). It does not count its own vote.
+    /// A node may do so if it is a voter of the latest membership, or of the previous one while the change is not known to be
+    /// committed. A restarted process does not know what is committed.
+    ///
+    /// The second case concerns a leader that removes itself and loses leadership while only its own log contains the change. No
+    /// other node can win an election, because this log is the longest and the others need this node's vote (section 4.2.2). The
+    /// node does not count its own vote.
     pub(super) fn may_campaign(&self) -> bool {
         let change_index = self.log.membership_index();
         let is_voter = self.log.membership().is_voter(self.id);
@@ -27,8 +30,8 @@
         is_voter || (change_index > self.commit_index && was_voter())
     }
 
-    /// Asks who would vote for this node, so that one that was cut off does not return with a higher term and disrupt the leader
-    /// (section 9.6).
+    /// Asks the voters whether they would vote for this node, so that a node that was partitioned does not return with a higher
+    /// term and disrupt the leader (section 9.6).
     pub(super) fn start_pre_vote(&mut self, out: &mut PendingOutputs) {
         self.role = RoleState::PreCandidate { votes: [self.id].into() };
         let request = MessageBody::PreVoteRequest { last_entry: self.log.last() };
@@ -40,9 +43,9 @@
         Term(self.hard_state.term.0 + 1)
     }
 
-    /// Whether a log that ends with this entry is at least as up-to-date as this node's (section 3.6.1).
+    /// Returns whether a log that ends with this entry is at least as up-to-date as this node's (section 3.6.1).
     fn is_up_to_date(&self, last_entry: LogPosition) -> bool {
-        last_entry >= self.log.last() || self.has_fault(Fault::VotesForBehind)
+        last_entry >= self.log.last() || self.has_fault(Fault::VoteForOutdatedLog)
     }
 
     pub(super) fn handle_pre_vote_request(
@@ -84,10 +87,10 @@
         }
     }
 
-    /// Starts a term of its own and asks for votes.
+    /// Starts a new term as a candidate and requests votes.
     fn start_election(&mut self, leadership_transfer: bool, out: &mut PendingOutputs) {
         self.hard_state = HardState { term: self.next_term(), vote: Some(self.id) };
-        out.save.hard_state = Some(self.hard_state);
+        out.update.hard_state = Some(self.hard_state);
         self.role = RoleState::Candidate { votes: [self.id].into() };
         self.reset_election_timer();
         let request = MessageBody::VoteRequest { last_entry: self.log.last(), leadership_transfer };
@@ -109,11 +112,11 @@
         if granted {
             if vote.is_none() {
                 self.hard_state.vote = Some(from);
-                if !self.has_fault(Fault::VoteUnsaved) {
-                    out.save.hard_state = Some(self.hard_state);
+                if !self.has_fault(Fault::VoteNotPersisted) {
+                    out.update.hard_state = Some(self.hard_state);
                 }
             }
-            // The candidate gets the time to win.
+            // Gives the candidate time to win the election.
             self.reset_election_timer();
         }
         self.send_message(from, MessageBody::VoteResponse(granted), out);
@@ -136,7 +139,7 @@
         }
     }
 
-    /// The leader transfers leadership to this node, which starts an election at once.
+    /// Handles a leadership transfer to this node by starting an election immediately.
     pub(super) fn handle_timeout_now(&mut self, from: NodeId, out: &mut PendingOutputs) {
         let is_from_leader =
             matches!(&self.role, RoleState::Follower { leader, .. } if *leader == Some(from));
--- a/crates/fleet/consensus/src/raft/follower.rs
+++ b/crates/fleet/consensus/src/raft/follower.rs
@@ -1,4 +1,4 @@
-//! How a follower handles a leader's entries and snapshots.
+//! Handling of a leader's entries and snapshots by a follower.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::output::PendingOutputs;
 use crate::snapshot_data::SnapshotData;
 
-/// The content of an AppendEntries request.
+/// Content of an AppendEntries request.
 pub(super) struct ReceivedEntries {
     pub prev: LogPosition,
     pub entries: Vec<Entry>,
@@ -20,13 +20,13 @@
 }
 
 impl ReceivedEntries {
-    /// Whether the indexes are consecutive.
+    /// Returns whether the indexes are consecutive.
     fn are_consecutive(&self) -> bool {
         self.entries.iter().zip(self.prev.index.0 + 1..).all(|(entry, index)| entry.at.index.0 == index)
     }
 }
 
-/// A part of a snapshot.
+/// Content of an InstallSnapshot request, which is a part of a snapshot.
 pub(super) struct SnapshotPart<'a> {
     pub last_included: LogPosition,
     pub membership: Membership,
@@ -64,7 +64,7 @@
         if !self.accept_leader(from, out) {
             return;
         }
-        // No correct leader leaves out an index: the message is ignored.
+        // A correct leader never skips an index, so the message is ignored.
         if !received.are_consecutive() {
             return;
         }
@@ -75,11 +75,11 @@
         self.send_append_response(from, result, round, out);
     }
 
-    /// Appends entries that match, and advances the commit index. Returns the last index that matches the leader's log.
+    /// Appends the received entries and advances the commit index. Returns the last index that matches the leader's log.
     fn accept_entries(&mut self, received: ReceivedEntries, out: &mut PendingOutputs) -> Index {
         let through = Index(received.prev.index.0 + received.entries.len() as u64);
         self.append_received(received.entries, out);
-        // Only what this message has shown to match: later entries here may be another leader's.
+        // Only entries that this message has shown to match are committed, because later ones may stem from another leader.
         self.commit_through(received.leader_commit.min(through), out);
         if received.leader_commit <= self.commit_index {
             self.up_to_date_at = Some(self.now);
@@ -87,15 +87,16 @@
         through
     }
 
-    /// If the log does not contain the entry before the leader's: the index that the leader may try next.
+    /// Returns the index that the leader may try next if the log does not contain the entry at `prev`. Returns `None` if it does.
     fn find_conflict(&self, prev: LogPosition) -> Option<Index> {
-        // Committed entries match everywhere.
-        if prev.index <= self.commit_index || self.has_fault(Fault::TakesAnyPrevious) {
+        // Committed entries are the same on all nodes.
+        if prev.index <= self.commit_index || self.has_fault(Fault::PreviousEntryUnchecked) {
             return None;
         }
         match self.log.term_at(prev.index) {
             Some(term) if term == prev.term => None,
-            // No entry of this term can be the leader's, so all of them are skipped (paper, section 5.3).
+            // All entries of the conflicting term are skipped, so that the search needs one probe per term instead of one per
+            // entry (paper, section 5.3).
             Some(term) => {
                 let mut index = prev.index.previous();
                 while index > self.commit_index && self.log.term_at(index) == Some(term) {
@@ -107,8 +108,9 @@
         }
     }
 
-    /// Appends entries that are missing, and removes entries that conflict with them. A delayed message does not remove entries
-    /// that arrived after it was sent.
+    /// Appends missing entries and removes conflicting ones.
+    ///
+    /// Only a conflict removes entries, so that a delayed message does not remove matching entries that a later message added.
     fn append_received(&mut self, entries: Vec<Entry>, out: &mut PendingOutputs) {
         for entry in entries {
             if entry.at.index <= self.commit_index {
@@ -118,12 +120,12 @@
                 Some(term) if term == entry.at.term => continue,
                 Some(_) => {
                     self.log.truncate(entry.at.index);
-                    out.save.truncate(entry.at.index);
+                    out.update.truncate(entry.at.index);
                 }
                 None => {}
             }
             if entry.at.index == self.log.last().index.next() {
-                out.save.entries.push(entry.clone());
+                out.update.entries.push(entry.clone());
                 self.log.push(entry);
             }
         }
@@ -160,13 +162,13 @@
                 return self.complete_snapshot(from, part, &encoded, round, out);
             }
         }
-        // Also for a duplicated or reordered part, so that the leader continues from here.
+        // A duplicated or reordered part is answered too, so that the leader continues from this offset.
         let offset = incoming.encoded.len() as u64;
         let response = MessageBody::InstallSnapshotResponse { last_included, offset, round };
         self.send_message(from, response, out);
     }
 
-    /// Installs a snapshot that was received completely. If it cannot be decoded, the transfer starts over.
+    /// Installs a completely received snapshot. If it cannot be decoded, the transfer starts over.
     fn complete_snapshot(
         &mut self,
         from: NodeId,
@@ -185,21 +187,22 @@
     }
 
     fn install_snapshot(&mut self, snapshot: Snapshot, out: &mut PendingOutputs) {
-        out.save.snapshot = Some(snapshot.clone());
-        out.save.compact_through = Some(snapshot.at.index);
-        out.save.entries.retain(|entry| entry.at.index > snapshot.at.index);
+        out.update.snapshot = Some(snapshot.clone());
+        out.update.compact_through = Some(snapshot.at.index);
+        out.update.entries.retain(|entry| entry.at.index > snapshot.at.index);
         self.commit_index = snapshot.at.index;
         out.ready.committed_entries.clear();
         out.ready.installed_snapshot = Some(snapshot.clone());
         if !self.log.install(snapshot) {
-            out.save.truncate(self.commit_index.next());
+            out.update.truncate(self.commit_index.next());
         }
     }
 
-    /// The maximum age of the node's state by its own clock: the time since it last had everything that a leader had committed.
+    /// Returns the maximum age of the node's state, which is the time since it last had everything that a leader had committed.
     ///
-    /// Heartbeats alone do not count: a node whose messages are lost still receives heartbeats, but no entries. A leader has
-    /// everything; one that is cut off steps down after at most twice the election timeout.
+    /// The age is measured by the node's own clock and is `Duration::MAX` if the node never was up to date. Heartbeats alone do
+    /// not count, because a node whose own messages are lost still receives heartbeats but no entries. The age of a leader's
+    /// state is zero. A leader without contact to a quorum steps down after at most twice the election timeout.
     pub fn staleness(&self) -> Duration {
         match self.role {
             RoleState::Leader(_) => Duration::ZERO,
--- a/crates/fleet/consensus/src/raft/leader/mod.rs
+++ b/crates/fleet/consensus/src/raft/leader/mod.rs
@@ -1,4 +1,4 @@
-//! What a leader does: heartbeats, replication, commits, reads, membership changes and leadership transfer.
+//! Leader role: heartbeats, replication, commits, reads, membership changes and leadership transfer.
 
 mod proposals;
 mod reads;
@@ -17,9 +17,12 @@
 use crate::membership::Membership;
 use crate::output::PendingOutputs;
 
+/// A leader steps down after this many election timeouts without contact to a quorum.
+const QUORUM_TIMEOUT_FACTOR: u32 = 2;
+
 impl Raft {
-    /// Becomes the leader. Its first entry is empty: entries of earlier terms can only be committed together with one of this
-    /// term (section 3.6.2).
+    /// Becomes the leader and appends an empty entry, because entries of earlier terms can only be committed together with one of
+    /// the leader's own term (section 3.6.2).
     pub(super) fn become_leader(&mut self, out: &mut PendingOutputs) {
         self.role = RoleState::Leader(LeaderState {
             followers: BTreeMap::new(),
@@ -36,7 +39,7 @@
         self.advance_commit_index(out);
     }
 
-    /// Keeps a progress record of each other member, and of nobody else. New ones start at `next_index`.
+    /// Creates progress records for new members, starting at `next_index`, and removes those of nodes that are not members.
     fn track_members(&mut self, next_index: Index) {
         let membership = self.log.membership();
         let (own_id, now) = (self.id, self.now);
@@ -47,7 +50,7 @@
         }
     }
 
-    /// Whether a majority of the voters, this node included, was heard within a time.
+    /// Returns whether the node has heard from a majority of the voters, itself included, within a duration.
     fn has_contact_with_quorum(&self, state: &LeaderState, within: Duration) -> bool {
         let is_recent =
             |id| state.followers.get(&id).is_some_and(|progress| self.now < progress.last_contact + within);
@@ -68,16 +71,16 @@
         }
     }
 
-    /// Whether this leader has been cut off from a quorum for twice the election timeout. It must not go on accepting what it can
-    /// never commit (section 6.2).
+    /// Returns whether this leader has had no contact with a quorum for twice the election timeout. Such a leader must not
+    /// continue to accept proposals that it cannot commit (section 6.2).
     fn is_without_quorum(&self) -> bool {
         let RoleState::Leader(state) = &self.role else { return false };
-        let grace = self.settings.election_timeout * 2;
-        !self.has_contact_with_quorum(state, grace) && self.now >= state.elected_at + grace
+        let quorum_timeout = self.settings.election_timeout * QUORUM_TIMEOUT_FACTOR;
+        !self.has_contact_with_quorum(state, quorum_timeout) && self.now >= state.elected_at + quorum_timeout
     }
 
-    /// Commits what a majority has, if it is of this term (section 3.6.2). The leader's own log counts, because it is durable
-    /// before any output is released.
+    /// Commits all entries that a majority has, if the last of them is of this term (section 3.6.2). The leader's own log counts,
+    /// because it is durable before any output is released.
     fn advance_commit_index(&mut self, out: &mut PendingOutputs) {
         let RoleState::Leader(state) = &self.role else { return };
         let membership = self.log.membership();
@@ -86,13 +89,13 @@
             let of_follower = || state.followers.get(&id).map_or(Index(0), |progress| progress.match_index);
             if id == self.id { last_index } else { of_follower() }
         };
-        let reached = if self.has_fault(Fault::LearnerCounts) {
+        let reached = if self.has_fault(Fault::LearnerInQuorum) {
             reached_with_learners(&membership, match_index)
         } else {
             membership.reached_by_quorum(match_index)
         };
         let is_of_term = self.log.term_at(reached) == Some(self.hard_state.term);
-        if reached <= self.commit_index || !(is_of_term || self.has_fault(Fault::CommitsOlderTerm)) {
+        if reached <= self.commit_index || !(is_of_term || self.has_fault(Fault::EarlierTermCommitted)) {
             return;
         }
         self.commit_through(reached, out);
@@ -101,7 +104,7 @@
         self.step_down_if_removed(out);
     }
 
-    /// A leader that is no voter any more leads only until that change is committed (section 4.2.2).
+    /// Steps down if the membership without this leader as a voter is committed. Until then it leads (section 4.2.2).
     fn step_down_if_removed(&mut self, out: &mut PendingOutputs) {
         let is_committed = self.log.membership_index() <= self.commit_index;
         if is_committed && !self.log.membership().is_voter(self.id) {
@@ -110,13 +113,13 @@
         }
     }
 
-    /// Whether an entry of this term is committed, so that the commit index is known to be current.
+    /// Returns whether an entry of this term is committed, which means that the commit index is current.
     fn has_committed_in_term(&self) -> bool {
         self.log.term_at(self.commit_index) == Some(self.hard_state.term)
     }
 }
 
-/// With an injected fault: the index that a quorum has reached when learners count.
+/// Returns the index that a quorum would have reached if learners counted. Used only with an injected fault.
 fn reached_with_learners(membership: &Membership, match_index: impl Fn(NodeId) -> Index) -> Index {
     let mut indexes: Vec<Index> = membership.iter().map(|(id, _)| match_index(id)).collect();
     indexes.sort_unstable_by(|a, b| b.cmp(a));
--- a/crates/fleet/consensus/src/raft/leader/proposals.rs
+++ b/crates/fleet/consensus/src/raft/leader/proposals.rs
@@ -49,7 +49,7 @@
         let changed = self.log.membership().changed(change)?;
         let is_last_committed = self.log.membership_index() <= self.commit_index;
         let may_change = is_last_committed && self.has_committed_in_term();
-        if !may_change && !self.has_fault(Fault::ChangesTogether) {
+        if !may_change && !self.has_fault(Fault::ConcurrentChanges) {
             return Err(MembershipChangeError::ChangeInProgress.into());
         }
         if let MembershipChange::Promote(id) = change {
@@ -58,8 +58,10 @@
         Ok(self.append_membership(changed, out))
     }
 
-    /// Checks that a learner has everything committed. A voter that is minutes behind would count for the quorum, and nothing
-    /// could be committed in the meantime (section 4.2.1).
+    /// Checks that a learner has all committed entries.
+    ///
+    /// A voter that is minutes behind would count towards the quorum size, and nothing could be committed until it has caught up
+    /// (section 4.2.1).
     fn check_caught_up(&self, id: NodeId) -> Result<(), MembershipChangeError> {
         let RoleState::Leader(state) = &self.role else {
             return Err(MembershipChangeError::ChangeInProgress);
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Appends a membership, which is in use as soon as it is in the log (section 4.1).
+    /// Appends a membership, which takes effect as soon as it is in the log (section 4.1).
     fn append_membership(&mut self, membership: Membership, out: &mut PendingOutputs) -> LogPosition {
         let at = self.append_entry(Payload::Membership(membership), out);
         let first_index = self.log.first_index();
--- a/crates/fleet/consensus/src/raft/leader/reads.rs
+++ b/crates/fleet/consensus/src/raft/leader/reads.rs
@@ -1,4 +1,4 @@
-//! Linearizable reads without log writes, by a read index and a heartbeat round (section 6.4).
+//! Linearizable reads without log writes, which use a read index and a heartbeat round (section 6.4).
 
 use super::super::Raft;
 use super::super::role::{PendingRead, RoleState};
@@ -24,7 +24,7 @@
         match &mut self.role {
             RoleState::Leader(state) if state.reads.len() >= max_pending => Err(RequestError::Busy),
             RoleState::Leader(state) => {
-                // The round that begins now: answers to earlier ones prove nothing about the present.
+                // The read needs a round that starts now, because answers to earlier rounds do not confirm leadership now.
                 let round = state.round + 1;
                 state.reads.push_back(PendingRead { request, round, read_index });
                 Ok(())
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Gives a read index to reads that arrived before the leader had committed an entry of its term.
+    /// Assigns a read index to reads that arrived before the leader had committed an entry of its term.
     pub(super) fn assign_read_indexes(&mut self) {
         if !self.has_committed_in_term() {
             return;
@@ -46,9 +46,9 @@
         }
     }
 
-    /// Answers the reads whose round a majority has answered: this node was the leader when they arrived.
+    /// Completes the reads whose round a majority has answered, which confirms that this node was the leader when they arrived.
     pub(super) fn complete_reads(&mut self, out: &mut PendingOutputs) {
-        let unconfirmed = self.has_fault(Fault::ReadsUnconfirmed);
+        let skips_round = self.has_fault(Fault::ReadWithoutRound);
         let membership = self.log.membership();
         let own_id = self.id;
         let RoleState::Leader(state) = &mut self.role else { return };
@@ -58,7 +58,7 @@
             if id == own_id { own_round } else { of_follower() }
         });
         let is_complete =
-            |read: &&PendingRead| (read.round <= confirmed_round || unconfirmed) && read.read_index.is_some();
+            |read: &&PendingRead| (read.round <= confirmed_round || skips_round) && read.read_index.is_some();
         while let Some(read) = state.reads.front().filter(is_complete) {
             out.ready.reads.push((read.request, Ok(())));
             state.reads.pop_front();
--- a/crates/fleet/consensus/src/raft/leader/replication.rs
+++ b/crates/fleet/consensus/src/raft/leader/replication.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, and entries and snapshots for followers.
+//! Replication of entries and snapshots to followers, and heartbeats.
 
 use super::super::Raft;
 use super::super::progress::{Flow, Progress};
@@ -8,13 +8,13 @@
 use crate::message::{AppendResult, MessageBody};
 use crate::output::PendingOutputs;
 
-/// After this many heartbeat intervals without a message of a follower, what is in flight to it counts as lost.
-const LOSS_INTERVALS: u32 = 2;
-/// After this many heartbeat intervals without an answer, a part of a snapshot is sent again.
+/// Number of heartbeat intervals without a message of a follower after which its pipelined entries count as lost.
+const LOSS_TIMEOUT_INTERVALS: u32 = 2;
+/// Number of heartbeat intervals without an answer after which a part of a snapshot is retransmitted.
 const PART_RETRY_INTERVALS: u32 = 4;
 
 impl Raft {
-    /// Starts a heartbeat round: sends something to each follower, and sends again what was lost.
+    /// Starts a heartbeat round, in which each follower is sent at least one message and lost messages are retransmitted.
     pub(super) fn send_heartbeats(&mut self, out: &mut PendingOutputs) {
         let (now, interval) = (self.now, self.settings.heartbeat_interval);
         let RoleState::Leader(state) = &mut self.role else { return };
@@ -35,16 +35,16 @@
         }
     }
 
-    /// Lets what was lost on its way to a follower be sent again.
+    /// Marks lost messages to a follower for retransmission.
     fn detect_loss(&mut self, id: NodeId) {
         let (now, interval) = (self.now, self.settings.heartbeat_interval);
         let RoleState::Leader(state) = &mut self.role else { return };
         let Some(progress) = state.followers.get_mut(&id) else { return };
-        let is_silent = now >= progress.last_contact + interval * LOSS_INTERVALS;
+        let is_silent = now >= progress.last_contact + interval * LOSS_TIMEOUT_INTERVALS;
         match &mut progress.flow {
-            // A probe is small, and a heartbeat by itself.
+            // A probe is small and also serves as a heartbeat, so it is sent again in each round.
             Flow::Probe { in_flight } => *in_flight = false,
-            // Heartbeats are answered in the meantime, so the part has a timeout of its own.
+            // The follower answers heartbeats during the transfer, so the part needs its own timeout.
             Flow::Snapshot { sent_at, .. } => {
                 *sent_at = sent_at.filter(|at| now < *at + interval * PART_RETRY_INTERVALS);
             }
@@ -53,11 +53,11 @@
         }
     }
 
-    /// Sends a heartbeat: AppendEntries without entries.
+    /// Sends a heartbeat, which is an AppendEntries request without entries.
     fn send_heartbeat(&self, to: NodeId, out: &mut PendingOutputs) {
         let RoleState::Leader(state) = &self.role else { return };
         let Some(progress) = state.followers.get(&to) else { return };
-        // After everything that was sent: if the last of it was lost, the answer says so.
+        // The previous position is the last entry sent, so that the answer reveals whether that entry was lost.
         let index = match &progress.flow {
             Flow::Snapshot { at, .. } => at.index,
             Flow::Pipeline(_) | Flow::Probe { .. } => progress.next_index.previous(),
@@ -78,15 +78,17 @@
         }
     }
 
-    /// Sends a follower what it lacks, as far as its window permits. Returns whether anything was sent.
+    /// Sends a follower the entries or snapshot parts that it lacks, as far as its window permits. Returns whether anything was
+    /// sent.
     pub(super) fn send_pending(&mut self, to: NodeId, out: &mut PendingOutputs) -> bool {
-        let mut any = false;
+        let mut has_sent = false;
         while self.send_next(to, out) {
-            any = true;
+            has_sent = true;
         }
-        any
+        has_sent
     }
 
+    /// Sends a follower the next message that it needs. Returns whether one was sent.
     fn send_next(&mut self, to: NodeId, out: &mut PendingOutputs) -> bool {
         let max_in_flight = self.settings.max_in_flight;
         let RoleState::Leader(state) = &mut self.role else { return false };
@@ -117,7 +119,7 @@
         let Flow::Snapshot { at, offset, sent_at } = &mut progress.flow else { return None };
         let snapshot: &Snapshot = self.log.snapshot.as_ref()?;
         if snapshot.at != *at {
-            // A newer snapshot was taken: the transfer starts over.
+            // A newer snapshot was taken, so the transfer starts over.
             (*at, *offset) = (snapshot.at, 0);
         }
         let encoded_len = snapshot.state.encoded_len();
@@ -148,7 +150,7 @@
                 progress.next_index = through.next();
                 entries
             }
-            // A probe needs no entries.
+            // A probe only checks the previous position.
             Flow::Probe { in_flight } => {
                 *in_flight = true;
                 Vec::new()
@@ -158,7 +160,7 @@
         Some(MessageBody::AppendEntries { prev, entries, commit: self.commit_index, round: state.round })
     }
 
-    /// Records that a follower has answered a round. Returns its progress.
+    /// Records that a follower has answered a round. Returns its progress, or `None` if it is not a member.
     fn record_contact(&mut self, from: NodeId, round: u64) -> Option<&mut Progress> {
         let now = self.now;
         let RoleState::Leader(state) = &mut self.role else { return None };
@@ -179,7 +181,7 @@
         let Some(progress) = self.record_contact(from, round) else { return };
         match result {
             AppendResult::Match(index) if index <= last_index => progress.record_match(index),
-            // No follower can have entries of this leader that do not exist.
+            // A correct follower cannot match beyond the end of the leader's log, so the answer is ignored.
             AppendResult::Match(_) => return,
             AppendResult::Conflict(hint) => progress.probe_from(hint),
         }
--- a/crates/fleet/consensus/src/raft/leader/transfer.rs
+++ b/crates/fleet/consensus/src/raft/leader/transfer.rs
@@ -7,7 +7,7 @@
 use crate::output::PendingOutputs;
 
 impl Raft {
-    /// Starts a transfer to a voter. It is given up after an election timeout.
+    /// Starts a transfer to a voter. The transfer is abandoned after one election timeout.
     pub(in super::super) fn start_transfer(&mut self, target: NodeId, out: &mut PendingOutputs) {
         let deadline = self.now + self.settings.election_timeout;
         let is_valid = target != self.id && self.log.membership().is_voter(target);
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Has the target start an election once it has the whole log.
+    /// Tells the target to start an election once it has the complete log.
     pub(super) fn advance_transfer(&mut self, out: &mut PendingOutputs) {
         let last_index = self.log.last().index;
         let RoleState::Leader(state) = &self.role else { return };
--- a/crates/fleet/consensus/src/raft/mod.rs
+++ b/crates/fleet/consensus/src/raft/mod.rs
@@ -1,4 +1,4 @@
-//! A node: its state, its inputs, and the timer that starts elections.
+//! Node of a Raft cluster, with its inputs and its election timer.
 
 mod compaction;
 mod dispatch;
@@ -32,26 +32,26 @@
 use crate::storage::{HardState, PersistentState};
 use role::RoleState;
 
-/// An input of a node.
+/// Input of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// A message of another node arrived.
+    /// A message of another node has arrived.
     Message(Message),
     /// A client proposes a command.
     Propose(RequestId, Arc<[u8]>),
     /// An operator changes the membership.
     ChangeMembership(RequestId, MembershipChange),
-    /// A client reads the replicated state, and must see everything that was committed before.
+    /// A client reads the replicated state and must see everything that was committed before.
     Read(RequestId),
-    /// Leadership is to be transferred to this node.
+    /// Leadership is to be transferred to the given node.
     TransferLeadership(NodeId),
-    /// A snapshot of the replicated state as of an applied entry. [`Raft::can_compact`] says whether one is useful now.
+    /// A snapshot of the replicated state as of an applied entry was taken. [`Raft::can_compact`] returns whether one is useful.
     Compact(Index, SnapshotData),
 }
 
-/// A node of a Raft cluster.
+/// Node of a Raft cluster.
 #[derive(Debug, Clone)]
 pub struct Raft {
     id: NodeId,
@@ -60,18 +60,18 @@
     log: Log,
     commit_index: Index,
     role: RoleState,
-    /// When an election starts, unless a leader is heard before.
+    /// Time at which an election starts, unless the node hears from a leader before.
     election_due: Duration,
-    /// When a leader was last heard.
+    /// Time at which the node last heard from a leader.
     last_leader_contact: Option<Duration>,
-    /// When the node last had everything that a leader had committed.
+    /// Time at which the node last had everything that a leader had committed.
     up_to_date_at: Option<Duration>,
     now: Duration,
     rng: ChaCha8Rng,
     fault: Option<Fault>,
 }
 
-/// Everything that determines the node's next outputs, except for its random numbers.
+/// Hashes everything that determines the next outputs, except for the random numbers.
 impl Hash for Raft {
     fn hash<H: Hasher>(&self, into: &mut H) {
         (self.id, self.hard_state, &self.log, self.commit_index, &self.role).hash(into);
@@ -80,7 +80,7 @@
 }
 
 impl Raft {
-    /// A node that starts with this persistent state. `now` is any monotonic clock, with any origin.
+    /// Creates a node from its persistent state. `now` is the time of a monotonic clock with any origin.
     pub fn new(id: NodeId, settings: Settings, stored: PersistentState, seed: u64, now: Duration) -> Raft {
         let hard_state = stored.hard_state;
         let log = Log::restore(stored);
@@ -93,7 +93,8 @@
             commit_index,
             role: RoleState::Follower { leader: None, incoming_snapshot: None },
             election_due: now,
-            // As if a leader had been heard: before the restart the node may have promised a live leader to grant no votes.
+            // Treated as contact with a leader. Before the restart the node may have answered a live leader, which relies on it
+            // to grant no votes for an election timeout.
             last_leader_contact: Some(now),
             up_to_date_at: None,
             now,
@@ -114,27 +115,27 @@
         cfg!(feature = "fault_injection") && self.fault == Some(fault)
     }
 
-    /// The newest snapshot: the replicated state that a new process starts from.
+    /// Returns the newest snapshot, whose replicated state a new process starts from. Returns `None` if there is none.
     pub fn snapshot(&self) -> Option<&Snapshot> {
         self.log.snapshot.as_ref()
     }
 
-    /// Whether the node is the leader, as far as it knows.
+    /// Returns whether the node is the leader, as far as it knows.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, RoleState::Leader(_))
     }
 
-    /// A log entry.
+    /// Returns the log entry at an index. Returns `None` if it is not in the log.
     pub fn entry(&self, index: Index) -> Option<&Entry> {
         self.log.get(index)
     }
 
-    /// The index of the first entry that is still in the log.
+    /// Returns the index of the first entry that is still in the log.
     pub fn first_index(&self) -> Index {
         self.log.first_index()
     }
 
-    /// When [`Input::Tick`] is due next.
+    /// Returns when the next [`Input::Tick`] is due.
     pub fn next_due(&self) -> Duration {
         match &self.role {
             RoleState::Leader(state) => state.heartbeat_due,
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Handles an input. A time before that of an earlier input counts as that earlier time.
+    /// Handles an input. If `now` is before the time of an earlier input, the earlier input's time is used.
     pub fn handle(&mut self, now: Duration, input: Input, out: &mut PendingOutputs) {
         self.now = self.now.max(now);
         let membership_index = self.log.membership_index();
@@ -177,30 +178,30 @@
         }
     }
 
-    /// Draws the next election timeout at random, so that elections rarely coincide (section 3.4).
+    /// Restarts the election timer with a random timeout, so that elections rarely coincide (section 3.4).
     fn reset_election_timer(&mut self) {
         let min_us = u64::try_from(self.settings.election_timeout.as_micros()).unwrap_or(u64::MAX);
         let random_us = self.rng.random_range(0..min_us.max(1));
         self.election_due = self.now + Duration::from_micros(min_us + random_us);
     }
 
-    /// Whether a leader was heard so recently that no other one is needed. A leader counts as heard by itself.
+    /// Returns whether the node is the leader or has heard from one within the minimum election timeout.
     fn has_recent_leader(&self) -> bool {
         let election_timeout = self.settings.election_timeout;
         self.is_leader() || self.last_leader_contact.is_some_and(|at| self.now < at + election_timeout)
     }
 
-    /// Becomes a follower, in a later term perhaps.
+    /// Becomes a follower. If `term` is later than the current term, the node adopts it.
     fn become_follower(&mut self, term: Term, leader: Option<NodeId>, out: &mut PendingOutputs) {
         if term > self.hard_state.term {
             self.hard_state = HardState { term, vote: None };
-            out.save.hard_state = Some(self.hard_state);
+            out.update.hard_state = Some(self.hard_state);
         }
         let follower = RoleState::Follower { leader, incoming_snapshot: None };
         let previous = std::mem::replace(&mut self.role, follower);
         if let RoleState::Leader(state) = previous {
             self.up_to_date_at = Some(self.now);
-            // Nobody may answer reads of the old term any more.
+            // The node can no longer confirm that it was the leader when these reads arrived.
             let lost = |read: role::PendingRead| (read.request, Err(RequestError::LeadershipLost));
             out.ready.reads.extend(state.reads.into_iter().map(lost));
         }
@@ -210,13 +211,13 @@
     /// Sends a message in the current term.
     fn send_message(&self, to: NodeId, body: MessageBody, out: &mut PendingOutputs) {
         let message = Message { from: self.id, to, term: self.hard_state.term, body };
-        let early = match &message.body {
-            MessageBody::VoteResponse(true) => self.has_fault(Fault::VoteUnsaved),
-            MessageBody::AppendEntriesResponse { .. } => self.has_fault(Fault::EntriesUnsaved),
+        let is_premature = match &message.body {
+            MessageBody::VoteResponse(true) => self.has_fault(Fault::VoteNotPersisted),
+            MessageBody::AppendEntriesResponse { .. } => self.has_fault(Fault::EntriesNotPersisted),
             _ => false,
         };
-        if early {
-            out.early.push(message);
+        if is_premature {
+            out.premature_messages.push(message);
         } else {
             out.ready.messages.push(message);
         }
@@ -226,12 +227,12 @@
     fn append_entry(&mut self, payload: Payload, out: &mut PendingOutputs) -> LogPosition {
         let at = LogPosition { term: self.hard_state.term, index: self.log.last().index.next() };
         let entry = Entry { at, payload };
-        out.save.entries.push(entry.clone());
+        out.update.entries.push(entry.clone());
         self.log.push(entry);
         at
     }
 
-    /// Advances the commit index, as far as the log goes.
+    /// Advances the commit index to `index`, or to the end of the log if it is shorter.
     fn commit_through(&mut self, index: Index, out: &mut PendingOutputs) {
         let through = index.min(self.log.last().index);
         if through <= self.commit_index {
--- a/crates/fleet/consensus/src/raft/progress.rs
+++ b/crates/fleet/consensus/src/raft/progress.rs
@@ -1,42 +1,44 @@
-//! What a leader knows of a follower, and how it sends entries to it.
+//! Replication progress of a follower, as tracked by the leader.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::ids::{Index, LogPosition};
 
-/// How entries are sent to a follower. The window is bounded, so that a slow follower does not delay the others.
+/// Mode in which entries are sent to a follower.
+///
+/// The number of unacknowledged messages is bounded in each mode, so that a slow follower does not delay the others.
 #[derive(Debug, Clone, Hash, PartialEq, Eq)]
 pub(crate) enum Flow {
-    /// The last matching entry is searched for, with one message at a time.
+    /// The leader searches for the last matching entry, with one message at a time.
     Probe {
-        /// A message is unacknowledged.
+        /// Whether a message is unacknowledged.
         in_flight: bool,
     },
-    /// Entries are pipelined (section 10.2.1). Holds the last index of each unacknowledged message.
+    /// Entries are pipelined (section 10.2.1). Contains the last index of each unacknowledged message.
     Pipeline(VecDeque<Index>),
     /// A snapshot is sent, one part at a time.
     Snapshot {
-        /// The last entry that it includes.
+        /// Position of the last entry that the snapshot includes.
         at: LogPosition,
-        /// The bytes that the follower has.
+        /// Number of bytes that the follower has received.
         offset: u64,
-        /// When the unacknowledged part was sent.
+        /// Time at which the unacknowledged part was sent. `None` if no part is unacknowledged.
         sent_at: Option<Duration>,
     },
 }
 
-/// What a leader knows of a follower.
+/// Replication progress of a follower.
 #[derive(Debug, Clone, Hash)]
 pub(crate) struct Progress {
-    /// The follower's log matches up to here, and is durable.
+    /// Index up to which the follower's log matches the leader's and is durable.
     pub match_index: Index,
-    /// The next entry to send.
+    /// Index of the next entry to send.
     pub next_index: Index,
     pub flow: Flow,
-    /// When its last message arrived.
+    /// Time at which the last message of the follower arrived.
     pub last_contact: Duration,
-    /// The latest heartbeat round that it has answered.
+    /// Latest heartbeat round that the follower has answered.
     pub round: u64,
 }
 
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Whether another message may be sent now.
+    /// Returns whether another message may be sent now.
     pub fn may_send(&self, max_in_flight: usize) -> bool {
         match &self.flow {
             Flow::Probe { in_flight } => !in_flight,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// The follower's log matches up to an index.
+    /// Records that the follower's log matches up to an index.
     pub fn record_match(&mut self, index: Index) {
         self.match_index = self.match_index.max(index);
         self.next_index = self.next_index.max(index.next());
@@ -77,7 +79,7 @@
         self.flow = Flow::Pipeline(VecDeque::new());
     }
 
-    /// The follower's log conflicts before the entries that were sent, or messages were lost: probes from `hint` on.
+    /// Switches to probing from `hint` on, because the follower's log conflicts with the sent entries or messages were lost.
     pub fn probe_from(&mut self, hint: Index) {
         if matches!(self.flow, Flow::Snapshot { .. }) {
             return;
--- a/crates/fleet/consensus/src/raft/role.rs
+++ b/crates/fleet/consensus/src/raft/role.rs
@@ -1,4 +1,4 @@
-//! The roles of a node, and what a node remembers only while it has one.
+//! Roles of a node and the state that belongs to each.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -6,20 +6,20 @@
 use super::progress::Progress;
 use crate::ids::{Index, LogPosition, NodeId, RequestId};
 
-/// A node's role in its term (section 3.3).
+/// Role of a node in its term (section 3.3).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// The node follows a leader or waits for one.
     Follower,
-    /// Asks whether the others would vote for it (section 9.6).
+    /// The node asks whether the others would vote for it (section 9.6).
     PreCandidate,
-    /// Asks for votes.
+    /// The node requests votes.
     Candidate,
-    /// Leads.
+    /// The node is the leader.
     Leader,
 }
 
-/// A role with its state.
+/// Role of a node with the state that belongs to it.
 #[derive(Debug, Clone, Hash)]
 pub(crate) enum RoleState {
     Follower { leader: Option<NodeId>, incoming_snapshot: Option<IncomingSnapshot> },
@@ -28,20 +28,20 @@
     Leader(LeaderState),
 }
 
-/// A snapshot that is being received.
+/// Snapshot that is being received.
 #[derive(Debug, Clone, Hash)]
 pub(crate) struct IncomingSnapshot {
     pub at: LogPosition,
-    /// The transfer encoding, as far as it was received.
+    /// Received part of the transfer encoding.
     pub encoded: Vec<u8>,
 }
 
-/// The state of a leader.
+/// State of a leader.
 #[derive(Debug, Clone, Hash)]
 pub(crate) struct LeaderState {
-    /// What it knows of each other member.
+    /// Replication progress of each other member.
     pub followers: BTreeMap<NodeId, Progress>,
-    /// The number of the latest heartbeat round.
+    /// Number of the latest heartbeat round.
     pub round: u64,
     pub heartbeat_due: Duration,
     pub elected_at: Duration,
@@ -49,20 +49,19 @@
     pub transfer: Option<LeadershipTransfer>,
 }
 
-/// A read that waits until a quorum has answered a heartbeat round.
+/// Read that waits until a quorum has answered a heartbeat round.
 #[derive(Debug, Clone, Hash)]
 pub(crate) struct PendingRead {
     pub request: RequestId,
     pub round: u64,
-    /// The read index: what must be applied before the read is answered. `None` until the leader has committed an entry of its
-    /// term.
+    /// Index that must be applied before the read is answered. `None` until the leader has committed an entry of its term.
     pub read_index: Option<Index>,
 }
 
-/// A leadership transfer in progress.
+/// Leadership transfer in progress.
 #[derive(Debug, Clone, Copy, Hash)]
 pub(crate) struct LeadershipTransfer {
     pub target: NodeId,
-    /// The transfer is given up then.
+    /// Time at which the transfer is abandoned.
     pub deadline: Duration,
 }
--- a/crates/fleet/consensus/src/raft/status.rs
+++ b/crates/fleet/consensus/src/raft/status.rs
@@ -1,4 +1,4 @@
-//! The status of a node, for operators and tests.
+//! Status of a node, for operators and tests.
 
 use std::time::Duration;
 
@@ -7,40 +7,40 @@
 use crate::ids::{Index, LogPosition, NodeId, Term};
 use crate::membership::Membership;
 
-/// The status of a node.
+/// Status of a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
-    /// Its id.
+    /// Id of the node.
     pub id: NodeId,
-    /// Its role.
+    /// Role of the node.
     pub role: Role,
-    /// Its term.
+    /// Current term of the node.
     pub term: Term,
-    /// The leader, if it is known.
+    /// Leader of the term. `None` if it is unknown.
     pub leader: Option<NodeId>,
-    /// The last entry of its log.
+    /// Position of the last log entry.
     pub last: LogPosition,
-    /// Its commit index.
+    /// Commit index of the node.
     pub commit: Index,
-    /// The latest membership in its log.
+    /// Latest membership in the log.
     pub members: Membership,
-    /// For a leader: all other members.
+    /// Status of all other members. Empty if the node is not the leader.
     pub followers: Vec<FollowerStatus>,
 }
 
-/// What a leader knows of another member.
+/// Status of another member, as known by the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowerStatus {
-    /// The member.
+    /// Id of the member.
     pub id: NodeId,
-    /// Its log matches the leader's up to here.
+    /// Index up to which the member's log matches the leader's.
     pub match_index: Index,
-    /// When its last message arrived, by the leader's clock.
+    /// Time at which the last message of the member arrived, by the leader's clock.
     pub last_contact: Duration,
 }
 
 impl Raft {
-    /// The status of the node.
+    /// Returns the status of the node.
     pub fn status(&self) -> Status {
         let (role, leader) = match &self.role {
             RoleState::Follower { leader, .. } => (Role::Follower, *leader),
--- a/crates/fleet/consensus/src/settings.rs
+++ b/crates/fleet/consensus/src/settings.rs
@@ -5,14 +5,14 @@
 /// Timeouts and limits of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// The minimum election timeout. A follower that hears from no leader for this, plus a random time of up to as long again,
-    /// starts an election. A leader without a quorum for twice as long steps down.
+    /// Minimum election timeout. A follower starts an election if it hears from no leader for a random time between once and
+    /// twice this timeout. A leader that has no contact with a quorum for twice this timeout steps down.
     pub election_timeout: Duration,
-    /// The time between two heartbeats of a leader.
+    /// Time between two heartbeats of a leader.
     pub heartbeat_interval: Duration,
     /// Maximum bytes of entries in one message. A single larger entry is sent by itself.
     pub max_message_bytes: usize,
-    /// Bytes of a snapshot in one message.
+    /// Maximum bytes of a snapshot in one message.
     pub snapshot_chunk_bytes: usize,
     /// Maximum number of unacknowledged messages with entries to one follower.
     pub max_in_flight: usize,
@@ -20,18 +20,18 @@
     pub max_uncommitted_bytes: usize,
     /// Maximum bytes of one proposal.
     pub max_proposal_bytes: usize,
-    /// Maximum bytes of a snapshot that a node accepts. The replicated state must be kept below this: a node whose storage was
-    /// lost could never be replaced otherwise.
+    /// Maximum bytes of a snapshot that a node accepts. The replicated state must be kept smaller than this, because a node
+    /// whose storage was lost could not be replaced otherwise.
     pub max_snapshot_bytes: usize,
-    /// Entries retained behind a snapshot, for followers that are slightly behind.
+    /// Number of entries retained behind a snapshot, for followers that are slightly behind.
     pub retained_entries: u64,
-    /// Maximum bytes of those.
+    /// Maximum bytes of the entries retained behind a snapshot.
     pub max_retained_bytes: usize,
-    /// Maximum bytes of the log after its newest snapshot while a leader sends that snapshot to a follower. Above this a new
-    /// snapshot is taken, and the transfer starts over. The bound is high, because a follower could otherwise never complete a
-    /// snapshot before the next one replaces it.
+    /// Maximum bytes of the log after its newest snapshot while a leader sends that snapshot to a follower. Above this limit a
+    /// new snapshot is taken and the transfer starts over. The limit must be high, because a follower could otherwise never
+    /// receive a complete snapshot before the next one replaces it.
     pub max_log_bytes_during_transfer: usize,
-    /// Maximum number of reads that wait for their heartbeat round.
+    /// Maximum number of reads that wait for a heartbeat round.
     pub max_pending_reads: usize,
 }
 
--- a/crates/fleet/consensus/src/snapshot_data/chunk.rs
+++ b/crates/fleet/consensus/src/snapshot_data/chunk.rs
@@ -1,4 +1,4 @@
-//! Chunks of a state, identified by their content.
+//! Content-addressed chunks of a replicated state.
 
 use std::fmt;
 use std::hash::{Hash, Hasher};
@@ -6,31 +6,33 @@
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of a SHA-256 hash.
+/// Length of a SHA-256 hash, in bytes.
 const HASH_BYTES: usize = 32;
-/// Bytes of a [`ChunkId`] as a key.
+/// Length of a [`ChunkId`] encoded as a key, in bytes.
 const KEY_BYTES: usize = 36;
-/// Bytes of the hash in the debug output.
+/// Length of the hash prefix in the debug output, in bytes.
 const DEBUG_HASH_BYTES: usize = 6;
 
-/// Identifies a chunk: the SHA-256 hash of its content, and its length. The hash is cryptographic because clients determine the
-/// content: nobody must be able to construct two different chunks with the same id.
+/// Identifier of a chunk, which consists of the SHA-256 hash and the length of its content.
+///
+/// The hash is cryptographic because clients determine the content. A client must not be able to construct two different chunks
+/// with the same id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChunkId {
-    /// The SHA-256 hash of the content.
+    /// SHA-256 hash of the content.
     pub hash: [u8; HASH_BYTES],
-    /// The length of the content, in bytes.
+    /// Length of the content, in bytes.
     pub length: u32,
 }
 
 impl ChunkId {
-    /// The id of a chunk with this content.
+    /// Computes the id of a chunk with the given content.
     #[expect(clippy::cast_possible_truncation, reason = "a chunk has at most MAX_CHUNK_BYTES")]
     pub fn of_bytes(bytes: &[u8]) -> ChunkId {
         ChunkId { hash: Sha256::digest(bytes).into(), length: bytes.len() as u32 }
     }
 
-    /// The id as the key of a store: the hash, then the length in big-endian order.
+    /// Encodes the id as a storage key, which is the hash followed by the length as a big-endian integer.
     pub fn to_key(&self) -> [u8; KEY_BYTES] {
         let mut key = [0; KEY_BYTES];
         key[..HASH_BYTES].copy_from_slice(&self.hash);
@@ -38,14 +40,14 @@
         key
     }
 
-    /// Decodes a key of [`ChunkId::to_key`].
+    /// Decodes a key that [`ChunkId::to_key`] encoded. Returns `None` if its length is wrong.
     pub fn from_key(key: &[u8]) -> Option<ChunkId> {
         let (hash, length) = key.split_first_chunk::<HASH_BYTES>()?;
         Some(ChunkId { hash: *hash, length: u32::from_be_bytes(length.try_into().ok()?) })
     }
 }
 
-/// A chunk of a state. Clones share the content. Equality and hash are those of the id.
+/// Chunk of a replicated state. Clones share the content. Equality and hash are those of the id.
 #[derive(Clone)]
 pub struct Chunk {
     id: ChunkId,
@@ -53,24 +55,24 @@
 }
 
 impl Chunk {
-    /// A chunk with this content.
+    /// Creates a chunk with the given content.
     pub fn new(bytes: impl Into<Arc<[u8]>>) -> Chunk {
         let bytes = bytes.into();
         Chunk { id: ChunkId::of_bytes(&bytes), bytes }
     }
 
-    /// A chunk whose id is known. With an id that is not that of the content, the chunk would be taken for another one.
+    /// Creates a chunk whose id is already known. The id must be that of the content, because chunks are compared by id.
     pub fn with_id(id: ChunkId, bytes: Arc<[u8]>) -> Chunk {
         debug_assert_eq!(id, ChunkId::of_bytes(&bytes));
         Chunk { id, bytes }
     }
 
-    /// Its id.
+    /// Returns the id of the chunk.
     pub fn id(&self) -> ChunkId {
         self.id
     }
 
-    /// Its content.
+    /// Returns the content of the chunk.
     pub fn bytes(&self) -> &Arc<[u8]> {
         &self.bytes
     }
--- a/crates/fleet/consensus/src/snapshot_data/mod.rs
+++ b/crates/fleet/consensus/src/snapshot_data/mod.rs
@@ -1,8 +1,8 @@
-//! The replicated state of a snapshot in chunks, so that the cost of a snapshot depends on what changed since the last one.
+//! Replicated state of a snapshot, split into chunks.
 //!
-//! A state that is written as one array is written in full for each snapshot, however little has changed: the cost that section
-//! 5.1.2 of the dissertation weighs against the length of the log. Chunks are identified by their content. A chunk that the
-//! previous snapshot contains too is neither written to the storage nor held in memory twice.
+//! A state in one piece is written completely for each snapshot, however little has changed. Section 5.1.2 of the dissertation
+//! weighs that cost against the length of the log. With content-addressed chunks, the cost of a snapshot depends on what has
+//! changed since the previous one, because a chunk that both contain is neither written nor held in memory twice.
 
 mod chunk;
 #[cfg(test)]
@@ -14,50 +14,51 @@
 
 /// Maximum number of chunks of one state.
 pub const MAX_CHUNKS: usize = 1 << 16;
-/// Maximum bytes of one chunk.
+/// Maximum size of one chunk, in bytes.
 pub const MAX_CHUNK_BYTES: usize = 4 << 20;
-/// Bytes of an encoded length.
+/// Size of an encoded length, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// A state as a sequence of chunks.
+/// Replicated state as a sequence of chunks.
 ///
-/// Its transfer encoding is the number of chunks and the length of each as big-endian 32-bit integers, then the bytes of all
-/// chunks. The state without chunks is encoded as no bytes.
+/// The transfer encoding consists of the number of chunks and the length of each one as big-endian 32-bit integers, followed by
+/// the bytes of all chunks. A state without chunks is encoded as zero bytes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub struct SnapshotData(Arc<[Chunk]>);
 
 impl SnapshotData {
-    /// A state of these chunks.
+    /// Creates a state of the given chunks.
     pub fn new(chunks: impl Into<Arc<[Chunk]>>) -> SnapshotData {
         SnapshotData(chunks.into())
     }
 
-    /// A state of one chunk, or of none if there are no bytes.
+    /// Creates a state of one chunk, or of none if there are no bytes.
     pub fn from_bytes(bytes: impl Into<Arc<[u8]>>) -> SnapshotData {
         let bytes = bytes.into();
         if bytes.is_empty() { SnapshotData::default() } else { SnapshotData::new(vec![Chunk::new(bytes)]) }
     }
 
-    /// The chunks, in order.
+    /// Returns the chunks, in order.
     pub fn chunks(&self) -> &[Chunk] {
         &self.0
     }
 
-    /// The size of all chunks, in bytes.
+    /// Returns the total size of all chunks, in bytes.
     pub fn size(&self) -> usize {
         self.0.iter().map(|chunk| chunk.bytes().len()).sum()
     }
 
-    /// The bytes of all chunks, concatenated.
+    /// Returns the concatenated bytes of all chunks.
     pub fn to_bytes(&self) -> Vec<u8> {
         self.0.iter().flat_map(|chunk| chunk.bytes().iter().copied()).collect()
     }
 
-    /// The length of the transfer encoding, in bytes.
+    /// Returns the length of the transfer encoding, in bytes.
     pub fn encoded_len(&self) -> usize {
         if self.0.is_empty() { 0 } else { LENGTH_BYTES * (1 + self.0.len()) + self.size() }
     }
 
+    /// Encodes the number of chunks and their lengths.
     #[expect(clippy::cast_possible_truncation, reason = "there are at most MAX_CHUNKS chunks")]
     fn encoded_header(&self) -> Vec<u8> {
         let lengths = self.0.iter().map(|chunk| chunk.id().length);
@@ -65,7 +66,7 @@
         std::iter::once(count).chain(lengths).flat_map(u32::to_be_bytes).collect()
     }
 
-    /// Up to `max_bytes` of the transfer encoding from an offset on.
+    /// Returns up to `max_bytes` of the transfer encoding, starting at offset `from`.
     pub fn encoded_range(&self, from: usize, max_bytes: usize) -> Vec<u8> {
         let mut range = Vec::with_capacity(max_bytes.min(self.encoded_len().saturating_sub(from)));
         if self.0.is_empty() {
@@ -86,7 +87,7 @@
         range
     }
 
-    /// Decodes the complete transfer encoding. `None` if it is malformed or exceeds a bound.
+    /// Decodes a complete transfer encoding. Returns `None` if it is malformed or exceeds a limit.
     pub fn decode(encoded: &[u8]) -> Option<SnapshotData> {
         if encoded.is_empty() {
             return Some(SnapshotData::default());
--- a/crates/fleet/consensus/tests/encoding.rs
+++ b/crates/fleet/consensus/tests/encoding.rs
@@ -1,6 +1,8 @@
-//! The encodings of what members send to each other and store, byte for byte, in both directions. Replicas of different
-//! versions run side by side during an update, and a disk outlives the version that wrote it: a failure here means that the
-//! change would break both. `fixtures/*.txt` has one line for each value: its name and its bytes as hexadecimal digits.
+//! Encodings of messages and stored data, compared with fixtures byte by byte in both directions.
+//!
+//! Replicas of different versions run side by side during an upgrade, and stored data outlives the version that wrote it. A
+//! change that fails these tests would break both. Each line of `fixtures/*.txt` has the name of a value and its encoding as
+//! hexadecimal digits.
 #![allow(missing_docs)]
 
 use std::fmt::Debug;
@@ -22,29 +24,29 @@
 }
 
 fn from_hex(digits: &str) -> Vec<u8> {
-    let pair = |at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits");
-    (0..digits.len()).step_by(2).map(pair).collect()
+    let decode_byte = |at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits");
+    (0..digits.len()).step_by(2).map(decode_byte).collect()
 }
 
-/// The bytes of a fixture's line.
+/// Returns the bytes of the fixture with the given name.
 fn fixture(file: &str, name: &str) -> Vec<u8> {
     let line = file.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     from_hex(line.unwrap_or_else(|| panic!("no fixture {name}")))
 }
 
-/// Checks that a value is written as its fixture has it, and that the fixture is read as the value.
+/// Checks that a value encodes to its fixture and that the fixture decodes to the value.
 fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &str, name: &str, value: &T) {
-    let written = postcard::to_allocvec(value).expect("every value has an encoding");
-    assert_eq!(to_hex(&written), to_hex(&fixture(file, name)), "{name} is written otherwise");
-    let read: T = postcard::from_bytes(&fixture(file, name)).expect("the fixture is read");
-    assert_eq!(&read, value, "{name} is read otherwise");
+    let encoded = postcard::to_allocvec(value).expect("the value encodes");
+    assert_eq!(to_hex(&encoded), to_hex(&fixture(file, name)), "encoding of {name}");
+    let decoded: T = postcard::from_bytes(&fixture(file, name)).expect("the fixture decodes");
+    assert_eq!(&decoded, value, "decoded {name}");
 }
 
 fn position(term: u64, index: u64) -> LogPosition {
     LogPosition { term: Term(term), index: Index(index) }
 }
 
-/// Two voters and a learner.
+/// Returns a membership of two voters and a learner.
 fn membership() -> Membership {
     let voters = [(NodeId(0x1122_3344_5566_7788), "10.0.0.1:7000".into()), (NodeId(2), "b:1".into())];
     Membership::of(voters)
@@ -52,7 +54,7 @@
         .expect("a valid change")
 }
 
-/// An entry with each kind of payload.
+/// Returns one entry for each kind of payload.
 fn entries() -> Vec<Entry> {
     let command: Arc<[u8]> = Arc::from(&b"\x00\x01command\xff"[..]);
     vec![
@@ -62,13 +64,13 @@
     ]
 }
 
-fn rope() -> SnapshotData {
+fn snapshot_data() -> SnapshotData {
     let chunks: [&[u8]; 4] = [b"one", b"", b"twotwo", b"one"];
     SnapshotData::new(chunks.map(Chunk::new).to_vec())
 }
 
 #[test]
-fn every_message_has_the_encoding_of_its_fixture() {
+fn messages_match_fixtures() {
     let last = position(6, 300);
     let install = |offset, part: &[u8], is_last| MessageBody::InstallSnapshot {
         last_included: position(5, 290),
@@ -126,7 +128,7 @@
 }
 
 #[test]
-fn what_is_stored_has_the_encoding_of_its_fixture() {
+fn stored_values_match_fixtures() {
     for (name, entry) in ["entry-empty", "entry-command", "entry-members"].into_iter().zip(entries()) {
         check(STORED, name, &entry);
     }
@@ -138,19 +140,19 @@
 }
 
 #[test]
-fn a_snapshot_is_sent_with_the_bytes_of_its_fixture() {
-    for (name, rope) in [
-        ("chunks", rope()),
+fn snapshots_match_fixtures() {
+    for (name, data) in [
+        ("chunks", snapshot_data()),
         ("one-chunk", SnapshotData::from_bytes(*b"whole")),
         ("no-chunk", SnapshotData::default()),
     ] {
-        let sent = rope.encoded_range(0, rope.encoded_len());
-        assert_eq!(to_hex(&sent), to_hex(&fixture(SNAPSHOTS, name)), "{name} is sent otherwise");
-        assert_eq!(SnapshotData::decode(&fixture(SNAPSHOTS, name)), Some(rope), "{name} is read otherwise");
+        let encoded = data.encoded_range(0, data.encoded_len());
+        assert_eq!(to_hex(&encoded), to_hex(&fixture(SNAPSHOTS, name)), "encoding of {name}");
+        assert_eq!(SnapshotData::decode(&fixture(SNAPSHOTS, name)), Some(data), "decoded {name}");
     }
     for (name, bytes) in [("chunk-name", &b"one"[..]), ("chunk-name-empty", &b""[..])] {
         let key = ChunkId::of_bytes(bytes).to_key();
-        assert_eq!(to_hex(&key), to_hex(&fixture(SNAPSHOTS, name)), "{name} is written otherwise");
+        assert_eq!(to_hex(&key), to_hex(&fixture(SNAPSHOTS, name)), "encoding of {name}");
         assert_eq!(ChunkId::from_key(&fixture(SNAPSHOTS, name)), Some(ChunkId::of_bytes(bytes)));
     }
 }
--- a/crates/fleet/consensus/tests/support/invariants.rs
+++ b/crates/fleet/consensus/tests/support/invariants.rs
@@ -1,51 +1,54 @@
-//! The invariants of Raft (figure 3.2 of the dissertation), checked over all nodes and the whole run.
+//! Checks of Raft's invariants (figure 3.2 of the dissertation) over all nodes and a complete run.
 
 use std::collections::BTreeMap;
 
 use beechloft_consensus::{Entry, Index, NodeId, Raft, Term};
 
-/// Everything that the invariants need to know of the run. The first violation is kept.
+/// Records the leaders and commits of a run, and the first violation of an invariant.
 #[derive(Debug, Clone, Default, Hash)]
 pub struct Invariants {
     leaders: BTreeMap<Term, NodeId>,
-    /// In which term each place was first committed.
+    /// Term in which each index was first committed.
     committed_in: BTreeMap<Index, Term>,
-    /// What was committed, by place.
+    /// Committed entries by index.
     pub committed: BTreeMap<Index, Entry>,
     pub violation: Option<String>,
 }
 
 impl Invariants {
-    pub fn record(&mut self, why: String) {
-        self.violation.get_or_insert(why);
+    /// Records a violation, unless there is an earlier one.
+    pub fn record(&mut self, violation: String) {
+        self.violation.get_or_insert(violation);
     }
 
-    /// Election safety: at most one leader in a term. Leader completeness: it has all that was committed before its term.
+    /// Checks election safety and leader completeness.
+    ///
+    /// A term has at most one leader, and a leader has all entries that were committed before its term.
     pub fn check_leader(&mut self, raft: &Raft) {
         let (id, term) = (raft.status().id, raft.status().term);
-        let known = self.leaders.contains_key(&term);
+        let is_known = self.leaders.contains_key(&term);
         let first = *self.leaders.entry(term).or_insert(id);
         if first != id {
             self.record(format!("two leaders in {term:?}: {first} and {id}"));
         }
-        if known {
+        if is_known {
             return;
         }
         for (index, entry) in &self.committed {
-            let before = self.committed_in.get(index).is_some_and(|t| *t < term);
-            if before && *index >= raft.first_index() && raft.entry(*index) != Some(entry) {
-                let why = format!("{id} leads in {term:?} without {:?}, which was committed", entry.at);
-                return self.record(why);
+            let is_earlier = self.committed_in.get(index).is_some_and(|committed_in| *committed_in < term);
+            if is_earlier && *index >= raft.first_index() && raft.entry(*index) != Some(entry) {
+                let violation = format!("leader {id} of {term:?} lacks committed entry {:?}", entry.at);
+                return self.record(violation);
             }
         }
     }
 
-    /// State-machine safety: one entry at a place, for ever.
+    /// Checks state machine safety, which requires that all nodes commit the same entry at an index.
     pub fn check_commit(&mut self, id: NodeId, term: Term, entry: &Entry) {
         match self.committed.get(&entry.at.index) {
             Some(other) if other != entry => {
-                let (a, b) = (other.at, entry.at);
-                self.record(format!("{id} commits {b:?} where {a:?} was committed"));
+                let (committed, conflicting) = (other.at, entry.at);
+                self.record(format!("{id} commits {conflicting:?} after {committed:?} was committed"));
             }
             Some(_) => {}
             None => {
@@ -55,33 +58,37 @@
         }
     }
 
-    /// The last place that anybody has committed.
-    pub fn last(&self) -> Index {
-        self.committed.last_key_value().map_or(Index(0), |e| *e.0)
+    /// Returns the last index that any node has committed.
+    pub fn last_committed(&self) -> Index {
+        self.committed.last_key_value().map_or(Index(0), |(index, _)| *index)
     }
 
-    /// Log matching: where two logs have the same place and term, all before it is the same.
-    pub fn check_log_matching<'a>(&mut self, all: impl Iterator<Item = &'a Raft> + Clone) {
-        for a in all.clone() {
-            for b in all.clone() {
-                let (sa, sb) = (a.status(), b.status());
-                if sa.id >= sb.id {
-                    continue;
-                }
-                let mut same = false;
-                let mut at = sa.last.index.min(sb.last.index);
-                while at >= a.first_index().max(b.first_index()) && at.0 > 0 {
-                    let (Some(x), Some(y)) = (a.entry(at), b.entry(at)) else { break };
-                    if same && x != y {
-                        self.record(format!(
-                            "logs of {} and {} differ at {at:?} below a match",
-                            sa.id, sb.id
-                        ));
-                    }
-                    same |= x.at == y.at;
-                    at = Index(at.0 - 1);
+    /// Checks log matching, which requires that two logs with the same index and term agree on all earlier entries.
+    pub fn check_log_matching<'a>(&mut self, nodes: impl Iterator<Item = &'a Raft> + Clone) {
+        for first in nodes.clone() {
+            for second in nodes.clone() {
+                if first.status().id < second.status().id {
+                    self.check_pair(first, second);
                 }
             }
         }
     }
+
+    /// Compares the logs of two nodes from their last common index backwards.
+    fn check_pair(&mut self, first: &Raft, second: &Raft) {
+        let (first_status, second_status) = (first.status(), second.status());
+        let mut is_matching = false;
+        let mut index = first_status.last.index.min(second_status.last.index);
+        while index >= first.first_index().max(second.first_index()) && index.0 > 0 {
+            let (Some(left), Some(right)) = (first.entry(index), second.entry(index)) else { break };
+            if is_matching && left != right {
+                self.record(format!(
+                    "logs of {} and {} differ at {index:?} before a matching entry",
+                    first_status.id, second_status.id
+                ));
+            }
+            is_matching |= left.at == right.at;
+            index = Index(index.0 - 1);
+        }
+    }
 }
--- a/crates/fleet/consensus/tests/support/state_machine.rs
+++ b/crates/fleet/consensus/tests/support/state_machine.rs
@@ -1,22 +1,22 @@
-//! A replicated state machine whose state is a hash of all applied entries.
+//! Replicated state machine for tests, whose state is a hash of all applied entries.
 
 use beechloft_consensus::{Entry, LogPosition, Payload, SnapshotData};
 
-/// The state after an entry.
-pub fn fold(state: u64, entry: &Entry) -> u64 {
-    let of = match &entry.payload {
-        Payload::Command(cluster) => {
-            cluster.iter().fold(7, |h: u64, b| h.wrapping_mul(31).wrapping_add(u64::from(*b)))
+/// Returns the state after an entry is applied to `state`.
+pub fn apply(state: u64, entry: &Entry) -> u64 {
+    let payload_hash = match &entry.payload {
+        Payload::Command(command) => {
+            command.iter().fold(7, |hash: u64, byte| hash.wrapping_mul(31).wrapping_add(u64::from(*byte)))
         }
         Payload::Noop => 1,
-        Payload::Membership(m) => 2 + m.iter().count() as u64,
+        Payload::Membership(membership) => 2 + membership.iter().count() as u64,
     };
     let LogPosition { term, index } = entry.at;
-    (state ^ of ^ (term.0 << 32) ^ index.0).wrapping_mul(0x0100_0000_01b3)
+    (state ^ payload_hash ^ (term.0 << 32) ^ index.0).wrapping_mul(0x0100_0000_01b3)
 }
 
-/// The state of a snapshot.
-pub fn state_of(state: &SnapshotData) -> u64 {
-    let bytes = state.to_bytes();
-    bytes.strip_prefix(b"state").and_then(|b| b.try_into().ok()).map_or(0, u64::from_be_bytes)
+/// Decodes the state of a snapshot. Returns 0 for a snapshot without a state.
+pub fn decode_state(data: &SnapshotData) -> u64 {
+    let bytes = data.to_bytes();
+    bytes.strip_prefix(b"state").and_then(|state| state.try_into().ok()).map_or(0, u64::from_be_bytes)
 }
