--- a/crates/cli/src/fleet_membership.rs
+++ b/crates/cli/src/fleet_membership.rs
@@ -132,7 +132,7 @@
     /// Asks for the front's turn to restart, if fronts restart in turn; how long to wait for it at most.
     pub fn request_stop(&self) -> Option<Duration> {
         let restart = self.leases.rolling_restart()?;
-        self.leases.request_restart_turn();
+        self.leases.request_restart_lease();
         Some(restart.wait)
     }
 
@@ -143,7 +143,7 @@
 
     /// The gate that admits by the quotas of all fronts, if there are any.
     pub fn gate(&self) -> Option<AdmissionController> {
-        self.quotas.as_ref().map(QuotaClient::gate)
+        self.quotas.as_ref().map(QuotaClient::admission_controller)
     }
 
     /// Has media servers asked now and then what lost fronts left there.
@@ -151,7 +151,9 @@
     /// # Errors
     /// There is no thread.
     pub fn survey(&self, servers: MediaServers) -> io::Result<()> {
-        self.quotas.as_ref().map_or(Ok(()), |quotas| quotas.survey(Box::new(move || servers.tags())))
+        self.quotas
+            .as_ref()
+            .map_or(Ok(()), |quotas| quotas.start_orphan_reconciliation(Box::new(move || servers.tags())))
     }
 
     /// Closes its quota account, hands its slot over if it has not yet, tells other members that it ends, and stops its
@@ -176,7 +178,7 @@
         beechloft_event_loop::FleetHooks {
             slot_assignment: self.slots(),
             may_stop: Box::new(move || checking.may_stop()),
-            request_stop: Box::new(move || requesting.request_restart_turn()),
+            request_stop: Box::new(move || requesting.request_restart_lease()),
             max_stop_wait,
         }
     }
--- a/crates/cli/src/outlier_observer.rs
+++ b/crates/cli/src/outlier_observer.rs
@@ -64,7 +64,7 @@
     }
 
     fn holder_filter(&mut self) -> Option<HolderFilter> {
-        let (version, outlook) = self.detector.outlook(self.seen_version)?;
+        let (version, outlook) = self.detector.evaluation_since(self.seen_version)?;
         self.seen_version = version;
         let exclusion = |key: &ServerInstance, admitted_per_mille| Exclusion {
             server: ServerId(key.server),
--- a/crates/cli/tests/fronts.rs
+++ b/crates/cli/tests/fronts.rs
@@ -250,8 +250,8 @@
             other => Err(format!("{other:?}")),
         });
         let said = std::fs::read_to_string(fleet.log(place)).unwrap_or_default();
-        assert!(said.contains("has left its number"), "{said}");
-        let left = said.contains("kept=true");
+        assert!(said.contains("slot handoff ended"), "{said}");
+        let left = said.contains("confirmed=true");
         fleet.start(place);
         fleet.all_numbered(&[place], 4);
         // No keeper may have said so in time on a machine that has much else to do; then it is promised nothing.
--- a/crates/cli/tests/verdicts.rs
+++ b/crates/cli/tests/verdicts.rs
@@ -407,8 +407,10 @@
     }
     for n in 0..FRONTS {
         let log = rig.log(n);
-        let judged: Vec<&str> = log.lines().filter(|l| l.contains("judged bad")).collect();
-        assert!(judged.is_empty(), "front {n}: {judged:?}");
+        let texts = ["media server ejected", "media server not ejected", "judged bad"];
+        let is_ejection = |line: &&str| texts.iter().any(|text| line.contains(text));
+        let ejections: Vec<&str> = log.lines().filter(is_ejection).collect();
+        assert!(ejections.is_empty(), "front {n}: {ejections:?}");
     }
 }
 
--- a/crates/fleet/coordinator/src/membership/gossip/mod.rs
+++ b/crates/fleet/coordinator/src/membership/gossip/mod.rs
@@ -1,4 +1,4 @@
-//! The gossip of fronts on the membership socket: its datagrams have a magic of their own.
+//! The gossip of fronts. It shares the UDP socket with the membership, and its datagrams have a different magic.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,18 +9,19 @@
 
 use crate::wire::{self, WireError};
 
-/// The magic of gossip datagrams: members of a version without gossip reject them.
+/// The magic of gossip datagrams. Members of versions without gossip reject them.
 pub(crate) const MAGIC: [u8; 4] = *b"blro";
 
-/// The datagram of a packet; none if it is too long, which no packet that the protocol makes is.
+/// Encodes a packet as a datagram. Returns `None` if it is too long, which packets of the protocol never are.
 pub(super) fn encode_datagram(fleet: u64, packet: &Packet) -> Option<Vec<u8>> {
     wire::write_frame(MAGIC, fleet, packet, wire::MAX_DATAGRAM_BYTES - wire::HEADER_BYTES)
 }
 
-/// Decodes a packet, which must be all of the datagram.
+/// Decodes a packet.
 ///
 /// # Errors
-/// As [`WireError`] says; the datagram is dropped then.
+/// Returns an error if the datagram is not exactly one gossip packet of this fleet and protocol version. It is to be dropped
+/// then.
 pub(super) fn decode_datagram(fleet: u64, mut bytes: &[u8]) -> Result<Packet, WireError> {
     let packet = wire::read_frame(MAGIC, fleet, &mut bytes)?;
     if bytes.is_empty() { Ok(packet) } else { Err(WireError::Malformed) }
@@ -29,27 +30,27 @@
 /// One section of a member's row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GossipRow {
-    /// The member that wrote it.
+    /// The member that wrote the row.
     pub member: MemberId,
-    /// The member's slot among the fronts, as it says itself.
-    pub front_number: Option<u16>,
-    /// The member's zone by the member list; empty if it is no member any more.
+    /// The front's slot, as written by the member itself.
+    pub front_slot: Option<u16>,
+    /// The member's zone according to the member list, or an empty string if the member is no longer in the list.
     pub zone: String,
     /// The row's version.
     pub version: u64,
-    /// The row's maximum age; 0 for the own row.
+    /// The row's maximum age, which is 0 for this member's own row.
     pub age: Duration,
-    /// The section.
+    /// The content of the section.
     pub bytes: Vec<u8>,
 }
 
-/// A packet and where it is to be sent.
+/// A packet and its destination.
 pub(super) struct Datagram {
     pub to: SocketAddr,
     pub packet: Packet,
 }
 
-/// The rows that this process knows.
+/// The gossip state of this process: the known rows and the peers.
 pub(crate) struct GossipTable {
     gossip: Mutex<Gossip>,
     zone: String,
@@ -64,18 +65,18 @@
         self.gossip.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// When the next round is due.
+    /// Returns the time at which the next round is due.
     pub(super) fn next_deadline(&self) -> Duration {
         self.gossip().next_deadline()
     }
 
-    /// Handles an input; what is to be sent.
+    /// Handles an input and returns the datagrams to be sent.
     pub(super) fn handle(&self, now: Duration, input: Input) -> Vec<Datagram> {
         let outputs = self.gossip().handle(now, input);
         outputs.into_iter().map(|Output::Send(to, packet)| Datagram { to, packet }).collect()
     }
 
-    /// Takes the active fronts of the member list as peers; what is to be sent.
+    /// Replaces the peers by the active fronts of the member list. Returns the datagrams to be sent.
     pub(super) fn update_peers(&self, now: Duration, members: &MemberList) -> Vec<Datagram> {
         let own = self.gossip().id();
         let is_peer = |id: &MemberId, member: &Member| {
@@ -89,7 +90,7 @@
         self.handle(now, Input::Peers(peers.collect()))
     }
 
-    /// Writes a section of the own row.
+    /// Writes a section of this member's own row.
     pub(super) fn write_section(
         &self,
         now: Duration,
@@ -99,12 +100,12 @@
         self.gossip().write_section(now, kind, bytes)
     }
 
-    /// Writes the front's slot into the own row.
-    pub(super) fn set_front_number(&self, now: Duration, number: Option<u16>) {
-        self.gossip().set_front_number(now, number);
+    /// Writes the front's slot into this member's own row.
+    pub(super) fn set_front_slot(&self, now: Duration, slot: Option<u16>) {
+        self.gossip().set_front_number(now, slot);
     }
 
-    /// A section of all rows that have it.
+    /// Returns one section of all rows that have it.
     pub(super) fn sections(&self, now: Duration, kind: SectionKind) -> Vec<GossipRow> {
         let gossip = self.gossip();
         let zone_of = |member| {
@@ -116,7 +117,7 @@
         let rows = gossip.rows(now).filter_map(|row| {
             Some(GossipRow {
                 member: row.member,
-                front_number: row.front_number,
+                front_slot: row.front_number,
                 zone: zone_of(row.member),
                 version: row.version,
                 age: row.age,
--- a/crates/fleet/coordinator/src/membership/gossip/tests.rs
+++ b/crates/fleet/coordinator/src/membership/gossip/tests.rs
@@ -3,18 +3,18 @@
 use super::*;
 
 #[test]
-fn a_gossip_packet_survives_encoding_and_every_corruption_is_rejected() {
+fn rejects_every_corruption_of_gossip_packet() {
     let message = Message::CompareDigests { seq: u64::MAX, digests: vec![[255; 8]; 32] };
     let packet = Packet { from: MemberId(7), to: MemberId(8), message };
-    let bytes = encode_datagram(9, &packet).expect("short");
-    assert_eq!(decode_datagram(9, &bytes).expect("sound"), packet);
+    let bytes = encode_datagram(9, &packet).expect("a short packet");
+    assert_eq!(decode_datagram(9, &bytes).expect("a valid packet"), packet);
     assert!(matches!(decode_datagram(8, &bytes), Err(WireError::Fleet)));
-    // It is no packet of members, nor is one of theirs a packet of rows.
+    // A gossip packet is not accepted as a membership packet.
     assert!(matches!(wire::decode_datagram(9, &bytes), Err(WireError::Version)));
     for bit in 0..bytes.len() * 8 {
-        let mut bad = bytes.clone();
-        bad[bit / 8] ^= 1 << (bit % 8);
-        assert!(decode_datagram(9, &bad).is_err(), "bit {bit}");
+        let mut corrupted = bytes.clone();
+        corrupted[bit / 8] ^= 1 << (bit % 8);
+        assert!(decode_datagram(9, &corrupted).is_err(), "bit {bit}");
     }
     for cut in 0..bytes.len() {
         assert!(decode_datagram(9, &bytes[..cut]).is_err(), "{cut}");
@@ -47,16 +47,18 @@
 }
 
 #[test]
-fn every_gossip_datagram_is_encoded_and_decoded_as_the_fixture_has_it() {
-    let hex = |bytes: &[u8]| bytes.iter().map(|b| format!("{b:02x}")).collect::<String>();
-    let encoded = packets().into_iter().map(|(name, p)| (name, encode_datagram(FLEET, &p).expect("short")));
-    let made: String = encoded.map(|(name, bytes)| format!("{name} {}\n", hex(&bytes))).collect();
-    assert_eq!(FIXTURE, made, "\n{made}");
+fn gossip_datagrams_match_fixture() {
+    let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
+    let encoded = packets()
+        .into_iter()
+        .map(|(name, packet)| (name, encode_datagram(FLEET, &packet).expect("a short packet")));
+    let lines: String = encoded.map(|(name, bytes)| format!("{name} {}\n", hex(&bytes))).collect();
+    assert_eq!(FIXTURE, lines, "\n{lines}");
     for (line, (name, packet)) in FIXTURE.lines().zip(packets()) {
-        let text = line.strip_prefix(name).and_then(|l| l.strip_prefix(' ')).expect(name);
-        let bytes: Vec<u8> = (0..text.len())
+        let digits = line.strip_prefix(name).and_then(|rest| rest.strip_prefix(' ')).expect(name);
+        let bytes: Vec<u8> = (0..digits.len())
             .step_by(2)
-            .map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hex"))
+            .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits"))
             .collect();
         assert_eq!(decode_datagram(FLEET, &bytes).expect(name), packet);
     }
--- a/crates/fleet/coordinator/src/membership/mod.rs
+++ b/crates/fleet/coordinator/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! This process as a member of the fleet: a UDP socket and a thread around `beechloft_membership::Swim` and, for a front, the
+//! The fleet membership of this process: a thread and a UDP socket that run `beechloft_membership::Swim` and, on a front, the
 //! gossip of rows.
 
 mod gossip;
@@ -22,27 +22,27 @@
 use crate::settings::FleetSettings;
 use crate::wire::{self, MemberView, Message, WireError};
 
-/// The thread waits no longer than this for a packet before it checks whether it must stop.
+/// Maximum wait for a packet before the thread checks whether it must stop.
 const MAX_WAIT: Duration = Duration::from_millis(100);
-/// The shortest wait: a socket's timeout of zero would mean none at all.
+/// Minimum wait for a packet, as a socket does not accept a timeout of zero.
 const MIN_WAIT: Duration = Duration::from_millis(1);
-/// Bytes of a datagram's UDP and IP headers.
+/// Size of a datagram's UDP and IPv4 headers.
 const UDP_IP_HEADER_BYTES: u64 = 28;
-/// Requests that wait for an answer, at most.
+/// Maximum number of requests that are queued for a response.
 const REQUEST_CAPACITY: usize = 256;
 const STACK_BYTES: usize = 256 << 10;
 
-/// Membership datagrams that were sent.
+/// Counters of the membership datagrams that were sent.
 #[derive(Default)]
 struct SentCounters {
     datagrams: AtomicU64,
-    /// With UDP and IP headers.
+    /// The size of the datagrams including UDP and IP headers.
     bytes: AtomicU64,
 }
 
 struct Shared {
     swim: Mutex<Swim>,
-    /// The gossip of fronts, if anything needs it.
+    /// The gossip of fronts, if a feature in the settings requires it.
     gossip: Option<GossipTable>,
     socket: UdpSocket,
     settings: FleetSettings,
@@ -53,7 +53,7 @@
     active_fronts: AtomicU32,
 }
 
-/// A member. Its thread ends soon after it is dropped, without being waited for.
+/// The fleet membership of this process. Its thread ends soon after it is dropped, and the drop does not wait for it.
 pub struct MembershipService {
     shared: Arc<Shared>,
 }
@@ -63,10 +63,10 @@
 }
 
 impl MembershipService {
-    /// Binds the fleet's address and joins by the seeds.
+    /// Binds `fleet.listen` and joins the fleet through the seeds.
     ///
     /// # Errors
-    /// `fleet.listen` is missing or can't be bound, or there is no thread.
+    /// Returns an error if `fleet.listen` is missing or can't be bound, or if the thread can't be started.
     pub fn start(settings: &FleetSettings, kind: MemberKind) -> io::Result<MembershipService> {
         let address = settings.listen.ok_or_else(missing_listen)?;
         let socket = UdpSocket::bind(address)?;
@@ -76,7 +76,7 @@
         let gossip = settings.gossip.filter(|_| kind == MemberKind::Front);
         let gossip = gossip.map(|gossip| GossipTable::new(id, settings.zone.to_string(), gossip, clock()));
         let swim = Swim::new(id, info, settings.seeds.clone(), rand::random(), clock());
-        info!(%id, %address, zone = %settings.zone, "member is up");
+        info!(%id, %address, zone = %settings.zone, "fleet membership started");
         let shared = Arc::new(Shared {
             swim: Mutex::new(swim),
             gossip,
@@ -93,11 +93,13 @@
         Ok(MembershipService { shared })
     }
 
-    /// Serves `fleet members` over TCP, for a process without a coordinator, whose connections do so otherwise. The thread goes on
-    /// until the process ends.
+    /// Serves the member list over TCP for the command `fleet members`. This is for a process without a [`CoordinatorServer`],
+    /// which serves the list itself. The thread runs until the process ends.
     ///
     /// # Errors
-    /// The address can't be listened on, or there is no thread.
+    /// Returns an error if the process can't listen on the address or the thread can't be started.
+    ///
+    /// [`CoordinatorServer`]: crate::CoordinatorServer
     pub fn serve_members(&self) -> io::Result<()> {
         let shared = Arc::clone(&self.shared);
         let listener = TcpListener::bind(shared.settings.listen.ok_or_else(missing_listen)?)?;
@@ -117,30 +119,30 @@
         Ok(())
     }
 
-    /// The members as this one sees them.
+    /// Returns the members as this one sees them.
     pub fn members(&self) -> Vec<MemberView> {
         self.shared.members()
     }
 
-    /// Active fronts as this member sees them, itself included if it is one. Takes no lock.
+    /// Returns the number of active fronts as this member sees them, including itself if it is one. Takes no lock.
     pub fn active_fronts(&self) -> u32 {
         self.shared.active_fronts.load(Ordering::Relaxed)
     }
 
-    /// The id of this process as a member.
+    /// Returns the member id of this process.
     pub fn id(&self) -> MemberId {
         self.shared.swim().id()
     }
 
-    /// The time by which membership and gossip work.
+    /// Returns the current time of the clock that membership and gossip use.
     pub fn now(&self) -> Duration {
         (self.shared.clock)()
     }
 
-    /// Writes a section of this front's row, which others have within [`beechloft_gossip::Settings::staleness`].
+    /// Writes a section of this front's row. The other fronts receive it within [`beechloft_gossip::Settings::staleness`].
     ///
     /// # Errors
-    /// The row would be too long; it stays as it was.
+    /// Returns an error if the row would be too long. It is unchanged then.
     pub fn write_section(
         &self,
         kind: beechloft_gossip::SectionKind,
@@ -150,23 +152,23 @@
     }
 
     /// Writes this front's slot into its row.
-    pub fn set_front_number(&self, number: Option<u16>) {
+    pub fn set_front_slot(&self, slot: Option<u16>) {
         if let Some(table) = &self.shared.gossip {
-            table.set_front_number(self.now(), number);
+            table.set_front_slot(self.now(), slot);
         }
     }
 
-    /// A section of all known rows, this front's own among them.
+    /// Returns one section of all known rows that have it, including this front's own row.
     pub fn sections(&self, kind: beechloft_gossip::SectionKind) -> Vec<GossipRow> {
         self.shared.gossip.as_ref().map(|table| table.sections(self.now(), kind)).unwrap_or_default()
     }
 
-    /// Counters of the gossip, if this member takes part in it.
+    /// Returns the counters of the gossip, or `None` if this member does not take part in it.
     pub fn gossip_counters(&self) -> Option<beechloft_gossip::Counters> {
         self.shared.gossip.as_ref().map(GossipTable::counters)
     }
 
-    /// Tells other members that this process ends.
+    /// Announces to the other members that this process leaves.
     pub fn leave(&self) {
         self.shared.handle(Input::Leave);
     }
@@ -192,7 +194,7 @@
             let _ = self.socket.set_read_timeout(Some(wait));
             match self.socket.recv_from(&mut buffer) {
                 Ok((length, from)) => self.receive(&buffer[..length], from),
-                // A timeout, or an earlier packet found nobody.
+                // A timeout, or an ICMP error for a packet that was sent earlier.
                 Err(_) => self.handle(Input::Tick),
             }
             self.run_gossip_round();
@@ -238,11 +240,11 @@
 
     fn reject(&self, from: SocketAddr, error: &WireError) {
         self.rejected_datagrams.fetch_add(1, Ordering::Relaxed);
-        debug!(%from, "{error}; the datagram is dropped");
+        debug!(%from, %error, "datagram dropped");
     }
 
     fn handle(&self, input: Input) {
-        // Sent after the lock is released: a socket may take its time.
+        // Datagrams are sent after the lock is released, as sending may block.
         let mut gossip_datagrams = Vec::new();
         let outputs = {
             let mut swim = self.swim();
@@ -275,7 +277,7 @@
         if let Some(bytes) = wire::encode_datagram(self.settings.fleet_id(), packet) {
             self.sent.datagrams.fetch_add(1, Ordering::Relaxed);
             self.sent.bytes.fetch_add(bytes.len() as u64 + UDP_IP_HEADER_BYTES, Ordering::Relaxed);
-            // What can't be sent is lost, as on any network.
+            // A datagram that can't be sent is lost, as on any network.
             let _ = self.socket.send_to(&bytes, self.settings.dial_member(to));
         }
     }
@@ -305,7 +307,7 @@
     }
 }
 
-/// The name of a kind in reports.
+/// Returns the name of a kind in reports.
 fn kind_name(kind: MemberKind) -> &'static str {
     match kind {
         MemberKind::Front => "front",
@@ -313,7 +315,7 @@
     }
 }
 
-/// The name of a state in reports.
+/// Returns the name of a state in reports.
 fn state_name(state: MemberState) -> &'static str {
     match state {
         MemberState::Alive => "alive",
--- a/crates/fleet/coordinator/src/quota_client.rs
+++ b/crates/fleet/coordinator/src/quota_client.rs
@@ -1,8 +1,12 @@
-//! A front's part in the quotas of all fronts. One thread exchanges messages with the coordinator and gossips soft quotas with the
-//! other fronts; another asks media servers what lost fronts left there. Admission reads the gate and waits for neither.
+//! A front's client of the quotas that all fronts share.
+//!
+//! One thread exchanges messages with the coordinator and gossips the shares of soft quotas with the other fronts. Another
+//! thread reconciles the claims of lost fronts with the sessions that media servers still have for them. Admission uses the
+//! local [`AdmissionController`] and waits for neither thread.
 
 use std::collections::BTreeMap;
 use std::io;
+use std::ops::Range;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
@@ -20,39 +24,41 @@
 use crate::settings::{FleetSettings, QuotaSettings};
 use crate::wire::Message;
 
-/// The threads wait no longer than this before they check the clock.
+/// Maximum wait of the threads before they check the clock.
 const MAX_WAIT: Duration = Duration::from_millis(10);
-/// Interval of reading the other fronts' rows.
+/// Interval between reads of the other fronts' rows.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(250);
-/// Timeout of a request of the survey.
-const SURVEY_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Interval at which all fronts together ask for orphans, on average.
-const FLEET_SURVEY_INTERVAL: Duration = Duration::from_millis(300);
-/// Minimum interval at which one front asks.
-const MIN_SURVEY_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Timeout of a request for the reconciliation of orphans.
+const RECONCILIATION_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Average interval between reconciliations by any of the fronts.
+const FLEET_RECONCILIATION_INTERVAL: Duration = Duration::from_millis(300);
+/// Minimum average interval between reconciliations by one front.
+const MIN_RECONCILIATION_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Range of the random factor by which the interval between reconciliations varies.
+const RECONCILIATION_JITTER: Range<f64> = 0.5..1.5;
 const STACK_BYTES: usize = 256 << 10;
 
-/// Asks all media servers how many of their sessions have which tag; none if one of them did not answer.
+/// Requests the number of sessions for each tag from all media servers. Returns `None` if one of them did not respond.
 pub type SessionTags = Box<dyn Fn() -> Option<Vec<BTreeMap<String, u64>>> + Send>;
 
 struct Shared {
-    gate: AdmissionController,
+    admission: AdmissionController,
     stop: AtomicBool,
     closed: AtomicBool,
 }
 
-/// A front's client of the quotas. Its threads end soon after it is dropped, without being waited for.
+/// A front's client of the quotas. Its threads end soon after it is dropped, and the drop does not wait for them.
 pub struct QuotaClient {
     shared: Arc<Shared>,
     settings: FleetSettings,
-    fronts: u32,
+    max_fronts: u32,
 }
 
 impl QuotaClient {
-    /// Starts the thread and opens an account. `membership` gossips its shares of soft quotas.
+    /// Starts the thread, which opens an account at the coordinator. `membership` gossips the shares of soft quotas.
     ///
     /// # Errors
-    /// There is no thread.
+    /// Returns an error if the thread can't be started.
     pub fn start(
         settings: &FleetSettings,
         quotas: &QuotaSettings,
@@ -70,40 +76,43 @@
         for definition in &quotas.definitions {
             front.handle(clock(), FrontInput::Define(definition.clone()));
         }
-        let gate = AdmissionController::new(front, clock);
-        let shared = Arc::new(Shared { gate, stop: AtomicBool::new(false), closed: AtomicBool::new(false) });
+        let admission = AdmissionController::new(front, clock);
+        let shared =
+            Arc::new(Shared { admission, stop: AtomicBool::new(false), closed: AtomicBool::new(false) });
         let (worker, connection) = (Arc::clone(&shared), LeaderConnection::new(settings.clone()));
         thread::Builder::new()
             .name("limits".into())
             .stack_size(STACK_BYTES)
             .spawn(move || worker.run(connection, membership))?;
-        Ok(QuotaClient { shared, settings: settings.clone(), fronts: quotas.rules.fronts })
+        Ok(QuotaClient { shared, settings: settings.clone(), max_fronts: quotas.rules.fronts })
     }
 
-    /// The gate that admits sessions.
-    pub fn gate(&self) -> AdmissionController {
-        self.shared.gate.clone()
+    /// Returns the controller that admits sessions.
+    pub fn admission_controller(&self) -> AdmissionController {
+        self.shared.admission.clone()
     }
 
-    /// Starts the survey: asks media servers now and then what lost fronts left there.
+    /// Starts a thread that reconciles orphans: it periodically counts the sessions that lost fronts left at media servers and
+    /// reports them to the coordinator.
     ///
     /// # Errors
-    /// There is no thread.
-    pub fn survey(&self, tags: SessionTags) -> io::Result<()> {
+    /// Returns an error if the thread can't be started.
+    pub fn start_orphan_reconciliation(&self, tags: SessionTags) -> io::Result<()> {
         let (worker, connection) = (Arc::clone(&self.shared), LeaderConnection::new(self.settings.clone()));
-        let interval = (FLEET_SURVEY_INTERVAL * self.fronts).max(MIN_SURVEY_INTERVAL);
+        let interval = (FLEET_RECONCILIATION_INTERVAL * self.max_fronts).max(MIN_RECONCILIATION_INTERVAL);
         thread::Builder::new()
             .name("survey".into())
             .stack_size(STACK_BYTES)
-            .spawn(move || worker.run_survey(connection, interval, &tags))?;
+            .spawn(move || worker.run_reconciliation(connection, interval, &tags))?;
         Ok(())
     }
 
-    /// Admits nobody any more, reports what is left playing, and waits until that is in the log or the time is over.
+    /// Stops admission and reports the sessions that are still playing. Waits until the report is in the coordinator's log, at
+    /// most for the timeout.
     pub fn close(&self, timeout: Duration) {
         let deadline = Instant::now() + timeout;
-        let now = self.shared.gate.now();
-        let outputs = self.shared.gate.front().handle(now, FrontInput::Close);
+        let now = self.shared.admission.now();
+        let outputs = self.shared.admission.front().handle(now, FrontInput::Close);
         let mut connection = LeaderConnection::new(self.settings.clone());
         for output in outputs {
             match output {
@@ -128,9 +137,9 @@
     fn run(&self, mut connection: LeaderConnection, membership: Option<Arc<MembershipService>>) {
         let (mut input, mut next_gossip) = (FrontInput::Start, Duration::ZERO);
         while !self.stop.load(Ordering::Relaxed) {
-            let now = self.gate.now();
-            let outputs = self.gate.front().handle(now, input);
-            // Sent after the lock is released: a connection may take its time.
+            let now = self.admission.now();
+            let outputs = self.admission.front().handle(now, input);
+            // Handled after the lock is released, as sending may block.
             for output in outputs {
                 self.handle_output(output, &mut connection, membership.as_deref());
             }
@@ -138,8 +147,8 @@
                 next_gossip = now + GOSSIP_INTERVAL;
                 self.read_rows(now, membership);
             }
-            let due = self.gate.front().next_due().unwrap_or(Duration::MAX);
-            let wait = due.saturating_sub(self.gate.now()).min(MAX_WAIT);
+            let due = self.admission.front().next_due().unwrap_or(Duration::MAX);
+            let wait = due.saturating_sub(self.admission.now()).min(MAX_WAIT);
             input = match connection.receive(wait) {
                 Some(Message::QuotaResponse(response)) => FrontInput::Response(response),
                 _ => FrontInput::Tick,
@@ -157,7 +166,7 @@
             FrontOutput::Send(request) => connection.send(&Message::QuotaRequest(request)),
             FrontOutput::Opened(account) => info!(account = account.0, "quota account opened"),
             FrontOutput::Lost(account) => {
-                warn!(account = account.0, "quota account lost; hard quotas admit nobody here")
+                warn!(account = account.0, "quota account lost; no session is admitted under hard quotas")
             }
             FrontOutput::Closed => self.closed.store(true, Ordering::Relaxed),
             FrontOutput::SoftShares(row) => {
@@ -165,66 +174,66 @@
                 if let Some(Err(error)) =
                     membership.map(|service| service.write_section(SectionKind::SOFT_QUOTAS, bytes))
                 {
-                    warn!("soft quota shares are not gossiped: {error}");
+                    warn!("soft quota shares were not gossiped: {error}");
                 }
             }
         }
     }
 
-    /// Takes the other fronts' shares of soft quotas.
+    /// Reads the other fronts' shares of soft quotas.
     fn read_rows(&self, now: Duration, membership: &MembershipService) {
-        let own = self.gate.front().id();
+        let own = self.admission.front().id();
         for row in membership.sections(SectionKind::SOFT_QUOTAS) {
             let from = FrontId(row.member.0);
-            // A malformed row is ignored: its front counts as one that is silent.
+            // A malformed row is ignored, as if its front had not sent any.
             let Ok(shares) = postcard::from_bytes(&row.bytes) else { continue };
             if from != own {
-                self.gate.front().handle(now, FrontInput::SoftShares(from, shares, row.age));
+                self.admission.front().handle(now, FrontInput::SoftShares(from, shares, row.age));
             }
         }
     }
 
-    fn run_survey(&self, mut connection: LeaderConnection, interval: Duration, tags: &SessionTags) {
-        let (surveyor, mut seq) = (FrontId(rand::random()), 0);
+    fn run_reconciliation(&self, mut connection: LeaderConnection, interval: Duration, tags: &SessionTags) {
+        let (requester, mut seq) = (FrontId(rand::random()), 0);
         while !self.stop.load(Ordering::Relaxed) {
-            let wake_at = Instant::now() + interval.mul_f64(rand::random_range(0.5..1.5));
+            let wake_at = Instant::now() + interval.mul_f64(rand::random_range(RECONCILIATION_JITTER));
             while Instant::now() < wake_at && !self.stop.load(Ordering::Relaxed) {
                 thread::sleep(MAX_WAIT);
             }
             seq += 1;
             let Some(Answer::Orphans(orphans)) =
-                call(&mut connection, Request { front: surveyor, seq, op: Op::Orphans })
+                call(&mut connection, Request { front: requester, seq, op: Op::Orphans })
             else {
                 continue;
             };
             if orphans.is_empty() {
                 continue;
             }
-            // Asked after the answer: by then nothing of theirs is on its way to a media server any more.
+            // Requested after the coordinator's response: no set-up of a lost front is in transit to a media server by then.
             let Some(tags_by_server) = tags() else {
-                debug!("a media server did not report its sessions; what lost fronts held stays counted");
+                debug!("a media server did not report its sessions; claims of lost fronts are kept");
                 continue;
             };
             for (orphan, front) in orphans {
                 let left = sessions_left(front, &tags_by_server);
                 seq += 1;
                 let op = Op::Counted { orphan, left: left.clone() };
-                let counted = Request { front: surveyor, seq, op };
+                let counted = Request { front: requester, seq, op };
                 report_left(&mut connection, counted, orphan, &left);
             }
         }
     }
 }
 
-/// Reports what is left of an orphan.
+/// Reports the remaining sessions of an orphan to the coordinator.
 fn report_left(connection: &mut LeaderConnection, request: Request, orphan: OrphanId, left: &[(Claim, u64)]) {
     if let Some(Answer::Counted) = call(connection, request) {
         let left: Vec<String> = left.iter().map(|(claim, units)| format!("{claim}: {units}")).collect();
-        info!(orphan = orphan.0, ?left, "media servers reported what a lost front left");
+        info!(orphan = orphan.0, ?left, "reported the remaining sessions of a lost front");
     }
 }
 
-/// Units that sessions of a lost front still use, by claim.
+/// Returns the units that sessions of a lost front still use, by claim.
 fn sessions_left(front: FrontId, tags_by_server: &[BTreeMap<String, u64>]) -> Vec<(Claim, u64)> {
     let mut left = BTreeMap::new();
     for tags in tags_by_server {
@@ -233,16 +242,19 @@
     left.into_iter().collect()
 }
 
-/// Sends a request once; its answer, if one comes in time. A survey that is lost is repeated as a new one.
+/// Sends a request once and returns its answer, or `None` if none arrives before the timeout. A lost request is not resent, as
+/// the next reconciliation starts over.
 fn call(connection: &mut LeaderConnection, request: Request) -> Option<Answer> {
     let (front, seq) = (request.front, request.seq);
     connection.send(&Message::QuotaRequest(request));
-    let deadline = Instant::now() + SURVEY_TIMEOUT;
+    let deadline = Instant::now() + RECONCILIATION_TIMEOUT;
     while Instant::now() < deadline {
         match connection.receive(deadline.saturating_duration_since(Instant::now())) {
-            Some(Message::QuotaResponse(Response::Answer { front: f, seq: s, answer }))
-                if (f, s) == (front, seq) =>
-            {
+            Some(Message::QuotaResponse(Response::Answer {
+                front: answered_front,
+                seq: answered_seq,
+                answer,
+            })) if (answered_front, answered_seq) == (front, seq) => {
                 return Some(answer);
             }
             Some(Message::QuotaResponse(_)) => {}
--- a/crates/fleet/coordinator/src/settings/topics.rs
+++ b/crates/fleet/coordinator/src/settings/topics.rs
@@ -1,4 +1,4 @@
-//! The key `topics` of the section `fleet`.
+//! Settings of topics, read from the key `topics` of the section `fleet`.
 
 use beechloft_config_reader::Section;
 use beechloft_leases::Name;
@@ -6,52 +6,58 @@
 
 use super::integer_u32;
 
-/// Topics at most.
 const MAX_TOPICS: usize = 64;
-/// Bytes of keys and latest values of all topics at most: a snapshot and the log beside it must fit into one file of a replica.
+/// Maximum size of the keys and latest values of all topics. A snapshot and the log after it must fit into one file of a
+/// replica's store.
 const MAX_BYTES: u64 = 96 << 20;
+const DEFAULT_BYTES: u64 = 8 << 20;
+const MIN_RETENTION_MS: u32 = 1_000;
+const MAX_RETENTION_MS: u32 = 30 * MILLIS_PER_DAY;
+const MILLIS_PER_DAY: u32 = 86_400_000;
+const MAX_KEYS: u32 = 1 << 20;
 
 /// A topic to be declared.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TopicSpec {
-    /// Its name.
+    /// The topic's name.
     pub name: Name,
-    /// Its terms.
+    /// The topic's writers, retention and maximum size.
     pub terms: Terms,
 }
 
-/// Reads `topics`. Those with an error may be left out, as the file is not used then.
-pub(super) fn read(s: &Section<'_>) -> Vec<TopicSpec> {
+/// Reads `topics`. Topics with an error may be left out of the result, as the file is not used then.
+pub(super) fn read(section: &Section<'_>) -> Vec<TopicSpec> {
     let mut all: Vec<TopicSpec> = Vec::new();
-    let sections = s.sections("topics");
+    let sections = section.sections("topics");
     if sections.len() > MAX_TOPICS {
-        s.report("topics", format!("{MAX_TOPICS} at most"));
+        section.report("topics", format!("at most {MAX_TOPICS} are allowed"));
     }
-    for t in &sections {
-        let terms = terms(t);
-        match Name::try_from(t.required_text("name")) {
+    for topic in &sections {
+        let terms = read_terms(topic);
+        match Name::try_from(topic.required_text("name")) {
             Ok(name) if all.iter().any(|other| other.name == name) => {
-                t.report("name", format!("{name} is there twice"));
+                topic.report("name", format!("{name} is listed twice"));
                 all.push(TopicSpec { name, terms });
             }
             Ok(name) => all.push(TopicSpec { name, terms }),
-            Err(error) => t.report("name", error.to_string()),
+            Err(error) => topic.report("name", error.to_string()),
         }
     }
-    let bytes: u64 = all.iter().map(|t| t.terms.bytes).sum();
+    let bytes: u64 = all.iter().map(|topic| topic.terms.bytes).sum();
     if bytes > MAX_BYTES {
-        s.report("topics", format!("{bytes} bytes together are more than {MAX_BYTES}"));
+        section.report("topics", format!("{bytes} bytes in total exceed the maximum of {MAX_BYTES}"));
     }
     all
 }
 
-fn terms(t: &Section<'_>) -> Terms {
+fn read_terms(topic: &Section<'_>) -> Terms {
     let default = Terms::default();
-    let writers = t.choice("writers", &[("one", Writers::One), ("many", Writers::Many)]);
+    let writers = topic.choice("writers", &[("one", Writers::One), ("many", Writers::Many)]);
     Terms {
         writers: writers.unwrap_or(default.writers),
-        retention_ms: integer_u32(t, "retention_ms", 1_000..=30 * 86_400_000).unwrap_or(default.retention_ms),
-        keys: integer_u32(t, "keys", 1..=1 << 20).unwrap_or(default.keys),
-        bytes: t.integer("bytes", 1..=MAX_BYTES).unwrap_or(8 << 20),
+        retention_ms: integer_u32(topic, "retention_ms", MIN_RETENTION_MS..=MAX_RETENTION_MS)
+            .unwrap_or(default.retention_ms),
+        keys: integer_u32(topic, "keys", 1..=MAX_KEYS).unwrap_or(default.keys),
+        bytes: topic.integer("bytes", 1..=MAX_BYTES).unwrap_or(DEFAULT_BYTES),
     }
 }
