--- a/src/api.rs
+++ b/src/api.rs
@@ -1,4 +1,4 @@
-//! What passes between the policy and the front that drives it: settings, ids, events, actions.
+//! The interface between the policy and the front that drives it: settings, ids, events and actions.
 
 use std::collections::BTreeSet;
 use std::ops::{Add, Sub};
@@ -9,16 +9,17 @@
     RetryBudget, Settings, SlowStart, Tenant, WeightMeaning,
 };
 
-/// A point in time or a span, in microseconds, on the driver's own monotonic clock.
+/// A point in time or a duration, in microseconds of the driver's monotonic clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// The value in seconds.
+    /// Returns the value in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
-    /// This many seconds; negative and non-finite values give zero.
+
+    /// Converts from seconds. Negative values and NaN give zero, and values out of range saturate.
     #[expect(clippy::cast_possible_truncation, reason = "casts from floats saturate")]
     pub fn from_secs(seconds: f64) -> Self {
         Micros((seconds.max(0.0) * 1e6) as u64)
@@ -27,6 +28,7 @@
 
 impl Add for Micros {
     type Output = Micros;
+    /// Adds and saturates at the highest value.
     fn add(self, other: Micros) -> Micros {
         Micros(self.0.saturating_add(other.0))
     }
@@ -34,7 +36,7 @@
 
 impl Sub for Micros {
     type Output = Micros;
-    /// Saturates at zero.
+    /// Subtracts and saturates at zero.
     fn sub(self, other: Micros) -> Micros {
         Micros(self.0.saturating_sub(other.0))
     }
@@ -49,13 +51,13 @@
 }
 
 id! {
-    /// One session request; a viewer's retry has a new one.
+    /// Identifies a session request. A viewer's retry has a new id.
     SessionId(u64);
-    /// What is watched.
+    /// Identifies a title.
     TitleId(u64);
-    /// The viewer, the same over all retries.
+    /// Identifies a viewer, with the same id over all retries.
     ViewerId(u64);
-    /// A streaming server; survives restarts of its process.
+    /// Identifies a media server, with the same id after a restart of its process.
     ServerId(u32);
     /// Index into [`Settings::classes`].
     ClassId(u16);
@@ -63,133 +65,133 @@
     TenantId(u16);
     /// Index into [`Settings::max_streams_by_type`].
     ServerType(u8);
-    /// A zone of the network.
+    /// Identifies a zone of the network.
     ZoneId(u16);
-    /// The cell of a server; a title is placed on consecutive cells.
+    /// Identifies a cell of servers. A title is placed on consecutive cells.
     CellId(u16);
-    /// A rung of the bitrate ladder, 0 the lowest.
+    /// A rung of the bitrate ladder, where 0 is the lowest.
     Rung(u8);
-    /// Index of a set-up attempt of one session, 0 the first.
+    /// Index of a set-up attempt of one session, where 0 is the first.
     Attempt(u16);
     /// Identifies a timer to the policy that set it.
     TimerToken(u64);
 }
 
-/// A server's state on the endpoint list.
+/// State of a server on the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum EndpointState {
-    /// Takes sessions.
+    /// The server accepts sessions.
     #[default]
     Ready,
-    /// Finishes what it has.
+    /// The server only finishes the sessions that it has.
     Draining,
-    /// Off the list.
+    /// The server is not on the list.
     Removed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Endpoint {
-    /// Which server.
+    /// The server.
     pub server: ServerId,
-    /// Its state.
+    /// State of the server.
     pub state: EndpointState,
-    /// Its cell.
+    /// Cell of the server.
     pub cell: CellId,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: ZoneId,
-    /// Its type.
+    /// Type of the server.
     pub server_type: ServerType,
-    /// Its latest start; zero: long ago.
+    /// Time of the server's latest start, or zero if that was long ago.
     pub started_at: Micros,
-    /// Its weight, see [`WeightMeaning`].
+    /// Weight of the server, whose meaning [`WeightMeaning`] gives.
     pub weight: f64,
 }
 
-/// How an update of the endpoint list is to be applied.
+/// Kind of an update of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// Only what changed.
+    /// The update has only the entries that changed.
     Delta,
-    /// The whole list.
+    /// The update is the complete list.
     Full,
-    /// The whole list as this front last saw it, perhaps stale.
+    /// The update is the complete list as this front last had it, and may be stale.
     Cached,
-    /// A call failed or the subscription dropped; the old list stays in force.
+    /// A fetch failed or the subscription ended. The old list stays in force.
     Failed,
 }
 
 /// A viewer's request to watch a title.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Request {
-    /// The session.
+    /// Id of the session.
     pub session: SessionId,
-    /// Its class.
+    /// Class of the session.
     pub class: ClassId,
-    /// Its title.
+    /// The requested title.
     pub title: TitleId,
     /// The viewer.
     pub viewer: ViewerId,
     /// The first cell that holds the title.
     pub first_cell: u32,
-    /// How many consecutive cells hold it.
+    /// Number of consecutive cells that hold the title.
     pub cell_count: u32,
-    /// The servers that hold it, where they are known by name; `first_cell` and `cell_count` are ignored then.
+    /// The servers that hold the title, if they are known. `first_cell` and `cell_count` are ignored then.
     pub eligible_servers: Option<Arc<BTreeSet<ServerId>>>,
     /// The highest rung the viewer can use.
     pub max_rung: Rung,
-    /// When the viewer gives up.
+    /// Time at which the viewer gives up.
     pub deadline: Micros,
-    /// Expected duration, if known.
+    /// Expected duration of the session, if it is known.
     pub expected_duration: Option<Micros>,
-    /// The tenant.
+    /// The tenant whose quota the request counts against.
     pub tenant: TenantId,
-    /// This front migrated the session here.
+    /// Whether this front migrated the session here.
     pub migrated: bool,
-    /// The viewer retries after a failure.
+    /// Whether the viewer retries after a failure.
     pub is_retry: bool,
 }
 
 impl Attempt {
-    /// The last of so many attempts.
+    /// Returns the index of the last of a number of attempts.
     #[expect(clippy::cast_possible_truncation, reason = "a session has far fewer attempts than u16 counts")]
     pub(crate) fn last_of(attempts: usize) -> Attempt {
         Attempt(attempts.saturating_sub(1) as u16)
     }
 }
 
-/// How an attempt ended.
+/// How an attempt or health check ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served to its end.
+    /// The session or health check was served to its end.
     Ok,
     /// The server answered with an error.
     Error,
-    /// The server rejected it unread, as it is overloaded.
+    /// The server was overloaded and rejected the attempt without executing it.
     Overloaded,
-    /// No answer in time.
+    /// No answer came in time.
     Timeout,
-    /// No connection.
+    /// The connection could not be established.
     ConnectFailed,
     /// The connection broke.
     Reset,
-    /// Cancelled, migrated, or the viewer left.
+    /// The attempt was cancelled, the session was migrated, or the viewer left.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether it proves that the attempt never ran.
+    /// Returns whether the outcome proves that the attempt was not executed.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// Values of a load report; those not reported, or not finite, are absent.
+/// Values of a load report. Values that are not reported or not finite are `None`.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
-    /// Streams running or being set up.
+    /// Number of streams that run or are being set up.
     pub streams: Option<f64>,
     /// Demand on the link over its capacity.
     pub link_utilization: Option<f64>,
@@ -200,7 +202,7 @@
 /// Feedback on a session that plays.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Feedback {
-    /// Fraction of the rate that the server delivers.
+    /// The fraction of the rate that the server delivers.
     DeliveredFraction(f64),
     /// The rung in force.
     Rung(Rung),
@@ -210,45 +212,45 @@
     UplinkUtilization(f64),
 }
 
-/// A front's slot among the fronts, in place of what the settings say.
+/// A front's slot among the fronts, which replaces the one in the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlotAssignment {
-    /// Its slot.
+    /// Slot of the front.
     pub slot: u32,
-    /// Number of slots. A slot that is not below it gets no share of a cold server's slow start.
+    /// Number of slots. A front whose slot is not below it may send nothing to a cold server.
     pub slot_count: u32,
-    /// Fronts that are alive, for the estimate of the others' sessions.
+    /// Number of fronts that are alive, for the estimate of the other fronts' demand.
     pub live_fronts: u32,
 }
 
 /// What a front reports to its policy.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The endpoint list, or a part of it.
+    /// The endpoint list changed, or its update failed.
     EndpointsUpdated {
-        /// How it is to be applied.
+        /// Kind of the update.
         kind: UpdateKind,
-        /// The entries.
+        /// Entries of the update.
         endpoints: Vec<Endpoint>,
     },
-    /// A new session request; it is owed one answer.
+    /// A viewer requests a session. The request gets exactly one answer.
     Request(Request),
-    /// A session that plays already, adopted from an earlier front; it counts as attempt 0.
+    /// A session that plays already is adopted from an earlier front. Its set-up counts as attempt 0.
     SessionAdopted {
-        /// Its request.
+        /// Request of the session.
         request: Request,
-        /// Where it plays.
+        /// The server at which the session plays.
         server: ServerId,
     },
-    /// The set-up is done; the viewer watches.
+    /// A set-up is done and the viewer watches.
     Started {
         /// The session.
         session: SessionId,
         /// The attempt.
         attempt: Attempt,
-        /// Where it plays.
+        /// The server at which the session plays.
         server: ServerId,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Micros,
     },
     /// An attempt ended.
@@ -259,96 +261,96 @@
         attempt: Attempt,
         /// The server.
         server: ServerId,
-        /// How.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// The request is answered; otherwise an answer is still owed.
+        /// Whether the request has its answer. Otherwise an answer is still pending.
         is_final: bool,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Micros,
-        /// The server's load.
+        /// Load report of the server.
         report: LoadReport,
     },
-    /// The viewer left; no answer is owed any more.
+    /// A viewer left and needs no answer any more.
     Withdrawn(SessionId),
-    /// Feedback on a session that plays.
+    /// Feedback on a session that plays arrived.
     FeedbackReceived {
         /// The session.
         session: SessionId,
         /// The server.
         server: ServerId,
-        /// What it says.
+        /// Content of the feedback.
         feedback: Feedback,
     },
-    /// The result of a health check.
+    /// A health check ended.
     HealthChecked {
         /// The server.
         server: ServerId,
-        /// How it went.
+        /// How the health check ended.
         outcome: Outcome,
-        /// The server's load.
+        /// Load report of the server.
         report: LoadReport,
     },
-    /// This front's slot changed while it runs; slow start goes by it from now on.
+    /// This front's slot changed. Slow start uses the new slot from now on.
     SlotAssigned(SlotAssignment),
     /// A timer of this policy is due.
     Timer(TimerToken),
-    /// A message from another front of the tier.
+    /// A message from another front of the tier arrived.
     PeerMessage {
-        /// The other front.
+        /// Number of the other front.
         sender: u32,
-        /// Its bytes.
+        /// Content of the message.
         payload: Vec<u8>,
     },
 }
 
-/// What a front is to do.
+/// An action that the policy asks the front to take.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Ask a server to start the session.
+    /// Sends a set-up of the session to a server.
     StartAttempt {
         /// The session.
         session: SessionId,
         /// The server.
         server: ServerId,
-        /// When the attempt is to be dropped.
+        /// Time at which the attempt is given up.
         deadline: Micros,
     },
-    /// Set the session's rung.
+    /// Sets the session's rung.
     SetRung {
         /// The session.
         session: SessionId,
         /// The rung.
         rung: Rung,
     },
-    /// Reject the request.
+    /// Rejects the request, which the viewer may repeat.
     Reject {
         /// The session.
         session: SessionId,
-        /// Time after which the viewer may retry, if one is passed on.
+        /// Delay after which the viewer may retry, if one is passed on.
         retry_after: Option<Micros>,
     },
-    /// Answer that it failed.
+    /// Answers the request with a failure.
     Fail(SessionId),
-    /// Stop waiting for an attempt.
+    /// Cancels an attempt in flight.
     CancelAttempt {
         /// The session.
         session: SessionId,
         /// The attempt.
         attempt: Attempt,
     },
-    /// Take a playing session off its server; the viewer requests it anew here.
+    /// Ends a playing session at its server so that the viewer requests it from this front again.
     Migrate(SessionId),
-    /// Send a health check to a server.
+    /// Sends a health check to a server.
     HealthCheck(ServerId),
-    /// Subscribe to changes of the endpoint list.
+    /// Subscribes to changes of the endpoint list.
     Subscribe,
-    /// Schedule a timer event.
+    /// Schedules a timer event.
     SetTimer {
-        /// After this long.
+        /// Time until the timer is due.
         delay: Micros,
-        /// Which timer.
+        /// Token that the timer event carries.
         token: TimerToken,
     },
-    /// A line for the operators.
+    /// Writes a log line for the operators.
     Log(String),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! beechloft decides, for one session front, who plays, on which streaming server and at what rung.
+//! beechloft decides for one session front who plays, on which media server and at what rung.
 //!
-//! [`policy::Policy`] is a pure state machine: it is fed events with the time at which they happened and
-//! answers with actions. [`api`] holds every type that passes between it and whatever drives it.
+//! [`policy::Policy`] is a pure state machine that turns events, each with its time, into actions. [`api`]
+//! has the types of its interface.
 #![forbid(unsafe_code)]
 
 pub mod api;
--- a/src/policy/endpoint_updates.rs
+++ b/src/policy/endpoint_updates.rs
@@ -1,27 +1,36 @@
-//! Updates of the endpoint list: decides which are believed, what is forgotten, and capacities.
+//! Endpoint updates: decides which updates of the endpoint list are applied, which servers are forgotten, and
+//! what capacity each resource is assumed to have.
 
 use std::collections::BTreeMap;
 
-use super::{EJECTION_TIME, MAX_EJECTION_LEVEL, Policy};
+use super::{BASE_EJECTION_TIME, MAX_EJECTION_LEVEL, Policy};
 use crate::api::{Discovery, Endpoint, EndpointState, Micros, UpdateKind, WeightMeaning};
 use crate::state::{ResourceGauge, Server};
 
 impl Policy {
+    /// Applies an update of the endpoint list.
+    ///
+    /// A full list without entries counts as a failed update while any server is known to be ready, because
+    /// it means a directory that lost its state rather than a service without servers. Servers that really
+    /// are gone are found by their failures. A list that is merely shorter is applied.
     pub(super) fn update_endpoints(&mut self, kind: UpdateKind, endpoints: Vec<Endpoint>) {
-        // A whole list that names nobody is a directory that has lost its state, not a service without
-        // servers. It counts as failed: servers that are gone fail. A shorter list is believed.
-        let is_blank = kind != UpdateKind::Delta && endpoints.is_empty();
-        if kind == UpdateKind::Failed || (is_blank && self.servers.values().any(Server::is_ready)) {
+        let is_empty_list = kind != UpdateKind::Delta && endpoints.is_empty();
+        let lost_state = is_empty_list && self.servers.values().any(Server::is_ready);
+        if kind == UpdateKind::Failed || lost_state {
             self.must_subscribe = self.settings.discovery == Discovery::Subscribe;
             return;
         }
         if kind != UpdateKind::Delta {
-            self.servers.values_mut().for_each(|server| server.endpoint.state = EndpointState::Removed);
+            for server in self.servers.values_mut() {
+                server.endpoint.state = EndpointState::Removed;
+            }
         }
-        // A front that starts anew can't tell which server restarted meanwhile: each counts as perhaps cold,
-        // until adopted sessions show that this is the start of service.
-        let suspect = if kind == UpdateKind::Cached { self.settings.slow_start.warm_up } else { Micros(0) };
-        let suspect_until = self.now + suspect;
+        // A front that has just started can't know which servers restarted while it was down. It treats each
+        // server of its cached list as possibly cold until an adopted session shows that the servers were
+        // running before.
+        let suspect_for =
+            if kind == UpdateKind::Cached { self.settings.slow_start.warm_up } else { Micros(0) };
+        let suspect_until = self.now + suspect_for;
         for endpoint in endpoints {
             let known = self.servers.entry(endpoint.server);
             let server = known.or_insert_with(|| Server { suspect_until, ..Server::default() });
@@ -33,24 +42,29 @@
         self.assumed_is_stale = true;
     }
 
-    /// Forgets servers off the list, with nothing of this front's there, for longer than any ejection or
-    /// window. Guards against memory that grows by each server replaced; a list that flaps keeps what is
-    /// known.
+    /// Forgets unused servers that have been off the list for longer than any ejection or slow-start window.
+    ///
+    /// This keeps memory from growing with each replaced server. A server that leaves the list only briefly
+    /// keeps its record.
     fn forget_removed(&mut self) {
-        let longest_ejection = Micros(EJECTION_TIME.0 << MAX_EJECTION_LEVEL);
+        let longest_ejection = Micros(BASE_EJECTION_TIME.0 << MAX_EJECTION_LEVEL);
         let keep_for = longest_ejection.max(self.settings.slow_start.overload_window);
-        self.servers.retain(|_, server| !server.is_gone_for(keep_for, self.now));
+        self.servers.retain(|_, server| !server.is_unused_since(keep_for, self.now));
     }
 
-    /// Announced capacities. Where the list tells none, links are shared out by the types' streams. The
-    /// settings tell the mean uplink; each is thought to follow its rack's links, as first listed.
+    /// Sets the capacity of each server's streams and link, and of each new rack's uplink.
+    ///
+    /// Where the list does not tell link capacities, the total is shared out in proportion to the streams of
+    /// the server types. The settings give only the mean capacity of uplinks: each uplink is assumed to
+    /// follow the links of its rack as first listed.
     fn apply_announced_capacities(&mut self) {
         let settings = &self.settings;
-        let count = self.listed().count().max(1) as f64;
-        let streams = |server: &Server| settings.max_streams(server.endpoint.server_type);
-        let mean_streams = self.listed().map(streams).sum::<f64>() / count;
-        let unit = settings.link_kb_per_weight.or(settings.total_link_kb.map(|all| all / count));
-        let mut links_by_rack: BTreeMap<u32, f64> = BTreeMap::new();
+        let server_count = self.listed_servers().count().max(1) as f64;
+        let max_streams = |server: &Server| settings.max_streams(server.endpoint.server_type);
+        let mean_streams = self.listed_servers().map(max_streams).sum::<f64>() / server_count;
+        let mean_link_kb = settings.total_link_kb.map(|total| total / server_count);
+        let link_kb_per_weight = settings.link_kb_per_weight.or(mean_link_kb);
+        let mut link_kb_by_rack: BTreeMap<u32, f64> = BTreeMap::new();
         for server in self.servers.values_mut() {
             server.streams.capacity = settings.max_streams(server.endpoint.server_type);
             let weight = match settings.weight_meaning {
@@ -58,14 +72,17 @@
                 _ if mean_streams > 0.0 => server.streams.capacity / mean_streams,
                 _ => 1.0,
             };
-            server.link.capacity = unit.map_or(f64::INFINITY, |unit| unit * weight);
-            *links_by_rack.entry(server.rack).or_default() += server.link.capacity;
+            server.link.capacity = link_kb_per_weight.map_or(f64::INFINITY, |unit| unit * weight);
+            *link_kb_by_rack.entry(server.rack).or_default() += server.link.capacity;
         }
-        let mean_links = links_by_rack.values().sum::<f64>() / links_by_rack.len().max(1) as f64;
-        for (rack, links) in links_by_rack {
-            let relative = if links > 0.0 && links.is_finite() { links / mean_links } else { 1.0 };
-            let capacity = settings.mean_uplink_kb.map_or(f64::INFINITY, |mean| mean * relative);
-            self.racks.entry(rack).or_insert_with(|| ResourceGauge { capacity, ..ResourceGauge::default() });
+        let rack_count = link_kb_by_rack.len().max(1) as f64;
+        let mean_links_kb = link_kb_by_rack.values().sum::<f64>() / rack_count;
+        for (rack, links_kb) in link_kb_by_rack {
+            let is_known = links_kb > 0.0 && links_kb.is_finite();
+            let relative_size = if is_known { links_kb / mean_links_kb } else { 1.0 };
+            let capacity = settings.mean_uplink_kb.map_or(f64::INFINITY, |mean| mean * relative_size);
+            let uplink = self.racks.entry(rack);
+            uplink.or_insert_with(|| ResourceGauge { capacity, ..ResourceGauge::default() });
         }
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,8 @@
-//! Every decision of beechloft: who plays, on which server, at what rung, and what happens when things fail.
-//! The types it is fed and answers with are in `src/api.rs`; `docs/design.md` gives the reasons.
+//! Every decision of beechloft: who plays, on which server, at what rung, and what happens after failures.
 //!
-//! One struct, a file for each concern, each opening with what it decides. A tuned value stands in its file,
-//! or here if several files use it. `src/bookkeeping.rs` and `src/state/` keep records and decide nothing.
+//! The event, action and settings types are in `src/api.rs`. `docs/design.md` gives the reasons. Each file
+//! decides one concern, which its first line names. A tuned constant is in the file that uses it, or here if
+//! several files use it. `src/bookkeeping.rs` and `src/state/` keep records and decide nothing.
 
 use std::collections::BTreeMap;
 
@@ -21,48 +21,74 @@
 mod session_lifecycle;
 mod slow_start;
 
-const MARGIN: f64 = 0.15; // fraction of a capacity never promised, left spare by a rung above the base
-const SAMPLE_WINDOW: Micros = Micros(10_000_000); // a report fades over this into what is assumed without one
-const FRESH: Micros = Micros(500_000); // spread of reports of one thing: the highest within it counts
-const TICK: Micros = Micros(500_000); // between looks at rungs and stale figures; under feedback's 1 s
-const EJECTION_TIME: Micros = Micros(500_000); // a viewer's patience; doubled by each further failure...
-const MAX_EJECTION_LEVEL: u32 = 5; // ...up to this many: the length of a short outage
+/// Fraction of a capacity that set-ups and steps above the base rung leave free.
+const CAPACITY_MARGIN: f64 = 0.15;
 
+/// Time over which a load report fades into the utilization that is assumed without one.
+const SAMPLE_WINDOW: Micros = Micros(10_000_000);
+
+/// Time within which reports of one resource count as simultaneous, so that the highest of them counts.
+const RECENT_SAMPLE_WINDOW: Micros = Micros(500_000);
+
+/// Time between two reviews of rungs and load estimates. It is shorter than the usual feedback period of one
+/// second.
+const TICK_INTERVAL: Micros = Micros(500_000);
+
+/// Duration of an ejection after a first failure, about as long as a viewer waits. It doubles with each
+/// further failure.
+const BASE_EJECTION_TIME: Micros = Micros(500_000);
+
+/// Maximum ejection level. The longest ejection is about as long as a short outage.
+const MAX_EJECTION_LEVEL: u32 = 5;
+
+/// Token of the timer that starts a tick.
 const TICK_TOKEN: TimerToken = TimerToken(1);
 
-/// The controller of one front.
+/// The controller of one front: a state machine that turns events into actions.
 #[derive(Debug, Default)]
 pub struct Policy {
     pub(crate) settings: Settings,
-    best_step_efficiency: f64, // of any step of any class
+    /// Highest utility for the rate of any step of any class.
+    best_step_efficiency: f64,
     random: SplitMix64,
+    /// Time of the event in progress.
     pub(crate) now: Micros,
+    /// Actions of the event in progress.
     pub(crate) actions: Vec<Action>,
-    started_at: Micros, // when its first event came; zero: not yet
+    /// Time of the first event, or zero before it.
+    started_at: Micros,
     pub(crate) servers: BTreeMap<ServerId, Server>,
-    pub(crate) racks: BTreeMap<u32, ResourceGauge>, // their uplinks
+    /// Uplinks of the racks.
+    pub(crate) racks: BTreeMap<u32, ResourceGauge>,
     pub(crate) sessions: BTreeMap<SessionId, Session>,
     pub(crate) accounting: Accounting,
+    /// Utilization by other fronts that is assumed of resources without a report.
     assumed: AssumedUtilization,
+    /// Whether `assumed` must be updated before the next server selection.
     assumed_is_stale: bool,
-    must_subscribe: bool,     // at the next tick
-    uplinks_reported: bool,   // reports tell of uplinks
-    probation_credit: f64,    // set-ups that may be risked on ejected servers now
-    health_check_credit: f64, // health checks that the sessions so far have paid for
+    /// Whether the next tick subscribes to the endpoint list.
+    must_subscribe: bool,
+    /// Whether load reports have covered uplinks so far.
+    uplinks_reported: bool,
+    /// Number of set-ups that may be sent to ejected servers now.
+    probation_credit: f64,
+    /// Number of health checks that the sessions so far have paid for.
+    health_check_credit: f64,
     pub(crate) recent_requests: RecentEvents,
     pub(crate) recent_retries: RecentEvents,
-    slot: Option<Slot>, // this front's part in slow start
+    /// The front's slot, or `None` if it may send nothing to cold servers.
+    slot: Option<Slot>,
 }
 
 impl Policy {
-    /// A controller that knows its settings and nothing else.
+    /// Creates a controller that knows nothing but its settings.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let slot = Some(Slot { index: settings.slot, count: settings.front_count.max(1) });
         let best_step_efficiency = settings.best_step_efficiency();
         Policy { best_step_efficiency, slot, settings, random: SplitMix64(seed), ..Policy::default() }
     }
 
-    /// Takes one event and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         if self.started_at == Micros(0) {
@@ -72,15 +98,17 @@
         }
         match event {
             Event::EndpointsUpdated { kind, endpoints } => self.update_endpoints(kind, endpoints),
-            Event::Request(request) => self.request(request),
-            Event::SessionAdopted { request, server } => self.adopt(request, server),
-            Event::Started { session, server, .. } => self.started(session, server),
+            Event::Request(request) => self.handle_request(request),
+            Event::SessionAdopted { request, server } => self.adopt_session(request, server),
+            Event::Started { session, server, .. } => self.handle_started(session, server),
             Event::AttemptEnded { session, server, outcome, is_final, report, .. } => {
                 self.record_report(server, report);
-                self.attempt_ended(session, server, outcome, is_final);
+                self.handle_attempt_ended(session, server, outcome, is_final);
+            }
+            Event::Withdrawn(session) => self.handle_withdrawn(session),
+            Event::FeedbackReceived { session, server, feedback } => {
+                self.handle_feedback(session, server, feedback);
             }
-            Event::Withdrawn(session) => self.withdrawn(session),
-            Event::FeedbackReceived { session, server, feedback } => self.feedback(session, server, feedback),
             Event::HealthChecked { server, outcome, report } => {
                 self.record_report(server, report);
                 if matches!(outcome, Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset) {
@@ -97,17 +125,18 @@
         actions.append(&mut self.actions);
     }
 
+    /// Does the periodic work and schedules the next tick.
     fn tick(&mut self) {
-        self.actions.push(Action::SetTimer { delay: TICK, token: TICK_TOKEN });
+        self.actions.push(Action::SetTimer { delay: TICK_INTERVAL, token: TICK_TOKEN });
         if std::mem::take(&mut self.must_subscribe) {
             self.actions.push(Action::Subscribe);
         }
-        // An answer is owed even if a driver forgets the outcome of an attempt cut to the viewer's deadline.
-        let overdue = self.answer_overdue();
+        // A viewer gets an answer even if the driver never reports how its last attempt ended.
+        let overdue = self.take_overdue_answers();
         self.actions.extend(overdue.into_iter().map(Action::Fail));
-        self.assume_utilization();
-        self.relieve();
-        self.step_up();
-        self.check_health();
+        self.update_assumed_utilization();
+        self.relieve_overload();
+        self.step_up_sessions();
+        self.send_health_checks();
     }
 }
--- a/src/policy/server_selection.rs
+++ b/src/policy/server_selection.rs
@@ -1,17 +1,27 @@
-//! Server selection: decides where a session goes, by IS-C-SS of DIAR: the holders of the title by rising
-//! load factor, and the first of them that covers all.
+//! Server selection: decides where a session goes, by the IS-C-SS rule of DIAR. Servers that hold the title
+//! are compared by load factor, and the first whose every resource covers the session is taken.
 
 use std::collections::BTreeMap;
 
-use super::{MARGIN, Policy};
+use super::{CAPACITY_MARGIN, Policy};
 use crate::api::{ClassId, Rung, ServerId, SessionId};
-use crate::state::{Selection, Server, Session, whole_steps};
+use crate::state::{Downgrade, Selection, Server, Session, complete_steps};
 
-const MAX_IN_FLIGHT: f64 = 4.0; // set-ups at one server, as many as a small one answers in time; 2 hurts
-const TIE: f64 = 0.05; // under the noise of reports: load factors within it are equal; then headroom...
-const HEADROOM_STEP: f64 = 0.4; // ...by its logarithm, in steps of this times the root of other fronts
+/// Maximum number of set-ups in flight at one server: as many as a small server answers in time.
+const MAX_IN_FLIGHT: f64 = 4.0;
 
-/// The order of servers that cover a rate: the lowest is taken.
+/// Load factors that fall into the same step of this width count as equal. The width is less than the noise
+/// of load reports.
+const LOAD_FACTOR_STEP: f64 = 0.05;
+
+/// Width of the steps in which the logarithm of the resource factor is compared, for one other front. The
+/// width grows with the square root of the number of other fronts.
+const RESOURCE_FACTOR_LOG_STEP: f64 = 0.4;
+
+/// Smallest number of free set-ups that is divided by.
+const MIN_FREE_SET_UPS: f64 = 1e-9;
+
+/// Order of the servers that cover a rate. The lowest key is selected.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct SelectionKey {
     load_factor: i64,
@@ -21,14 +31,16 @@
 }
 
 impl Policy {
-    /// Tries holders by rising load factor and sends to the first whose every resource covers the rung's
-    /// rate; none: an answer at once.
+    /// Selects a server and rung for a session and starts an attempt there.
+    ///
+    /// The viewer gets an answer at once if no attempt is allowed or no server covers the session.
     pub(super) fn place(&mut self, id: SessionId) {
         if std::mem::take(&mut self.assumed_is_stale) {
-            self.assume_utilization();
+            self.update_assumed_utilization();
         }
         let Some(session) = self.sessions.get(&id) else { return };
-        let (class, max_rung) = (session.request.class, self.settings.max_rung(&session.request));
+        let class = session.request.class;
+        let max_rung = self.settings.max_rung(&session.request);
         let min_rung = self.settings.class(class).min_rung;
         if max_rung < min_rung || !self.may_attempt(session) || self.title_limit_reached(&session.request) {
             return self.give_up(id);
@@ -36,122 +48,180 @@
         let base = self.base_rung(class).min(max_rung);
         let candidates = self.candidates(session);
         let Some(selected) = self.select(class, &candidates, base) else { return self.give_up(id) };
-        // The highest rung that leaves the margin spare.
-        let leaves_margin = |rung: &Rung| {
-            self.fits(selected.server, self.settings.rate(class, *rung), self.max_utilization(class, *rung))
+        let rung = self.highest_fitting_rung(class, selected, max_rung);
+        self.start_attempt(id, selected.server, rung);
+    }
+
+    /// Returns the highest rung up to a maximum whose step keeps its margin at the selected server, or else
+    /// the selected rung.
+    fn highest_fitting_rung(&self, class: ClassId, selected: Selection, max_rung: Rung) -> Rung {
+        let keeps_margin = |rung: &Rung| {
+            let rate = self.settings.rate(class, *rung);
+            self.fits(selected.server, rate, self.max_utilization(class, *rung))
         };
-        let higher = (selected.rung.0 + 1..=max_rung.0).rev().map(Rung).find(leaves_margin);
-        self.send(id, selected.server, higher.unwrap_or(selected.rung));
+        let mut higher_rungs = (selected.rung.0 + 1..=max_rung.0).rev().map(Rung);
+        let highest = higher_rungs.find(keeps_margin);
+        highest.unwrap_or(selected.rung)
     }
 
-    /// A server that covers the base rung, or has room made for it; else one that covers a lower rung.
+    /// Selects a server that covers the base rung or can be made to, or else a server that covers a lower
+    /// rung.
     fn select(&mut self, class: ClassId, candidates: &[ServerId], base: Rung) -> Option<Selection> {
-        let at_base = self.first_covering(candidates, self.settings.rate(class, base));
-        if let Some(server) = at_base.or_else(|| self.make_room(class, candidates, base)) {
+        let base_rate = self.settings.rate(class, base);
+        let covering = self.best_covering(candidates, base_rate);
+        if let Some(server) = covering.or_else(|| self.downgrade_for_session(class, candidates, base)) {
             return Some(Selection { server, rung: base });
         }
         let min_rung = self.settings.class(class).min_rung;
-        (min_rung.0..base.0).rev().map(Rung).find_map(|rung| {
-            let server = self.first_covering(candidates, self.settings.rate(class, rung))?;
+        let mut lower_rungs = (min_rung.0..base.0).rev().map(Rung);
+        lower_rungs.find_map(|rung| {
+            let server = self.best_covering(candidates, self.settings.rate(class, rung))?;
             Some(Selection { server, rung })
         })
     }
 
-    /// Servers that hold the title and may take this session now.
+    /// Returns the servers that hold the title and may get this session now.
     fn candidates(&self, session: &Session) -> Vec<ServerId> {
-        let eligible: Vec<&Server> = self.servers.values().filter(|s| self.is_eligible(session, s)).collect();
-        let on_probation = session.attempted.is_empty() && self.probation_credit >= 1.0;
-        let may_try = |s: &Server| s.ejection_level == 0 || (on_probation && s.attempts_in_flight == 0);
-        let trusted = eligible.iter().filter(|s| self.now >= s.ejected_until && may_try(s));
-        let mut candidates: Vec<ServerId> = trusted.map(|server| server.endpoint.server).collect();
+        let eligible: Vec<&Server> =
+            self.servers.values().filter(|server| self.is_eligible(session, server)).collect();
+        let probation_is_allowed = session.attempted.is_empty() && self.probation_credit >= 1.0;
+        let may_try = |server: &Server| {
+            let is_idle = server.attempts_in_flight == 0;
+            server.ejection_level == 0 || (probation_is_allowed && is_idle)
+        };
+        let available = eligible.iter().filter(|server| self.now >= server.ejected_until && may_try(server));
+        let mut candidates: Vec<ServerId> = available.map(|server| server.endpoint.server).collect();
         if candidates.is_empty() {
-            // All holders ejected at once: the one whose ejection ends first is tried, one set-up at a time.
-            let first = eligible.iter().filter(|s| s.attempts_in_flight == 0).min_by_key(|s| s.ejected_until);
-            candidates.extend(first.map(|server| server.endpoint.server));
+            // All holders are ejected or on probation: the first to come back is tried, with one set-up at a
+            // time.
+            let idle = eligible.iter().filter(|server| server.attempts_in_flight == 0);
+            let first_back = idle.min_by_key(|server| server.ejected_until);
+            candidates.extend(first_back.map(|server| server.endpoint.server));
         }
         candidates
     }
 
-    /// Whether a server is ready, holds the title, was not tried, recognises copies of what may have been
-    /// executed elsewhere, and may be sent to by its slow start.
+    /// Returns whether a server may get the session, ejections and load apart.
+    ///
+    /// It must be ready, hold the title and not have been tried for the session. It must also recognise
+    /// copies of attempts that may have been executed elsewhere, and slow start must allow a set-up there.
     fn is_eligible(&self, session: &Session, server: &Server) -> bool {
-        let (request, endpoint) = (&session.request, &server.endpoint);
-        let holds_title = request.is_held_by(endpoint, self.settings.cells);
+        let request = &session.request;
+        let endpoint = &server.endpoint;
+        let holds_title = request.title_is_at(endpoint, self.settings.cells);
         let scope = self.settings.class(request.class).idempotency.scope();
         let mut earlier = session.may_have_run.iter().filter_map(|sent| self.servers.get(&sent.server));
-        let is_in_scope = earlier.all(|earlier| scope.joins(&earlier.endpoint, endpoint));
+        let is_in_scope = earlier.all(|earlier| scope.includes_both(&earlier.endpoint, endpoint));
         let is_untried = !session.attempted.contains(&endpoint.server);
         server.is_ready() && holds_title && is_in_scope && is_untried && self.slow_start_allows(server)
     }
 
-    /// The first holder by rising factor that covers the rate. Where a session is small against its server,
-    /// set-ups in flight are the largest part at each, and the rest decides: guards against links filled in
-    /// the own zone while others stay empty. Its steps are wider the more fronts see and take the same room.
-    fn first_covering(&mut self, candidates: &[ServerId], rate: f64) -> Option<ServerId> {
+    /// Returns the candidate with the lowest load factor that covers the rate.
+    ///
+    /// Equal load factors are decided by the resource factor, then by the zone, then at random. Where a
+    /// session is small against its server, set-ups in flight are the largest term of each load factor, so
+    /// that all servers with as many of them are equal. The resource factor then keeps the servers of the own
+    /// zone from filling up while others are idle. Its steps are wider the more fronts see and use the same
+    /// headroom.
+    fn best_covering(&mut self, candidates: &[ServerId], rate: f64) -> Option<ServerId> {
         let mut best: Option<(SelectionKey, ServerId)> = None;
-        let step = HEADROOM_STEP * self.settings.other_fronts().max(1.0).sqrt();
+        let log_step = RESOURCE_FACTOR_LOG_STEP * self.settings.other_fronts().max(1.0).sqrt();
         for &id in candidates {
             let Some(server) = self.servers.get(&id) else { continue };
             let resource_factor = self.resource_factor(server, rate);
             let free_set_ups = MAX_IN_FLIGHT - f64::from(server.attempts_in_flight);
-            let load_factor = resource_factor.max(1.0 / free_set_ups.max(1e-9));
+            let load_factor = resource_factor.max(1.0 / free_set_ups.max(MIN_FREE_SET_UPS));
             let key = SelectionKey {
-                load_factor: whole_steps(load_factor, TIE),
-                resource_factor: whole_steps(resource_factor.ln(), step),
+                load_factor: complete_steps(load_factor, LOAD_FACTOR_STEP),
+                resource_factor: complete_steps(resource_factor.ln(), log_step),
                 is_other_zone: server.endpoint.zone != self.settings.zone,
                 tie_break: self.random.next(),
             };
-            if load_factor <= 1.0 && best.as_ref().is_none_or(|(lowest, _)| key < *lowest) {
+            let covers_all = load_factor <= 1.0;
+            if covers_all && best.as_ref().is_none_or(|(lowest, _)| key < *lowest) {
                 best = Some((key, id));
             }
         }
         best.map(|(_, id)| id)
     }
 
-    /// The maximum over link, streams and uplink of need over available.
+    /// Returns the highest ratio of what a session needs to what is available, over link, streams and uplink.
     fn resource_factor(&self, server: &Server, rate: f64) -> f64 {
-        let link = self.link_load(server).factor(rate, MARGIN);
-        let uplink = self.uplink_load(server.rack).factor(rate, MARGIN);
-        link.max(uplink).max(self.streams_load(server).factor(1.0, MARGIN))
+        let link = self.link_load(server).factor(rate, CAPACITY_MARGIN);
+        let uplink = self.uplink_load(server.rack).factor(rate, CAPACITY_MARGIN);
+        let streams = self.streams_load(server).factor(1.0, CAPACITY_MARGIN);
+        link.max(uplink).max(streams)
     }
 
-    /// Whether the link and the uplink of a server stay under this utilization with so much more demand.
+    /// Returns whether the link and uplink of a server stay within a utilization with additional demand.
     pub(super) fn fits(&self, id: ServerId, demand: f64, max_utilization: f64) -> bool {
         let Some(server) = self.servers.get(&id) else { return false };
-        let (link, uplink) = (self.link_load(server), self.uplink_load(server.rack));
+        let link = self.link_load(server);
+        let uplink = self.uplink_load(server.rack);
         link.fits(demand, max_utilization) && uplink.fits(demand, max_utilization)
     }
 
-    /// Departure: before a viewer gets less than the base rung, own sessions above theirs step down where
-    /// that costs less utility than the new session earns. Guards against full links that carry few sessions
-    /// at high rungs, whatever filled them. It hurts when another front takes the room first.
-    fn make_room(&mut self, class: ClassId, candidates: &[ServerId], base: Rung) -> Option<ServerId> {
-        let (rate, gain) = (self.settings.rate(class, base), self.settings.utility(class, base));
+    /// Steps own sessions down for a new session at its base rung, and returns the server that covers it
+    /// then.
+    ///
+    /// This departs from the published rule. It happens only where the sessions stepped down lose less
+    /// utility than the new session gains, and keeps full links from carrying few sessions at high rungs.
+    /// Limitation: another front may use the freed capacity first.
+    fn downgrade_for_session(
+        &mut self,
+        class: ClassId,
+        candidates: &[ServerId],
+        base: Rung,
+    ) -> Option<ServerId> {
+        let rate = self.settings.rate(class, base);
+        let gain = self.settings.utility(class, base);
         let mut downgrades_by_rack = BTreeMap::new();
         for &id in candidates {
             let server = self.servers.get(&id)?;
             let in_flight = f64::from(server.attempts_in_flight) + 1.0;
-            if self.streams_load(server).shortage(1.0, MARGIN) > 0.0 || in_flight > MAX_IN_FLIGHT {
+            let lacks_streams = self.streams_load(server).shortage(1.0, CAPACITY_MARGIN) > 0.0;
+            if lacks_streams || in_flight > MAX_IN_FLIGHT {
                 continue;
             }
-            let mut link = self.link_load(server).shortage(rate, MARGIN);
-            let mut uplink = self.uplink_load(server.rack).shortage(rate, MARGIN);
-            let (mut loss, mut to_step_down) = (0.0, Vec::new());
             let rack = server.rack;
-            for downgrade in downgrades_by_rack.entry(rack).or_insert_with(|| self.downgrades(rack)) {
-                let is_here = downgrade.server == id;
-                if (link > 0.0 && is_here) || (link <= 0.0 && uplink > 0.0) {
-                    loss += downgrade.step.utility;
-                    uplink -= downgrade.step.rate;
-                    link -= if is_here { downgrade.step.rate } else { 0.0 };
-                    to_step_down.push(downgrade.session);
+            let downgrades = downgrades_by_rack.entry(rack).or_insert_with(|| self.downgrades(rack));
+            if let Some(sessions) = self.sessions_to_downgrade(server, downgrades, rate, gain) {
+                for session in sessions {
+                    self.step_rung(session, -1);
                 }
-            }
-            if link <= 0.0 && uplink <= 0.0 && loss < gain {
-                to_step_down.into_iter().for_each(|session| self.step_rung(session, -1));
                 return Some(id);
             }
         }
         None
     }
+
+    /// Returns the sessions to step down so that a server covers a rate.
+    ///
+    /// Returns `None` if they would lose at least `max_loss` in utility, or if all of them do not free
+    /// enough.
+    fn sessions_to_downgrade(
+        &self,
+        server: &Server,
+        downgrades: &[Downgrade],
+        rate: f64,
+        max_loss: f64,
+    ) -> Option<Vec<SessionId>> {
+        let mut link_shortage = self.link_load(server).shortage(rate, CAPACITY_MARGIN);
+        let mut uplink_shortage = self.uplink_load(server.rack).shortage(rate, CAPACITY_MARGIN);
+        let mut loss = 0.0;
+        let mut sessions = Vec::new();
+        for downgrade in downgrades {
+            let is_at_server = downgrade.server == server.endpoint.server;
+            let helps_link = link_shortage > 0.0 && is_at_server;
+            let helps_uplink = link_shortage <= 0.0 && uplink_shortage > 0.0;
+            if helps_link || helps_uplink {
+                loss += downgrade.step.utility;
+                uplink_shortage -= downgrade.step.rate;
+                link_shortage -= if is_at_server { downgrade.step.rate } else { 0.0 };
+                sessions.push(downgrade.session);
+            }
+        }
+        let is_covered = link_shortage <= 0.0 && uplink_shortage <= 0.0;
+        (is_covered && loss < max_loss).then_some(sessions)
+    }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,22 +1,33 @@
-//! Slow start: decides the rate of set-ups at servers that started lately, or may have.
+//! Slow start: decides the rate of set-ups at servers that started recently, or may have.
 
 use super::Policy;
-use crate::state::{Server, whole_count};
+use crate::state::{Server, truncated_count};
 
-const SAFETY: f64 = 0.75; // fraction used of what overloads a cold server: set-ups differ in work
+/// Fraction of the overload rate of a cold server that is used, because set-ups differ in the work that they
+/// cause.
+const OVERLOAD_RATE_FRACTION: f64 = 0.75;
+
+/// Shortest warm-up that is divided by, in seconds.
+const MIN_WARM_UP_SECS: f64 = 1e-6;
 
 impl Policy {
-    /// How much of its capacity a server has for certain: less than 1 while it warms up.
+    /// Returns the fraction of its capacity that a server is certain to have, which is below 1 while it warms
+    /// up.
     pub(super) fn warm_up_fraction(&self, server: &Server) -> f64 {
         let age = server.started_at.map(|at| self.now - at);
         self.settings.slow_start.capacity_fraction(age)
     }
 
-    /// The rate of a server that started lately, or may have: this front's part of what all fronts may send
-    /// within the rule's window if each does the same. Where a part is under one set-up, only some fronts
-    /// send, chosen by the server's id and the front's slot. What this front's predecessor sent within the
-    /// window before its own start is not known: for a window, nothing goes to a server known to have started
-    /// earlier. It hurts where a whole service starts at once; servers that are only suspected get the part.
+    /// Returns whether slow start allows one more set-up at a server now.
+    ///
+    /// A server that started recently, or may have, gets this front's part of the set-ups that all fronts
+    /// together may send within the overload window. Where that part is less than one set-up, only some
+    /// fronts send. The server's id and the front's slot choose them.
+    ///
+    /// A front does not know what its predecessor sent within the window before its own start. Therefore it
+    /// sends nothing for one window to a server that is known to have started earlier than the front.
+    /// Limitation: this delays the first set-ups where a whole service starts at once. A server that is only
+    /// suspected to be cold gets its part without this delay.
     pub(super) fn slow_start_allows(&self, server: &Server) -> bool {
         let rule = &self.settings.slow_start;
         let is_cold = self.warm_up_fraction(server) < 1.0;
@@ -24,18 +35,25 @@
         if rule.overload_factor <= 0.0 || !(is_cold || is_suspect) {
             return true;
         }
-        let started_before = is_cold && server.started_at.is_some_and(|at| at < self.started_at);
-        if started_before && self.now < self.started_at + rule.overload_window {
+        let started_before_front = is_cold && server.started_at.is_some_and(|at| at < self.started_at);
+        if started_before_front && self.now < self.started_at + rule.overload_window {
             return false;
         }
-        let windows = rule.overload_window.secs() / rule.warm_up.secs().max(1e-6);
+        let windows_per_warm_up = rule.overload_window.secs() / rule.warm_up.secs().max(MIN_WARM_UP_SECS);
         let streams = server.streams.capacity;
-        let allowed = SAFETY * rule.overload_factor * rule.initial_fraction * streams * windows;
+        let allowed_by_all = OVERLOAD_RATE_FRACTION
+            * rule.overload_factor
+            * rule.initial_fraction
+            * streams
+            * windows_per_warm_up;
         let Some(slot) = self.slot else { return false };
-        let part = whole_count(allowed / f64::from(slot.count));
-        let turn = (u64::from(server.endpoint.server.0) + u64::from(slot.index)) % u64::from(slot.count);
-        let allowed_here = if part == 0 && (turn as f64) < allowed.floor() { 1 } else { part };
+        let allowed_by_front = truncated_count(allowed_by_all / f64::from(slot.count));
+        let server_number = u64::from(server.endpoint.server.0);
+        let rank = (server_number + u64::from(slot.index)) % u64::from(slot.count);
+        let is_chosen = (rank as f64) < allowed_by_all.floor();
+        let allowed = if allowed_by_front == 0 && is_chosen { 1 } else { allowed_by_front };
         let recent = server.recent_attempts.count_within(self.now, rule.overload_window);
-        recent + (server.attempts_in_flight as usize) < allowed_here
+        let in_flight = server.attempts_in_flight as usize;
+        recent + in_flight < allowed
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! Book-keeping of one front: servers, racks, sessions, and totals over them. Nothing is decided here.
+//! State of one front: servers, racks, sessions, and totals over them. Nothing is decided here.
 
 mod accounting;
 mod random;
@@ -20,14 +20,14 @@
 pub(crate) use settings_lookup::Slot;
 pub(crate) use utilization::{AssumedUtilization, UtilizationTotals};
 
-/// How many whole steps are in a value. Casts from floats saturate, so that no value is out of range.
+/// Returns the number of complete steps in a value, rounded towards zero. Values out of range saturate.
 #[expect(clippy::cast_possible_truncation, reason = "rounded towards zero on purpose")]
-pub(crate) fn whole_steps(value: f64, step: f64) -> i64 {
+pub(crate) fn complete_steps(value: f64, step: f64) -> i64 {
     (value / step) as i64
 }
 
-/// The whole part of a count; negative values give zero.
+/// Returns the integer part of a count, and zero for negative values.
 #[expect(clippy::cast_possible_truncation, reason = "rounded towards zero on purpose")]
-pub(crate) fn whole_count(count: f64) -> usize {
+pub(crate) fn truncated_count(count: f64) -> usize {
     count as usize
 }
--- a/src/state/random.rs
+++ b/src/state/random.rs
@@ -1,11 +1,12 @@
-//! The random generator of a policy.
+//! The random number generator of a policy.
 
-/// Splitmix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators", 2014), seeded by the driver.
+/// Splitmix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators", 2014), seeded by the
+/// driver.
 #[derive(Debug, Default)]
 pub(crate) struct SplitMix64(pub u64);
 
 impl SplitMix64 {
-    /// The next 64 random bits.
+    /// Returns the next 64 random bits.
     pub fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -13,7 +14,7 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// True with this probability.
+    /// Returns `true` with the given probability.
     pub fn chance(&mut self, probability: f64) -> bool {
         ((self.next() >> 11) as f64) < probability * (1u64 << 53) as f64
     }
--- a/src/state/rung_step.rs
+++ b/src/state/rung_step.rs
@@ -2,16 +2,16 @@
 
 use crate::api::{ClassId, Rung, ServerId, SessionId};
 
-/// What a rung adds to the one below.
+/// Utility and rate that a rung adds to the one below.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RungStep {
-    /// Utility a second.
+    /// Utility per second.
     pub utility: f64,
-    /// Rate, kB a second; above zero.
+    /// Rate in kB per second, above zero.
     pub rate: f64,
 }
 
-/// A step down of a session, and what it loses and frees.
+/// A step down of a session, with the utility that it loses and the rate that it frees.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Downgrade {
     pub session: SessionId,
@@ -20,7 +20,7 @@
 }
 
 impl Downgrade {
-    /// Utility lost for the rate freed.
+    /// Returns the utility lost for each kB per second freed.
     pub fn price(&self) -> f64 {
         self.step.utility / self.step.rate
     }
@@ -32,12 +32,13 @@
     pub session: SessionId,
     pub server: ServerId,
     pub class: ClassId,
+    /// The rung after the step.
     pub rung: Rung,
-    /// Utility gained for the rate.
+    /// Utility gained for each kB per second.
     pub efficiency: f64,
 }
 
-/// A server and the rung to start at.
+/// A server for a session, and the rung to start at.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Selection {
     pub server: ServerId,
--- a/src/state/settings_lookup.rs
+++ b/src/state/settings_lookup.rs
@@ -1,14 +1,14 @@
-//! Look-ups in the settings: classes, rungs, rates and utilities.
+//! Look-ups of classes, rungs, rates and utilities in the settings.
 
 use super::{RungStep, Session};
 use crate::api::{
     Class, ClassId, DedupScope, Endpoint, Idempotency, Micros, Request, Rung, ServerType, Settings, SlowStart,
 };
 
-/// Smallest rate, kB a second, or utility that is divided by.
+/// Smallest rate, in kB per second, or utility that is divided by.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// A front's part in slow start: `index`, under `count`.
+/// The slot of a front in slow start. The index is below the count.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Slot {
     pub index: u32,
@@ -16,55 +16,58 @@
 }
 
 impl Slot {
-    /// A slot below the number of slots.
+    /// Creates a slot. Returns `None` if the index is not below the count.
     pub fn new(index: u32, count: u32) -> Option<Slot> {
         (index < count).then_some(Slot { index, count })
     }
 }
 
 impl Settings {
-    /// Number of other fronts.
+    /// Returns the number of other fronts.
     pub(crate) fn other_fronts(&self) -> f64 {
         f64::from(self.front_count.max(1) - 1)
     }
 
-    /// Maximum number of streams of a server of this type.
+    /// Returns the maximum number of streams of a server of a type.
     pub(crate) fn max_streams(&self, server_type: ServerType) -> f64 {
-        f64::from(self.max_streams_by_type.get(usize::from(server_type.0)).copied().unwrap_or(u32::MAX))
+        let max_streams = self.max_streams_by_type.get(usize::from(server_type.0)).copied();
+        f64::from(max_streams.unwrap_or(u32::MAX))
     }
 
-    /// A known class; requests of unknown ones are answered before anything looks it up.
+    /// Returns a class by its id.
+    ///
+    /// Panics if the class is unknown. Requests of unknown classes are answered before any look-up.
     pub(crate) fn class(&self, class: ClassId) -> &Class {
         &self.classes[usize::from(class.0)]
     }
 
-    /// The ladder's highest rung.
+    /// Returns the highest rung of the ladder.
     #[expect(clippy::cast_possible_truncation, reason = "clamped to the range of u8")]
     pub(crate) fn highest_rung(&self) -> Rung {
         Rung((self.ladder.rates_kb.len().clamp(1, 256) - 1) as u8)
     }
 
-    /// The highest rung that class, viewer and ladder allow.
+    /// Returns the highest rung that class, viewer and ladder allow.
     pub(crate) fn max_rung(&self, request: &Request) -> Rung {
         self.class(request.class).max_rung.min(request.max_rung).min(self.highest_rung())
     }
 
-    /// Rate of a class at a rung, kB a second.
+    /// Returns the rate of a class at a rung, in kB per second.
     pub(crate) fn rate(&self, class: ClassId, rung: Rung) -> f64 {
         self.class(class).rate_scale * value_at(&self.ladder.rates_kb, rung)
     }
 
-    /// Utility of a second of a class at a rung.
+    /// Returns the utility per second of a class at a rung.
     pub(crate) fn utility(&self, class: ClassId, rung: Rung) -> f64 {
         self.class(class).utility * value_at(&self.ladder.utility, rung)
     }
 
-    /// Utility of a rung over its rate.
+    /// Returns the utility of a class at a rung for each kB.
     pub(crate) fn utility_per_kb(&self, class: ClassId, rung: Rung) -> f64 {
         self.utility(class, rung) / self.rate(class, rung).max(MIN_DIVISOR)
     }
 
-    /// What a rung adds to the one below.
+    /// Returns the utility and rate that a rung adds to the one below.
     pub(crate) fn rung_step(&self, class: ClassId, rung: Rung) -> RungStep {
         let below = Rung(rung.0.saturating_sub(1));
         let rate = self.rate(class, rung) - self.rate(class, below);
@@ -72,13 +75,13 @@
         RungStep { utility, rate: rate.max(MIN_DIVISOR) }
     }
 
-    /// Utility over rate of the step to a rung.
+    /// Returns the utility for the rate of the step to a rung.
     pub(crate) fn step_efficiency(&self, class: ClassId, rung: Rung) -> f64 {
         let step = self.rung_step(class, rung);
         step.utility / step.rate
     }
 
-    /// The highest efficiency of any step of any class.
+    /// Returns the highest efficiency of any step of any class.
     pub(crate) fn best_step_efficiency(&self) -> f64 {
         let mut best = MIN_DIVISOR;
         for (index, class) in (0..).zip(&self.classes) {
@@ -88,28 +91,32 @@
         best
     }
 
-    /// Until when a retry of a session is recognised as a copy; without end where that does not matter.
+    /// Returns the time until which a retry of a session is recognised as a copy.
+    ///
+    /// The time is unlimited if no attempt may have run or if the class has no deduplication.
     pub(crate) fn deduplicated_until(&self, session: &Session) -> Micros {
         let unlimited = Micros(u64::MAX);
         match self.class(session.request.class).idempotency {
             Idempotency::Deduplicated { window, .. } => {
-                session.may_have_run.iter().map(|d| d.sent_at + window).min().unwrap_or(unlimited)
+                session.may_have_run.iter().map(|sent| sent.sent_at + window).min().unwrap_or(unlimited)
             }
             _ => unlimited,
         }
     }
 
-    /// The window of the retry budget.
+    /// Returns the window of the retry budget, or zero if there is no budget.
     pub(crate) fn retry_window(&self) -> Micros {
         self.retry_budget.map_or(Micros(0), |budget| budget.window)
     }
 }
 
 impl SlowStart {
-    /// Fraction of its capacity that a server has for certain at this age, if it is known: less than 1 while it warms up.
+    /// Returns the fraction of its capacity that a server is certain to have at an age, which is below 1
+    /// while it warms up. A server of unknown age counts as warm.
     pub(crate) fn capacity_fraction(&self, age: Option<Micros>) -> f64 {
         let age = age.map_or(self.warm_up, |age| age.min(self.warm_up));
-        if age == self.warm_up {
+        let is_warm = age == self.warm_up;
+        if is_warm {
             return 1.0;
         }
         self.initial_fraction + (1.0 - self.initial_fraction) * age.secs() / self.warm_up.secs()
@@ -117,7 +124,7 @@
 }
 
 impl Idempotency {
-    /// Servers at which a set-up that may have been executed can be repeated.
+    /// Returns the servers at which a set-up that may have been executed can be repeated.
     pub(crate) fn scope(self) -> DedupScope {
         match self {
             Idempotency::Deduplicated { scope, .. } => scope,
@@ -127,10 +134,10 @@
 }
 
 impl Request {
-    /// Whether a server holds the title, of so many cells.
-    pub(crate) fn is_held_by(&self, endpoint: &Endpoint, cells: u32) -> bool {
-        if let Some(named) = &self.eligible_servers {
-            return named.contains(&endpoint.server);
+    /// Returns whether a server holds the title, given the total number of cells.
+    pub(crate) fn title_is_at(&self, endpoint: &Endpoint, cells: u32) -> bool {
+        if let Some(servers) = &self.eligible_servers {
+            return servers.contains(&endpoint.server);
         }
         let cells = cells.max(1);
         let offset = (u32::from(endpoint.cell.0) + cells - self.first_cell % cells) % cells;
@@ -138,6 +145,7 @@
     }
 }
 
+/// Returns the value at a rung, or zero if the ladder has no such rung.
 fn value_at(values: &[f64], rung: Rung) -> f64 {
     values.get(usize::from(rung.0)).copied().unwrap_or(0.0)
 }
