--- a/crates/platform/settings/src/json.rs
+++ b/crates/platform/settings/src/json.rs
@@ -1,8 +1,16 @@
-//! The platform's settings as JSON: the keys, their defaults, and nothing else.
+//! The JSON form of the platform's settings: the keys and their defaults.
+//!
+//! [`crate::parse`] gives the values their meaning.
 
 use serde::Deserialize;
 
-/// All settings.
+/// Default time after which an idle connection is closed, in microseconds.
+const DEFAULT_IDLE_TIMEOUT_US: u64 = 30_000_000;
+
+/// Default time after which a connection that is not established counts as failed, in microseconds.
+const DEFAULT_CONNECT_TIMEOUT_US: u64 = 250_000;
+
+/// The complete settings text.
 #[derive(Deserialize)]
 pub(crate) struct SettingsJson {
     #[serde(default, rename = "caps")]
@@ -36,7 +44,7 @@
     pub zones: Vec<String>,
 }
 
-/// What the deployment permits, and timeouts of connections.
+/// Operations that the deployment permits, and timeouts of connections.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(crate) struct CapabilitiesJson {
@@ -56,8 +64,8 @@
     fn default() -> Self {
         CapabilitiesJson {
             cancel: false,
-            idle_timeout_us: 30_000_000,
-            connect_timeout_us: 250_000,
+            idle_timeout_us: DEFAULT_IDLE_TIMEOUT_US,
+            connect_timeout_us: DEFAULT_CONNECT_TIMEOUT_US,
             max_attempts: u32::MAX,
             max_retry_after_us: 0,
             health_checks: false,
@@ -84,7 +92,7 @@
     pub utility: f64,
 }
 
-/// Settings of the family of services that plays video.
+/// Settings of a video service.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(crate) struct VideoJson {
@@ -122,7 +130,7 @@
     pub utility_by_rung: Vec<f64>,
 }
 
-/// Prices, as fractions of the result.
+/// Prices of operations, as fractions of the result.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(crate) struct PricesJson {
@@ -132,7 +140,7 @@
     pub health_check: f64,
 }
 
-/// How load is reported.
+/// How load is reported, and the names of the reported values in order.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(crate) struct ReportingJson {
--- a/crates/platform/settings/src/lib.rs
+++ b/crates/platform/settings/src/lib.rs
@@ -1,44 +1,46 @@
-//! The platform's settings, as JSON, turned into the policy's settings and what a driver needs besides.
-//! Unknown keys are skipped. The simulator's adapter and the front node read the same text.
+//! Parses the platform's settings from JSON into the policy's settings and the further values that a driver
+//! needs.
+//!
+//! Unknown keys are ignored. The simulator's adapter and the front node read the same text.
 #![forbid(unsafe_code)]
 
 mod json;
 
 use beechloft::api::{self, Micros, Rung};
 
-use json::{CapabilitiesJson, ClassJson, RulesJson, SettingsJson, VideoJson};
+use json::{CapabilitiesJson, ClassJson, RulesJson, SettingsJson, TenantJson, VideoJson};
 
-/// What the settings call things; each name's position is the policy's number for it.
+/// Names from the settings. The position of a name is the number that the policy uses in its place.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Names {
-    /// Classes of sessions.
+    /// Names of the session classes.
     pub classes: Vec<String>,
-    /// Zones of the network.
+    /// Names of the network's zones.
     pub zones: Vec<String>,
-    /// Types of servers.
+    /// Names of the server types.
     pub server_types: Vec<String>,
-    /// Values of a load report.
+    /// Names of the values of a load report.
     pub report_values: Vec<String>,
 }
 
-/// Time limits of connections to servers.
+/// Timeouts of connections to servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Connections {
-    /// A connection that is not established by then counts as failed.
+    /// Time after which a connection that is not established counts as failed.
     pub connect_timeout: Micros,
-    /// A connection idle for so long is closed.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Micros,
 }
 
-/// The settings, and what the values of a load report mean, in order.
+/// The parsed settings of a front and its driver.
 pub struct Parsed {
     /// The policy's settings.
     pub settings: api::Settings,
-    /// Meaning of each value of a load report.
+    /// Meaning of each value of a load report, in order.
     pub report_fields: Vec<api::ReportField>,
-    /// Names, for a driver whose peers use names.
+    /// Names, for a driver whose peers use them in place of numbers.
     pub names: Names,
-    /// Limits of connections, for a driver that has some.
+    /// Timeouts, for a driver that connects to servers.
     pub connections: Connections,
 }
 
@@ -46,7 +48,7 @@
 ///
 /// # Errors
 ///
-/// When the text is not JSON, lacks a required key or has a value of another type.
+/// Returns an error if the text is not JSON, lacks a required key or has a value of the wrong type.
 pub fn parse(text: &[u8]) -> Result<Parsed, serde_json::Error> {
     let json: SettingsJson = serde_json::from_slice(text)?;
     let settings = settings(&json);
@@ -69,8 +71,8 @@
     let classes = json.classes.iter().enumerate();
     api::Settings {
         classes: classes.map(|(index, class)| session_class(class, index, video)).collect(),
-        tenants: json.tenants.iter().map(|t| api::Tenant { quota_per_s: t.quota_per_s }).collect(),
-        max_streams_by_type: video.max_streams_by_type.iter().map(|count| whole(*count)).collect(),
+        tenants: json.tenants.iter().map(tenant).collect(),
+        max_streams_by_type: video.max_streams_by_type.iter().map(|count| truncated_count(*count)).collect(),
         ladder: api::BitrateLadder {
             rates_kb: video.rates_kb.clone(),
             utility: video.utility_by_rung.clone(),
@@ -100,21 +102,27 @@
 
 fn session_class(class: &ClassJson, index: usize, video: &VideoJson) -> api::Class {
     let highest = highest_rung(video);
+    let min_rung = video.min_rung_by_class.get(index).copied().unwrap_or(0);
     let max_rung = video.max_rung_by_class.get(index).copied().unwrap_or(highest);
     let is_live = video.is_live.get(index) == Some(&true);
+    let max_sessions = video.max_sessions_by_class.get(index).copied();
     api::Class {
         latency_objective: Micros(class.latency_objective_us),
         deadline: Micros(class.deadline_us),
         idempotency: idempotency(class),
         utility: class.utility,
         rate_scale: video.rate_scale_by_class.get(index).copied().unwrap_or(1.0),
-        min_rung: Rung(video.min_rung_by_class.get(index).copied().unwrap_or(0)),
+        min_rung: Rung(min_rung),
         max_rung: Rung(max_rung.min(highest)),
-        max_sessions_per_title: video.max_sessions_by_class.get(index).copied().filter(|max| *max > 0),
+        max_sessions_per_title: max_sessions.filter(|max| *max > 0),
         shared_rate_fraction: video.shared_rate_fraction.filter(|_| is_live).unwrap_or(1.0),
     }
 }
 
+fn tenant(tenant: &TenantJson) -> api::Tenant {
+    api::Tenant { quota_per_s: tenant.quota_per_s }
+}
+
 fn idempotency(class: &ClassJson) -> api::Idempotency {
     let scope = match class.scope.as_str() {
         "all" => api::DedupScope::All,
@@ -128,7 +136,7 @@
     }
 }
 
-/// The ladder's highest rung.
+/// Returns the highest rung of the ladder.
 #[expect(
     clippy::cast_possible_truncation,
     reason = "a ladder has a few rungs; the platform's rungs are bytes"
@@ -137,9 +145,9 @@
     video.rates_kb.len().max(1) as u8 - 1
 }
 
-/// A count that comes as a float.
+/// Converts a count that is given as a float.
 #[expect(clippy::cast_possible_truncation, reason = "rounded towards zero; casts from floats saturate")]
-fn whole(count: f64) -> u32 {
+fn truncated_count(count: f64) -> u32 {
     count as u32
 }
 
@@ -184,7 +192,7 @@
     }
 }
 
-/// The retry budget, if both its ratio and its window are set.
+/// Returns the retry budget, or `None` unless both its ratio and its window are set.
 fn retry_budget(rules: &RulesJson) -> Option<api::RetryBudget> {
     Some(api::RetryBudget {
         min_retries: rules.min_retries.unwrap_or(0.0),
--- a/crates/platform/settings/tests/parsing.rs
+++ b/crates/platform/settings/tests/parsing.rs
@@ -1,8 +1,8 @@
-//! Each key of the platform's settings and the field that it sets.
+//! Tests that each key of the platform's settings sets its field.
 
 use beechloft::api;
 
-/// Every key, each with a value of its own.
+/// Settings with every key, each with a different value.
 const EVERY_KEY: &str = r#"{
     "caps": {"cancel": true, "conn_idle_us": 31, "dial_timeout_us": 32, "max_attempts": 33,
              "max_retry_after_us": 34, "probes": true, "retry_after": true},
@@ -36,15 +36,16 @@
     "a_key_of_a_later_version": 1
 }"#;
 
-/// The keys that must be there, and no others.
+/// Settings with the required keys only.
 const REQUIRED_KEYS: &str =
     r#"{"classes": [{"aim_us": 1, "deadline_us": 2, "effect": "once"}], "family_info": {}}"#;
 
-fn class(aim: u64, deadline: u64, effect: api::Idempotency) -> api::Class {
+/// Returns a class with default values and the given times in microseconds.
+fn class(latency_objective: u64, deadline: u64, idempotency: api::Idempotency) -> api::Class {
     api::Class {
-        latency_objective: api::Micros(aim),
+        latency_objective: api::Micros(latency_objective),
         deadline: api::Micros(deadline),
-        idempotency: effect,
+        idempotency,
         utility: 1.0,
         rate_scale: 1.0,
         min_rung: api::Rung(0),
@@ -54,8 +55,8 @@
     }
 }
 
-fn keyed(group: api::DedupScope, window: u64) -> api::Idempotency {
-    api::Idempotency::Deduplicated { scope: group, window: api::Micros(window) }
+fn deduplicated(scope: api::DedupScope, window: u64) -> api::Idempotency {
+    api::Idempotency::Deduplicated { scope, window: api::Micros(window) }
 }
 
 fn parse(text: &str) -> beechloft_settings::Parsed {
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn every_key_sets_its_field() {
+fn each_key_sets_its_field() {
     let parsed = parse(EVERY_KEY);
     let classes = vec![
         api::Class {
@@ -77,11 +78,11 @@
         api::Class {
             rate_scale: 0.5,
             shared_rate_fraction: 0.25,
-            ..class(43, 44, keyed(api::DedupScope::Zone, 45))
+            ..class(43, 44, deduplicated(api::DedupScope::Zone, 45))
         },
-        class(46, 47, keyed(api::DedupScope::All, 48)),
-        class(49, 50, keyed(api::DedupScope::Cell, 51)),
-        class(52, 53, keyed(api::DedupScope::Zone, 54)),
+        class(46, 47, deduplicated(api::DedupScope::All, 48)),
+        class(49, 50, deduplicated(api::DedupScope::Cell, 51)),
+        class(52, 53, deduplicated(api::DedupScope::Zone, 54)),
         class(55, 56, api::Idempotency::AtMostOnce),
     ];
     let expected = api::Settings {
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn a_key_that_is_absent_leaves_its_default() {
+fn absent_key_leaves_default() {
     let parsed = parse(REQUIRED_KEYS);
     let expected = api::Settings {
         classes: vec![api::Class { max_rung: api::Rung(0), ..class(1, 2, api::Idempotency::AtMostOnce) }],
@@ -161,7 +162,7 @@
 }
 
 #[test]
-fn each_name_of_an_enumerated_key_has_its_meaning() {
+fn each_enumerated_value_has_its_meaning() {
     let with = |key: &str, value: &str| {
         let text = REQUIRED_KEYS.replacen('{', &format!("{{\"{key}\": {value},"), 1);
         parse(&text).settings
@@ -170,11 +171,11 @@
     assert_eq!(reporting("piggyback"), api::LoadReporting::InResponses);
     assert_eq!(reporting("pull"), api::LoadReporting::InHealthChecks);
     assert_eq!(reporting("anything else"), api::LoadReporting::Disabled);
-    let sizes = |weights: &str| with("weights", &format!("\"{weights}\"")).weight_meaning;
-    assert_eq!(sizes("nominal"), api::WeightMeaning::Capacity);
-    assert_eq!(sizes("rough"), api::WeightMeaning::Capacity);
-    assert_eq!(sizes("live"), api::WeightMeaning::LoadAdjusted);
-    assert_eq!(sizes("anything else"), api::WeightMeaning::Unset);
+    let weight_meaning = |weights: &str| with("weights", &format!("\"{weights}\"")).weight_meaning;
+    assert_eq!(weight_meaning("nominal"), api::WeightMeaning::Capacity);
+    assert_eq!(weight_meaning("rough"), api::WeightMeaning::Capacity);
+    assert_eq!(weight_meaning("live"), api::WeightMeaning::LoadAdjusted);
+    assert_eq!(weight_meaning("anything else"), api::WeightMeaning::Unset);
     assert_eq!(with("discovery", "\"ask\"").discovery, api::Discovery::Subscribe);
     assert_eq!(with("discovery", "\"push\"").discovery, api::Discovery::Push);
 }
--- a/crates/platform/simhost/src/lib.rs
+++ b/crates/platform/simhost/src/lib.rs
@@ -1,4 +1,4 @@
-//! The simulator's adapter: frames in, events to the module's instances, their actions out as frames.
+//! The simulator's adapter: decodes frames into events for the policy's instances, and encodes their actions.
 #![forbid(unsafe_code)]
 
 pub mod host;
--- a/crates/platform/simhost/src/wire/error.rs
+++ b/crates/platform/simhost/src/wire/error.rs
@@ -1,54 +1,54 @@
-//! What can be wrong with a frame.
+//! Errors of malformed frames.
 
 use thiserror::Error;
 
-/// What is wrong with a frame.
+/// The reason why a frame is malformed.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum WireError {
     /// The input ended inside a frame.
-    #[error("input ended inside a frame: {got} bytes of {want}")]
+    #[error("input ended inside a frame: {received} bytes of {expected}")]
     Truncated {
-        /// Bytes there.
-        got: usize,
-        /// Bytes announced.
-        want: usize,
+        /// Number of bytes received.
+        received: usize,
+        /// Number of bytes expected.
+        expected: usize,
     },
-    /// The stated length can't hold the stated records.
-    #[error("frame length {len} does not fit {records} records")]
+    /// The announced length can't hold the announced records.
+    #[error("frame length {length} does not fit {records} records")]
     BadLength {
-        /// Stated length.
-        len: usize,
-        /// Stated records.
+        /// Announced length in bytes.
+        length: usize,
+        /// Announced number of records.
         records: usize,
     },
-    /// A record's code is not known.
+    /// The code of a record is unknown.
     #[error("record {index} has the unknown event code {code}")]
     UnknownCode {
         /// Position of the record.
         index: usize,
-        /// Its code.
+        /// Code of the record.
         code: u16,
     },
-    /// A record points outside the tail.
-    #[error("record {index} points outside the tail: offset {offset}, {len} bytes, tail of {tail}")]
+    /// A record refers to bytes outside the tail.
+    #[error("record {index} points outside the tail: offset {offset}, {length} bytes, tail of {tail}")]
     OutsideTail {
         /// Position of the record.
         index: usize,
-        /// Stated offset.
+        /// Offset in the tail.
         offset: usize,
-        /// Bytes meant.
-        len: usize,
-        /// Size of the tail.
+        /// Number of bytes from the offset.
+        length: usize,
+        /// Size of the tail in bytes.
         tail: usize,
     },
-    /// A field holds a value that has no meaning.
+    /// A field has a value without a meaning.
     #[error("record {index}: {field} has the unknown value {value}")]
     BadValue {
         /// Position of the record.
         index: usize,
-        /// Which field.
+        /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: u32,
     },
 }
--- a/crates/platform/simhost/src/wire/mod.rs
+++ b/crates/platform/simhost/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! The simulator's frames: reading batches, writing replies. Layout only; no meaning is added here.
+//! The frames of the simulator's wire: batches are decoded and replies are encoded. Only the layout is
+//! handled here.
 
 mod decode;
 mod encode;
@@ -6,10 +7,12 @@
 mod messages;
 mod record;
 
-pub use decode::{decode, frame_len};
+pub use decode::{decode, frame_length};
 pub use encode::encode;
 pub use error::WireError;
-pub use messages::{Action, Batch, Entry, Event, Pressure, Visit};
+pub use messages::{
+    Action, Batch, Event, InstanceAction, InstanceEvent, ListEntry, LoadValues, SessionRequest,
+};
 
-/// Size of a batch header.
-pub const HEADER: usize = 16;
+/// Size of a batch header in bytes.
+pub const HEADER_SIZE: usize = 16;
--- a/crates/platform/simhost/tests/host.rs
+++ b/crates/platform/simhost/tests/host.rs
@@ -1,9 +1,11 @@
-//! Hosting: lists resolved in order, killed instances forgotten, instances kept apart.
+//! Tests of the host: server lists are resolved in order, and instances are kept apart and forgotten when they stop.
 
 use beechloft_simhost::host::Host;
-use beechloft_simhost::wire::{Action, Batch, Entry, Event, Visit};
+use beechloft_simhost::wire::{
+    Action, Batch, Event, InstanceAction, InstanceEvent, ListEntry, SessionRequest,
+};
 
-const SETUP: &str = r#"{
+const SETTINGS: &str = r#"{
     "caps": {"cancel": true, "max_attempts": 3, "probes": false, "retry_after": false},
     "classes": [{"aim_us": 800000, "deadline_us": 4000000, "effect": "repeatable", "points": 1.0}],
     "discovery": "push", "group_size": 2, "my_number": 0,
@@ -16,100 +18,120 @@
     "weights": "silent"
 }"#;
 
-fn born() -> Event {
-    Event::Born { prng: 9, setup: SETUP.into() }
+fn instance_started() -> Event {
+    Event::InstanceStarted { seed: 9, settings: SETTINGS.into() }
 }
 
-fn table(server: u32) -> Event {
-    let entry = Entry { status: 2, place: 0, up_since_us: 0, flavor: 0, site: 0, server, size: 1.0 };
-    Event::Table { roster_id: 0, records: vec![entry] }
+/// Returns list 0 with one ready server.
+fn server_list(server: u32) -> Event {
+    let entry =
+        ListEntry { state: 2, cell: 0, started_at_us: 0, server_type: 0, zone: 0, server, weight: 1.0 };
+    Event::ServerList { list: 0, entries: vec![entry] }
 }
 
-fn list(form: u8) -> Event {
-    Event::BackendsChanged { form, roster_id: 0 }
+/// Returns an update with list 0 as the cached list.
+fn cached_list() -> Event {
+    Event::EndpointsUpdated { kind: 2, list: 0 }
 }
 
-fn knock(txn: u64) -> Event {
-    Event::Knock {
-        visit: Visit {
-            txn,
-            holders: 2.0,
-            show: 5,
-            qos: 0,
-            home: 0.0,
-            item: 6,
-            hint_us: 0,
-            top: 1.0,
-            drop_dead_us: 54_000_000,
-            user_group: 0,
-            flags: 0,
-        },
-    }
+fn session_requested(session: u64) -> Event {
+    let request = SessionRequest {
+        session,
+        cell_count: 2.0,
+        title: 5,
+        class: 0,
+        first_cell: 0.0,
+        viewer: 6,
+        expected_duration_us: 0,
+        max_rung: 1.0,
+        deadline_us: 54_000_000,
+        tenant: 0,
+        flags: 0,
+    };
+    Event::SessionRequested { request }
 }
 
-fn handle(host: &mut Host, now: u64, events: Vec<(u16, Event)>) -> Vec<(u16, Action)> {
-    host.handle(Batch { now, events }).expect("a batch that can be handled")
+fn handle(host: &mut Host, now_us: u64, events: Vec<(u16, Event)>) -> Vec<InstanceAction> {
+    let events = events.into_iter().map(|(instance, event)| InstanceEvent { instance, event }).collect();
+    host.handle(Batch { now_us, events }).expect("a batch that can be handled")
 }
 
-fn relays(reply: &[(u16, Action)]) -> Vec<(u16, u64, u32)> {
-    let relay = |(who, a): &(u16, Action)| match a {
-        Action::Relay { txn, server, .. } => Some((*who, *txn, *server)),
+/// Returns the instance, session and server of each started attempt.
+fn started_attempts(reply: &[InstanceAction]) -> Vec<(u16, u64, u32)> {
+    let attempt = |record: &InstanceAction| match record.action {
+        Action::StartAttempt { session, server, .. } => Some((record.instance, session, server)),
         _ => None,
     };
-    reply.iter().filter_map(relay).collect()
+    reply.iter().filter_map(attempt).collect()
 }
 
 #[test]
-fn a_list_number_taken_over_within_a_batch_is_resolved_in_order() {
+fn resolves_reused_list_numbers_in_order() {
     let mut host = Host::default();
     handle(
         &mut host,
         50_000_000,
-        vec![(0, table(1)), (3, born()), (3, list(2)), (0, table(2)), (4, born()), (4, list(2))],
+        vec![
+            (0, server_list(1)),
+            (3, instance_started()),
+            (3, cached_list()),
+            (0, server_list(2)),
+            (4, instance_started()),
+            (4, cached_list()),
+        ],
     );
-    let reply = handle(&mut host, 50_010_000, vec![(3, knock(10)), (4, knock(11))]);
-    assert_eq!(relays(&reply), [(3, 10, 1), (4, 11, 2)]);
+    let reply = handle(&mut host, 50_010_000, vec![(3, session_requested(10)), (4, session_requested(11))]);
+    assert_eq!(started_attempts(&reply), [(3, 10, 1), (4, 11, 2)]);
 }
 
 #[test]
-fn an_instance_killed_and_born_in_one_batch_knows_nothing_of_before() {
+fn restarted_instance_has_no_earlier_state() {
     let mut host = Host::default();
-    let before =
-        handle(&mut host, 50_000_000, vec![(0, table(1)), (3, born()), (3, list(2)), (3, knock(10))]);
-    assert_eq!(relays(&before).len(), 1);
+    let before = handle(
+        &mut host,
+        50_000_000,
+        vec![(0, server_list(1)), (3, instance_started()), (3, cached_list()), (3, session_requested(10))],
+    );
+    assert_eq!(started_attempts(&before).len(), 1);
     let after = handle(
         &mut host,
         50_010_000,
-        vec![(3, Event::Shutdown), (0, table(2)), (3, born()), (3, list(2)), (3, knock(20))],
+        vec![
+            (3, Event::InstanceStopped),
+            (0, server_list(2)),
+            (3, instance_started()),
+            (3, cached_list()),
+            (3, session_requested(20)),
+        ],
     );
-    assert_eq!(relays(&after), [(3, 20, 2)], "only the new list counts");
-    let late = Event::Outcome {
-        txn: 10,
+    assert_eq!(started_attempts(&after), [(3, 20, 2)], "only the new list is used");
+    let late = Event::AttemptEnded {
+        session: 10,
         server: 1,
-        reason: 1,
-        round_no: 0,
-        complete: false,
-        spent_us: 5,
-        pressure: vec![],
+        outcome: 1,
+        attempt: 0,
+        is_final: false,
+        elapsed_us: 5,
+        load: vec![],
     };
     let reply = handle(&mut host, 50_020_000, vec![(3, late)]);
-    assert!(reply.is_empty(), "a request of the killed instance is nobody's: {reply:?}");
+    assert!(reply.is_empty(), "the session of the stopped instance is unknown: {reply:?}");
 }
 
 #[test]
-fn events_for_an_instance_that_is_gone_are_ignored() {
+fn ignores_events_for_stopped_instances() {
     let mut host = Host::default();
-    let reply = handle(&mut host, 1, vec![(7, knock(1)), (7, Event::Shutdown)]);
+    let reply = handle(&mut host, 1, vec![(7, session_requested(1)), (7, Event::InstanceStopped)]);
     assert!(reply.is_empty());
 }
 
 #[test]
-fn figures_that_are_no_numbers_are_left_out() {
+fn ignores_invalid_feedback_values() {
     let mut host = Host::default();
-    let note = |level| (3, Event::Note { txn: 1, server: 1, kind: 3, level });
-    let mut events = vec![(0, table(1)), (3, born()), (3, list(2))];
-    events.extend([f32::NAN, f32::INFINITY, -1.0].map(note));
-    events.push((3, knock(10)));
+    let feedback = |value| (3, Event::Feedback { session: 1, server: 1, kind: 3, value });
+    let mut events = vec![(0, server_list(1)), (3, instance_started()), (3, cached_list())];
+    events.extend([f32::NAN, f32::INFINITY, -1.0].map(feedback));
+    events.push((3, session_requested(10)));
     let reply = handle(&mut host, 50_000_000, events);
-    assert_eq!(relays(&reply), [(3, 10, 1)]);
+    assert_eq!(started_attempts(&reply), [(3, 10, 1)]);
 }
