--- a/src/policy/session_lifecycle.rs
+++ b/src/policy/session_lifecycle.rs
@@ -119,8 +119,8 @@
         }
         session.phase = Phase::Answered;
         if session.server.is_none() {
-            if let Some(session) = self.sessions.remove(&id) {
-                self.attribute_errors(&session);
+            if let Some(removed) = self.sessions.remove(&id) {
+                self.attribute_errors(&removed);
             }
         } else if self.settings.capabilities.cancel {
             let attempt = Attempt::last_of(session.attempted.len());
--- a/tests/documentation/log_lines.rs
+++ b/tests/documentation/log_lines.rs
@@ -1,51 +1,54 @@
-//! The texts of warnings and errors: in the sources, and in the tables of the on-call page.
+//! Texts of warnings and errors in the sources and in the tables of the on-call page.
 
 use std::collections::BTreeSet;
 
 use crate::sources::{Sources, code_spans};
 
-/// What a logged text stands in. The policy's and the front node's own lines are logged by the programs around them.
-const LOGGING: [&str; 4] = ["warn!(", "error!(", "Action::Log(format!(", "Output::Log(format!("];
-/// A text of a placeholder alone passes on an error or a line that is logged as it is.
+/// Starts of the expressions that log a text. Lines of the policy and the front node are logged by their
+/// callers.
+const LOGGING_STARTS: [&str; 4] = ["warn!(", "error!(", "Action::Log(format!(", "Output::Log(format!("];
+
+/// Text of a log line that only passes on an error or a line from elsewhere.
 const PASSED_ON: &str = "{}";
 
-/// The texts that the programs log as warnings or errors.
+/// Returns the texts that the programs log as warnings or errors.
 pub fn in_sources(sources: &Sources) -> BTreeSet<String> {
     sources.0.values().flat_map(|text| in_text(text)).collect()
 }
 
-/// All string literals of the sources, placeholders emptied.
+/// Returns all string literals of the sources, with empty placeholders.
 pub fn literals(sources: &Sources) -> BTreeSet<String> {
     let mut found = BTreeSet::new();
     for text in sources.0.values() {
         let mut rest = text.as_str();
         while let Some((literal, after)) = rest.find('"').and_then(|start| literal(&rest[start + 1..])) {
-            found.insert(without_names(&literal));
+            found.insert(with_empty_placeholders(&literal));
             rest = after;
         }
     }
     found
 }
 
-/// The texts that a source file logs, placeholders emptied.
+/// Returns the texts that a source file logs, with empty placeholders.
 pub fn in_text(text: &str) -> BTreeSet<String> {
     let mut found = BTreeSet::new();
-    for start in LOGGING {
+    for start in LOGGING_STARTS {
         for (at, _) in text.match_indices(start) {
-            let message = message(&text[at + start.len()..]).map(|message| without_names(&message));
+            let message = message(&text[at + start.len()..]).map(|message| with_empty_placeholders(&message));
             found.extend(message.filter(|message| message != PASSED_ON));
         }
     }
     found
 }
 
-/// The texts that the page's tables explain: the code span at the start of a row.
+/// Returns the texts that the tables of a page explain, which are the code spans at the start of rows.
 pub fn in_page(text: &str) -> BTreeSet<String> {
     let rows = text.lines().filter(|line| line.starts_with("| `"));
-    rows.filter_map(|row| code_spans(row).next()).map(without_names).collect()
+    rows.filter_map(|row| code_spans(row).next()).map(with_empty_placeholders).collect()
 }
 
-/// The message of a logging macro: the last string literal among its own arguments that names no target.
+/// Returns the message of a logging macro, which is the last string literal among its own arguments that is
+/// not the target.
 fn message(arguments: &str) -> Option<String> {
     let mut rest = arguments;
     let mut depth = 1;
@@ -69,7 +72,7 @@
     message
 }
 
-/// A string literal up to its closing quote, and what follows it.
+/// Splits a text after the closing quote of a string literal into the literal and the rest.
 fn literal(text: &str) -> Option<(String, &str)> {
     let mut literal = String::new();
     let mut chars = text.char_indices();
@@ -83,8 +86,8 @@
     None
 }
 
-/// A text with what its placeholders name left out.
-fn without_names(text: &str) -> String {
+/// Returns a text with the content of its placeholders removed.
+fn with_empty_placeholders(text: &str) -> String {
     let mut plain = String::new();
     let mut in_placeholder = false;
     for char in text.chars() {
--- a/tests/documentation/main.rs
+++ b/tests/documentation/main.rs
@@ -1,5 +1,5 @@
-//! The pages for people on call name only what exists: paths and items of the architecture page, and every warning
-//! and error that the programs log.
+//! Tests of the pages for operators: the architecture page names only existing paths and items, and the
+//! on-call page explains each warning and error that the programs log.
 
 mod log_lines;
 mod sources;
@@ -9,18 +9,20 @@
 
 use sources::{Sources, code_spans};
 
-fn page(name: &str) -> String {
+/// Returns the text of a page in `docs`.
+fn read_page(name: &str) -> String {
     let path = sources::root().join("docs").join(name);
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// Whether a code span is meant as a path of the repository.
+/// Returns whether a code span is a path of the repository.
 fn is_path(span: &str) -> bool {
     let known_ending = [".rs", ".toml", ".md", ".yaml", ".txt"].iter().any(|ending| span.ends_with(ending));
     !span.contains(' ') && !span.starts_with('/') && (known_ending || span.starts_with("crates/"))
 }
 
-/// The parts of `Type::function` or `Type`, if the span is meant as an item of the code.
+/// Returns the parts of a span such as `Type::function` or `Type`, or `None` if the span is not an item of
+/// the code.
 fn item_parts(span: &str) -> Option<Vec<&str>> {
     let name = span.trim_end_matches("()");
     let parts: Vec<&str> = name.split("::").collect();
@@ -31,8 +33,10 @@
     (is_item && parts.iter().all(is_identifier)).then_some(parts)
 }
 
-/// What a page names and the sources don't have. A function is looked for in the path that its line names before it, if
-/// there is one; types and variants anywhere.
+/// Returns the names on a page that the sources do not have.
+///
+/// A function is searched in the path that its line names last before it, if there is one. Types and variants
+/// are searched everywhere.
 fn missing_names(text: &str, sources: &Sources) -> Vec<String> {
     let mut missing = Vec::new();
     for (number, line) in text.lines().enumerate() {
@@ -58,13 +62,13 @@
 }
 
 #[test]
-fn the_architecture_page_names_only_paths_and_items_that_exist() {
-    let missing = missing_names(&page("architecture.md"), &Sources::read());
+fn architecture_page_names_only_existing_paths_and_items() {
+    let missing = missing_names(&read_page("architecture.md"), &Sources::read());
     assert!(missing.is_empty(), "{missing:#?}");
 }
 
 #[test]
-fn a_path_or_an_item_that_does_not_exist_is_found() {
+fn finds_missing_paths_and_items() {
     let sources = Sources::read();
     let wrong = "`src/nowhere.rs` is read by `Policy::no_such_function`; `src/lib.rs` by `Policy::handle` and `NoType`";
     assert_eq!(missing_names(wrong, &sources).len(), 4);
@@ -73,12 +77,12 @@
 }
 
 #[test]
-fn the_on_call_page_has_every_warning_and_error_of_the_log_and_no_other() {
+fn on_call_page_explains_exactly_the_logged_warnings_and_errors() {
     let sources = Sources::read();
     let logged = log_lines::in_sources(&sources);
-    let explained = log_lines::in_page(&page("oncall.md"));
+    let explained = log_lines::in_page(&read_page("oncall.md"));
     let unexplained: Vec<&String> = logged.difference(&explained).collect();
-    // Some lines are made in one place and logged in another.
+    // Some texts are formatted in one place and logged in another.
     let literals = log_lines::literals(&sources);
     let never_logged: Vec<&String> = explained.difference(&literals).collect();
     assert!(
@@ -88,7 +92,7 @@
 }
 
 #[test]
-fn log_lines_are_read_off_macros_and_table_rows() {
+fn reads_log_lines_from_macros_and_table_rows() {
     let code = "warn!(target: \"list\", path = %p, \"the {thing:?} can't be read: {why}\"); \
         info!(\"no\"); error!(\"{fault}\"); warn!(id = format_args!(\"{:x}\", id.0), \"lost\"); Action::Log(format!(\"server {} ejected\", id))";
     let expected = ["the {} can't be read: {}", "lost", "server {} ejected"];
--- a/tests/documentation/sources.rs
+++ b/tests/documentation/sources.rs
@@ -1,27 +1,27 @@
-//! The workspace's sources and the names that they define.
+//! The sources of the workspace and the names that they define.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// Words that come before the name of an item.
+/// Keywords before the name of an item.
 const KEYWORDS: [&str; 9] =
     ["fn", "struct", "enum", "trait", "type", "const", "static", "mod", "macro_rules!"];
 
-/// The root of the workspace.
+/// Returns the root folder of the workspace.
 pub fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// The code spans of a line, without their backticks.
+/// Returns the code spans of a line without their backticks.
 pub fn code_spans(line: &str) -> impl Iterator<Item = &str> {
     line.split('`').skip(1).step_by(2)
 }
 
-/// Each source file of the programs and libraries, tests left out, by its path from the root.
+/// Texts of the source files of the programs and libraries without tests, by their paths from the root.
 pub struct Sources(pub BTreeMap<PathBuf, String>);
 
 impl Sources {
-    /// Reads `src` and the `src` of each crate.
+    /// Reads the sources in `src` and `crates`.
     pub fn read() -> Sources {
         let mut files = BTreeMap::new();
         collect(&root().join("src"), &mut files);
@@ -29,14 +29,16 @@
         Sources(files)
     }
 
-    /// Whether an item or enum variant of this name is defined, in this file or folder if one is given.
+    /// Returns whether an item or enum variant of this name is defined, within a file or folder if one is
+    /// given.
     pub fn defines(&self, name: &str, within: Option<&Path>) -> bool {
-        let looked_at =
-            self.0.iter().filter(|(path, _)| within.is_none_or(|within| path.starts_with(within)));
-        looked_at.map(|(_, text)| definitions(text)).any(|names| names.contains(name))
+        let is_within = |path: &PathBuf| within.is_none_or(|within| path.starts_with(within));
+        let searched = self.0.iter().filter(|(path, _)| is_within(path));
+        searched.map(|(_, text)| definitions(text)).any(|names| names.contains(name))
     }
 }
 
+/// Adds the source files of a folder and its subfolders.
 fn collect(folder: &Path, files: &mut BTreeMap<PathBuf, String>) {
     let entries = std::fs::read_dir(folder).unwrap_or_else(|error| panic!("{}: {error}", folder.display()));
     for entry in entries {
@@ -54,7 +56,7 @@
     }
 }
 
-/// The names of items and enum variants that a text defines.
+/// Returns the names of the items and enum variants that a text defines.
 fn definitions(text: &str) -> BTreeSet<&str> {
     let mut names = BTreeSet::new();
     for line in text.lines() {
@@ -64,7 +66,7 @@
                 names.insert(identifier(pair[1]));
             }
         }
-        // A variant of an enum begins its line.
+        // An enum variant is the first word of its line.
         if let Some(first) = words.first().filter(|word| word.starts_with(char::is_uppercase)) {
             names.insert(identifier(first));
         }
@@ -72,6 +74,7 @@
     names
 }
 
+/// Returns the identifier at the start of a word.
 fn identifier(word: &str) -> &str {
     let end = word.find(|char: char| !(char.is_alphanumeric() || char == '_')).unwrap_or(word.len());
     &word[..end]
--- a/tests/endpoint_lists.rs
+++ b/tests/endpoint_lists.rs
@@ -1,67 +1,66 @@
-//! What is believed of a list of servers.
+//! Tests of updates of the endpoint list: which are applied and which are ignored.
 
 mod support;
 
 use beechloft::api::{Action, Discovery, EndpointState, Event, Outcome, Settings, UpdateKind};
-use support::{Front, SECONDS, entry, is_rejected, set_up, settings};
+use support::{Front, SECONDS, endpoint, is_rejected, set_up, settings};
 
-/// A directory that has lost its state answers with nothing, without an error: it must not stop the front.
+/// A directory that has lost its state answers with an empty list and without an error. Guards against a
+/// front that stops service then.
 #[test]
-fn an_empty_full_list_is_ignored() {
-    for form in [UpdateKind::Full, UpdateKind::Cached] {
+fn ignores_empty_full_list() {
+    for kind in [UpdateKind::Full, UpdateKind::Cached] {
         let mut front = Front::new(settings());
         front.adopt(1, 2);
         front.update_endpoint(0, EndpointState::Draining, 0);
         front.update_endpoint(1, EndpointState::Removed, 0);
         let before = front.policy.own_demand();
         assert_eq!(
-            front.send(Event::EndpointsUpdated { kind: form, endpoints: vec![] }),
+            front.send(Event::EndpointsUpdated { kind, endpoints: vec![] }),
             [],
-            "it ends nothing that plays"
+            "playing sessions go on"
         );
-        assert_eq!(front.policy.own_demand(), before, "what plays is still counted");
+        assert_eq!(front.policy.own_demand(), before, "playing sessions are still counted");
         for id in 10..40 {
-            let (server, _) = set_up(&front.request(id)).expect("the front serves on");
-            assert!(server >= 2, "{server}: what the list before said of each still holds");
+            let (server, _) = set_up(&front.request(id)).expect("the front still serves");
+            assert!(server >= 2, "server {server} is not ready by the list before");
             front.started(id, server);
             front.ended(id, server, Outcome::Ok, true);
         }
     }
-    let set = Settings { discovery: Discovery::Subscribe, ..settings() };
-    let mut front = Front::new(set);
+    let mut front = Front::new(Settings { discovery: Discovery::Subscribe, ..settings() });
     front.send(Event::EndpointsUpdated { kind: UpdateKind::Full, endpoints: vec![] });
-    assert!(front.tick().contains(&Action::Subscribe), "where lists come for asking, it is asked for again");
+    assert!(front.tick().contains(&Action::Subscribe), "the front subscribes again");
 }
 
-/// Lines that say of each server that it is gone are no empty list: nothing new goes to a server past its drain.
+/// A list whose entries are all removed is not empty, and is applied.
 #[test]
-fn removed_servers_and_those_missing_from_a_full_list_get_nothing_new() {
-    let gone = |n| entry(n, EndpointState::Removed, 0);
-    for form in [UpdateKind::Delta, UpdateKind::Full] {
+fn removed_and_unlisted_servers_get_no_sessions() {
+    let removed = |n| endpoint(n, EndpointState::Removed, 0);
+    for kind in [UpdateKind::Delta, UpdateKind::Full] {
         let mut front = Front::new(settings());
         front.adopt(1, 2);
         assert_eq!(
-            front.send(Event::EndpointsUpdated { kind: form, endpoints: (0..4).map(gone).collect() }),
+            front.send(Event::EndpointsUpdated { kind, endpoints: (0..4).map(removed).collect() }),
             [],
-            "what plays goes on"
+            "playing sessions go on"
         );
-        assert!(is_rejected(&front.request(2)), "{form:?}");
+        assert!(is_rejected(&front.request(2)), "{kind:?}");
     }
     let mut front = Front::new(settings());
     front.adopt(1, 2);
-    let one = vec![entry(3, EndpointState::Ready, 0)];
+    let one = vec![endpoint(3, EndpointState::Ready, 0)];
     assert_eq!(
         front.send(Event::EndpointsUpdated { kind: UpdateKind::Full, endpoints: one }),
         [],
-        "what plays goes on"
+        "playing sessions go on"
     );
-    assert_eq!(set_up(&front.request(2)).map(|s| s.0), Some(3), "the one that is left");
+    assert_eq!(set_up(&front.request(2)).map(|(server, _)| server), Some(3), "only server 3 is listed");
     front.advance(SECONDS);
-    let now = front.now;
     front.send(Event::EndpointsUpdated {
         kind: UpdateKind::Full,
-        endpoints: (0..4).map(|n| entry(n, EndpointState::Ready, 0)).collect(),
+        endpoints: (0..4).map(|n| endpoint(n, EndpointState::Ready, 0)).collect(),
     });
     let sent: Vec<_> = (10..40).filter_map(|id| set_up(&front.request(id))).collect();
-    assert!((0..4).all(|n| sent.iter().any(|s| s.0 == n)), "back at {now} as if it had never been short");
+    assert!((0..4).all(|n| sent.iter().any(|(server, _)| *server == n)), "all servers get sessions again");
 }
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -1,5 +1,5 @@
-//! Load reports, health checks and playback feedback: one test for each failure found on the way.
-// Counts of a test are small.
+//! Tests of load reports, health checks and playback feedback.
+// Counts in these tests are small.
 #![allow(clippy::cast_possible_truncation)]
 
 mod support;
@@ -9,7 +9,7 @@
 };
 use support::{Front, MILLIS, SECONDS, class, is_rejected, play, set_up, settings};
 
-/// Found on linz-main: a front that refuses hears nothing more and must not refuse for good.
+/// A front that rejects all sessions gets no new reports. Guards against rejecting for ever.
 #[test]
 fn full_utilization_fades_without_new_reports() {
     let mut front = Front::new(settings());
@@ -19,24 +19,21 @@
     }
     assert!(is_rejected(&front.request(1)));
     front.advance(9 * SECONDS);
-    assert!(set_up(&front.request(2)).is_some(), "the figures are old");
+    assert!(set_up(&front.request(2)).is_some(), "the reports are old");
 }
 
-/// Found on linz-main: without probes on a timer nothing is reported while all is rejected.
+/// Guards against a front that rejects all sessions and gets no report that would end this.
 #[test]
-fn racks_without_reports_are_checked_where_only_health_checks_report_load() {
-    let limits = Capabilities { health_checks: true, ..settings().capabilities };
-    let mut front = Front::new(Settings {
-        load_reporting: LoadReporting::InHealthChecks,
-        capabilities: limits,
-        ..settings()
-    });
+fn checks_racks_without_reports_where_only_health_checks_report_load() {
+    let capabilities = Capabilities { health_checks: true, ..settings().capabilities };
+    let mut front =
+        Front::new(Settings { load_reporting: LoadReporting::InHealthChecks, capabilities, ..settings() });
     let mut racks = std::collections::BTreeSet::new();
     for id in 0..10 {
         front.advance(SECONDS);
         front.request(id);
-        for a in front.tick() {
-            if let Action::HealthCheck(server) = a {
+        for action in front.tick() {
+            if let Action::HealthCheck(server) = action {
                 racks.insert(server.0 % 2);
             }
         }
@@ -44,83 +41,85 @@
     assert_eq!(racks.len(), 2);
 }
 
-/// Found on linz-main-later: each of 230 fronts probed all racks every 2 s, at up to half the result.
+/// Guards against many fronts that each check all racks every two seconds, which can cost half of the result.
 #[test]
-fn health_checks_cost_at_most_a_part_of_the_result_at_any_size() {
-    let limits = Capabilities { health_checks: true, ..settings().capabilities };
-    let set = Settings {
+fn limits_price_of_health_checks_at_any_number_of_fronts() {
+    let capabilities = Capabilities { health_checks: true, ..settings().capabilities };
+    let settings = Settings {
         load_reporting: LoadReporting::InHealthChecks,
-        capabilities: limits,
+        capabilities,
         front_count: 230,
         health_check_price: 0.05,
         ..settings()
     };
-    let mut front = Front::new(set);
-    let mut probes = 0;
+    let mut front = Front::new(settings);
+    let mut checks = 0;
     for id in 0..40 {
         front.request(id);
         front.advance(4 * SECONDS);
-        probes += front.tick().iter().filter(|a| matches!(a, Action::HealthCheck(_))).count();
+        checks += front.tick().iter().filter(|action| matches!(action, Action::HealthCheck(_))).count();
     }
-    assert!((4..=8).contains(&probes), "{probes} probes for 40 sessions at 0.01 of the result");
+    assert!((4..=8).contains(&checks), "{checks} checks for 40 sessions at 0.01 of the result");
 }
 
 #[test]
-fn no_health_checks_where_responses_report_load_or_they_are_not_permitted() {
-    let limits = Capabilities { health_checks: true, ..settings().capabilities };
-    let in_responses = Settings { capabilities: limits, ..settings() };
+fn sends_no_health_checks_if_not_needed_or_not_permitted() {
+    let capabilities = Capabilities { health_checks: true, ..settings().capabilities };
+    let in_responses = Settings { capabilities, ..settings() };
     let not_permitted = Settings { load_reporting: LoadReporting::InHealthChecks, ..settings() };
-    for set in [in_responses, not_permitted] {
-        let mut front = Front::new(set);
+    for settings in [in_responses, not_permitted] {
+        let mut front = Front::new(settings);
         for _ in 0..20 {
             front.advance(SECONDS);
-            assert!(!front.tick().iter().any(|a| matches!(a, Action::HealthCheck(_))));
+            assert!(!front.tick().iter().any(|action| matches!(action, Action::HealthCheck(_))));
         }
     }
 }
 
-/// Found on linz-main: all fronts took the same free uplink between two reports of it.
+/// Guards against fronts that all use the same free uplink capacity between two reports of it.
 #[test]
-fn free_uplinks_are_not_taken_by_all_fronts_at_once() {
-    let load = |fronts| {
-        let mut front = Front::new(Settings { front_count: fronts, ..settings() });
+fn fronts_share_free_uplink_capacity() {
+    let placed_rate = |front_count| {
+        let mut front = Front::new(Settings { front_count, ..settings() });
         front.advance(20 * SECONDS);
         for server in 0..4 {
             front.feedback(server, Feedback::LinkUtilization(0.0));
             front.feedback(server, Feedback::UplinkUtilization(0.0));
         }
         let rates = settings().ladder.rates_kb;
-        (0..60).filter_map(|id| play(&mut front, id)).map(|(_, r)| rates[usize::from(r)]).sum::<f64>()
+        (0..60).filter_map(|id| play(&mut front, id)).map(|(_, rung)| rates[usize::from(rung)]).sum::<f64>()
     };
-    let (alone, one_of_four) = (load(1), load(4));
+    let (alone, one_of_four) = (placed_rate(1), placed_rate(4));
     assert!(alone > 20_000.0, "{alone}");
     assert!(one_of_four < 0.4 * alone, "{one_of_four} of {alone}");
 }
 
-/// Found in an incident on trznice-brno: links that swung made rungs swing with them.
+/// Guards against rungs that follow each swing of a link's capacity.
 #[test]
-fn a_link_of_varying_capacity_does_not_make_rungs_oscillate() {
+fn rungs_do_not_oscillate_with_link_capacity() {
     let mut front = Front::new(settings());
     front.advance(20 * SECONDS);
     for id in 0..8 {
         play(&mut front, id);
     }
     let mut steps = 0;
-    for half in 0..120 {
+    for half_second in 0..120 {
         front.advance(500 * MILLIS);
         for server in 0..4 {
-            front.feedback(server, Feedback::LinkUtilization(if half / 8 % 2 == 0 { 0.2 } else { 1.3 }));
+            let utilization = if half_second / 8 % 2 == 0 { 0.2 } else { 1.3 };
+            front.feedback(server, Feedback::LinkUtilization(utilization));
             front.feedback(server, Feedback::UplinkUtilization(0.3));
         }
-        steps += front.tick().iter().filter(|a| matches!(a, Action::SetRung { .. })).count();
+        steps += front.tick().iter().filter(|action| matches!(action, Action::SetRung { .. })).count();
     }
-    assert!(steps > 0, "sessions are relieved");
+    assert!(steps > 0, "sessions step down");
     assert!(steps < 3 * 8, "{steps} steps of 8 sessions in a minute");
 }
 
-/// A server that starts sessions and delivers nothing gets no more of them while that is reported.
+/// A server that starts sessions but delivers almost nothing gets no more of them while feedback reports
+/// that.
 #[test]
-fn a_server_that_delivers_nothing_gets_no_new_sessions() {
+fn server_without_delivery_gets_no_sessions() {
     let mut front = Front::new(settings());
     front.advance(20 * SECONDS);
     for id in 0..20 {
@@ -132,9 +131,9 @@
     }
 }
 
-/// Found in the same incident: links short alike were laid to their uplink, which reports showed to be free.
+/// Guards against shortfalls of links that are attributed to an uplink which reports show to be free.
 #[test]
-fn a_saturated_link_does_not_close_its_rack_where_uplinks_are_reported() {
+fn saturated_link_does_not_close_rack_with_reported_uplink() {
     let mut front = Front::new(settings());
     front.advance(20 * SECONDS);
     for server in 0..4 {
@@ -145,12 +144,13 @@
     front.update_endpoint(3, EndpointState::Removed, 0);
     front.feedback(2, Feedback::DeliveredFraction(0.6));
     front.feedback(2, Feedback::DeliveredFraction(0.62));
-    assert_eq!(set_up(&front.request(1)).map(|s| s.0), Some(0), "the rack's other server is free");
+    let server = set_up(&front.request(1)).map(|(server, _)| server);
+    assert_eq!(server, Some(0), "the other server of the rack is free");
 }
 
-/// Found on head-office-media: links that were short by themselves were laid to an uplink of which nothing is told.
+/// Guards against shortfalls of full links that are attributed to an uplink without reports.
 #[test]
-fn saturated_links_are_not_attributed_to_their_uplink() {
+fn saturated_links_are_not_attributed_to_uplink() {
     let mut front = Front::new(settings());
     front.advance(20 * SECONDS);
     front.update_endpoint(4, EndpointState::Ready, 0);
@@ -159,12 +159,13 @@
     }
     front.feedback(0, Feedback::DeliveredFraction(0.91));
     front.feedback(4, Feedback::DeliveredFraction(0.92));
-    assert_eq!(set_up(&front.request(1)).map(|s| s.0), Some(2), "its uplink is not the cause");
+    let server = set_up(&front.request(1)).map(|(server, _)| server);
+    assert_eq!(server, Some(2), "the uplink is not the cause");
 }
 
-/// The same share missing on two servers of a rack is the uplink's doing, whatever their links say.
+/// Similar shortfalls of two servers in a rack are attributed to the uplink if their links are not full.
 #[test]
-fn a_saturated_uplink_is_distinguished_from_a_link_without_uplink_reports() {
+fn similar_shortfalls_are_attributed_to_uplink_without_uplink_reports() {
     let mut front = Front::new(settings());
     front.advance(20 * SECONDS);
     for server in 0..4 {
@@ -174,7 +175,7 @@
     front.feedback(2, Feedback::DeliveredFraction(0.62));
     for id in 0..6 {
         if let Some((server, _)) = play(&mut front, id) {
-            assert_eq!(server % 2, 1, "servers 0 and 2 share the sagging uplink");
+            assert_eq!(server % 2, 1, "servers 0 and 2 share the saturated uplink");
         }
     }
 }
@@ -196,27 +197,27 @@
     assert!(set_up(&front.request(1)).is_some());
 }
 
-/// A live title's further viewers add a part of the rate, so that many fit where few would.
+/// Further viewers of a live title add only a fraction of its rate, so that more of them fit.
 #[test]
-fn viewers_of_a_live_title_share_its_stream() {
-    let count = |join| {
-        let live = Class { shared_rate_fraction: join, ..class(Idempotency::Idempotent) };
+fn viewers_of_live_title_use_one_stream() {
+    let count_sessions = |shared_rate_fraction| {
+        let live = Class { shared_rate_fraction, ..class(Idempotency::Idempotent) };
         let mut front =
             Front::new(Settings { classes: vec![live], max_streams_by_type: vec![1_000], ..settings() });
         front.advance(20 * SECONDS);
         (0..600).filter(|id| play(&mut front, *id).is_some()).count()
     };
-    let (alone, shared) = (count(1.0), count(0.1));
-    assert!(shared > 2 * alone, "{shared} shared, {alone} alone");
+    let (separate, shared) = (count_sessions(1.0), count_sessions(0.1));
+    assert!(shared > 2 * separate, "{shared} shared, {separate} separate");
 }
 
-/// Figures frozen at nearly nothing: what this front itself has on a link still bounds it.
+/// Own demand limits a link even if reports wrongly stay at a very low utilization.
 #[test]
-fn stale_low_utilization_does_not_hide_own_demand() {
+fn low_reported_utilization_does_not_hide_own_demand() {
     let mut front = Front::new(settings());
     front.advance(20 * SECONDS);
     let rates = settings().ladder.rates_kb;
-    let mut at = std::collections::BTreeMap::new();
+    let mut servers = std::collections::BTreeMap::new();
     let mut rungs = std::collections::BTreeMap::new();
     for id in 0..400 {
         front.advance(20 * MILLIS);
@@ -226,20 +227,20 @@
         }
         for action in front.request(id) {
             match action {
-                Action::SetRung { session: s, rung: r } => drop(rungs.insert(s, r)),
-                Action::StartAttempt { session: s, server, .. } => drop(at.insert(s, server.0)),
+                Action::SetRung { session, rung } => drop(rungs.insert(session, rung)),
+                Action::StartAttempt { session, server, .. } => drop(servers.insert(session, server.0)),
                 _ => {}
             }
         }
-        if let Some(server) = at.get(&SessionId(id)) {
+        if let Some(server) = servers.get(&SessionId(id)) {
             front.started(id, *server);
         }
     }
-    let mut asked = [0.0; 4];
-    for (session, server) in at {
-        asked[server as usize] += rates[usize::from(rungs[&session].0)];
+    let mut own_demand = [0.0; 4];
+    for (session, server) in servers {
+        own_demand[server as usize] += rates[usize::from(rungs[&session].0)];
     }
-    for own in asked {
-        assert!((4_000.0..=8_500.0).contains(&own), "{asked:?}");
+    for demand in own_demand {
+        assert!((4_000.0..=8_500.0).contains(&demand), "{own_demand:?}");
     }
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,5 +1,6 @@
-//! A front of a large service: what a decision costs, counted in steps of work, and how many act on one figure.
-// Counts of a test are small.
+//! Tests of a front in a large service: the work of its decisions, and how many fronts and sessions react to
+//! one report.
+// Counts in these tests are small.
 #![allow(clippy::cast_possible_truncation)]
 
 mod support;
@@ -8,36 +9,44 @@
     Action, CellId, Endpoint, EndpointState, Event, Feedback, Outcome, Request, Rung, ServerId, SessionId,
     Settings,
 };
-use support::{Front, MILLIS, SECONDS, entry, request, set_up, set_ups, settings};
+use support::{Front, MILLIS, SECONDS, endpoint, request, set_up, set_ups, settings};
 
+/// Number of servers of the large service.
 const SERVERS: u32 = 300;
+
+/// Number of sessions that a front of the large service adopts.
 const SESSIONS: u64 = 3_000;
 
-/// A front with 300 servers in 30 racks, all of which hold the title, and thousands of sessions.
-fn large_service(fronts: u32) -> Front {
-    let set = Settings { cells: SERVERS, racks: 30, front_count: fronts, total_link_kb: None, ..settings() };
-    let place = |n: u32| Endpoint { cell: CellId(n as u16), ..entry(n, EndpointState::Ready, 0) };
-    let mut front = Front::with_list(set, (0..SERVERS).map(place).collect());
+/// Id of the first adopted session.
+const FIRST_ADOPTED: u64 = 1_000_000;
+
+/// Returns a front with 300 servers in 30 racks, all of which hold the title, and with 3,000 adopted
+/// sessions.
+fn large_service(front_count: u32) -> Front {
+    let settings = Settings { cells: SERVERS, racks: 30, front_count, total_link_kb: None, ..settings() };
+    let listed = |n: u32| Endpoint { cell: CellId(n as u16), ..endpoint(n, EndpointState::Ready, 0) };
+    let mut front = Front::with_list(settings, (0..SERVERS).map(listed).collect());
     for id in 0..SESSIONS {
-        front.adopt(1_000_000 + id, id as u32 % SERVERS);
+        front.adopt(FIRST_ADOPTED + id, id as u32 % SERVERS);
     }
     front
 }
 
-fn request_held_everywhere(id: u64, now: u64) -> Event {
+fn request_at_all_servers(id: u64, now: u64) -> Event {
     Event::Request(Request { cell_count: SERVERS, ..request(id, now) })
 }
 
-/// Steps of work that something takes.
-fn cost(front: &mut Front, act: impl FnOnce(&mut Front) -> Vec<Action>) -> u64 {
+/// Returns the number of steps of work that an operation takes.
+fn work_of(front: &mut Front, operation: impl FnOnce(&mut Front) -> Vec<Action>) -> u64 {
     let before = front.policy.work();
-    act(front);
+    operation(front);
     front.policy.work() - before
 }
 
-/// Found on the grown deployments: what a holder costs grew with the number of servers, an outcome with sessions.
+/// Guards against work that grows with the square of the servers for a request, or with the sessions for an
+/// outcome.
 #[test]
-fn the_work_of_a_decision_is_bounded() {
+fn work_of_decisions_is_bounded() {
     for utilization in [0.3, 2.0] {
         let mut front = large_service(250);
         for server in 0..SERVERS {
@@ -45,37 +54,38 @@
         }
         front.tick();
         for id in 0..50 {
-            let steps = cost(&mut front, |front| front.send(request_held_everywhere(id, front.now)));
+            let steps = work_of(&mut front, |front| front.send(request_at_all_servers(id, front.now)));
             assert!(steps > 0 && steps <= 20 * u64::from(SERVERS), "{steps} steps for a request");
         }
         for id in 0..50 {
-            let steps = cost(&mut front, |front| front.ended(1_000_000 + id, id as u32, Outcome::Ok, true));
+            let steps =
+                work_of(&mut front, |front| front.ended(FIRST_ADOPTED + id, id as u32, Outcome::Ok, true));
             assert!((1..=3).contains(&steps), "{steps} steps for an outcome");
         }
     }
 }
 
-/// Found on the grown deployments: with 250 fronts a raise came up less often than a session lasts.
+/// Guards against steps up that are rarer than the duration of a session if there are many fronts.
 #[test]
-fn sessions_step_up_at_any_number_of_fronts() {
-    for fronts in [2, 250] {
-        let mut front = Front::new(Settings { front_count: fronts, ..settings() });
+fn sessions_step_up_with_few_and_many_fronts() {
+    for front_count in [2, 250] {
+        let mut front = Front::new(Settings { front_count, ..settings() });
         front.adopt(1, 0);
-        let mut ups = 0;
+        let mut steps_up = 0;
         for _ in 0..60 {
             front.advance(500 * MILLIS);
             front.feedback(0, Feedback::LinkUtilization(0.2));
             front.feedback(0, Feedback::UplinkUtilization(0.2));
-            ups += front.tick().iter().filter(|a| matches!(a, Action::SetRung { .. })).count();
+            steps_up += front.tick().iter().filter(|action| matches!(action, Action::SetRung { .. })).count();
         }
-        assert!(ups > 0, "{fronts} fronts");
+        assert!(steps_up > 0, "{front_count} fronts");
     }
 }
 
-/// Found on sockets: one step in a tick takes a minute where a server has a hundred sessions.
+/// Guards against single steps per tick, with which a hundred sessions of a server would need a minute.
 #[test]
-fn many_small_sessions_of_a_server_step_up_within_seconds() {
-    let big = Settings {
+fn many_small_sessions_step_up_within_seconds() {
+    let large_servers = Settings {
         max_streams_by_type: vec![250],
         link_kb_per_weight: Some(200_000.0),
         total_link_kb: Some(800_000.0),
@@ -83,27 +93,26 @@
         front_count: 1,
         ..settings()
     };
-    let mut front = Front::new(big);
+    let mut front = Front::new(large_servers);
     (1..=100).for_each(|id| front.adopt(id, 0));
     front.advance(10 * SECONDS);
     front.feedback(0, Feedback::LinkUtilization(0.1));
     front.feedback(0, Feedback::UplinkUtilization(0.1));
-    let mut most = 0;
-    let ups: usize = (0..20)
-        .map(|_| {
-            front.advance(500 * MILLIS);
-            let ups = front.tick().iter().filter(|a| matches!(a, Action::SetRung { .. })).count();
-            most = most.max(ups);
-            ups
-        })
-        .sum();
-    assert!(ups >= 90, "{ups}");
-    assert!(most < 90, "not all at once: {most}");
+    let mut steps_up = 0;
+    let mut max_in_tick = 0;
+    for _ in 0..20 {
+        front.advance(500 * MILLIS);
+        let in_tick = front.tick().iter().filter(|action| matches!(action, Action::SetRung { .. })).count();
+        steps_up += in_tick;
+        max_in_tick = max_in_tick.max(in_tick);
+    }
+    assert!(steps_up >= 90, "{steps_up} steps up");
+    assert!(max_in_tick < 90, "{max_in_tick} steps up in one tick");
 }
 
-/// Found on the grown deployments: a small part of a relief rounded to nothing at each of many fronts.
+/// Guards against a small fraction of the excess that each of many fronts rounds to nothing.
 #[test]
-fn many_fronts_together_relieve_a_full_link_by_about_the_excess() {
+fn many_fronts_relieve_link_by_about_the_excess() {
     let mut steps = 0;
     for seed in 0..200 {
         let mut front = Front::seeded(Settings { front_count: 200, ..settings() }, seed);
@@ -114,64 +123,71 @@
             feedback: Feedback::Rung(Rung(3)),
         });
         front.feedback(0, Feedback::LinkUtilization(1.5));
-        steps += front.tick().iter().filter(|a| matches!(a, Action::SetRung { .. })).count();
+        steps += front.tick().iter().filter(|action| matches!(action, Action::SetRung { .. })).count();
     }
-    // Each has 2,000 of 15,000 kB a second and takes its part of 5,500 too many, in steps of 1,000 kB.
-    assert!((60..=195).contains(&steps), "{steps} of 200 fronts stepped");
+    // Each front has 2,000 of 15,000 kB/s and takes its fraction of an excess of 5,500 kB/s, in steps of
+    // 1,000 kB/s.
+    assert!((60..=195).contains(&steps), "{steps} steps of 200 fronts");
 }
 
-/// A front that has hardly a session of its own must neither think the fleet empty nor full.
+/// A front without sessions must assume neither an idle nor a full service, but go by the reports.
 #[test]
-fn reports_weigh_more_than_own_sessions_of_one_front_in_many() {
-    let sent = |reported: f64| {
+fn reports_outweigh_own_sessions_of_one_front_in_many() {
+    let is_placed = |utilization: f64| {
         let mut front = large_service(250);
         for id in 0..SESSIONS {
-            front.ended(1_000_000 + id, id as u32 % SERVERS, Outcome::Ok, true);
+            front.ended(FIRST_ADOPTED + id, id as u32 % SERVERS, Outcome::Ok, true);
         }
         for server in 0..60 {
-            front.feedback(server, Feedback::LinkUtilization(reported));
-            front.feedback(server, Feedback::UplinkUtilization(reported));
+            front.feedback(server, Feedback::LinkUtilization(utilization));
+            front.feedback(server, Feedback::UplinkUtilization(utilization));
         }
         front.tick();
-        let event = request_held_everywhere(1, front.now);
+        let event = request_at_all_servers(1, front.now);
         set_up(&front.send(event)).is_some()
     };
-    assert!(sent(0.3), "there is room");
-    assert!(!sent(1.2), "all that is reported is full");
+    assert!(is_placed(0.3), "reports show free capacity");
+    assert!(!is_placed(1.2), "reports show full servers");
 }
 
-/// Odd but possible input at this size: nothing crashes, and each request gets a set-up or one answer at once.
+/// Unusual but valid input causes no panic, and each request gets an attempt or one answer at once.
 #[test]
-fn unusual_lists_reports_and_front_counts_are_handled() {
-    for fronts in [0, 1, 250] {
-        let set = Settings { cells: 40, racks: 30, front_count: fronts, ..settings() };
-        // Out of order, with gaps, and every third server named twice, the second time as gone.
+fn handles_unusual_lists_reports_and_front_counts() {
+    for front_count in [0, 1, 250] {
+        let settings = Settings { cells: 40, racks: 30, front_count, ..settings() };
+        // The list is out of order, has gaps, and has each third server twice, the second time as removed.
         let mut list = Vec::new();
         for n in (0..900u32).rev().filter(|n| n % 5 != 0) {
-            list.push(Endpoint { cell: CellId((n % 40) as u16), ..entry(n, EndpointState::Ready, 0) });
+            list.push(Endpoint { cell: CellId((n % 40) as u16), ..endpoint(n, EndpointState::Ready, 0) });
             if n % 3 == 0 {
-                list.push(Endpoint { cell: CellId((n % 40) as u16), ..entry(n, EndpointState::Removed, 0) });
+                list.push(Endpoint {
+                    cell: CellId((n % 40) as u16),
+                    ..endpoint(n, EndpointState::Removed, 0)
+                });
             }
         }
-        let mut front = Front::with_list(set, list);
+        let mut front = Front::with_list(settings, list);
         front.advance(20 * SECONDS);
         front.feedback(5, Feedback::LinkUtilization(0.9));
         front.feedback(100_000, Feedback::UplinkUtilization(9e9));
-        for (id, holders, home) in [(1, 40, 7), (2, 0, 7), (3, 4_000_000, 3), (4, 3, u32::MAX)] {
+        for (id, cell_count, first_cell) in [(1, 40, 7), (2, 0, 7), (3, 4_000_000, 3), (4, 3, u32::MAX)] {
             let now = front.now;
-            let actions = front.send(Event::Request(Request {
-                cell_count: holders,
-                first_cell: home,
-                ..request(id, now)
-            }));
-            let answers =
-                actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))).count();
-            assert_eq!(set_ups(&actions) + answers, 1, "holders {holders}, fronts {fronts}: {actions:?}");
-            assert!(holders > 0 || answers == 1, "no server holds the title");
+            let actions = front.send(Event::Request(Request { cell_count, first_cell, ..request(id, now) }));
+            let answers = actions
+                .iter()
+                .filter(|action| matches!(action, Action::Reject { .. } | Action::Fail(_)))
+                .count();
+            assert_eq!(
+                set_ups(&actions) + answers,
+                1,
+                "{cell_count} cells, {front_count} fronts: {actions:?}"
+            );
+            assert!(cell_count > 0 || answers == 1, "no server holds the title");
             if let Some((server, _)) = set_up(&actions) {
-                assert!(server % 5 != 0 && server % 3 != 0, "server {server} is not there");
-                let again = front.ended(id, server, Outcome::Reset, false);
-                assert_ne!(set_up(&again).map(|s| s.0), Some(server));
+                assert!(server % 5 != 0 && server % 3 != 0, "server {server} is not listed");
+                let after_reset = front.ended(id, server, Outcome::Reset, false);
+                let retry = set_up(&after_reset).map(|(retried_at, _)| retried_at);
+                assert_ne!(retry, Some(server));
             }
         }
         front.tick();
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,4 +1,5 @@
-//! Limits on the size and width of the policy's files, which `deploy/balancer.toml` lists for the module's users.
+//! Limits on the size and width of the policy's files, which `deploy/balancer.toml` lists for the module's
+//! users.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A small driver for the module's tests: settings, servers, and a front that only records.
+//! Helpers for tests of the policy: default settings and endpoints, and a front that passes events to its
+//! policy.
 #![allow(dead_code)]
 
 use beechloft::api::{
@@ -8,9 +9,12 @@
 };
 use beechloft::policy::Policy;
 
+/// Microseconds in a millisecond.
 pub const MILLIS: u64 = 1_000;
+/// Microseconds in a second.
 pub const SECONDS: u64 = 1_000_000;
 
+/// Returns the settings of the first of two fronts, with four cells in two racks and one class of sessions.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![class(Idempotency::Idempotent)],
@@ -53,11 +57,12 @@
     }
 }
 
-pub fn class(effect: Idempotency) -> Class {
+/// Returns a class with default values.
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: Micros(800 * MILLIS),
         deadline: Micros(4 * SECONDS),
-        idempotency: effect,
+        idempotency,
         utility: 1.0,
         rate_scale: 1.0,
         min_rung: Rung(0),
@@ -67,19 +72,20 @@
     }
 }
 
-/// Server `n` stands in cell `n` of four, zone `n` mod 2.
-pub fn entry(n: u32, state: EndpointState, started: u64) -> Endpoint {
+/// Returns the list entry of server `n`, which is in cell `n` modulo 4 and zone `n` modulo 2.
+pub fn endpoint(n: u32, state: EndpointState, started_at: u64) -> Endpoint {
     Endpoint {
         server: ServerId(n),
         state,
         cell: CellId((n % 4) as u16),
         zone: ZoneId((n % 2) as u16),
         server_type: ServerType(0),
-        started_at: Micros(started),
+        started_at: Micros(started_at),
         weight: 1.0,
     }
 }
 
+/// Returns a request of a viewer that waits four seconds for a title that all cells hold.
 pub fn request(id: u64, now: u64) -> Request {
     Request {
         session: SessionId(id),
@@ -91,13 +97,15 @@
     }
 }
 
+/// A front that passes events to its policy at a simulated time.
 pub struct Front {
     pub policy: Policy,
+    /// Simulated time in microseconds.
     pub now: u64,
 }
 
 impl Front {
-    /// A front in service: four servers listed and known to be up.
+    /// Creates a front that knows four listed servers to be running.
     pub fn new(settings: Settings) -> Self {
         let mut front = Front::restarted(settings);
         front.adopt(1_000_000, 0);
@@ -105,43 +113,43 @@
         front
     }
 
-    /// A front that has just started and knows nothing but its cached list of four servers.
+    /// Creates a front that has just started and knows only its cached list of four servers.
     pub fn restarted(settings: Settings) -> Self {
         Front::seeded(settings, 1)
     }
 
-    /// The same with another seed.
+    /// Creates a front that has just started, with a seed for its random numbers.
     pub fn seeded(settings: Settings, seed: u64) -> Self {
-        let all = (0..4).map(|n| entry(n, EndpointState::Ready, 0)).collect();
-        Front::from_start(Policy::new(settings, seed), all)
+        let list = (0..4).map(|n| endpoint(n, EndpointState::Ready, 0)).collect();
+        Front::start(Policy::new(settings, seed), list)
     }
 
-    /// The same with another cached list.
+    /// Creates a front that has just started, with a cached list.
     pub fn with_list(settings: Settings, list: Vec<Endpoint>) -> Self {
-        Front::from_start(Policy::new(settings, 1), list)
+        Front::start(Policy::new(settings, 1), list)
     }
 
-    fn from_start(policy: Policy, list: Vec<Endpoint>) -> Self {
+    fn start(policy: Policy, list: Vec<Endpoint>) -> Self {
         let mut front = Front { policy, now: 100 * SECONDS };
         front.send(Event::EndpointsUpdated { kind: UpdateKind::Cached, endpoints: list });
         front
     }
 
-    /// Hands over a session that plays already.
+    /// Adopts a session that plays already.
     pub fn adopt(&mut self, id: u64, server: u32) {
-        let req = Request { deadline: Micros(0), ..request(id, 0) };
-        self.send(Event::SessionAdopted { request: req, server: ServerId(server) });
+        let request = Request { deadline: Micros(0), ..request(id, 0) };
+        self.send(Event::SessionAdopted { request, server: ServerId(server) });
     }
 
+    /// Passes an event to the policy and returns the actions.
     pub fn send(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.policy.handle(Micros(self.now), event, &mut out);
-        out
+        let mut actions = Vec::new();
+        self.policy.handle(Micros(self.now), event, &mut actions);
+        actions
     }
 
     pub fn request(&mut self, id: u64) -> Vec<Action> {
-        let req = request(id, self.now);
-        self.send(Event::Request(req))
+        self.send(Event::Request(request(id, self.now)))
     }
 
     pub fn started(&mut self, id: u64, server: u32) -> Vec<Action> {
@@ -149,31 +157,27 @@
         self.send(Event::Started { session, attempt: Attempt(0), server, elapsed: Micros(80 * MILLIS) })
     }
 
-    pub fn ended(&mut self, id: u64, server: u32, outcome: Outcome, closed: bool) -> Vec<Action> {
+    pub fn ended(&mut self, id: u64, server: u32, outcome: Outcome, is_final: bool) -> Vec<Action> {
         self.send(Event::AttemptEnded {
             session: SessionId(id),
             attempt: Attempt(0),
             server: ServerId(server),
             outcome,
-            is_final: closed,
+            is_final,
             elapsed: Micros(10 * MILLIS),
             report: LoadReport::default(),
         })
     }
 
-    pub fn update_endpoint(&mut self, n: u32, state: EndpointState, started: u64) -> Vec<Action> {
+    pub fn update_endpoint(&mut self, n: u32, state: EndpointState, started_at: u64) -> Vec<Action> {
         self.send(Event::EndpointsUpdated {
             kind: UpdateKind::Delta,
-            endpoints: vec![entry(n, state, started)],
+            endpoints: vec![endpoint(n, state, started_at)],
         })
     }
 
-    pub fn feedback(&mut self, server: u32, note: Feedback) {
-        self.send(Event::FeedbackReceived {
-            session: SessionId(0),
-            server: ServerId(server),
-            feedback: note,
-        });
+    pub fn feedback(&mut self, server: u32, feedback: Feedback) {
+        self.send(Event::FeedbackReceived { session: SessionId(0), server: ServerId(server), feedback });
     }
 
     pub fn advance(&mut self, us: u64) {
@@ -185,37 +189,39 @@
     }
 }
 
-/// Where a set-up goes, and until when.
+/// Returns the server and deadline of the attempt that is started, if there is one.
 pub fn set_up(actions: &[Action]) -> Option<(u32, u64)> {
-    actions.iter().find_map(|a| match a {
-        Action::StartAttempt { server, deadline: until, .. } => Some((server.0, until.0)),
+    actions.iter().find_map(|action| match action {
+        Action::StartAttempt { server, deadline, .. } => Some((server.0, deadline.0)),
         _ => None,
     })
 }
 
+/// Returns the number of attempts that are started.
 pub fn set_ups(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::StartAttempt { .. })).count()
+    actions.iter().filter(|action| matches!(action, Action::StartAttempt { .. })).count()
 }
 
 pub fn is_rejected(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
+    actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
 pub fn is_failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail(..)))
+    actions.iter().any(|action| matches!(action, Action::Fail(..)))
 }
 
+/// Returns the rung that is set last.
 pub fn rung(actions: &[Action]) -> Option<u8> {
-    actions.iter().rev().find_map(|a| match a {
-        Action::SetRung { rung: r, .. } => Some(r.0),
+    actions.iter().rev().find_map(|action| match action {
+        Action::SetRung { rung, .. } => Some(rung.0),
         _ => None,
     })
 }
 
-/// Plays a session at once and gives its server and rung.
+/// Requests a session that starts at once, and returns its server and rung.
 pub fn play(front: &mut Front, id: u64) -> Option<(u32, u8)> {
     let actions = front.request(id);
     let (server, _) = set_up(&actions)?;
     front.started(id, server);
-    Some((server, rung(&actions).expect("a rung comes before the set-up")))
+    Some((server, rung(&actions).expect("the rung is set with the attempt")))
 }
