--- a/crates/cli/tests/support/keepers.rs
+++ b/crates/cli/tests/support/keepers.rs
@@ -192,7 +192,7 @@
                 let out = c.output().expect("it runs");
                 // The new one says who it is now and then; until it has, nobody is known to be there.
                 if !text_of(&out).contains("no new replica has started")
-                    && !text_of(&out).contains("under way")
+                    && !text_of(&out).contains("is in progress")
                 {
                     return out;
                 }
