--- a/crates/platform/event-loop/src/buffered_stream.rs
+++ b/crates/platform/event-loop/src/buffered_stream.rs
@@ -1,41 +1,41 @@
-//! A non-blocking connection with a bounded write buffer.
+//! Non-blocking TCP connection with a bounded write buffer.
 
 use std::io::{self, ErrorKind, Read, Write};
 
 use mio::net::TcpStream;
 
-/// The result of one read.
+/// Result of one read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReadOutcome {
-    /// So many bytes were read; there may be more.
+    /// The read returned this number of bytes, and there may be more.
     Data(usize),
-    /// The kernel holds nothing for now.
+    /// The receive buffer of the socket is empty.
     WouldBlock,
-    /// The peer has closed the connection, or it is broken.
+    /// The peer has closed the connection, or the connection is broken.
     Closed,
 }
 
-/// The connection is broken, or its peer does not read.
+/// Error: the connection is broken, or its peer does not read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ConnectionBroken;
 
-/// A non-blocking connection with a bounded write buffer.
+/// Non-blocking TCP connection with a bounded write buffer.
 #[derive(Debug)]
 pub(crate) struct BufferedStream {
     pub socket: TcpStream,
     buffer: Vec<u8>,
-    /// Bytes at the start of the buffer that are written already.
+    /// Number of bytes at the start of the buffer that are already written to the socket.
     written: usize,
     max_buffered: usize,
 }
 
 impl BufferedStream {
-    /// Wraps a socket; at most `max_buffered` bytes wait to be written.
+    /// Wraps a socket. The write buffer takes at most `max_buffered` bytes.
     pub fn new(socket: TcpStream, max_buffered: usize) -> Self {
         BufferedStream { socket, buffer: Vec::new(), written: 0, max_buffered }
     }
 
-    /// Reads once.
+    /// Reads once, and retries a read that a signal interrupted.
     pub fn read(&mut self, buffer: &mut [u8]) -> ReadOutcome {
         loop {
             match self.socket.read(buffer) {
@@ -48,10 +48,11 @@
         }
     }
 
-    /// Writes, and buffers what can't be written now.
+    /// Writes bytes, and buffers those that the socket does not take now.
     ///
     /// # Errors
-    /// The connection is broken, or the buffer would exceed its bound because the peer does not read.
+    /// Returns an error if the connection is broken, or if the buffer would exceed its bound because the peer does not
+    /// read.
     pub fn send(&mut self, bytes: &[u8]) -> Result<(), ConnectionBroken> {
         if self.pending_bytes() + bytes.len() > self.max_buffered {
             return Err(ConnectionBroken);
@@ -60,10 +61,10 @@
         self.flush()
     }
 
-    /// Writes as much of the buffer as the kernel takes.
+    /// Writes as much of the buffer as the socket takes.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// Returns an error if the connection is broken.
     pub fn flush(&mut self) -> Result<(), ConnectionBroken> {
         while self.written < self.buffer.len() {
             match self.socket.write(&self.buffer[self.written..]) {
@@ -78,18 +79,18 @@
                 Err(_) => return Err(ConnectionBroken),
             }
         }
-        // An idle connection holds no memory.
+        // The allocation is freed, so that an idle connection uses no memory.
         self.buffer = Vec::new();
         self.written = 0;
         Ok(())
     }
 
-    /// Bytes that wait to be written.
+    /// Returns the number of bytes that are buffered and not written yet.
     pub fn pending_bytes(&self) -> usize {
         self.buffer.len() - self.written
     }
 
-    /// The result of a connect in progress; `None` while it is not decided.
+    /// Returns the result of a connect, or `None` while the connect is in progress.
     pub fn connect_result(&self) -> Option<io::Result<()>> {
         match self.socket.take_error() {
             Ok(Some(e)) | Err(e) => return Some(Err(e)),
--- a/crates/platform/event-loop/src/event_bus/lines.rs
+++ b/crates/platform/event-loop/src/event_bus/lines.rs
@@ -1,26 +1,27 @@
-//! Assembles events from the text of the stream, and skips events that exceed their bound.
+//! Assembles events from the text of the stream, and skips oversized events.
 
 use beechloft_http::sse::{Event, Parser};
 
 use super::response::ResponseError;
 
-/// Bytes of an event past its bound that are skipped until it ends, in multiples of the bound: an event that never ends costs
-/// the connection.
-const MAX_SKIPPED_BOUNDS: usize = 2;
+/// Maximum number of bytes that are skipped of an oversized event, as a multiple of the maximum event size.
+///
+/// The connection fails beyond it, as the event may never end.
+const MAX_SKIPPED_FACTOR: usize = 2;
 
-/// Assembles events from lines; knows whether an event has begun and not ended.
+/// Assembler of events from lines, which tracks whether an event is incomplete.
 #[derive(Debug)]
 pub(super) struct EventAssembler {
     parser: Parser,
     max_event_bytes: usize,
-    /// An event has begun and not ended.
+    /// Whether an event is incomplete.
     pub in_event: bool,
-    /// Nothing of the current line has come yet.
+    /// Whether no part of the current line has arrived yet.
     at_line_start: bool,
-    /// The current line is a comment.
+    /// Whether the current line is a comment.
     in_comment: bool,
     after_cr: bool,
-    /// Bytes of an oversized event skipped so far, while it lasts.
+    /// Number of skipped bytes of the current event, or `None` if the event is not skipped.
     skipped_bytes: Option<usize>,
 }
 
@@ -41,10 +42,11 @@
         }
     }
 
-    /// Takes text and appends the events that it completes; those before an error, too.
+    /// Adds text and appends the events that it completes to `events`, including those before an error.
     ///
     /// # Errors
-    /// An event exceeds its bound, and `skip_oversized` says that it is not to be skipped, or it does not end.
+    /// Returns an error if an event is oversized and `skip_oversized` returns false, or if the event exceeds the limit
+    /// for skipped bytes as well.
     pub fn push(
         &mut self,
         text: &[u8],
@@ -68,7 +70,8 @@
         Ok(())
     }
 
-    /// Follows the lines, of which `piece` is one or a part; whether it is a blank line, which ends an event.
+    /// Updates the state of the current line with `piece`, which is a line or a part of one. Returns whether `piece` is a
+    /// blank line, which ends an event.
     fn track_line(&mut self, piece: &[u8]) -> bool {
         let second_of_crlf = std::mem::take(&mut self.after_cr) && piece == b"\n";
         self.after_cr = piece.ends_with(b"\r");
@@ -86,10 +89,13 @@
         is_blank_line
     }
 
-    /// Skips a piece of an oversized event.
+    /// Counts a piece of an oversized event as skipped.
+    ///
+    /// # Errors
+    /// Returns an error if the event exceeds the limit for skipped bytes.
     fn skip(&mut self, piece: &[u8], ends_event: bool) -> Result<(), ResponseError> {
         let skipped = self.skipped_bytes.unwrap_or(0) + piece.len();
-        if skipped > self.max_event_bytes.saturating_mul(MAX_SKIPPED_BOUNDS) {
+        if skipped > self.max_event_bytes.saturating_mul(MAX_SKIPPED_FACTOR) {
             return Err(ResponseError::OversizedEvent);
         }
         self.skipped_bytes = (!ends_event).then_some(skipped);
--- a/crates/platform/event-loop/src/event_bus/mod.rs
+++ b/crates/platform/event-loop/src/event_bus/mod.rs
@@ -1,7 +1,8 @@
-//! The client of the event bus: server-sent events about the list of media servers, requested from the last number on.
+//! The client of the event bus, which receives changes of the endpoint list as server-sent events.
 //!
-//! Whatever comes, the client goes on: what can't be read costs itself alone, and the less the earlier requests brought,
-//! the later the next one comes. See the HTML standard, "Server-sent events", for the format and `Last-Event-ID`.
+//! The client requests the events after the last handled offset. It skips unreadable events after some retries, and backs
+//! off while requests return no new events. See the HTML standard, "Server-sent events", for the format and
+//! `Last-Event-ID`.
 
 mod lines;
 mod response;
@@ -27,34 +28,35 @@
 use retry::{RequestFailure, RetryPolicy};
 use sequence::{EventOutcome, EventSequence};
 
-/// A response's head, and each event, is whole this long after its first byte, or the connection is closed: a byte now and
-/// then is no progress. Half a megabyte over a slow line takes less.
+/// Maximum time between the first and the last byte of a response head or an event.
+///
+/// The connection is closed afterwards, even if single bytes keep arriving. Half a megabyte over a slow line takes less.
 const COMPLETION_TIMEOUT: Micros = Micros(5_000_000);
 
-/// Bytes of the request that wait to be written at most.
+/// Size of the write buffer for the request.
 const WRITE_BUFFER_BYTES: usize = 4096;
 
-/// Why a connection to the event bus was closed.
+/// Reason for which a connection to the event bus was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 enum ConnectionError {
-    #[error("no connection")]
+    #[error("connect failed")]
     NotConnected,
-    #[error("not written")]
+    #[error("request not sent")]
     NotWritten,
-    #[error("ended")]
+    #[error("connection closed by the event bus")]
     Ended,
-    #[error("an event that can't be read")]
+    #[error("unreadable event")]
     UnreadableEvent,
     #[error(transparent)]
     Response(#[from] ResponseError),
 }
 
-/// A connection to the event bus.
+/// Connection to the event bus.
 struct Connection {
     token: Token,
     stream: BufferedStream,
     request_sent: bool,
-    /// Anything has come on it.
+    /// Whether any data was received on the connection.
     has_received: bool,
     response: Response,
     opened_at: Micros,
@@ -62,7 +64,7 @@
 }
 
 impl Connection {
-    /// Sends the request once the connection is established; whether it is sent.
+    /// Sends the request if the connection is established. Returns whether it was sent.
     fn send_request(&mut self, addr: SocketAddr, last_event_id: u64) -> Result<bool, ConnectionError> {
         match self.stream.connect_result() {
             None => return Ok(false),
@@ -79,7 +81,7 @@
     }
 }
 
-/// The client of the event bus.
+/// Client of the event bus.
 pub struct EventBusClient {
     addr: SocketAddr,
     sequence: EventSequence,
@@ -89,7 +91,8 @@
 }
 
 impl EventBusClient {
-    /// A client that knows all events up to a number; it connects when [`EventBusClient::sweep`] is called.
+    /// Creates a client that requests the events after `last_event_id`. It connects when [`EventBusClient::sweep`] is
+    /// called.
     pub fn new(addr: SocketAddr, last_event_id: u64, limits: SocketLimits, seed: u64) -> Self {
         EventBusClient {
             addr,
@@ -100,16 +103,18 @@
         }
     }
 
-    /// Whether a token is its connection's.
+    /// Returns whether a token belongs to the connection of this client.
     pub fn has(&self, token: Token) -> bool {
         self.connection.as_ref().is_some_and(|connection| connection.token == token)
     }
 
-    /// Moves to another address; the numbering goes on. What is unread on the old connection comes again on the new one, as
-    /// events are requested from the last one that was handled.
-    pub fn move_to(&mut self, addr: SocketAddr, now: Micros, registry: &Registry) {
+    /// Changes the address of the event bus, and keeps the offset of the last handled event.
+    ///
+    /// Unread events of the old connection arrive again on the new one, as events are requested after the last handled
+    /// one.
+    pub fn change_address(&mut self, addr: SocketAddr, now: Micros, registry: &Registry) {
         if addr != self.addr {
-            info!(%addr, last = self.sequence.last(), "event bus moves");
+            info!(%addr, last = self.sequence.last(), "event bus address changed");
             self.addr = addr;
             self.close(registry);
             self.retry.connect_at(now);
@@ -117,9 +122,11 @@
         }
     }
 
-    /// Something contradicts the list, for example a media server that it calls ready and that refuses connections. If no
-    /// new event comes for some seconds, events are requested again from the last one on: a stream that goes on with
-    /// comments but has lost its events looks like a list that does not change.
+    /// Reports a contradiction to the endpoint list, for example a media server that is listed as ready and refuses
+    /// connections.
+    ///
+    /// If no new event arrives within some seconds, events are requested again after the last handled one. A stream
+    /// that has lost events but still sends comments cannot be distinguished from an unchanged list.
     pub fn suspect(&mut self, now: Micros) {
         self.retry.suspect(now);
     }
@@ -130,30 +137,30 @@
         Some(connection)
     }
 
-    /// Closes the connection and retries later. A partial event was not handled, and comes again.
+    /// Closes the connection and schedules a retry. An incomplete event was not handled, and arrives again.
     fn fail(&mut self, now: Micros, registry: &Registry) {
         let connection = self.close(registry);
         let failure = match &connection {
             Some(open) if open.has_received => RequestFailure::Disconnected,
             _ => RequestFailure::NoResponse,
         };
-        let outlasted_silence = |c: &Connection| {
+        let was_healthy = |c: &Connection| {
             c.response.is_accepted() && c.last_received_at - c.opened_at > self.limits.bus_silence_timeout
         };
-        if connection.as_ref().is_some_and(outlasted_silence) {
-            // It worked for longer than a dead one would have: an ordinary disconnect.
-            self.retry.forget_failures();
+        if connection.as_ref().is_some_and(was_healthy) {
+            // The stream delivered data for longer than the silence timeout, so this is an ordinary disconnect.
+            self.retry.reset_failures();
         }
         self.retry.schedule(now, failure);
     }
 
-    /// Connects if that is due, and closes a connection that makes no progress.
+    /// Connects if a request is due, and closes a connection that makes no progress.
     pub fn sweep(&mut self, now: Micros, registry: &Registry, tokens: &mut TokenAllocator) {
         self.check_progress(now, registry);
         if self.retry.take_due_suspicion(now) && self.close(registry).is_some() {
             info!(
                 last = self.sequence.last(),
-                "the list contradicts the state of media servers; it is requested again"
+                "endpoint list contradicts the state of media servers; requesting it again"
             );
             self.retry.connect_at(now);
         }
@@ -167,7 +174,7 @@
         let silent = now - connection.last_received_at > self.limits.bus_silence_timeout;
         let slow = connection.response.incomplete_for(now) > COMPLETION_TIMEOUT;
         if silent || slow {
-            warn!(silent, slow, last = self.sequence.last(), "event bus silent");
+            warn!(silent, slow, last = self.sequence.last(), "event bus connection timed out; retrying");
             self.fail(now, registry);
         }
     }
@@ -190,7 +197,7 @@
         });
     }
 
-    /// Handles its ready socket; whether there may be more to read.
+    /// Handles the ready socket. Returns whether it may hold more data.
     pub fn handle_ready(
         &mut self,
         now: Micros,
@@ -201,14 +208,14 @@
         match self.advance(now, buffer, inputs) {
             Ok(may_have_more) => may_have_more,
             Err(error) => {
-                warn!(%error, last = self.sequence.last(), "event bus broke off");
+                warn!(%error, last = self.sequence.last(), "event bus connection failed; retrying");
                 self.fail(now, registry);
                 false
             }
         }
     }
 
-    /// Sends the request and reads, up to the share of a turn; whether there may be more to read.
+    /// Sends the request and reads, up to the limit for one iteration. Returns whether the socket may hold more data.
     fn advance(
         &mut self,
         now: Micros,
@@ -220,12 +227,12 @@
             if !connection.send_request(self.addr, self.sequence.last())? {
                 return Ok(false);
             }
-            // A request for any reason answers the suspicion.
+            // Any request clears a suspicion, as it returns the events that may have been lost.
             self.retry.clear_suspicion();
         }
         connection.stream.flush().map_err(|_| ConnectionError::NotWritten)?;
         let mut read_bytes = 0;
-        while read_bytes < self.limits.upstream_bytes_per_turn {
+        while read_bytes < self.limits.upstream_bytes_per_iteration {
             let Some(open) = &mut self.connection else { return Ok(false) };
             match open.stream.read(buffer) {
                 ReadOutcome::Data(count) => {
@@ -239,8 +246,10 @@
         Ok(true)
     }
 
-    /// Takes bytes, and passes on the events that they complete. Whole events before an error are handled: otherwise they
-    /// would be lost if they came together with it each time.
+    /// Adds received bytes, and passes the events that they complete to the state machine.
+    ///
+    /// Complete events before an error are handled. Otherwise they would be lost if they arrived together with it after
+    /// each reconnect.
     fn receive(
         &mut self,
         now: Micros,
@@ -259,7 +268,7 @@
                     self.retry.reset();
                     inputs.extend(topology.map(Input::Topology));
                 }
-                EventOutcome::Unnumbered(topology) => inputs.extend(topology.map(Input::Topology)),
+                EventOutcome::WithoutOffset(topology) => inputs.extend(topology.map(Input::Topology)),
                 EventOutcome::Retry => return Err(ConnectionError::UnreadableEvent),
                 EventOutcome::Ignored => {}
             }
--- a/crates/platform/event-loop/src/event_bus/response.rs
+++ b/crates/platform/event-loop/src/event_bus/response.rs
@@ -1,4 +1,4 @@
-//! A response of the event bus as it arrives: a head, then events in a body without end.
+//! Incremental parser of a response of the event bus: a head, and an endless body of server-sent events.
 
 use beechloft::api::Micros;
 use beechloft_http::body::Decoder;
@@ -10,43 +10,43 @@
 
 use super::lines::EventAssembler;
 
-/// Why a response is of no more use.
+/// Reason for which a response cannot be read any further.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(super) enum ResponseError {
-    #[error("an endless event")]
+    #[error("event exceeds the size limit")]
     OversizedEvent,
-    #[error("a head that can't be read")]
+    #[error("malformed response head")]
     MalformedHead,
-    #[error("not the events asked for")]
+    #[error("unexpected response status")]
     UnexpectedStatus,
-    #[error("a body that can't be read")]
+    #[error("malformed response body")]
     MalformedBody,
-    #[error("ended")]
+    #[error("response ended")]
     Ended,
 }
 
 #[derive(Debug)]
 enum Part {
-    /// The head is not whole yet.
+    /// The head is incomplete. These are its bytes so far.
     Head(Vec<u8>),
-    /// Events arrive.
+    /// The head is complete, and events arrive.
     Body(Body),
 }
 
 #[derive(Debug)]
 struct Body {
-    /// Bytes that are not decoded yet.
+    /// Received bytes that are not decoded yet.
     encoded: Vec<u8>,
     decoder: Decoder,
     assembler: EventAssembler,
 }
 
-/// A response of the event bus as it arrives.
+/// Response of the event bus of which the received part is parsed.
 #[derive(Debug)]
 pub(super) struct Response {
     part: Part,
     max_event_bytes: usize,
-    /// When nothing that had begun was incomplete last: at the beginning, and whenever no event had begun.
+    /// Last time at which neither the head nor an event was incomplete, or the time of the connect.
     last_complete_at: Micros,
 }
 
@@ -55,21 +55,21 @@
         Response { part: Part::Head(Vec::new()), max_event_bytes, last_complete_at: now }
     }
 
-    /// Whether its head has come, and is that of a stream of events.
+    /// Returns whether the head is complete and valid.
     pub fn is_accepted(&self) -> bool {
         matches!(self.part, Part::Body(_))
     }
 
-    /// For how long a head or an event that has begun is incomplete.
+    /// Returns how long the head or an event has been incomplete.
     pub fn incomplete_for(&self, now: Micros) -> Micros {
         now - self.last_complete_at
     }
 
-    /// Takes bytes and appends the events that they complete, also those before an error.
+    /// Adds received bytes and appends the events that they complete to `events`, including those before an error.
     ///
     /// # Errors
-    /// The response is malformed or has ended, or an event exceeds its bound and `skip_oversized` says that it is not to be
-    /// skipped.
+    /// Returns an error if the response is malformed or has ended, or if an event is oversized and `skip_oversized`
+    /// returns false.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Parses a head once it is whole, and takes the bytes behind it for the body.
+/// Parses a head and moves the bytes after it to the body. Returns `None` if the head is incomplete.
 fn parse_head(head: &mut Vec<u8>, max_event_bytes: usize) -> Result<Option<Body>, ResponseError> {
     let parsed = message::response_head(head, &Method::GET, &Limits::default());
     let Some(message::ParsedHead { message: response, framing }) =
@@ -102,7 +102,7 @@
     else {
         return Ok(None);
     };
-    // Redirects are not followed: the configuration names the address.
+    // Redirects are not followed, as the configuration determines the address.
     if response.status != StatusCode::OK {
         return Err(ResponseError::UnexpectedStatus);
     }
@@ -117,7 +117,8 @@
         skip_oversized: &mut dyn FnMut() -> bool,
     ) -> Result<(), ResponseError> {
         let mut text = Vec::new();
-        // What came before a malformed chunk is handled, and would be lost if it came together with it each time.
+        // Events before a malformed chunk are handled. Otherwise they would be lost if they arrived together with it
+        // after each reconnect.
         let decoded = self.decoder.take(&mut self.encoded, &mut text);
         self.assembler.push(&text, events, skip_oversized)?;
         decoded.map_err(|_| ResponseError::MalformedBody)
--- a/crates/platform/event-loop/src/event_bus/retry.rs
+++ b/crates/platform/event-loop/src/event_bus/retry.rs
@@ -1,104 +1,109 @@
-//! When the event bus is requested next.
+//! Schedules requests to the event bus: reconnects, and repeated requests when the stream may have lost events.
 
 use beechloft::api::Micros;
 use beechloft_front_node::ExponentialBackoff;
 
 use crate::limits::SocketLimits;
 
-/// Waits between responses without new events grow up to this, past those for a bus that refuses connections
-/// (`bus_retry_max`). It is less than the 2 s after which a change that a broken stream should have reported counts as
-/// reported.
-const FRUITLESS_RETRY_MAX: Micros = Micros(1_500_000);
+/// Maximum delay after a response without new events. It exceeds the maximum for a bus that does not respond
+/// (`bus_retry_max`).
+///
+/// A change must be received within 2 s even if the stream breaks, so the delay is shorter than that.
+const NO_NEW_EVENTS_RETRY_MAX: Micros = Micros(1_500_000);
 
-/// The first wait from a suspicion about an open stream to the request. Half of it is random, as all front nodes meet the
-/// same dead media server. A change that a silent bus should have reported counts as reported after 4 s: no request earlier.
+/// First delay between a suspicion about an open stream and the repeated request.
+///
+/// Half of the delay is random, as all front nodes detect a failed media server at the same time. A silent stream has
+/// 4 s to report a change, so no request is sent earlier.
 const SUSPICION_WAIT_MIN: Micros = Micros(8_000_000);
 
-/// The longest such wait, while requests bring nothing new: a listed media server that refuses connections is then the
-/// fault, and each request is one of hundreds of front nodes.
+/// Maximum delay between a suspicion and the repeated request.
+///
+/// The delay grows while requests return no new events. The cause is then a media server that is listed and refuses
+/// connections, and hundreds of front nodes send such requests.
 const SUSPICION_WAIT_MAX: Micros = Micros(60_000_000);
 
-/// How a request failed.
+/// Way in which a request failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestFailure {
-    /// Nothing came on the connection, or there was none.
+    /// The connect failed, or no data was received on the connection.
     NoResponse,
-    /// Something came, but the connection is over.
+    /// The connection ended after data was received.
     Disconnected,
 }
 
-/// Decides when the event bus is requested next.
+/// Schedule of requests to the event bus.
 pub(super) struct RetryPolicy {
     connect_at: Micros,
-    /// Waits after connections on which nothing came.
+    /// Delays after connections without received data.
     no_response: ExponentialBackoff,
-    /// Waits after responses without new events.
-    fruitless: ExponentialBackoff,
-    /// Waits from a suspicion to the request.
+    /// Delays after responses without new events.
+    no_new_events: ExponentialBackoff,
+    /// Delays between a suspicion and the repeated request.
     suspicion: ExponentialBackoff,
-    /// There is a suspicion: when events are requested again if no new one comes.
+    /// Time at which events are requested again unless a new event arrives. `None` without a suspicion.
     suspicion_due: Option<Micros>,
 }
 
 impl RetryPolicy {
-    /// A policy whose first request is due at once. The seed decides the random parts of the waits.
+    /// Creates a policy whose first request is due immediately. The seed determines the random parts of the delays.
     pub fn new(limits: &SocketLimits, seed: u64) -> RetryPolicy {
         let backoff = |min, max, offset: u64| ExponentialBackoff::new(min, max, seed.wrapping_add(offset));
-        let fruitless_max = FRUITLESS_RETRY_MAX.max(limits.bus_retry_max);
+        let no_new_events_max = NO_NEW_EVENTS_RETRY_MAX.max(limits.bus_retry_max);
         RetryPolicy {
             connect_at: Micros(0),
             no_response: backoff(limits.bus_retry_min, limits.bus_retry_max, 0),
-            fruitless: backoff(limits.bus_retry_min, fruitless_max, 1),
+            no_new_events: backoff(limits.bus_retry_min, no_new_events_max, 1),
             suspicion: backoff(SUSPICION_WAIT_MIN, SUSPICION_WAIT_MAX, 2),
             suspicion_due: None,
         }
     }
 
-    /// A new event has come: earlier failures are over.
+    /// Resets all delays and clears a suspicion, after a new event has arrived.
     pub fn reset(&mut self) {
-        self.forget_failures();
+        self.reset_failures();
         self.suspicion.reset();
         self.suspicion_due = None;
     }
 
-    /// The next wait is as short as the first.
-    pub fn forget_failures(&mut self) {
+    /// Resets the delays after failures to the shortest.
+    pub fn reset_failures(&mut self) {
         self.no_response.reset();
-        self.fruitless.reset();
+        self.no_new_events.reset();
     }
 
-    /// Schedules the request after a failure.
+    /// Schedules the next request after a failure.
     pub fn schedule(&mut self, now: Micros, failure: RequestFailure) {
         let backoff = match failure {
             RequestFailure::NoResponse => &mut self.no_response,
-            RequestFailure::Disconnected => &mut self.fruitless,
+            RequestFailure::Disconnected => &mut self.no_new_events,
         };
         self.connect_at = now + backoff.next_delay();
     }
 
-    /// Schedules the request for this time.
+    /// Schedules the next request for a given time.
     pub fn connect_at(&mut self, at: Micros) {
         self.connect_at = at;
     }
 
-    /// Whether the request is due.
+    /// Returns whether the next request is due.
     pub fn is_connect_due(&self, now: Micros) -> bool {
         now >= self.connect_at
     }
 
-    /// There is a reason to suspect the open stream.
+    /// Records a suspicion that the open stream has lost events.
     pub fn suspect(&mut self, now: Micros) {
         if self.suspicion_due.is_none() {
             self.suspicion_due = Some(now + self.suspicion.next_delay());
         }
     }
 
-    /// The suspicion is answered by a request.
+    /// Clears a suspicion, after events were requested again.
     pub fn clear_suspicion(&mut self) {
         self.suspicion_due = None;
     }
 
-    /// Whether a suspicion is due; it is then cleared.
+    /// Returns whether the repeated request of a suspicion is due, and clears the suspicion in that case.
     pub fn take_due_suspicion(&mut self, now: Micros) -> bool {
         self.suspicion_due.take_if(|due| now >= *due).is_some()
     }
--- a/crates/platform/event-loop/src/event_bus/sequence.rs
+++ b/crates/platform/event-loop/src/event_bus/sequence.rs
@@ -1,31 +1,35 @@
-//! The numbers of events: which events are new, and from which number events are requested.
+//! Tracks the offsets of events: which events are new, and after which offset events are requested.
 
 use beechloft_http::sse;
 use beechloft_protocol::bus::{Event, Topology};
 use tracing::{info, warn};
 
-/// An event that can't be read is requested again so many times, as it may have been corrupted on its way; then it is
-/// skipped. The next good event restores the budget, so that a run of bad ones costs these requests together, not each.
+/// Number of requests for an unreadable event after the first one, as it may have been corrupted in transit. Then the
+/// event is skipped.
+///
+/// The next readable event resets the count, so that several unreadable events in a row share these requests.
 const MAX_RETRIES: u32 = 2;
 
-/// A number further ahead than this is not believed: it would hide all events after it, and no front node has missed so many
-/// changes of a list of some hundred servers.
+/// Maximum distance of a plausible offset from the last handled one.
+///
+/// An offset that is too large would hide all events up to it, and no front node misses so many changes of a list of some
+/// hundred media servers.
 const MAX_AHEAD: u64 = 1_000_000;
 
-/// What is to be done with an event.
+/// Result of checking an event.
 #[derive(Debug, PartialEq)]
 pub(super) enum EventOutcome {
-    /// It is new.
+    /// The event is new.
     New(Option<Topology>),
-    /// It has no number that can be believed: it is handled, but proves no progress, as it may come again.
-    Unnumbered(Option<Topology>),
-    /// It can't be read, and is to be requested again from the last number.
+    /// The event has no plausible offset. It is handled, but is no sign of progress, as it may arrive again.
+    WithoutOffset(Option<Topology>),
+    /// The event is unreadable and has to be requested again.
     Retry,
-    /// It came before, or can't be read and is skipped.
+    /// The event has already been handled, or is unreadable and skipped.
     Ignored,
 }
 
-/// Numbers that were skipped, both ends excluded.
+/// Range of offsets that were skipped, exclusive at both ends.
 #[derive(Debug, Clone, Copy)]
 struct Gap {
     from: u64,
@@ -33,17 +37,17 @@
 }
 
 impl Gap {
-    fn contains(self, number: u64) -> bool {
-        (self.from + 1..self.to).contains(&number)
+    fn contains(self, offset: u64) -> bool {
+        (self.from + 1..self.to).contains(&offset)
     }
 }
 
-/// The number up to which all events are handled.
+/// Position in the stream of events, up to which all events are handled.
 #[derive(Debug)]
 pub(super) struct EventSequence {
     last: u64,
-    /// The newest gap. An event in it shows that the number behind it was wrong, or came too early: the stream goes on from
-    /// there. Otherwise one wrong number would hide all events up to it.
+    /// The most recent gap. An event within it shows that the offset after the gap was wrong or early, so the stream
+    /// continues from that event. Otherwise one wrong offset would hide all events up to it.
     gap: Option<Gap>,
     retries: u32,
 }
@@ -53,61 +57,61 @@
         EventSequence { last, gap: None, retries: 0 }
     }
 
-    /// The number to request from.
+    /// Returns the offset of the last handled event, after which events are requested.
     pub fn last(&self) -> u64 {
         self.last
     }
 
-    /// Whether an event that can't be read is requested once more; if not, it is to be skipped.
+    /// Returns whether an unreadable event is requested again, and counts the request. If not, the event is skipped.
     pub fn take_retry(&mut self) -> bool {
         let request = self.retries < MAX_RETRIES;
         self.retries += u32::from(request);
         request
     }
 
-    /// The number, if it is plausible. Numbers begin at 1.
-    fn plausible(&self, number: Option<u64>) -> Option<u64> {
-        number.filter(|n| *n != 0 && *n <= self.last.saturating_add(MAX_AHEAD))
+    /// Returns the offset if it is plausible. Offsets start at 1.
+    fn plausible(&self, offset: Option<u64>) -> Option<u64> {
+        offset.filter(|n| *n != 0 && *n <= self.last.saturating_add(MAX_AHEAD))
     }
 
-    fn is_new(&self, number: u64) -> bool {
-        number > self.last || self.gap.is_some_and(|gap| gap.contains(number))
+    fn is_new(&self, offset: u64) -> bool {
+        offset > self.last || self.gap.is_some_and(|gap| gap.contains(offset))
     }
 
-    fn advance_to(&mut self, number: u64) {
-        if number > self.last.saturating_add(1) {
-            info!(last = self.last, number, "a gap in the numbers of the event bus; it is taken as it is");
-            self.gap = Some(Gap { from: self.last, to: number });
-        } else if let Some(gap) = self.gap.filter(|gap| gap.contains(number)) {
-            // The gap begins behind this number from now on: what comes twice is handled once there, too.
-            self.gap = Some(Gap { from: number, to: gap.to });
+    fn advance_to(&mut self, offset: u64) {
+        if offset > self.last.saturating_add(1) {
+            info!(last = self.last, offset, "gap in the offsets of the event bus; continuing after it");
+            self.gap = Some(Gap { from: self.last, to: offset });
+        } else if let Some(gap) = self.gap.filter(|gap| gap.contains(offset)) {
+            // The gap starts at this offset from now on, so that a duplicate event is ignored.
+            self.gap = Some(Gap { from: offset, to: gap.to });
         }
-        self.last = number;
+        self.last = offset;
     }
 
-    /// Judges the next event of the stream.
+    /// Checks the next event of the stream, and advances if it is new.
     pub fn receive(&mut self, raw: &sse::Event) -> EventOutcome {
         let id = self.plausible(raw.id.parse().ok());
         let event = match serde_json::from_str::<Event>(&raw.data) {
             Ok(event) => event,
             Err(error) => return self.receive_unreadable(&raw.id, id, &error),
         };
-        let number = self.number(id, self.plausible(Some(event.offset)));
-        if number.is_some_and(|number| !self.is_new(number)) {
-            // Events may be written twice; each is handled once.
+        let offset = self.resolve_offset(id, self.plausible(Some(event.offset)));
+        if offset.is_some_and(|offset| !self.is_new(offset)) {
+            // The event bus may write an event twice.
             return EventOutcome::Ignored;
         }
         if event.skipped.count > 0 {
             let (lines, error) = (event.skipped.count, &event.skipped.first_error);
-            warn!(id = raw.id, lines, error, "endpoints that can't be read are left out");
+            warn!(id = raw.id, lines, error, "skipped unreadable endpoints of an event");
         }
-        match number {
-            Some(number) => {
-                self.advance_to(number);
+        match offset {
+            Some(offset) => {
+                self.advance_to(offset);
                 self.retries = 0;
                 EventOutcome::New(event.topology)
             }
-            None => EventOutcome::Unnumbered(event.topology),
+            None => EventOutcome::WithoutOffset(event.topology),
         }
     }
 
@@ -117,26 +121,26 @@
         id: Option<u64>,
         error: &serde_json::Error,
     ) -> EventOutcome {
-        if id.is_some_and(|number| !self.is_new(number)) {
+        if id.is_some_and(|offset| !self.is_new(offset)) {
             return EventOutcome::Ignored;
         }
         if self.take_retry() {
             return EventOutcome::Retry;
         }
-        warn!(id = raw_id, last = self.last, %error, "an event that can't be read is passed over");
-        // Its number is believed if it is the next: one further on may be corrupted as the rest is, and would hide the events
-        // up to it. Otherwise events after it are handled all the same, and the first of them that can be read skips it. If
-        // none comes it arrives again, and is skipped at once, after each disconnect.
-        if let Some(number) = id.filter(|number| *number == self.last.saturating_add(1)) {
-            self.advance_to(number);
+        warn!(id = raw_id, last = self.last, %error, "skipped an unreadable event");
+        // The offset is used only if it is the next one. A larger offset may be corrupted like the rest of the event,
+        // and would hide the events up to it. Without the offset, the next readable event skips this one. If none
+        // arrives, this event arrives again after each disconnect and is skipped immediately.
+        if let Some(offset) = id.filter(|offset| *offset == self.last.saturating_add(1)) {
+            self.advance_to(offset);
         }
         EventOutcome::Ignored
     }
 
-    /// The number of an event, from its id and its offset as far as these are plausible.
-    fn number(&self, id: Option<u64>, offset: Option<u64>) -> Option<u64> {
+    /// Returns the offset of an event, given the plausible values of its `id` field and its `offset` field.
+    fn resolve_offset(&self, id: Option<u64>, offset: Option<u64>) -> Option<u64> {
         match (id, offset) {
-            // Two that differ: the nearer of two new ones hides nothing. One new and one old: neither is believed.
+            // The smaller of two new offsets hides no events. If only one of them is new, neither is reliable.
             (Some(id), Some(offset)) if self.is_new(id) == self.is_new(offset) => Some(id.min(offset)),
             (Some(_), Some(_)) => None,
             (id, offset) => id.or(offset),
--- a/crates/platform/event-loop/src/event_loop/effects.rs
+++ b/crates/platform/event-loop/src/event_loop/effects.rs
@@ -1,4 +1,4 @@
-//! Passes inputs to the state machine and carries out its outputs.
+//! Passes inputs to the state machine and executes its outputs.
 
 use beechloft::api::Micros;
 use beechloft_front_node::{Input, Output};
@@ -9,27 +9,28 @@
 use crate::tokens::viewer_token;
 
 impl EventLoop {
-    /// Has the state machine handle all inputs, and carries out its outputs.
+    /// Passes all queued inputs to the state machine, and executes the outputs that it returns.
     pub(super) fn process_inputs(&mut self, now: Micros) {
         if !self.inputs.is_empty() {
             self.update_slot();
         }
         while let Some(input) = self.inputs.pop_front() {
             for output in self.node.handle(now, input) {
-                self.carry_out(output, now);
+                self.execute_output(output, now);
             }
         }
     }
 
-    /// Passes on a change of the front node's slot, before any other input: its lease may have expired since, for
-    /// example while this process was stopped.
+    /// Queues a change of the front node's slot before all other inputs.
+    ///
+    /// The lease of the slot may have expired since the last input, for example while this process was stopped.
     pub(super) fn update_slot(&mut self) {
         if let Some(slot) = self.fleet.take_slot_change() {
             self.inputs.push_front(Input::SlotAssigned(slot));
         }
     }
 
-    fn carry_out(&mut self, output: Output, now: Micros) {
+    fn execute_output(&mut self, output: Output, now: Micros) {
         match output {
             Output::SendToViewer(conn, message) => {
                 let (viewers, mut context) = self.viewers_with_context(now);
@@ -40,15 +41,15 @@
                 viewers.close(viewer_token(conn), &mut context);
             }
             Output::Log(text) => info!("{text}"),
-            to_server => self.carry_out_at_server(to_server, now),
+            to_server => self.execute_server_output(to_server, now),
         }
     }
 
-    fn carry_out_at_server(&mut self, output: Output, now: Micros) {
+    fn execute_server_output(&mut self, output: Output, now: Micros) {
         let (servers, mut context) = self.servers_with_context(now);
         match output {
             Output::AddIncarnation(incarnation, addr) => servers.add_incarnation(incarnation, addr, now),
-            Output::RemoveIncarnation(incarnation) => servers.forget(incarnation, &mut context),
+            Output::RemoveIncarnation(incarnation) => servers.remove_incarnation(incarnation, &mut context),
             Output::KeepConnected(incarnation, keep) => {
                 servers.set_keep_connected(incarnation, keep, &mut context)
             }
@@ -60,9 +61,11 @@
                     &mut context,
                 );
             }
-            Output::DiscardUnsent(incarnation, id) => servers.withdraw_unsent(incarnation, id, &mut context),
+            Output::DiscardUnsent(incarnation, id) => {
+                servers.discard_queued_set_up(incarnation, id, &mut context)
+            }
             Output::AbandonAttempt { incarnation, id, line, timed_out } => {
-                servers.give_up(incarnation, id, &line, timed_out, &mut context)
+                servers.abandon_attempt(incarnation, id, &line, timed_out, &mut context)
             }
             Output::SendToServer(incarnation, id, line) => {
                 servers.send_line(incarnation, id, line, &mut context)
--- a/crates/platform/event-loop/src/event_loop/turn.rs
+++ b/crates/platform/event-loop/src/event_loop/iteration.rs
@@ -1,11 +1,13 @@
-//! One turn of the loop, as a list of phases. Their order is part of what the loop guarantees:
+//! One iteration of the loop.
 //!
-//! 1. poll the sockets, and read signals;
-//! 2. viewers that have gone or withdrawn a set-up, so that nothing more is begun for them;
-//! 3. media servers and the event bus, as they decide what viewers get;
-//! 4. new viewers' connections, and viewers' other messages in fair turns;
-//! 5. timeouts and the sweep, after everything that had arrived;
-//! 6. the shutdown.
+//! An iteration is a sequence of phases, and the loop guarantees their order:
+//!
+//! 1. Poll the sockets, and read signals.
+//! 2. Handle viewers that have disconnected or withdrawn a set-up, so that no further work is started for them.
+//! 3. Handle messages of media servers and the event bus, as they determine the answers to viewers.
+//! 4. Accept viewers' connections, and handle a bounded number of messages from each.
+//! 5. Handle timeouts and run the sweep, after all messages that had arrived.
+//! 6. Advance the shutdown.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -17,18 +19,18 @@
 use tracing::info;
 
 use super::reload::PendingReload;
-use super::{EventLoop, LoopStatus, TurnPhase};
+use super::{EventLoop, IterationPhase, LoopStatus};
 use crate::tokens::{LISTENER, SIGHUP_PIPE, SIGTERM_PIPE};
 use crate::viewers::ViewerContext;
 
-/// A viewers' connection whose socket is ready.
+/// Viewers' connection whose socket is ready.
 struct ReadyViewer {
     token: Token,
-    /// The client has shut its side of the connection.
+    /// Whether the client has closed its side of the connection.
     read_closed: bool,
 }
 
-/// Connections to handle in a turn.
+/// Connections to handle in an iteration.
 struct ReadySockets {
     viewers: Vec<ReadyViewer>,
     /// Connections to media servers and to the event bus.
@@ -36,32 +38,33 @@
 }
 
 impl EventLoop {
-    /// Runs one turn: waits until a socket is ready or a timeout is due, at most `max_wait`, and handles all of it.
+    /// Runs one iteration: waits for at most `max_wait` until a socket is ready or a timeout is due, and handles all
+    /// ready sockets and due timeouts.
     ///
     /// # Errors
-    /// The poll fails.
-    pub fn run_turn(&mut self, max_wait: Option<Duration>) -> io::Result<LoopStatus> {
+    /// Returns an error if the poll fails.
+    pub fn run_iteration(&mut self, max_wait: Option<Duration>) -> io::Result<LoopStatus> {
         let now = self.poll_sockets(max_wait)?;
         let ready = self.read_events(now);
-        self.end_phase(TurnPhase::SocketsPolled);
+        self.end_phase(IterationPhase::SocketsPolled);
 
         self.check_stop_permission(now);
         self.handle_viewer_disconnects(ready.viewers, now);
         self.handle_servers_and_event_bus(ready.upstreams, now);
-        self.end_phase(TurnPhase::ServersHandled);
+        self.end_phase(IterationPhase::ServersHandled);
 
         self.accept_viewers(now);
         self.handle_viewer_messages(now);
-        self.end_phase(TurnPhase::ViewersHandled);
+        self.end_phase(IterationPhase::ViewersHandled);
 
         self.handle_timeouts(now);
         self.sweep_if_due(now);
-        self.end_phase(TurnPhase::TimeoutsHandled);
+        self.end_phase(IterationPhase::TimeoutsHandled);
 
         Ok(self.advance_shutdown(now))
     }
 
-    /// How long nothing is to be done unless a socket becomes ready.
+    /// Returns the time until the next scheduled work, or zero if there is work to do now.
     pub fn idle_duration(&self) -> Duration {
         if !self.unread.is_empty() || !self.inputs.is_empty() || self.viewers.has_pending_work() {
             return Duration::ZERO;
@@ -70,15 +73,15 @@
         Duration::from_micros((due - self.time.now()).0)
     }
 
-    /// Waits for sockets; the time after the wait.
+    /// Waits for ready sockets, and returns the time after the wait.
     fn poll_sockets(&mut self, max_wait: Option<Duration>) -> io::Result<Micros> {
         let wait = self.idle_duration().min(max_wait.unwrap_or(Duration::MAX));
         self.poll_for(wait)?;
         let now = self.time.now();
         let timeout_due = self.node.next_due().is_some_and(|due| due <= now);
         if self.events.is_empty() && timeout_due {
-            // A process that was stopped during the wait returns from it without events, though much may have arrived
-            // since. Timeouts must come after that.
+            // If the process was stopped during the wait, the poll returns without events although messages may have
+            // arrived since. They must be handled before timeouts.
             self.poll_for(Duration::ZERO)?;
             return Ok(self.time.now());
         }
@@ -95,7 +98,8 @@
         }
     }
 
-    /// Handles signals and the listener's event; which connections are ready, among them those not wholly read before.
+    /// Handles signals and the event of the listener. Returns the ready connections, including those that were not read
+    /// completely in the previous iteration.
     fn read_events(&mut self, now: Micros) -> ReadySockets {
         let mut ready = ReadySockets { viewers: Vec::new(), upstreams: std::mem::take(&mut self.unread) };
         for event in &self.events {
@@ -103,12 +107,12 @@
                 LISTENER => self.viewers.accepting = true,
                 SIGHUP_PIPE => {
                     self.signals.take_hangups();
-                    info!("SIGHUP");
+                    info!(signal = "SIGHUP", "received signal");
                     self.pending_reload = Some(PendingReload::at(now));
                 }
                 SIGTERM_PIPE => {
                     let signals = self.signals.take_terminations();
-                    info!("SIGTERM");
+                    info!(signal = "SIGTERM", "received signal");
                     self.fleet.handle_sigterm(now, signals, &mut self.inputs);
                 }
                 token if self.viewers.has(token) => {
@@ -127,7 +131,8 @@
         self.process_inputs(now);
     }
 
-    /// Nothing more is begun for viewers that have gone or withdrawn a set-up.
+    /// Handles disconnected viewers and withdrawn set-ups before anything else, so that no further work is started for
+    /// them.
     fn handle_viewer_disconnects(&mut self, ready: Vec<ReadyViewer>, now: Micros) {
         for ReadyViewer { token, read_closed } in ready {
             let (viewers, mut context) = self.viewers_with_context(now);
@@ -136,7 +141,7 @@
         self.process_inputs(now);
     }
 
-    /// Media servers and the event bus decide what viewers get.
+    /// Reads connections to media servers and to the event bus, and processes the inputs of each.
     fn handle_servers_and_event_bus(&mut self, ready: BTreeSet<Token>, now: Micros) {
         for token in ready {
             if self.handle_upstream(token, now) {
@@ -146,7 +151,7 @@
         }
     }
 
-    /// Reads a connection to a media server or to the event bus; whether it may have more to read.
+    /// Reads a connection to a media server or to the event bus. Returns whether its socket may hold more data.
     fn handle_upstream(&mut self, token: Token, now: Micros) -> bool {
         if self.event_bus.has(token) {
             let registry = self.poll.registry();
@@ -174,7 +179,7 @@
         }
     }
 
-    /// Timeouts come after everything that had arrived.
+    /// Lets the state machine handle due timeouts.
     fn handle_timeouts(&mut self, now: Micros) {
         self.inputs.push_back(Input::Tick);
         self.process_inputs(now);
--- a/crates/platform/event-loop/src/event_loop/mod.rs
+++ b/crates/platform/event-loop/src/event_loop/mod.rs
@@ -1,14 +1,15 @@
-//! The poll loop: its state, its start and its public operations.
+//! The poll loop: its state, its startup and its public operations.
 //!
-//! One turn of the loop is [`turn`]; [`effects`] carries out what the state machine decides, [`reload`] and [`shutdown`]
-//! handle SIGHUP and SIGTERM, and [`test_hooks`] lets tests set the time and act between the phases of a turn.
+//! [`iteration`] contains one iteration of the loop, and [`effects`] executes the outputs of the state machine.
+//! [`reload`] and [`shutdown`] handle SIGHUP and SIGTERM. [`test_hooks`] lets tests set the time and act between the
+//! phases of an iteration.
 
 mod effects;
+mod iteration;
 mod reload;
 mod shutdown;
 mod sweep;
 mod test_hooks;
-mod turn;
 
 use std::collections::{BTreeSet, VecDeque};
 use std::io;
@@ -38,22 +39,22 @@
 use shutdown::ShutdownStage;
 use test_hooks::TestHooks;
 
-pub use test_hooks::TurnPhase;
+pub use test_hooks::IterationPhase;
 
-/// Events that one poll returns at most.
+/// Number of events that one poll returns at most.
 const MAX_EVENTS_PER_POLL: usize = 512;
 
-/// The size of the buffer that the event bus is read into.
+/// Size of the buffer for reads from the event bus.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A front node on sockets.
+/// Event loop of a front node, which owns the state machine and all sockets.
 pub struct EventLoop {
     config_path: PathBuf,
     time: TimeSource,
     node: Node,
     poll: Poll,
     events: Events,
-    /// `None` once no new connections are accepted any more.
+    /// Listener for viewers' connections. `None` once the shutdown has closed it.
     listener: Option<TcpListener>,
     signals: Signals,
     viewers: ViewerConnections,
@@ -61,9 +62,9 @@
     event_bus: EventBusClient,
     limits: SocketLimits,
     tokens: TokenAllocator,
-    /// Inputs that the state machine has not handled yet.
+    /// Queue of inputs that the state machine has not handled yet.
     inputs: VecDeque<Input>,
-    /// Connections to media servers and to the event bus that may have more to read.
+    /// Connections to media servers and to the event bus whose sockets may hold more data to read.
     unread: BTreeSet<Token>,
     next_sweep_at: Micros,
     next_state_log_at: Micros,
@@ -74,49 +75,50 @@
     test_hooks: TestHooks,
 }
 
-/// Whether the loop has stopped.
+/// Status of the loop after an iteration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoopStatus {
-    /// The loop goes on.
+    /// The loop has to be run again.
     Running,
-    /// Everything owed after SIGTERM is done.
+    /// The shutdown after SIGTERM is complete.
     Stopped,
 }
 
-/// A poll that watches the listener and the signals.
-fn watch(listener: &mut TcpListener, signals: &mut Signals) -> io::Result<Poll> {
+/// Creates a poll that watches the listener and the signals.
+fn create_poll(listener: &mut TcpListener, signals: &mut Signals) -> io::Result<Poll> {
     let poll = Poll::new()?;
     poll.registry().register(listener, LISTENER, Interest::READABLE)?;
     signals.watch(poll.registry())?;
     Ok(poll)
 }
 
-/// The list of media servers that the configuration contains.
+/// Returns the input that contains the endpoint list of the configuration.
 fn initial_input(events: InitialEvents) -> Input {
-    let unread: usize = events.batch.iter().map(|event| event.skipped.count).sum();
-    if unread > 0 {
-        warn!(unread, "lines of the list at the start can't be read");
+    let skipped: usize = events.batch.iter().map(|event| event.skipped.count).sum();
+    if skipped > 0 {
+        warn!(skipped, "skipped unreadable endpoints of the configured endpoint list");
     }
     Input::InitialTopologies(events.batch.into_iter().filter_map(|event| event.topology).collect())
 }
 
 impl EventLoop {
-    /// Reads the configuration and starts to listen.
+    /// Reads the configuration and starts listening.
     ///
     /// # Errors
-    /// The configuration can't be read, does not agree with the environment or does not suit a front node, or the system
-    /// refuses a socket, the poll or the signal handlers.
+    /// Returns an error if the configuration cannot be read, contradicts the environment or contains an invalid value, or
+    /// if the operating system refuses a socket, the poll or the signal handlers.
     pub fn start(config_path: &Path, stated: &Environment) -> Result<EventLoop, StartError> {
-        // First of all, as a signal may come at any time.
-        let mut signals = Signals::install().map_err(StartError::io("no signals"))?;
+        // The handlers are installed before anything else, as a signal may arrive at any time.
+        let mut signals = Signals::install().map_err(StartError::io("cannot install the signal handlers"))?;
         let config = read_config(config_path)?;
         config.check_environment(stated)?;
         let time = TimeSource::Clock(Clock::start());
         let (node, limits) = build_node(&config)?;
         let mut listener =
             TcpListener::bind(config.listen).map_err(StartError::io("the address can't be listened on"))?;
-        let poll = watch(&mut listener, &mut signals).map_err(StartError::io("no poll"))?;
-        info!(name = config.name, listen = %config.listen, sockets = config.limits.sockets, "front node starts");
+        let poll =
+            create_poll(&mut listener, &mut signals).map_err(StartError::io("cannot create the poll"))?;
+        info!(name = config.name, listen = %config.listen, sockets = config.limits.sockets, "front node started");
         let seed = config.seed();
         let last_event_id = config.initial_events.offset;
         Ok(EventLoop {
@@ -144,65 +146,65 @@
         })
     }
 
-    /// Runs until SIGTERM, and then until everything that was taken is answered.
+    /// Runs until SIGTERM arrives and the shutdown that follows is complete.
     ///
     /// # Errors
-    /// The poll fails.
+    /// Returns an error if the poll fails.
     pub fn run(&mut self) -> io::Result<()> {
-        while self.run_turn(None)? == LoopStatus::Running {}
+        while self.run_iteration(None)? == LoopStatus::Running {}
         Ok(())
     }
 
-    /// From now on this front node is one of a fleet.
+    /// Makes this front node a member of a fleet, which the loop accesses through `hooks`.
     pub fn join_fleet(&mut self, hooks: FleetHooks) {
         self.fleet.join(hooks);
         self.update_slot();
     }
 
-    /// The span over which set-ups for servers that have just started are paced.
+    /// Returns the time for which set-ups to a newly started media server are paced.
     pub fn slow_start_window(&self) -> Duration {
         Duration::from_micros(self.node.slow_start_window().0)
     }
 
-    /// The address that it listens on.
+    /// Returns the address on which the front node listens.
     ///
     /// # Errors
-    /// It has stopped listening, or the system does not tell the address.
+    /// Returns an error if the listener is closed or the operating system does not report its address.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         let listener = self.listener.as_ref().ok_or(io::ErrorKind::NotConnected)?;
         listener.local_addr()
     }
 
-    /// A handle that reloads or terminates this loop from another thread.
+    /// Returns a handle that reloads or terminates this loop from another thread.
     ///
     /// # Errors
-    /// There is no descriptor left.
+    /// Returns an error if no file descriptor is available.
     pub fn signal_handle(&self) -> io::Result<SignalHandle> {
         self.signals.handle()
     }
 
-    /// The limits that it keeps.
+    /// Returns the limits of the sockets.
     pub fn limits(&self) -> SocketLimits {
         self.limits
     }
 
-    /// How much its state machine holds.
+    /// Returns the numbers of sessions and other objects in the state machine.
     pub fn counts(&self) -> Counts {
         self.node.counts()
     }
 
-    /// The time that it uses, in microseconds since 1970.
+    /// Returns the current time of the loop, in microseconds since 1970.
     pub fn now(&self) -> Micros {
         self.time.now()
     }
 
-    /// The viewers' connections, with what they need from the loop.
+    /// Returns the viewers' connections and the context for their operations.
     fn viewers_with_context(&mut self, now: Micros) -> (&mut ViewerConnections, ViewerContext<'_>) {
         let registry = self.poll.registry();
         (&mut self.viewers, ViewerContext { now, registry, inputs: &mut self.inputs })
     }
 
-    /// The connections to media servers, with what they need from the loop.
+    /// Returns the connections to media servers and the context for their operations.
     fn servers_with_context(&mut self, now: Micros) -> (&mut ServerConnections, ServerContext<'_>) {
         let context = ServerContext {
             now,
--- a/crates/platform/event-loop/src/event_loop/reload.rs
+++ b/crates/platform/event-loop/src/event_loop/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the configuration is read again, and the event bus may move to another address.
+//! Handles SIGHUP: reads the configuration again and applies a changed address of the event bus.
 
 use beechloft::api::Micros;
 use tracing::warn;
@@ -6,13 +6,13 @@
 use super::EventLoop;
 use crate::startup::read_config;
 
-/// From a failed read of the configuration to the next.
+/// Time between a failed read of the configuration and the next attempt.
 const RETRY_INTERVAL: Micros = Micros(100_000);
 
-/// A read that fails is retried so many times.
+/// Number of retries after a failed read of the configuration.
 const MAX_RETRIES: u32 = 50;
 
-/// A read of the configuration that is to come.
+/// Scheduled read of the configuration.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PendingReload {
     due: Micros,
@@ -20,7 +20,7 @@
 }
 
 impl PendingReload {
-    /// The first read, due at this time.
+    /// Schedules a first read for the given time.
     pub fn at(due: Micros) -> PendingReload {
         PendingReload { due, retries: 0 }
     }
@@ -33,15 +33,16 @@
         }
     }
 
-    /// Reads the configuration. While it can't be read, as when it is half written, the old one stays in use.
+    /// Reads the configuration. Retries if the file cannot be read, for example because it is only partly written, and
+    /// keeps the current configuration meanwhile.
     fn reload(&mut self, retries: u32, now: Micros) {
         match read_config(&self.config_path) {
-            Ok(config) => self.event_bus.move_to(config.bus, now, self.poll.registry()),
+            Ok(config) => self.event_bus.change_address(config.bus, now, self.poll.registry()),
             Err(e) if retries < MAX_RETRIES => {
-                warn!("{e}; the old configuration stays, and the file is read again");
+                warn!("configuration reload failed: {e}; keeping the current configuration and retrying");
                 self.pending_reload = Some(PendingReload { due: now + RETRY_INTERVAL, retries: retries + 1 });
             }
-            Err(e) => warn!("{e}; the old configuration stays"),
+            Err(e) => warn!("configuration reload failed: {e}; keeping the current configuration"),
         }
     }
 }
--- a/crates/platform/event-loop/src/event_loop/shutdown.rs
+++ b/crates/platform/event-loop/src/event_loop/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown after SIGTERM: what is owed to whom, and in which order it is done.
+//! The graceful shutdown after SIGTERM: its stages and the conditions for the next stage.
 
 use beechloft::api::Micros;
 use tracing::info;
@@ -6,37 +6,39 @@
 use super::{EventLoop, LoopStatus};
 use crate::viewers::ViewerContext;
 
-/// Turns of accepting that empty a full listen queue.
+/// Number of rounds of accepts after which a listen queue that was full is empty.
 const MAX_ACCEPT_ROUNDS: usize = 64;
 
-/// How far the shutdown has come.
+/// Stage of the shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(super) enum ShutdownStage {
-    /// No SIGTERM has come, or it has only just come: everything is served.
+    /// New connections and requests are served, before SIGTERM and for a short time after it.
     #[default]
     Serving,
-    /// Nobody is accepted any more; what has been taken is answered.
+    /// The listener is closed. Requests that were received are answered.
     Answering,
-    /// Everything is answered; connections are being closed.
+    /// All requests are answered. Connections are being closed.
     Closing,
 }
 
 impl EventLoop {
-    /// Takes the shutdown as far as it can go now, and carries out what comes of it.
+    /// Advances the shutdown as far as possible, and processes the inputs that result.
     pub(super) fn advance_shutdown(&mut self, now: Micros) -> LoopStatus {
         let status = self.shutdown_status(now);
         self.process_inputs(now);
         status
     }
 
-    /// Each step first takes what has arrived meanwhile: connections in the listen queue, messages in the kernel's buffers,
-    /// lines that have not been sent. Otherwise requests that cross the shutdown would be lost.
+    /// Advances the shutdown and returns the resulting status of the loop.
+    ///
+    /// Before each stage ends, connections in the listen queue, messages in the kernel's buffers and unsent lines are
+    /// processed. Otherwise requests that arrive during the shutdown would be lost.
     fn shutdown_status(&mut self, now: Micros) -> LoopStatus {
         let Some(terminated_at) = self.node.terminated() else { return LoopStatus::Running };
         let elapsed = now - terminated_at;
         if elapsed >= self.limits.shutdown_deadline {
-            // SIGKILL would cut off now what is not done by now.
-            info!("front node ends, with time up");
+            // SIGKILL follows shortly and would cut off any remaining work.
+            info!("front node stopped at the shutdown deadline");
             return LoopStatus::Stopped;
         }
         if self.shutdown == ShutdownStage::Serving
@@ -50,13 +52,14 @@
             self.shutdown = ShutdownStage::Closing;
         }
         if self.shutdown == ShutdownStage::Closing && self.all_closed(now) {
-            info!("front node ends");
+            info!("front node stopped");
             return LoopStatus::Stopped;
         }
         LoopStatus::Running
     }
 
-    /// Accepts all connections in the listen queue, as closing the listener would reset them; whether none is left.
+    /// Accepts all connections in the listen queue, as closing the listener would reset them. Returns whether the queue
+    /// is empty.
     fn accept_all(&mut self, now: Micros) -> bool {
         for _ in 0..MAX_ACCEPT_ROUNDS {
             self.viewers.accepting = true;
@@ -68,7 +71,7 @@
         false
     }
 
-    /// Accepts no new connections any more, and frees the listener's descriptor.
+    /// Closes the listener.
     fn stop_listening(&mut self) {
         if let Some(mut listener) = self.listener.take() {
             let _ = self.poll.registry().deregister(&mut listener);
@@ -87,7 +90,7 @@
         let viewers_closed = self.viewers.close_unused(&usage, &mut viewer_context);
         let (servers, mut server_context) = self.servers_with_context(now);
         servers.read_all(&mut server_context);
-        // What media servers sent last is handled in this turn still, and may lead to more that is to be sent.
+        // The last lines of media servers are still handled in this iteration and may cause further messages.
         viewers_closed && self.inputs.is_empty() && self.node.counts().pending == 0 && self.servers.all_sent()
     }
 }
--- a/crates/platform/event-loop/src/event_loop/sweep.rs
+++ b/crates/platform/event-loop/src/event_loop/sweep.rs
@@ -1,4 +1,4 @@
-//! The sweep: closes connections whose time is over, reconnects, and logs the state.
+//! The periodic sweep: closes timed-out connections, reconnects, and logs the state.
 
 use beechloft::api::Micros;
 use tracing::debug;
@@ -6,10 +6,10 @@
 use super::EventLoop;
 use crate::viewers::ViewerContext;
 
-/// How often connections are checked for timeouts.
+/// Interval between checks of all connections for timeouts.
 const SWEEP_INTERVAL: Micros = Micros(25_000);
 
-/// How often the state is logged, where the debug level is on.
+/// Interval between log lines of the state at debug level.
 const STATE_LOG_INTERVAL: Micros = Micros(1_000_000);
 
 impl EventLoop {
--- a/crates/platform/event-loop/src/event_loop/test_hooks.rs
+++ b/crates/platform/event-loop/src/event_loop/test_hooks.rs
@@ -1,45 +1,46 @@
-//! Hooks for tests: a time that they set, and callbacks between the phases of a turn.
+//! Hooks for tests: a manual clock, and a callback between the phases of an iteration.
 //!
-//! Nothing here runs in production. A test that takes turns by hand can so force the order of two events that meet.
+//! Production code does not use this module. A test that runs iterations by itself can force the order of two concurrent
+//! events with it.
 
 use beechloft::api::Micros;
 
 use super::EventLoop;
 use crate::time_source::TimeSource;
 
-/// The ends of a turn's phases, in their order.
+/// Phase of an iteration that has just ended, in the order of execution.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TurnPhase {
-    /// The poll has reported ready sockets and signals; no connection is read yet.
+pub enum IterationPhase {
+    /// The poll has reported ready sockets and signals. No connection is read yet.
     SocketsPolled,
-    /// Media servers and the event bus are read and handled; viewers' messages come next.
+    /// Messages of media servers and the event bus are handled. Viewers' messages are next.
     ServersHandled,
-    /// Viewers' messages are handled; timeouts come next.
+    /// Viewers' messages are handled. Timeouts are next.
     ViewersHandled,
-    /// Timeouts are handled; the shutdown comes next.
+    /// Timeouts are handled. The shutdown is next.
     TimeoutsHandled,
 }
 
-/// What a test has hooked in.
+/// Callbacks that a test has installed.
 #[derive(Default)]
 pub(super) struct TestHooks {
-    phase_callback: Option<Box<dyn FnMut(TurnPhase) + Send>>,
+    phase_callback: Option<Box<dyn FnMut(IterationPhase) + Send>>,
 }
 
 impl EventLoop {
-    /// Replaces the clock by this time; it stands still until the next call.
+    /// Replaces the clock by a fixed time, which is valid until the next call.
     #[doc(hidden)]
     pub fn set_time(&mut self, now: Micros) {
         self.time = TimeSource::Manual(now);
     }
 
-    /// Calls back at the end of each phase of a turn.
+    /// Calls `callback` at the end of each phase of an iteration.
     #[doc(hidden)]
-    pub fn on_phase_end(&mut self, callback: impl FnMut(TurnPhase) + Send + 'static) {
+    pub fn on_phase_end(&mut self, callback: impl FnMut(IterationPhase) + Send + 'static) {
         self.test_hooks.phase_callback = Some(Box::new(callback));
     }
 
-    pub(super) fn end_phase(&mut self, phase: TurnPhase) {
+    pub(super) fn end_phase(&mut self, phase: IterationPhase) {
         if let Some(callback) = &mut self.test_hooks.phase_callback {
             callback(phase);
         }
--- a/crates/platform/event-loop/src/fleet.rs
+++ b/crates/platform/event-loop/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A front node as one of a fleet: its slot, and its turn to restart.
+//! Membership of a front node in a fleet: its slot, and its permission to stop in a rolling restart.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,63 +7,65 @@
 use beechloft_front_node::{Input, Node};
 use tracing::{info, warn};
 
-/// What a front node asks its fleet. The loop calls these at any time; none of them may block.
+/// Queries and requests of a front node to its fleet. The loop calls them at any time, so none of them may block.
 pub struct FleetHooks {
-    /// The front node's slot in the fleet now; `None`: as the configuration says.
+    /// Returns the current slot of the front node in the fleet, or `None` if the slot of the configuration applies.
     pub slot_assignment: Box<dyn Fn() -> Option<SlotAssignment> + Send>,
-    /// Whether the front node may stop now, after it requested to.
+    /// Returns whether the front node may stop, after it has requested to.
     pub may_stop: Box<dyn Fn() -> bool + Send>,
-    /// Requests the front node's turn to stop.
+    /// Requests permission for the front node to stop.
     pub request_stop: Box<dyn Fn() + Send>,
-    /// How long the front node waits for its turn at most; `None`: restarts are not coordinated.
+    /// Time for which the front node waits for the permission at most. `None` if restarts are not coordinated.
     pub max_stop_wait: Option<Duration>,
 }
 
-/// The front node's state as one of a fleet; without hooks it is on its own.
+/// State of the front node's membership in a fleet. Without hooks the front node runs alone.
 #[derive(Default)]
 pub(crate) struct FleetMembership {
     hooks: Option<FleetHooks>,
     slot: Option<SlotAssignment>,
-    /// The front node waits for its turn to stop, at most until then.
-    stop_wait_until: Option<Micros>,
+    /// Time until which the front node waits for permission to stop. `None` if it has not requested to stop.
+    stop_deadline: Option<Micros>,
 }
 
 impl FleetMembership {
-    /// Uses these hooks from now on.
+    /// Sets the hooks of the fleet.
     pub fn join(&mut self, hooks: FleetHooks) {
         self.hooks = Some(hooks);
     }
 
-    /// Handles `signals` arrivals of SIGTERM. After the first, the front node waits for its turn; a second one means an
-    /// operator who does not want to wait, and it stops at once.
+    /// Handles `signals` arrivals of SIGTERM.
+    ///
+    /// After the first SIGTERM the front node waits for permission to stop. A second one means that an operator does not
+    /// want to wait, and the front node stops immediately.
     pub fn handle_sigterm(&mut self, now: Micros, signals: usize, inputs: &mut VecDeque<Input>) {
         let coordinated = self.hooks.as_ref().and_then(|hooks| Some((hooks, hooks.max_stop_wait?)));
         match coordinated {
-            Some((hooks, max_wait)) if self.stop_wait_until.is_none() && signals < 2 => {
+            Some((hooks, max_wait)) if self.stop_deadline.is_none() && signals < 2 => {
                 (hooks.request_stop)();
                 let max_wait = u64::try_from(max_wait.as_micros()).unwrap_or(u64::MAX);
-                self.stop_wait_until = Some(now + Micros(max_wait));
+                self.stop_deadline = Some(now + Micros(max_wait));
             }
             _ => inputs.push_back(Input::Terminate),
         }
     }
 
-    /// Stops the front node if it waits for its turn and that has come, or the wait is over.
+    /// Stops the front node if it waits for permission to stop and has it, or if the maximum wait is over.
     pub fn check_stop_permission(&self, now: Micros, node: &Node, inputs: &mut VecDeque<Input>) {
         let Some(hooks) = &self.hooks else { return };
-        let waits = self.stop_wait_until.filter(|_| node.terminated().is_none());
-        let Some(wait_until) = waits else { return };
+        let pending_stop = self.stop_deadline.filter(|_| node.terminated().is_none());
+        let Some(deadline) = pending_stop else { return };
         let permitted = (hooks.may_stop)();
-        if !permitted && now < wait_until {
+        if !permitted && now < deadline {
             return;
         }
         if !permitted {
-            warn!("no turn to end within the time that is waited for one; it ends without");
+            warn!("no permission to stop within the maximum wait; stopping without it");
         }
         inputs.push_back(Input::Terminate);
     }
 
-    /// The front node's slot, if it has changed since the last call.
+    /// Returns the slot of the front node if it has changed since the last call.
     pub fn take_slot_change(&mut self) -> Option<SlotAssignment> {
         let current = self.hooks.as_ref().and_then(|hooks| (hooks.slot_assignment)());
         let changed = current.filter(|_| current != self.slot)?;
--- a/crates/platform/event-loop/src/lib.rs
+++ b/crates/platform/event-loop/src/lib.rs
@@ -1,11 +1,11 @@
-//! The front node on sockets: one thread, one poll loop around the state machine of `beechloft-front-node`.
+//! Socket I/O of the front node: one thread that runs one poll loop around the state machine of `beechloft-front-node`.
 //!
-//! [`EventLoop`] owns all sockets. It passes what arrives to the state machine as inputs and carries out the machine's
-//! outputs. The loop decides which socket carries a message, and for how long and up to which size; every choice of
-//! server, bitrate, retry and refusal is the policy's.
+//! [`EventLoop`] owns all sockets. It passes received messages to the state machine as inputs and executes the outputs
+//! that the state machine returns. The loop selects the socket that carries a message and enforces limits of time and
+//! size. The policy makes all decisions about media servers, bitrates, retries and refusals.
 //!
-//! What has arrived is read before timeouts are checked, so that a stall of this process does not make media servers
-//! look slow. All buffers, counts and times are bounded by [`limits::SocketLimits`].
+//! Each iteration reads received data before it checks timeouts, so that a stall of this process does not make media
+//! servers look slow. [`limits::SocketLimits`] bounds all buffers, counts and times.
 #![forbid(unsafe_code)]
 
 mod buffered_stream;
@@ -22,7 +22,7 @@
 pub mod tokens;
 mod viewers;
 
-pub use event_loop::{EventLoop, LoopStatus, TurnPhase};
+pub use event_loop::{EventLoop, IterationPhase, LoopStatus};
 pub use fleet::FleetHooks;
 pub use signals::SignalHandle;
 pub use startup::StartError;
--- a/crates/platform/event-loop/src/limits.rs
+++ b/crates/platform/event-loop/src/limits.rs
@@ -1,116 +1,126 @@
-//! Limits of the sockets: counts, sizes and times.
+//! Limits on the number of connections, the sizes of buffers and the times of the event loop.
 
 use beechloft::api::Micros;
 
-/// Limits of the loop's sockets.
+/// Limits of the event loop's sockets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SocketLimits {
-    /// Viewers' connections at most, those being drained included.
+    /// Maximum number of viewers' connections, including those that are being drained.
     pub max_viewer_connections: usize,
-    /// Connections to media servers at most.
+    /// Maximum number of connections to all media servers.
     pub max_server_connections: usize,
-    /// Connections to one media server at most.
+    /// Maximum number of connections to one media server.
     pub max_connections_per_server: usize,
-    /// Bytes of messages that are read ahead on one viewers' connection and wait for their turn.
+    /// Maximum number of bytes of messages that are read ahead and queued on one viewers' connection.
     pub viewer_read_ahead_bytes: usize,
-    /// Bytes that wait to be written on a viewers' connection; past this it is closed.
+    /// Size of the write buffer of a viewers' connection. The connection is closed if the buffer overflows.
     pub viewer_write_buffer_bytes: usize,
-    /// Bytes that wait to be written on a connection to a media server; past this it is closed.
+    /// Size of the write buffer of a connection to a media server. The connection is closed if the buffer overflows.
     pub server_write_buffer_bytes: usize,
-    /// Messages taken from one viewers' connection in a turn of the loop.
-    pub viewer_messages_per_turn: usize,
-    /// Bytes read from one connection to a media server or the event bus in a turn of the loop.
-    pub upstream_bytes_per_turn: usize,
-    /// A viewers' connection is closed after this time if it has carried no valid request yet, or holds a part of a message.
-    pub unproven_timeout: Micros,
-    /// The same for a connection on which a part of a message goes on arriving.
+    /// Maximum number of messages that are handled from one viewers' connection in an iteration of the loop.
+    pub viewer_messages_per_iteration: usize,
+    /// Number of bytes after which reading one connection to a media server or to the event bus stops for an iteration of
+    /// the loop.
+    pub upstream_bytes_per_iteration: usize,
+    /// Time after which a viewers' connection is closed if it has carried no valid request yet, or if a message on it is
+    /// still incomplete.
+    pub request_timeout: Micros,
+    /// Replaces `request_timeout` on a connection on which further bytes of an incomplete message keep arriving.
     pub slow_sender_timeout: Micros,
-    /// A part of a message has stopped arriving once nothing more of it came for this time.
+    /// Time without further bytes after which an incomplete message counts as stalled.
     pub stall_timeout: Micros,
-    /// A connection that this side has closed is drained for this time at most, until the other side closes it.
+    /// Maximum time for which a connection that this side has closed is drained until the other side closes it.
     pub drain_timeout: Micros,
-    /// Bytes that are drained from such a connection at most.
+    /// Number of drained bytes after which such a connection is closed.
     pub max_drain_bytes: usize,
-    /// A connection that has carried only tests and refused set-ups is closed when nothing came for this time.
+    /// Idle timeout of a viewers' connection that has carried only tests and refused set-ups.
     pub unused_viewer_timeout: Micros,
-    /// A connection that has carried a session, and has none now, is closed when nothing came for this time.
+    /// Idle timeout of a viewers' connection that has carried a session.
     pub viewer_idle_timeout: Micros,
-    /// A connect to a media server that takes longer has failed.
+    /// Timeout of a connect to a media server.
     pub connect_timeout: Micros,
-    /// A media server closes a connection that is idle for this time; the loop stops using it shortly before.
+    /// Time after which a media server closes an idle connection. The loop stops using the connection shortly before.
     pub server_idle_timeout: Micros,
-    /// A media server with sessions is checked by a new connection when nothing came from it for this time.
+    /// Time without received data after which a media server with sessions is checked by a new connection.
     pub server_silence_timeout: Micros,
-    /// From one connect to a media server that can't be reached to the next.
+    /// Time between two connects to an unreachable media server.
     pub reconnect_interval: Micros,
-    /// A media server that can't be reached for this time is lost.
+    /// Time after which an unreachable media server counts as lost.
     pub unreachable_timeout: Micros,
-    /// The event bus is requested again when nothing came from it for this time.
+    /// Time without received data after which the connection to the event bus is replaced.
     pub bus_silence_timeout: Micros,
-    /// The first wait after a failed request to the event bus; each further failure doubles it.
+    /// Delay of the first retry after a failed request to the event bus. Each further failure doubles the delay.
     pub bus_retry_min: Micros,
-    /// The longest such wait.
+    /// Maximum delay of a retry.
     pub bus_retry_max: Micros,
-    /// Bytes of an event at most.
+    /// Maximum size of an event.
     pub max_event_bytes: usize,
-    /// After SIGTERM, new connections and set-ups are served for this time at least.
+    /// Time after SIGTERM for which new connections and set-ups are still served.
     pub serve_after_sigterm: Micros,
-    /// After SIGTERM, everything owed is answered within this time.
+    /// Time after SIGTERM by which all requests are answered.
     pub answer_deadline: Micros,
-    /// After SIGTERM, the front node stops within this time.
+    /// Time after SIGTERM by which the front node stops.
     pub shutdown_deadline: Micros,
 }
 
-/// What the limits are derived from: the configuration's limits and the settings' times.
+/// Values of the configuration from which the limits are derived.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitInputs {
-    /// Descriptors of the process.
+    /// Number of file descriptors of the process.
     pub descriptors: usize,
-    /// Its memory, in MB.
+    /// Memory of the process, in MB.
     pub memory_mb: f64,
-    /// The longest deadline of all classes.
+    /// Longest deadline of all classes.
     pub max_class_deadline: Micros,
-    /// A connect to a media server that takes longer has failed.
+    /// Timeout of a connect to a media server.
     pub connect_timeout: Micros,
-    /// A media server closes a connection that is idle for this time.
+    /// Time after which a media server closes an idle connection.
     pub server_idle_timeout: Micros,
 }
 
-/// Descriptors that are no connections: standard streams, poll, signals, the listener, the event bus, a file, a connection
-/// that is accepted and waits for capacity, some spare.
+/// Number of file descriptors that are not available for viewers and media servers.
+///
+/// They cover the standard streams, the poll, the signals, the listener, the event bus, a file and an accepted connection
+/// that waits for capacity, with some in reserve.
 pub const RESERVED_DESCRIPTORS: usize = 24;
 
-/// Descriptors for connections at least.
+/// Minimum number of file descriptors for connections.
 const MIN_CONNECTIONS: usize = 16;
 
-/// With fewer descriptors a front node can't work.
+/// Minimum number of file descriptors with which a front node can run.
 pub const MIN_DESCRIPTORS: usize = RESERVED_DESCRIPTORS + MIN_CONNECTIONS;
 
-/// SIGKILL comes no sooner after SIGTERM than the longest deadline of a class, counted up to this, ...
+/// Upper bound of the class deadline that counts for the time until SIGKILL.
+///
+/// SIGKILL follows SIGTERM after the longest deadline of a class, but at most this value, plus [`KILL_GRACE`].
 const MAX_COUNTED_DEADLINE: Micros = Micros(3_000_000);
 
-/// ... plus this.
+/// Time between the end of the longest counted deadline after SIGTERM and SIGKILL.
 const KILL_GRACE: Micros = Micros(700_000);
 
-/// Requests arrive for up to 0.6 s after SIGTERM: new connections for 0.2 to 0.4 s, and requests on open ones for 0.2 s more.
-/// Requests that come later are owed their answer too, but no more are begun.
+/// Time after SIGTERM during which clients still send requests.
+///
+/// New connections arrive for 0.2 s to 0.4 s, and requests on open connections for 0.2 s more. Later arrivals are
+/// answered too, but clients start no new requests by then.
 const ARRIVALS_AFTER_SIGTERM: Micros = Micros(600_000);
 
-/// Requests are served for this time after the last should have arrived.
+/// Time for which requests are served after the last one should have arrived.
 const ARRIVAL_MARGIN: Micros = Micros(400_000);
 
-/// Answers are given so long before SIGKILL, so that they have time to leave.
+/// Time between the last answers and SIGKILL, in which the answers are transferred.
 const ANSWERS_BEFORE_KILL: Micros = Micros(250_000);
 
-/// The front node stops so long before SIGKILL.
+/// Time between the stop of the front node and SIGKILL.
 const STOP_BEFORE_KILL: Micros = Micros(80_000);
 
-/// The smallest and the largest read-ahead of a viewers' connection: a whole message, and 64 KiB.
+/// Smallest read-ahead of a viewers' connection: one complete message with its length prefix.
 const MIN_READ_AHEAD_BYTES: usize = beechloft_protocol::MAX_MESSAGE + 2;
+
+/// Largest read-ahead of a viewers' connection.
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 
 impl SocketLimits {
-    /// Derives limits that keep within the descriptors, the memory and the time until SIGKILL.
+    /// Derives limits that fit the file descriptors, the memory and the time until SIGKILL.
     pub fn derive(inputs: &LimitInputs) -> SocketLimits {
         let connections = inputs.descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_CONNECTIONS);
         let max_server_connections = connections * 2 / 5;
@@ -124,10 +134,10 @@
             viewer_read_ahead_bytes: read_ahead_bytes(inputs.memory_mb, max_viewer_connections),
             viewer_write_buffer_bytes: 64 * 1024,
             server_write_buffer_bytes: 64 * 1024,
-            viewer_messages_per_turn: 8,
-            upstream_bytes_per_turn: 16 * 1024,
-            // A client that sends no valid request must see its connection end within 3 s, whatever the deadlines.
-            unproven_timeout: Micros(1_800_000),
+            viewer_messages_per_iteration: 8,
+            upstream_bytes_per_iteration: 16 * 1024,
+            // A connection without a valid request must be closed within 3 s, whatever the deadlines are.
+            request_timeout: Micros(1_800_000),
             slow_sender_timeout: Micros(2_600_000),
             stall_timeout: Micros(700_000),
             drain_timeout: Micros(300_000),
@@ -150,8 +160,10 @@
     }
 }
 
-/// An eighth of the memory for what is read ahead, if all viewers' connections read as much as they may; a whole message at
-/// least, as a message can be handled only once it is read wholly.
+/// Returns the read-ahead of one viewers' connection.
+///
+/// All connections together use at most an eighth of the memory, but each can read ahead one complete message, as an
+/// incomplete message cannot be handled.
 fn read_ahead_bytes(memory_mb: f64, connections: usize) -> usize {
     #[expect(clippy::cast_possible_truncation, reason = "a fraction of a byte; the cast saturates")]
     let budget = (memory_mb.max(1.0) * 1e6 / 8.0) as usize;
--- a/crates/platform/event-loop/src/servers/connect.rs
+++ b/crates/platform/event-loop/src/servers/connect.rs
@@ -1,4 +1,4 @@
-//! Connects to media servers, and decides what a failed connect means.
+//! Connects to media servers, and determines from failed connects whether a media server is lost.
 
 use std::io::{self, ErrorKind};
 
@@ -10,17 +10,17 @@
 use super::{ServerConnections, ServerContext};
 use crate::buffered_stream::BufferedStream;
 
-/// Why a connection to a media server was not established.
+/// Reason for which a connection to a media server was not established.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ConnectFailure {
-    /// The media server's machine refused it: no process listens there.
+    /// The host of the media server refused the connection, as no process listens on the port.
     Refused,
-    /// Nothing came back, or the network reported an error.
+    /// The connect timed out, or the network reported an error.
     Unreachable,
 }
 
 impl ConnectFailure {
-    pub fn of(error: &io::Error) -> ConnectFailure {
+    pub fn from_error(error: &io::Error) -> ConnectFailure {
         if error.kind() == ErrorKind::ConnectionRefused {
             ConnectFailure::Refused
         } else {
@@ -29,9 +29,9 @@
     }
 }
 
-/// Whether an error of `connect` is this machine's own, as for want of descriptors or ports: it says nothing about the media
-/// server.
-fn is_local(error: &io::Error) -> bool {
+/// Returns whether an error of `connect` has a local cause, for example a lack of file descriptors or ports, and is
+/// therefore not evidence against the media server.
+fn is_local_error(error: &io::Error) -> bool {
     let remote = [
         ErrorKind::ConnectionRefused,
         ErrorKind::ConnectionReset,
@@ -44,27 +44,27 @@
 }
 
 impl ServerConnections {
-    /// Begins a connection.
+    /// Starts to connect to an incarnation.
     ///
     /// # Errors
-    /// Why none was begun; if the media server is the cause, that is handled already.
+    /// Returns the reason if no connect was started. A failure of the media server has already been reported.
     pub(super) fn connect(
         &mut self,
         incarnation: ServerIncarnation,
         context: &mut ServerContext<'_>,
     ) -> Result<Token, AttemptFailure> {
-        if self.connections.len() >= self.limits.max_server_connections && !self.make_capacity(context) {
+        if self.connections.len() >= self.limits.max_server_connections && !self.evict_idle(context) {
             return Err(AttemptFailure::NotSent);
         }
         let state = self.incarnations.get_mut(&incarnation).ok_or(AttemptFailure::NotSent)?;
         match TcpStream::connect(state.addr) {
             Ok(socket) => self.add(socket, incarnation, context),
-            Err(e) if is_local(&e) => {
+            Err(e) if is_local_error(&e) => {
                 state.reconnect_at = context.now + self.limits.reconnect_interval;
                 Err(AttemptFailure::NotSent)
             }
             Err(e) => {
-                self.connect_failed(incarnation, ConnectFailure::of(&e), context);
+                self.connect_failed(incarnation, ConnectFailure::from_error(&e), context);
                 Err(AttemptFailure::NoConnection)
             }
         }
@@ -86,16 +86,16 @@
         Ok(token)
     }
 
-    /// Closes the longest idle connection that nothing needs; whether there was one.
-    fn make_capacity(&mut self, context: &mut ServerContext<'_>) -> bool {
-        let idle = self.connections.iter().filter(|(_, connection)| self.is_spare(connection));
+    /// Closes the evictable connection that has been idle for longest. Returns whether there was one.
+    fn evict_idle(&mut self, context: &mut ServerContext<'_>) -> bool {
+        let idle = self.connections.iter().filter(|(_, connection)| self.is_evictable(connection));
         let oldest = idle.min_by_key(|(_, connection)| connection.last_used_at).map(|(token, _)| *token);
         let Some(token) = oldest else { return false };
         self.read_and_close(token, context);
         true
     }
 
-    fn is_spare(&self, connection: &ServerConnection) -> bool {
+    fn is_evictable(&self, connection: &ServerConnection) -> bool {
         let incarnation = connection.incarnation;
         let keep_connected = self.incarnations.get(&incarnation).is_some_and(|state| state.keep_connected);
         connection.is_idle()
@@ -107,9 +107,11 @@
         self.connections.values().filter(|connection| connection.incarnation == incarnation).count()
     }
 
-    /// A connect has failed. A refusal proves that the process is gone. A timeout proves it only over a while, unless the
-    /// list does not contain the media server any more: a machine that vanishes sends nothing. A network partition that
-    /// lasts that long and heals is taken for a loss as well.
+    /// Handles a failed connect, and reports the incarnation as lost if the failure proves it.
+    ///
+    /// A refused connect proves that the process has ended. A host that has failed does not respond, so unreachability
+    /// counts as a loss after `unreachable_timeout`, or immediately if the endpoint list does not contain the media
+    /// server any more. A network partition of that length is therefore treated as a loss as well, even if it heals.
     pub(super) fn connect_failed(
         &mut self,
         incarnation: ServerIncarnation,
--- a/crates/platform/event-loop/src/servers/connection.rs
+++ b/crates/platform/event-loop/src/servers/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a media server.
+//! One connection to a media server, with its queue.
 
 use std::collections::VecDeque;
 
@@ -9,53 +9,53 @@
 
 use crate::buffered_stream::BufferedStream;
 
-/// A set-up to send.
+/// Set-up that is to be sent to a media server.
 pub(crate) struct SetUp {
     pub id: CallId,
-    /// The connection of the viewer who waits for it.
+    /// Connection of the viewer that waits for the answer.
     pub viewer: ViewerConnection,
     pub line: Vec<u8>,
-    /// It is not sent later than this.
+    /// Time after which the set-up is not sent any more.
     pub send_by: Micros,
 }
 
-/// A line about a session that could not be sent yet.
+/// Line about a session that could not be sent yet.
 pub(super) struct PendingLine {
-    /// When it was to be sent first.
+    /// Time of the first try to send the line.
     pub since: Micros,
     pub id: CallId,
     pub line: Vec<u8>,
 }
 
-/// What waits for a connection to be established.
+/// Line that is queued until a connection is established.
 pub(super) enum Queued {
-    /// A set-up.
+    /// Line that requests a set-up.
     SetUp(SetUp),
-    /// Another line.
+    /// Any other line.
     Line(PendingLine),
 }
 
 impl Queued {
-    /// Whether it is the set-up of this session.
+    /// Returns whether this is the set-up of the given session.
     pub fn is_set_up(&self, id: CallId) -> bool {
         matches!(self, Queued::SetUp(set_up) if set_up.id == id)
     }
 }
 
-/// One connection to a media server.
+/// Connection to a media server.
 pub(super) struct ServerConnection {
     pub incarnation: ServerIncarnation,
     pub stream: BufferedStream,
     pub decoder: LineDecoder,
-    /// When it is to be established; `None`: it is.
+    /// Deadline of the connect. `None` if the connection is established.
     pub connect_by: Option<Micros>,
-    /// What waits for it to be established.
+    /// Lines that are sent once the connection is established.
     pub queue: VecDeque<Queued>,
-    /// Set-ups that are open on it.
+    /// Set-ups that were sent on the connection and are not answered yet.
     pub open: Vec<CallId>,
-    /// A set-up was not answered in time and nothing has come since: it takes no further one.
+    /// Whether a set-up has timed out and nothing was received since. No further set-up is then sent on the connection.
     pub unresponsive: bool,
-    /// When something was last sent or received.
+    /// Time at which data was last sent or received.
     pub last_used_at: Micros,
 }
 
@@ -78,22 +78,22 @@
         }
     }
 
-    /// Whether it is established.
+    /// Returns whether the connection is established.
     pub fn is_connected(&self) -> bool {
         self.connect_by.is_none()
     }
 
-    /// Whether it is established to this incarnation.
+    /// Returns whether this is an established connection to the given incarnation.
     pub fn is_connected_to(&self, incarnation: ServerIncarnation) -> bool {
         self.incarnation == incarnation && self.is_connected()
     }
 
-    /// Whether no set-up is open on it and nothing waits for it.
+    /// Returns whether the connection has no open set-up and no queued line.
     pub fn is_idle(&self) -> bool {
         self.open.is_empty() && self.queue.is_empty()
     }
 
-    /// Whether everything that was to be sent on it has left.
+    /// Returns whether no line is queued or buffered.
     pub fn all_sent(&self) -> bool {
         self.queue.is_empty() && self.stream.pending_bytes() == 0
     }
--- a/crates/platform/event-loop/src/servers/incarnation.rs
+++ b/crates/platform/event-loop/src/servers/incarnation.rs
@@ -1,4 +1,4 @@
-//! The state of an incarnation: its address, whether it can be reached, and what could not be sent to it yet.
+//! State of an incarnation: its address, its reachability, and lines that could not be sent to it yet.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -7,30 +7,34 @@
 
 use super::connection::PendingLine;
 
-/// A line that found no connection is retained for this time. After it, the media server has ended the session by itself: one
-/// that can't be released lasts 8 s at most.
+/// Maximum time for which a line is retained until a connection is established.
+///
+/// The media server ends a session by itself after at most 8 s if the session cannot be released, so later lines have no
+/// effect.
 const MAX_RETENTION: Micros = Micros(10_000_000);
 
-/// Lines that are retained for one incarnation at most; the oldest is dropped first.
+/// Maximum number of lines that are retained for one incarnation. The oldest is dropped first.
 const MAX_RETAINED: usize = 256;
 
-/// The state of one incarnation.
+/// State of an incarnation.
 pub(super) struct IncarnationState {
     pub addr: SocketAddr,
-    /// Sessions are established there: a connection to it is kept.
+    /// Whether the incarnation has established sessions, and thus needs a connection at all times.
     pub keep_connected: bool,
-    /// The list does not contain it any more: the first failure to reach it settles that it is lost.
+    /// Whether the endpoint list does not contain the incarnation any more. One failed connect is then enough to report
+    /// it as lost.
     pub suspected: bool,
-    /// When something last came from it, or a connection was established.
+    /// Time at which data was last received or a connection was last established.
     pub last_contact_at: Micros,
-    /// Since when it can't be reached.
+    /// Start of the current period of failed connects, if any.
     pub unreachable_since: Option<Micros>,
-    /// No connection by the sweep before this.
+    /// Earliest time at which the sweep connects again.
     pub reconnect_at: Micros,
-    /// Lines whose connection was not established. Without these, a session whose end waited for that one connection would
-    /// stay at the media server for ever.
+    /// Lines whose connection was not established, which are sent on the next one. If they were dropped, a session whose
+    /// release is among them would remain at the media server.
     unsent: VecDeque<PendingLine>,
-    /// Nothing belongs to it any more: it is closed once what is to be sent there has left, or at this time.
+    /// Time limit for closing the connections of a removed incarnation. They are closed earlier if all lines are sent.
+    /// `None` unless the incarnation is removed.
     pub close_by: Option<Micros>,
 }
 
@@ -48,7 +52,7 @@
         }
     }
 
-    /// Retains a line for the next connection.
+    /// Retains a line until the next connection is established.
     pub fn retain(&mut self, line: PendingLine) {
         if self.unsent.len() >= MAX_RETAINED {
             self.unsent.pop_front();
@@ -56,12 +60,12 @@
         self.unsent.push_back(line);
     }
 
-    /// Takes the retained lines.
+    /// Removes and returns the retained lines.
     pub fn take_unsent(&mut self) -> VecDeque<PendingLine> {
         std::mem::take(&mut self.unsent)
     }
 
-    /// Whether lines wait for a connection; those that have waited too long are dropped.
+    /// Drops expired lines, and returns whether other retained lines are left.
     pub fn has_current_unsent(&mut self, now: Micros) -> bool {
         while self.unsent.front().is_some_and(|line| now - line.since > MAX_RETENTION) {
             self.unsent.pop_front();
@@ -69,12 +73,12 @@
         self.has_unsent()
     }
 
-    /// Whether lines wait for a connection.
+    /// Returns whether lines are retained.
     pub fn has_unsent(&self) -> bool {
         !self.unsent.is_empty()
     }
 
-    /// Drops the retained lines: the process is gone, and all its sessions.
+    /// Drops the retained lines, as the process has ended with all its sessions.
     pub fn discard_unsent(&mut self) {
         self.unsent.clear();
     }
--- a/crates/platform/event-loop/src/servers/mod.rs
+++ b/crates/platform/event-loop/src/servers/mod.rs
@@ -1,4 +1,6 @@
-//! Connections to media servers, by incarnation: one start of one media server.
+//! Connections to media servers.
+//!
+//! They belong to an incarnation, which is one run of the process of a media server.
 
 mod connect;
 mod connection;
@@ -23,22 +25,22 @@
 
 pub(crate) use connection::SetUp;
 
-/// The size of the buffer that connections are read into.
+/// Size of the buffer for reads from media servers.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// All connections to media servers.
+/// Set of all connections to media servers.
 pub(crate) struct ServerConnections {
     connections: BTreeMap<Token, ServerConnection>,
     incarnations: BTreeMap<ServerIncarnation, IncarnationState>,
-    /// The connection on which each session's set-up was sent.
+    /// Connection on which the set-up of each session was sent.
     session_connections: BTreeMap<CallId, Token>,
     limits: SocketLimits,
     read_buffer: Vec<u8>,
-    /// A media server on the list has refused a connection.
+    /// Whether a listed media server has refused a connection since the last check.
     connection_refused: bool,
 }
 
-/// What connections to media servers need from the loop.
+/// Parts of the event loop that operations on connections to media servers use.
 pub(crate) struct ServerContext<'a> {
     pub now: Micros,
     pub registry: &'a Registry,
@@ -48,11 +50,12 @@
 }
 
 impl ServerContext<'_> {
-    /// Whether the set-up may be sent as of now: its viewer waits for it, and it is not too late.
+    /// Returns whether a set-up may still be sent: its viewer waits for the answer, and `send_by` has not passed.
     fn may_send(&mut self, set_up: &SetUp) -> bool {
         let mut viewer_context =
             ViewerContext { now: self.now, registry: self.registry, inputs: self.inputs };
-        self.now <= set_up.send_by && self.viewers.waits_for(set_up.viewer, set_up.id, &mut viewer_context)
+        self.now <= set_up.send_by
+            && self.viewers.is_awaiting_answer(set_up.viewer, set_up.id, &mut viewer_context)
     }
 }
 
@@ -72,35 +75,36 @@
         self.connections.len()
     }
 
-    /// Whether a media server on the list has refused a connection since the last call.
+    /// Returns whether a listed media server has refused a connection since the last call.
     pub fn take_connection_refused(&mut self) -> bool {
         std::mem::take(&mut self.connection_refused)
     }
 
-    /// Whether everything that was to be sent has left.
+    /// Returns whether no line is queued or buffered.
     pub fn all_sent(&self) -> bool {
         self.connections.values().all(ServerConnection::all_sent)
             && !self.incarnations.values().any(IncarnationState::has_unsent)
     }
 
-    /// Adds an incarnation and its address.
+    /// Adds an incarnation with its address.
     pub fn add_incarnation(&mut self, incarnation: ServerIncarnation, addr: SocketAddr, now: Micros) {
         self.incarnations.insert(incarnation, IncarnationState::new(addr, now));
     }
 
-    /// Nothing belongs to an incarnation any more. What is still to be sent there, as the end of a session that nobody
-    /// watches, leaves first, within a bound.
-    pub fn forget(&mut self, incarnation: ServerIncarnation, context: &mut ServerContext<'_>) {
+    /// Removes an incarnation without sessions.
+    ///
+    /// Pending lines, for example the release of a session without viewers, are sent first, within a bounded time.
+    pub fn remove_incarnation(&mut self, incarnation: ServerIncarnation, context: &mut ServerContext<'_>) {
         if let Some(state) = self.incarnations.get_mut(&incarnation) {
             state.keep_connected = false;
             let close_by = context.now + self.limits.connect_timeout + self.limits.drain_timeout;
             state.close_by = Some(close_by);
         }
-        self.close_if_forgotten(incarnation, context);
+        self.close_if_removed(incarnation, context);
     }
 
-    /// Closes what is left of a forgotten incarnation, except connections with something still to be sent.
-    fn close_if_forgotten(&mut self, incarnation: ServerIncarnation, context: &mut ServerContext<'_>) {
+    /// Closes the connections of a removed incarnation, except those with unsent data before the time limit.
+    fn close_if_removed(&mut self, incarnation: ServerIncarnation, context: &mut ServerContext<'_>) {
         let Some(close_by) = self.incarnations.get(&incarnation).and_then(|i| i.close_by) else { return };
         let overdue = context.now >= close_by;
         for token in self.tokens_where(|c| c.incarnation == incarnation && (overdue || c.all_sent())) {
@@ -113,7 +117,7 @@
         }
     }
 
-    /// Sessions are established at an incarnation, or no longer: while they are, a connection to it is kept.
+    /// Sets whether an incarnation has established sessions, and thus needs a connection at all times.
     pub fn set_keep_connected(
         &mut self,
         incarnation: ServerIncarnation,
@@ -127,7 +131,8 @@
         }
     }
 
-    /// The list does not contain an incarnation any more: one failure to reach it is enough to call it lost.
+    /// Marks an incarnation that the endpoint list does not contain any more. One failed connect is then enough to
+    /// report it as lost.
     pub fn suspect(&mut self, incarnation: ServerIncarnation, context: &mut ServerContext<'_>) {
         let Some(state) = self.incarnations.get_mut(&incarnation) else { return };
         state.suspected = true;
@@ -145,8 +150,9 @@
         matching.map(|(token, _)| *token).collect()
     }
 
-    /// Reads what has come on a connection that nothing needs, and closes it. The kernel would answer a close with unread
-    /// bytes by RST, and discard what was written last.
+    /// Reads an unused connection and closes it.
+    ///
+    /// The kernel sends RST if a socket with unread data is closed, which discards data that was written last.
     fn read_and_close(&mut self, token: Token, context: &mut ServerContext<'_>) {
         if self.connections.get(&token).is_some_and(ServerConnection::is_connected) {
             self.read(token, context);
@@ -154,7 +160,8 @@
         self.close(token, AttemptFailure::ConnectionReset, context);
     }
 
-    /// Closes a connection. Set-ups that are open on it have broken as `reason` says; those in its queue were never sent.
+    /// Closes a connection. The attempts that were sent on it fail with `reason`. Those in its queue count as not sent
+    /// if the connection was reset.
     fn close(&mut self, token: Token, reason: AttemptFailure, context: &mut ServerContext<'_>) {
         let Some(mut connection) = self.connections.remove(&token) else { return };
         let _ = context.registry.deregister(&mut connection.stream.socket);
--- a/crates/platform/event-loop/src/servers/receive.rs
+++ b/crates/platform/event-loop/src/servers/receive.rs
@@ -1,4 +1,4 @@
-//! What comes from media servers.
+//! Receives lines from media servers, and completes connects.
 
 use beechloft_front_node::{AttemptFailure, Input};
 use beechloft_protocol::CallId;
@@ -10,11 +10,11 @@
 use super::{ServerConnections, ServerContext};
 use crate::buffered_stream::ReadOutcome;
 
-/// A line that can't be read.
+/// Error: a line of a media server is malformed.
 struct MalformedLine;
 
 impl ServerConnections {
-    /// Handles a ready socket; whether it may have more to read.
+    /// Handles a ready socket. Returns whether it may hold more data.
     pub fn handle_ready(&mut self, token: Token, context: &mut ServerContext<'_>) -> bool {
         if !self.finish_connect(token, context) {
             return false;
@@ -26,11 +26,11 @@
             return false;
         }
         let may_have_more = self.read(token, context);
-        self.close_if_forgotten(incarnation, context);
+        self.close_if_removed(incarnation, context);
         may_have_more
     }
 
-    /// Takes note of the result of a connect in progress; whether the connection is established.
+    /// Handles the result of a connect in progress. Returns whether the connection is established.
     fn finish_connect(&mut self, token: Token, context: &mut ServerContext<'_>) -> bool {
         let Some(connection) = self.connections.get(&token) else { return false };
         if connection.is_connected() {
@@ -41,7 +41,7 @@
             None => false,
             Some(Err(e)) => {
                 self.close(token, AttemptFailure::NoConnection, context);
-                self.connect_failed(incarnation, ConnectFailure::of(&e), context);
+                self.connect_failed(incarnation, ConnectFailure::from_error(&e), context);
                 false
             }
             Some(Ok(())) => {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A connection is established: what waited for it is sent, except set-ups for which nobody waits any more.
+    /// Marks a connection as established and sends its queue, except set-ups that no viewer waits for any more.
     fn send_queue(&mut self, token: Token, context: &mut ServerContext<'_>) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         connection.connect_by = None;
@@ -64,7 +64,7 @@
             queue.extend(state.take_unsent().into_iter().map(Queued::Line));
         }
         for queued in queue {
-            // The connection may break under any of them.
+            // Sending any line may find the connection broken and close it.
             match (queued, self.connections.get_mut(&token)) {
                 (Queued::SetUp(set_up), None) => {
                     context.inputs.push_back(Input::AttemptFailed(
@@ -84,11 +84,11 @@
         }
     }
 
-    /// Reads a connection, up to its share of the turn; whether there may be more.
+    /// Reads a connection, up to the limit for one iteration. Returns whether the socket may hold more data.
     pub(super) fn read(&mut self, token: Token, context: &mut ServerContext<'_>) -> bool {
         let Some(connection) = self.connections.get_mut(&token) else { return false };
         let mut read_bytes = 0;
-        while read_bytes < self.limits.upstream_bytes_per_turn {
+        while read_bytes < self.limits.upstream_bytes_per_iteration {
             match connection.stream.read(&mut self.read_buffer) {
                 ReadOutcome::Data(count) => {
                     read_bytes += count;
@@ -98,7 +98,7 @@
                         state.last_contact_at = context.now;
                     }
                     if connection.receive(&self.read_buffer[..count], context).is_err() {
-                        // This costs the connection and each set-up on it, nothing more.
+                        // Only the attempts on this connection fail.
                         self.close(token, AttemptFailure::ConnectionReset, context);
                         return false;
                     }
@@ -113,7 +113,7 @@
         true
     }
 
-    /// Reads all established connections, as this process ends.
+    /// Reads all established connections before the process ends.
     pub fn read_all(&mut self, context: &mut ServerContext<'_>) {
         for token in self.tokens_where(ServerConnection::is_connected) {
             self.read(token, context);
@@ -122,7 +122,7 @@
 }
 
 impl ServerConnection {
-    /// Takes bytes, and passes on the lines that they complete.
+    /// Adds received bytes, and passes the lines that they complete to the state machine.
     fn receive(&mut self, bytes: &[u8], context: &mut ServerContext<'_>) -> Result<(), MalformedLine> {
         self.decoder.push(bytes);
         while let Some(text) = self.decoder.next_line().map_err(|_| MalformedLine)? {
@@ -134,7 +134,7 @@
     }
 }
 
-/// Whether a line ends the wait for a set-up's answer.
+/// Returns whether a line answers the set-up of a session.
 fn answers(line: &ServerMessage, id: CallId) -> bool {
     matches!(&line.event, FromServer::Accept(answered, _) | FromServer::End(answered, _) if *answered == id)
 }
--- a/crates/platform/event-loop/src/servers/send.rs
+++ b/crates/platform/event-loop/src/servers/send.rs
@@ -1,4 +1,4 @@
-//! What goes to media servers: set-ups, their giving-up, and lines about established sessions.
+//! Sends set-ups, abandoned attempts and lines about established sessions to media servers.
 
 use beechloft::api::Micros;
 use beechloft_front_node::{AttemptFailure, Input, ServerIncarnation};
@@ -8,12 +8,13 @@
 use super::connection::{PendingLine, Queued, ServerConnection, SetUp};
 use super::{ServerConnections, ServerContext};
 
-/// Sessions whose connection is remembered at most; those of the oldest connection are dropped first.
+/// Maximum number of sessions whose connection is stored. Those of the oldest connection are dropped first.
 const MAX_SESSION_CONNECTIONS: usize = 8192;
 
 impl ServerConnections {
-    /// Sends a set-up on a connection that carries no other, if descriptors allow: what spoils one answer costs every set-up
-    /// that is open on its connection.
+    /// Sends a set-up on a connection without other open set-ups, if enough file descriptors are available.
+    ///
+    /// A malformed answer or a reset fails all set-ups that are open on the same connection.
     pub fn send_set_up(
         &mut self,
         incarnation: ServerIncarnation,
@@ -33,7 +34,7 @@
         }
     }
 
-    /// A connection that is being established and that nothing waits for yet, or a new one.
+    /// Returns a connection that is being established and has an empty queue, or starts a new one.
     fn connecting(
         &mut self,
         incarnation: ServerIncarnation,
@@ -50,7 +51,7 @@
         Err(AttemptFailure::NotSent)
     }
 
-    /// There is no connection for this set-up alone: it shares the one with the fewest. `reason`: why there is none.
+    /// Sends a set-up on the connection with the fewest set-ups, as no exclusive one is available for `reason`.
     fn send_on_least_loaded(
         &mut self,
         incarnation: ServerIncarnation,
@@ -65,13 +66,15 @@
                 connection.queue.push_back(Queued::SetUp(set_up));
             }
             Some((&token, _)) => self.write_set_up(token, &set_up, context),
-            // A failed connect is reported for the incarnation already, but not for this set-up.
+            // A failed connect has been reported for the incarnation, but not for this set-up.
             None => context.inputs.push_back(Input::AttemptFailed(incarnation, set_up.id, reason)),
         }
     }
 
-    /// An established connection that carries no set-up as of now: it is read first. A set-up on a connection whose end has
-    /// already arrived would count as one that may have run.
+    /// Returns an established connection without an open set-up.
+    ///
+    /// The connection is read first, to find out whether the media server has closed it. A set-up that is sent on a
+    /// closed connection would count as possibly executed.
     fn idle_connection(
         &mut self,
         incarnation: ServerIncarnation,
@@ -86,14 +89,14 @@
             let idle = self.connections.iter().filter(|(_, c)| is_idle(c) && now - c.last_used_at < max_idle);
             let token = idle.max_by_key(|(_, c)| c.last_used_at).map(|(token, _)| *token)?;
             self.read(token, context);
-            // If it has ended it is closed by now, and the next is tried.
+            // The read closes and removes a connection that the media server has closed. The next one is tried then.
             if self.connections.get(&token).is_some_and(is_idle) {
                 return Some(token);
             }
         }
     }
 
-    /// Writes a set-up on an established connection, if it may still be sent.
+    /// Sends a set-up on an established connection, if it may still be sent.
     pub(super) fn write_set_up(&mut self, token: Token, set_up: &SetUp, context: &mut ServerContext<'_>) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let id = set_up.id;
@@ -116,7 +119,7 @@
 
     fn remember_session(&mut self, id: CallId, token: Token) {
         if self.session_connections.len() >= MAX_SESSION_CONNECTIONS {
-            // Tokens rise, so that the lowest is that of the oldest connection.
+            // Tokens increase, so the lowest one belongs to the oldest connection.
             let oldest = self.session_connections.iter().min_by_key(|(_, connection)| **connection);
             if let Some(oldest_id) = oldest.map(|(session, _)| *session) {
                 self.session_connections.remove(&oldest_id);
@@ -125,8 +128,8 @@
         self.session_connections.insert(id, token);
     }
 
-    /// Nobody waits for a set-up any more: if it was not sent yet, it never is.
-    pub fn withdraw_unsent(
+    /// Discards a set-up that no viewer waits for any more, unless it has been sent.
+    pub fn discard_queued_set_up(
         &mut self,
         incarnation: ServerIncarnation,
         id: CallId,
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Removes a set-up from the queue that it waits in; whether it was in one.
+    /// Removes a set-up from the queue of its connection. Returns whether it was queued.
     fn remove_queued_set_up(&mut self, incarnation: ServerIncarnation, id: CallId) -> bool {
         self.connections.values_mut().filter(|connection| connection.incarnation == incarnation).any(
             |connection| {
@@ -147,9 +150,11 @@
         )
     }
 
-    /// Stops waiting for a set-up's answer: `line` gives it up before anything else is sent, or the connection is closed.
-    /// `unresponsive`: the media server did not answer in time.
-    pub fn give_up(
+    /// Stops waiting for the answer to a set-up, and sends `line` to cancel it.
+    ///
+    /// The connection is closed if `line` cannot be written immediately. `unresponsive` is true if the media server did
+    /// not answer in time.
+    pub fn abandon_attempt(
         &mut self,
         incarnation: ServerIncarnation,
         id: CallId,
@@ -172,7 +177,8 @@
         }
     }
 
-    /// Sends a line about a session on the connection of its set-up, or on any other, or on a new one.
+    /// Sends a line about a session on the connection of its set-up, on any other established connection, or on a new
+    /// one.
     pub fn send_line(
         &mut self,
         incarnation: ServerIncarnation,
@@ -182,7 +188,7 @@
     ) {
         let pending = PendingLine { since: context.now, id, line };
         while let Some(token) = self.connection_for(incarnation, id) {
-            // A connection whose end has already arrived would lose the line.
+            // The line would be lost on a connection that the media server has closed.
             self.read(token, context);
             let Some(connection) = self.connections.get_mut(&token) else { continue };
             connection.last_used_at = context.now;
@@ -194,7 +200,7 @@
         self.enqueue_line(incarnation, pending, context);
     }
 
-    /// The established connection on which a session's set-up was sent, or else the one that was used last.
+    /// Returns the established connection on which the set-up of a session was sent, or else the one that was used last.
     fn connection_for(&self, incarnation: ServerIncarnation, id: CallId) -> Option<Token> {
         let is_connected =
             |token: &Token| self.connections.get(token).is_some_and(|c| c.is_connected_to(incarnation));
@@ -206,7 +212,7 @@
         })
     }
 
-    /// Has a line wait for a connection that is being established, or for the next.
+    /// Queues a line on a connection that is being established, or retains it for the next one.
     pub(super) fn enqueue_line(
         &mut self,
         incarnation: ServerIncarnation,
@@ -226,7 +232,7 @@
         }
     }
 
-    /// Sends a line on an established connection, or retains it for the next.
+    /// Sends a line on an established connection, or retains it for the next one.
     pub(super) fn send_or_retain(
         &mut self,
         incarnation: ServerIncarnation,
--- a/crates/platform/event-loop/src/servers/sweep.rs
+++ b/crates/platform/event-loop/src/servers/sweep.rs
@@ -1,4 +1,4 @@
-//! The sweep of connections to media servers: closes those whose time is over, and reconnects.
+//! Periodic sweep of connections to media servers: closes them on timeouts, and reconnects.
 
 use beechloft::api::Micros;
 use beechloft_front_node::{AttemptFailure, ServerIncarnation};
@@ -8,17 +8,17 @@
 use super::{ServerConnections, ServerContext};
 
 impl ServerConnections {
-    /// Closes connections whose time is over, reconnects, and forgets what is done.
+    /// Closes timed-out connections, reconnects, and removes closed connections from the sessions' records.
     pub fn sweep(&mut self, context: &mut ServerContext<'_>) {
         self.close_failed_connects(context);
         self.close_idle(context);
         self.reconnect(context);
-        self.close_forgotten(context);
+        self.close_removed(context);
         let connections = &self.connections;
         self.session_connections.retain(|_, token| connections.contains_key(token));
     }
 
-    /// Closes connections that were not established in time.
+    /// Closes connections whose connect has timed out.
     fn close_failed_connects(&mut self, context: &mut ServerContext<'_>) {
         for token in self.tokens_where(|c| c.connect_by.is_some_and(|connect_by| context.now >= connect_by)) {
             let Some(incarnation) = self.connections.get(&token).map(|connection| connection.incarnation)
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Connects to media servers with sessions from which nothing has come for long, and for lines that found no connection.
+    /// Connects to media servers with sessions that are unconnected or silent, and to those with retained lines.
     fn reconnect(&mut self, context: &mut ServerContext<'_>) {
         for incarnation in self.incarnations_to_reconnect(context.now) {
             if let Some(state) = self.incarnations.get_mut(&incarnation) {
@@ -58,17 +58,17 @@
             let needs_check = state.keep_connected && (unconnected || silent);
             now >= state.reconnect_at && (needs_check || (unconnected && state.has_current_unsent(now)))
         };
-        let wanting = self
+        let incarnations = self
             .incarnations
             .iter_mut()
             .filter_map(|(incarnation, state)| needs_connection(*incarnation, state).then_some(*incarnation));
-        wanting.collect()
+        incarnations.collect()
     }
 
-    fn close_forgotten(&mut self, context: &mut ServerContext<'_>) {
+    fn close_removed(&mut self, context: &mut ServerContext<'_>) {
         let forgotten = self.incarnations.iter().filter(|(_, state)| state.close_by.is_some());
         for incarnation in forgotten.map(|(incarnation, _)| *incarnation).collect::<Vec<_>>() {
-            self.close_if_forgotten(incarnation, context);
+            self.close_if_removed(incarnation, context);
         }
     }
 }
--- a/crates/platform/event-loop/src/signals.rs
+++ b/crates/platform/event-loop/src/signals.rs
@@ -1,4 +1,4 @@
-//! SIGHUP and SIGTERM as pipes that the poll watches.
+//! Delivery of SIGHUP and SIGTERM through pipes that the poll watches.
 
 use std::io::{self, Read, Write};
 use std::os::unix::net::UnixStream as BlockingUnixStream;
@@ -9,7 +9,7 @@
 
 use crate::tokens::{SIGHUP_PIPE, SIGTERM_PIPE};
 
-/// The pipe of one signal: each arrival writes a byte.
+/// Pipe of one signal. Each arrival of the signal writes one byte.
 #[derive(Debug)]
 struct SignalPipe {
     receiver: UnixStream,
@@ -25,7 +25,7 @@
         Ok(SignalPipe { receiver: UnixStream::from_std(receiver), sender })
     }
 
-    /// Empties the pipe; how many signals there were, up to the pipe's size.
+    /// Empties the pipe and returns the number of signals, which the capacity of the pipe bounds.
     fn drain(&mut self) -> usize {
         let (mut buffer, mut signals) = ([0; 64], 0);
         while let Ok(count @ 1..) = self.receiver.read(&mut buffer) {
@@ -35,7 +35,7 @@
     }
 }
 
-/// The signals that the loop handles. From its creation on, neither ends the process any more.
+/// Handlers of SIGHUP and SIGTERM. Once they are installed, neither signal terminates the process.
 #[derive(Debug)]
 pub(crate) struct Signals {
     hangup: SignalPipe,
@@ -46,34 +46,34 @@
     /// Installs the handlers.
     ///
     /// # Errors
-    /// The system gives no pipe or refuses a handler.
+    /// Returns an error if the operating system refuses a pipe or a handler.
     pub fn install() -> io::Result<Signals> {
         Ok(Signals { hangup: SignalPipe::register(SIGHUP)?, terminate: SignalPipe::register(SIGTERM)? })
     }
 
-    /// Has the poll watch both pipes.
+    /// Registers both pipes with the poll.
     ///
     /// # Errors
-    /// The poll refuses a pipe.
+    /// Returns an error if the poll refuses a pipe.
     pub fn watch(&mut self, registry: &Registry) -> io::Result<()> {
         registry.register(&mut self.hangup.receiver, SIGHUP_PIPE, Interest::READABLE)?;
         registry.register(&mut self.terminate.receiver, SIGTERM_PIPE, Interest::READABLE)
     }
 
-    /// Takes the SIGHUPs that have arrived.
+    /// Returns the number of SIGHUPs since the last call.
     pub fn take_hangups(&mut self) -> usize {
         self.hangup.drain()
     }
 
-    /// Takes the SIGTERMs that have arrived.
+    /// Returns the number of SIGTERMs since the last call.
     pub fn take_terminations(&mut self) -> usize {
         self.terminate.drain()
     }
 
-    /// A handle that sends the same signals from within the process.
+    /// Returns a handle that sends the same signals from within the process.
     ///
     /// # Errors
-    /// There is no descriptor left.
+    /// Returns an error if no file descriptor is available.
     pub fn handle(&self) -> io::Result<SignalHandle> {
         Ok(SignalHandle {
             hangup: self.hangup.sender.try_clone()?,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Sends the loop from within the process what signals send it from outside.
+/// Handle that triggers the effect of SIGHUP or SIGTERM from within the process.
 #[derive(Debug)]
 pub struct SignalHandle {
     hangup: BlockingUnixStream,
@@ -90,13 +90,13 @@
 }
 
 impl SignalHandle {
-    /// The same as SIGHUP: the loop reads its configuration again.
+    /// Makes the loop read its configuration again, as SIGHUP does.
     pub fn reload(&self) {
-        // A full pipe already holds enough signals.
+        // A full pipe already contains a signal.
         let _ = (&self.hangup).write(&[1]);
     }
 
-    /// The same as SIGTERM: the loop answers what it has taken, and stops.
+    /// Makes the loop answer the requests that it has received and stop, as SIGTERM does.
     pub fn terminate(&self) {
         let _ = (&self.terminate).write(&[1]);
     }
--- a/crates/platform/event-loop/src/startup.rs
+++ b/crates/platform/event-loop/src/startup.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the configuration, and builds the state machine from it.
+//! Reads and validates the configuration, and builds the state machine from it.
 
 use std::fs::File;
 use std::io::{self, Read};
@@ -12,63 +12,63 @@
 
 use crate::limits::{LimitInputs, MIN_DESCRIPTORS, SocketLimits};
 
-/// A configuration file is read up to this size.
+/// Number of bytes of a configuration file that are read at most.
 const MAX_CONFIG_BYTES: u64 = 8 << 20;
 
-/// An answer is sent so long before its viewer gives up: the time that it takes to arrive.
+/// Time between sending an answer and the deadline of its viewer. It covers the transfer of the answer.
 const ANSWER_MARGIN: Micros = Micros(20_000);
 
-/// Sessions that the state machine remembers at most.
+/// Number of sessions that the state machine stores at most.
 const MAX_SESSIONS: usize = 8192;
 
-/// Why a front node can't start.
+/// Reason for which a front node cannot start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The configuration file can't be read.
+    /// The configuration file cannot be read.
     #[error("{path}: {source}")]
     File {
-        /// Its path.
+        /// Path of the file.
         path: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The configuration is not the specified JSON.
+    /// The configuration file is not JSON of the specified format.
     #[error("{path}: {source}")]
     Config {
-        /// Its path.
+        /// Path of the file.
         path: PathBuf,
-        /// The parser's error.
+        /// Error of the parser.
         source: serde_json::Error,
     },
-    /// The environment names another front node than the configuration.
+    /// The environment variables and the configuration name different front nodes.
     #[error(transparent)]
     EnvironmentMismatch(#[from] EnvironmentMismatch),
-    /// The settings are not the specified JSON.
-    #[error("the settings can't be read: {source}")]
+    /// The settings are not JSON of the specified format.
+    #[error("malformed settings: {source}")]
     Settings {
-        /// The parser's error.
+        /// Error of the parser.
         source: serde_json::Error,
     },
-    /// A front node can't work with a value of the configuration.
+    /// A value of the configuration is well-formed, but a front node cannot run with it.
     #[error("{key}: {problem}")]
-    Unfit {
-        /// The key of the configuration.
+    InvalidSetting {
+        /// Key of the value in the configuration.
         key: &'static str,
-        /// What is wrong with its value.
+        /// Description of the problem.
         problem: String,
     },
-    /// The system refuses a socket, the poll or the signal handlers.
+    /// The operating system refuses a socket, the poll or the signal handlers.
     #[error("{operation}: {source}")]
     Io {
-        /// What failed.
+        /// Message that says which operation failed.
         operation: &'static str,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
 impl StartError {
-    /// Names the operation that an error of the system made impossible.
+    /// Returns a function that wraps an error of the operating system with the failed operation.
     pub(crate) fn io(operation: &'static str) -> impl FnOnce(io::Error) -> StartError {
         move |source| StartError::Io { operation, source }
     }
@@ -77,7 +77,7 @@
 /// Reads a configuration file.
 ///
 /// # Errors
-/// The file can't be read, or is not the specified JSON.
+/// Returns an error if the file cannot be read or is not JSON of the specified format.
 pub(crate) fn read_config(path: &Path) -> Result<Config, StartError> {
     let text = read_file(path).map_err(|source| StartError::File { path: path.to_owned(), source })?;
     Config::parse(&text).map_err(|source| StartError::Config { path: path.to_owned(), source })
@@ -89,36 +89,36 @@
     Ok(text)
 }
 
-/// Rejects settings with which a front node would start and then refuse every session.
+/// Rejects settings with which a front node would start, but refuse every session.
 fn validate(config: &Config, parsed: &Parsed) -> Result<(), StartError> {
-    let unfit = |key, problem: &str| Err(StartError::Unfit { key, problem: problem.to_owned() });
+    let invalid = |key, problem: &str| Err(StartError::InvalidSetting { key, problem: problem.to_owned() });
     let settings = &parsed.settings;
     let descriptors = config.limits.sockets;
     if descriptors < MIN_DESCRIPTORS {
-        return unfit(
+        return invalid(
             "limits.sockets",
-            &format!("{descriptors} is fewer than the {MIN_DESCRIPTORS} that are needed"),
+            &format!("{descriptors} is less than the minimum of {MIN_DESCRIPTORS}"),
         );
     }
     if settings.classes.is_empty() {
-        return unfit("settings.classes", "there is no class");
+        return invalid("settings.classes", "no class is configured");
     }
     if settings.classes.iter().any(|class| class.deadline == Micros(0)) {
-        return unfit("settings.classes", "a class has no time for an answer");
+        return invalid("settings.classes", "a class has a deadline of 0");
     }
     if settings.cells == 0 {
-        return unfit("settings.family_info.places", "there is no cell that a title could lie on");
+        return invalid("settings.family_info.places", "no cell is configured");
     }
     if settings.ladder.rates_kb.is_empty() {
-        return unfit("settings.family_info.rates_kb", "there is no rung");
+        return invalid("settings.family_info.rates_kb", "no rung is configured");
     }
     Ok(())
 }
 
-/// Builds the state machine and the loop's limits from a configuration.
+/// Builds the state machine and the limits of the loop from a configuration.
 ///
 /// # Errors
-/// The settings can't be read, or a front node can't work with them.
+/// Returns an error if the settings are malformed or a front node cannot run with them.
 pub(crate) fn build_node(config: &Config) -> Result<(Node, SocketLimits), StartError> {
     let settings_error = |source| StartError::Settings { source };
     let text = serde_json::to_vec(&config.settings).map_err(settings_error)?;
--- a/crates/platform/event-loop/src/time_source.rs
+++ b/crates/platform/event-loop/src/time_source.rs
@@ -1,19 +1,19 @@
-//! The time that the loop uses.
+//! The source of the loop's time.
 
 use beechloft::api::Micros;
 use beechloft_clock::Clock;
 
-/// A running clock, or a time that a test sets.
+/// Source of the current time.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum TimeSource {
     /// The monotonic clock of the process.
     Clock(Clock),
-    /// A time that stands still until a test sets another.
+    /// A fixed time that a test has set.
     Manual(Micros),
 }
 
 impl TimeSource {
-    /// The time now, in microseconds since 1970.
+    /// Returns the current time, in microseconds since 1970.
     pub fn now(&self) -> Micros {
         match self {
             TimeSource::Clock(clock) => clock.now(),
--- a/crates/platform/event-loop/src/tokens.rs
+++ b/crates/platform/event-loop/src/tokens.rs
@@ -1,19 +1,19 @@
-//! Poll tokens: which socket an event of the poll belongs to.
+//! Poll tokens, which map events of the poll to sockets.
 
 use beechloft_front_node::ViewerConnection;
 use mio::Token;
 
-/// The listener for viewers' connections.
+/// Token of the listener for viewers' connections.
 pub(crate) const LISTENER: Token = Token(0);
-/// The pipe that receives SIGHUP.
+/// Token of the pipe that receives SIGHUP.
 pub(crate) const SIGHUP_PIPE: Token = Token(1);
-/// The pipe that receives SIGTERM.
+/// Token of the pipe that receives SIGTERM.
 pub(crate) const SIGTERM_PIPE: Token = Token(2);
 
-/// The first token of a connection.
+/// First token that a connection can have.
 const FIRST_CONNECTION: usize = 16;
 
-/// Gives each connection its token. Tokens rise and are never used twice.
+/// Allocator of tokens for connections. Tokens increase and are never reused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TokenAllocator {
     next: usize,
@@ -26,7 +26,7 @@
 }
 
 impl TokenAllocator {
-    /// A token that no connection has had before.
+    /// Returns a token that no other connection has had.
     pub fn allocate(&mut self) -> Token {
         let token = Token(self.next);
         self.next += 1;
@@ -34,12 +34,12 @@
     }
 }
 
-/// The name that the state machine knows a viewers' connection by.
-pub(crate) fn viewer_conn(token: Token) -> ViewerConnection {
+/// Returns the identifier of a viewers' connection in the state machine.
+pub(crate) fn viewer_connection(token: Token) -> ViewerConnection {
     ViewerConnection(token.0 as u64)
 }
 
-/// The token of a viewers' connection that the state machine names.
+/// Returns the token of a viewers' connection from its identifier in the state machine.
 #[expect(clippy::cast_possible_truncation, reason = "every ViewerConnection was made from a token")]
 pub(crate) fn viewer_token(conn: ViewerConnection) -> Token {
     Token(conn.0 as usize)
--- a/crates/platform/event-loop/src/viewers/accept.rs
+++ b/crates/platform/event-loop/src/viewers/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts viewers' connections, and makes capacity for them.
+//! Accepts viewers' connections, and evicts others if there is no capacity.
 
 use std::io::{self, ErrorKind};
 
@@ -9,15 +9,16 @@
 use super::socket::ViewerSocket;
 use super::{UsageLookup, ViewerConnections, ViewerContext};
 use crate::buffered_stream::BufferedStream;
-use crate::tokens::{TokenAllocator, viewer_conn};
+use crate::tokens::{TokenAllocator, viewer_connection};
 
-/// Connections accepted in a turn of the loop at most.
-const MAX_ACCEPTS_PER_TURN: usize = 64;
+/// Number of connections that one iteration of the loop accepts at most.
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
 
 impl ViewerConnections {
-    /// Accepts connections; past the budget the least useful one is closed for each. This bounds what clients can take that
-    /// open hundreds of connections and send nothing, and an `accept` that fails for want of descriptors. Without a
-    /// listener, only a connection that is accepted and waits for capacity.
+    /// Accepts connections, and evicts the least useful one for each that exceeds the capacity.
+    ///
+    /// The eviction bounds the effect of clients that open hundreds of connections without sending requests, and frees a
+    /// file descriptor if `accept` fails because none is left. Without a listener, only a parked connection is added.
     pub fn accept(
         &mut self,
         listener: Option<&TcpListener>,
@@ -25,7 +26,7 @@
         usage: UsageLookup<'_>,
         context: &mut ViewerContext<'_>,
     ) {
-        for _ in 0..MAX_ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let socket = match self.next_accepted(listener) {
                 Ok(socket) => socket,
                 Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {
@@ -33,11 +34,11 @@
                 }
                 Err(e) => return self.handle_accept_error(&e, usage, context),
             };
-            // Capacity is made only now, as there may be no further connection: this one has proven nothing and would be
-            // the first to be closed.
-            if self.is_full() && !self.make_capacity(usage, context) {
-                // All others are owed an answer. This one may have sent a request already: it waits for capacity, until
-                // the next sweep.
+            // Evicting before `accept` could close a connection although none arrives. Evicting after adding this one
+            // would close this one, as it has carried no request.
+            if self.is_full() && !self.evict_least_useful(usage, context) {
+                // All other connections wait for an answer. This one may already have sent a request, so it is parked
+                // until the next sweep.
                 self.parked = Some(socket);
                 self.accepting = false;
                 self.accept_blocked = true;
@@ -55,7 +56,8 @@
         listener.accept().map(|(socket, _)| socket)
     }
 
-    /// No connection waits, or there is no descriptor, most likely: one is freed then, and the next turn goes on.
+    /// Handles an error of `accept`: the listen queue is empty or, most likely, no file descriptor is left. In the latter
+    /// case a connection is evicted, and the next iteration accepts again.
     fn handle_accept_error(
         &mut self,
         error: &io::Error,
@@ -63,7 +65,7 @@
         context: &mut ViewerContext<'_>,
     ) {
         let out_of_descriptors = error.kind() != ErrorKind::WouldBlock;
-        self.accepting = out_of_descriptors && self.make_capacity(usage, context);
+        self.accepting = out_of_descriptors && self.evict_least_useful(usage, context);
         self.accept_blocked = out_of_descriptors && !self.accepting;
     }
 
@@ -82,16 +84,19 @@
         self.connections.insert(token, ViewerSocket::new(stream, context.now));
     }
 
-    /// Closes the least useful connection, the longest idle one first, so that clients without requests do not displace
-    /// those that are owed releases. Never one on which a set-up is open or has just come. Whether there was one.
-    fn make_capacity(&mut self, usage: UsageLookup<'_>, context: &mut ViewerContext<'_>) -> bool {
+    /// Closes the least useful connection, and among equally useful ones the one that has been idle for longest. Returns
+    /// whether there was one.
+    ///
+    /// The order keeps clients without requests from displacing those with sessions, which must learn of releases. A
+    /// connection with an open or unread set-up is never evicted.
+    fn evict_least_useful(&mut self, usage: UsageLookup<'_>, context: &mut ViewerContext<'_>) -> bool {
         if self.draining.close_oldest(context.registry) {
             return true;
         }
         for token in self.closable_by_usefulness(usage) {
             self.read_ahead(token, context);
             match self.connections.get(&token) {
-                // It has just closed by itself.
+                // The read has found the connection closed by its client.
                 None => return true,
                 Some(connection) if connection.has_messages() => {}
                 Some(_) => {
@@ -103,12 +108,14 @@
         false
     }
 
-    /// Connections on which no set-up is open, the least useful first.
+    /// Returns the connections without an open set-up, the least useful first.
     fn closable_by_usefulness(&self, usage: UsageLookup<'_>) -> Vec<Token> {
         let mut ranked: Vec<_> = self
             .connections
             .iter()
-            .map(|(&token, c)| (usage(viewer_conn(token)), c.proven, c.last_message_at, token))
+            .map(|(&token, c)| {
+                (usage(viewer_connection(token)), c.has_valid_request, c.last_message_at, token)
+            })
             .filter(|(usage, ..)| *usage != ConnectionUse::Pending)
             .collect();
         ranked.sort();
--- a/crates/platform/event-loop/src/viewers/draining.rs
+++ b/crates/platform/event-loop/src/viewers/draining.rs
@@ -1,8 +1,8 @@
-//! Connections that this side has closed: their last bytes are written, what still arrives is read and discarded, and only
-//! then is the socket closed.
+//! Draining of connections that this side closes.
 //!
-//! The kernel answers a close with unread bytes by RST, which destroys answers that were written and that the client has not
-//! read yet.
+//! The buffered bytes of a connection are written and its received data is discarded before the socket is closed. The
+//! kernel sends RST if a socket with unread data is closed, which destroys answers that were written but not yet read
+//! by the client.
 
 use std::collections::BTreeMap;
 use std::net::Shutdown;
@@ -19,14 +19,14 @@
     deadline: Micros,
 }
 
-/// The connections that are being drained, by token.
+/// Connections that are being drained, by token.
 #[derive(Default)]
 pub(super) struct DrainingConnections {
     connections: BTreeMap<Token, DrainingConnection>,
 }
 
 impl DrainingConnections {
-    /// Takes over a connection.
+    /// Adds a connection, which is closed at `deadline` at the latest.
     pub fn add(&mut self, token: Token, stream: BufferedStream, deadline: Micros) {
         let connection = DrainingConnection { stream, write_side_shut: false, discarded_bytes: 0, deadline };
         self.connections.insert(token, connection);
@@ -40,7 +40,7 @@
         self.connections.len()
     }
 
-    /// Continues with a connection whose socket is ready, or that was just added.
+    /// Continues to drain a connection that is ready or was just added, and closes it if it is drained.
     pub fn advance(&mut self, token: Token, max_bytes: usize, buffer: &mut [u8], registry: &Registry) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         if connection.advance(max_bytes, buffer) {
@@ -48,16 +48,17 @@
         }
     }
 
-    /// Closes the connections past their deadlines.
+    /// Closes the connections whose deadlines have passed.
     pub fn sweep(&mut self, now: Micros, registry: &Registry) {
-        let is_late = |(_, connection): &(&Token, &DrainingConnection)| now >= connection.deadline;
-        let late: Vec<Token> = self.connections.iter().filter(is_late).map(|(token, _)| *token).collect();
-        for token in late {
+        let is_expired = |(_, connection): &(&Token, &DrainingConnection)| now >= connection.deadline;
+        let expired: Vec<Token> =
+            self.connections.iter().filter(is_expired).map(|(token, _)| *token).collect();
+        for token in expired {
             self.close(token, registry);
         }
     }
 
-    /// Closes the oldest connection to free its descriptor; whether there was one.
+    /// Closes the oldest connection to free its file descriptor. Returns whether there was one.
     pub fn close_oldest(&mut self, registry: &Registry) -> bool {
         let oldest = self.connections.iter().min_by_key(|(_, connection)| connection.deadline);
         let Some(token) = oldest.map(|(token, _)| *token) else { return false };
@@ -73,14 +74,15 @@
 }
 
 impl DrainingConnection {
-    /// Writes, shuts the write side, reads and discards; whether the connection is done.
+    /// Writes buffered bytes, shuts down the write side, and discards received data. Returns whether the connection is
+    /// drained.
     fn advance(&mut self, max_bytes: usize, buffer: &mut [u8]) -> bool {
         if self.stream.flush().is_err() {
             return true;
         }
         if self.stream.pending_bytes() == 0 && !self.write_side_shut {
             self.write_side_shut = true;
-            // If it is no longer connected, the next read shows that.
+            // An error means that the socket is not connected any more, which the next read reports.
             let _ = self.stream.socket.shutdown(Shutdown::Write);
         }
         while self.discarded_bytes < max_bytes {
@@ -90,7 +92,7 @@
                 ReadOutcome::Closed => return true,
             }
         }
-        // A client that goes on sending is not drained for ever.
+        // The limit on discarded data bounds the drain if the client keeps sending.
         true
     }
 }
--- a/crates/platform/event-loop/src/viewers/messages.rs
+++ b/crates/platform/event-loop/src/viewers/messages.rs
@@ -7,11 +7,13 @@
 
 use super::socket::{ReadAhead, ViewerSocket};
 use super::{ViewerConnections, ViewerContext};
-use crate::tokens::{viewer_conn, viewer_token};
+use crate::tokens::{viewer_connection, viewer_token};
 
 impl ViewerConnections {
-    /// Handles a ready socket. `read_closed`: its client has shut or reset it, which the poll reports before everything that
-    /// the client sent is read.
+    /// Handles a ready connection.
+    ///
+    /// `read_closed` is true if the client has closed or reset the connection. The poll reports this before all data that
+    /// the client has sent is read.
     pub fn handle_ready(&mut self, token: Token, read_closed: bool, context: &mut ViewerContext<'_>) {
         if self.draining.has(token) {
             return self.advance_draining(token, context.registry);
@@ -26,22 +28,24 @@
         self.read_ahead(token, context);
     }
 
-    /// A client has gone: nobody waits for the answers of its set-ups. No attempt is begun for it, though its end may lie
-    /// unread behind everything that it sent.
+    /// Marks a connection as closed by its client and reports this to the state machine, which then starts no further
+    /// attempts for it.
+    ///
+    /// This can happen before all data that the client has sent is read.
     fn mark_client_closed(&mut self, token: Token, context: &mut ViewerContext<'_>) {
         if let Some(connection) = self.connections.get_mut(&token).filter(|c| !c.client_closed) {
             connection.mark_client_closed();
-            context.inputs.push_back(Input::ViewerConnectionClosed(viewer_conn(token)));
+            context.inputs.push_back(Input::ViewerConnectionClosed(viewer_connection(token)));
         }
     }
 
-    /// Reads ahead on a connection, up to its share of the memory.
+    /// Reads ahead on a connection, up to the limit on its queued messages.
     pub(super) fn read_ahead(&mut self, token: Token, context: &mut ViewerContext<'_>) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
         let mut releases = Vec::new();
         let max_bytes = self.limits.viewer_read_ahead_bytes;
         let outcome = connection.read_ahead(context.now, max_bytes, &mut self.read_buffer, &mut releases);
-        let conn = viewer_conn(token);
+        let conn = viewer_connection(token);
         context.inputs.extend(releases.into_iter().map(|message| Input::ViewerMessage(conn, message)));
         if outcome == ReadAhead::Closed {
             self.mark_client_closed(token, context);
@@ -51,33 +55,40 @@
         }
     }
 
-    /// Connections on which messages wait for their turn, or that may have more to read.
+    /// Returns the connections with queued messages or possibly more data to read.
     pub fn pending(&self) -> Vec<Token> {
         self.pending.iter().copied().collect()
     }
 
-    /// Passes on the messages whose turn it is.
+    /// Passes queued messages of a connection to the state machine, up to the limit for one iteration.
     pub fn deliver_messages(&mut self, token: Token, context: &mut ViewerContext<'_>) {
         self.pending.remove(&token);
-        let conn = viewer_conn(token);
+        let conn = viewer_connection(token);
         let inputs_before = context.inputs.len();
-        for _ in 0..self.limits.viewer_messages_per_turn {
+        for _ in 0..self.limits.viewer_messages_per_iteration {
             let next = self.connections.get_mut(&token).and_then(ViewerSocket::next_message);
             let Some(message) = next else { break };
             context.inputs.push_back(Input::ViewerMessage(conn, message));
         }
         let all_delivered = inputs_before == context.inputs.len();
-        // What was passed on has made room for more.
+        // The delivered messages have freed space in the queue.
         self.read_ahead(token, context);
-        // A malformed message closes the connection once everything before it is handled and answered.
+        // A malformed message closes the connection once all messages before it are handled and answered.
         if all_delivered && self.connections.get(&token).is_some_and(|connection| connection.malformed) {
             self.close(token, context);
         }
     }
 
-    /// Whether the client of a set-up still waits as of now: it has neither gone nor withdrawn the set-up. Checked before
-    /// anything is sent for it.
-    pub fn waits_for(&mut self, conn: ViewerConnection, id: CallId, context: &mut ViewerContext<'_>) -> bool {
+    /// Returns whether the client of a set-up still waits for the answer: it has neither disconnected nor withdrawn the
+    /// set-up.
+    ///
+    /// The connection is read first, so that the result includes everything that has arrived.
+    pub fn is_awaiting_answer(
+        &mut self,
+        conn: ViewerConnection,
+        id: CallId,
+        context: &mut ViewerContext<'_>,
+    ) -> bool {
         let token = viewer_token(conn);
         self.read_ahead(token, context);
         let is_release = |input: &Input| match input {
@@ -88,10 +99,11 @@
         connected && !context.inputs.iter().any(is_release)
     }
 
-    /// Sends a message. An answer for which nobody waits any more is reported to the state machine as unsent.
+    /// Sends a message. An answer that the client does not wait for any more is not sent, but reported to the state
+    /// machine as undelivered.
     pub fn send(&mut self, token: Token, message: &ToViewer, context: &mut ViewerContext<'_>) {
         if let ToViewer::Answer(id, _) = message
-            && !self.waits_for(viewer_conn(token), *id, context)
+            && !self.is_awaiting_answer(viewer_connection(token), *id, context)
         {
             context.inputs.push_back(Input::AnswerUndelivered(*id));
             return;
--- a/crates/platform/event-loop/src/viewers/mod.rs
+++ b/crates/platform/event-loop/src/viewers/mod.rs
@@ -1,4 +1,6 @@
-//! Viewers' connections: accepted within a budget, read in fair turns, closed when they are unused.
+//! Viewers' connections.
+//!
+//! Their number is bounded, each iteration handles a bounded number of messages from each, and unused ones are closed.
 
 mod accept;
 mod draining;
@@ -14,37 +16,37 @@
 use mio::{Registry, Token};
 
 use crate::limits::SocketLimits;
-use crate::tokens::viewer_conn;
+use crate::tokens::viewer_connection;
 use draining::DrainingConnections;
 use socket::ViewerSocket;
 
-/// The size of the buffer that connections are read into.
+/// Size of the buffer for reads from viewers' connections.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Tells what the state machine uses a connection for.
+/// Function that returns what the state machine uses a connection for.
 pub(crate) type UsageLookup<'a> = &'a dyn Fn(ViewerConnection) -> ConnectionUse;
 
-/// What viewers' connections need from the loop.
+/// Parts of the event loop that operations on viewers' connections use.
 pub(crate) struct ViewerContext<'a> {
     pub now: Micros,
     pub registry: &'a Registry,
     pub inputs: &'a mut VecDeque<Input>,
 }
 
-/// All viewers' connections.
+/// Set of all viewers' connections.
 pub(crate) struct ViewerConnections {
     connections: BTreeMap<Token, ViewerSocket>,
     draining: DrainingConnections,
-    /// A connection that was accepted when there was no capacity; it gets the next.
+    /// Connection that was accepted when there was no capacity. It is added as soon as there is.
     parked: Option<TcpStream>,
     limits: SocketLimits,
     read_buffer: Vec<u8>,
-    /// Connections with work to be done that their sockets do not report.
+    /// Connections with pending work that the poll does not report.
     pending: BTreeSet<Token>,
-    /// The listener may hold connections to accept.
+    /// Whether the listen queue may contain connections to accept.
     pub accepting: bool,
-    /// The listener may hold connections for which there is no descriptor or no capacity. The next sweep tries again, as
-    /// the listener reports new connections, not waiting ones.
+    /// Whether accepting has stopped because no file descriptor or no capacity was available. The next sweep tries
+    /// again, as the poll reports new connections only, and none that are already in the listen queue.
     accept_blocked: bool,
 }
 
@@ -70,11 +72,12 @@
         self.connections.contains_key(&token) || self.draining.has(token)
     }
 
-    /// Closes a connection: its last bytes are written, and what still arrives is discarded for a while. Answers in its
-    /// write buffer still count as sent: they leave first, or can't leave at all.
+    /// Closes a connection gracefully: writes its buffered bytes, and discards received data for a bounded time.
+    ///
+    /// Answers that are not completely written to the socket yet are reported to the state machine as undelivered.
     pub fn close(&mut self, token: Token, context: &mut ViewerContext<'_>) {
         let Some(connection) = self.remove(token, context) else { return };
-        // There are no descriptors for hundreds of these: past a part of them the oldest goes.
+        // Draining connections may use only a part of the file descriptors. Beyond it the oldest is closed.
         if self.draining.len() >= (self.limits.max_viewer_connections / 4).max(1) {
             self.draining.close_oldest(context.registry);
         }
@@ -82,7 +85,8 @@
         self.advance_draining(token, context.registry);
     }
 
-    /// Closes a connection at once: it is broken, or its client has gone, or nothing of it is unread and nothing unsent.
+    /// Closes a connection without draining it, because it is broken, its client has disconnected, or it has no unread or
+    /// unsent data.
     fn close_at_once(&mut self, token: Token, context: &mut ViewerContext<'_>) {
         if let Some(mut connection) = self.remove(token, context) {
             let _ = context.registry.deregister(&mut connection.stream.socket);
@@ -93,7 +97,7 @@
         let connection = self.connections.remove(&token)?;
         self.pending.remove(&token);
         if !connection.client_closed {
-            context.inputs.push_back(Input::ViewerConnectionClosed(viewer_conn(token)));
+            context.inputs.push_back(Input::ViewerConnectionClosed(viewer_connection(token)));
         }
         context.inputs.extend(connection.unsent_answers().map(Input::AnswerUndelivered));
         Some(connection)
@@ -103,22 +107,22 @@
         self.draining.advance(token, self.limits.max_drain_bytes, &mut self.read_buffer, registry);
     }
 
-    /// Whether connections wait to be accepted for want of a descriptor or of capacity.
+    /// Returns whether accepting has stopped because no file descriptor or no capacity was available.
     pub fn accept_blocked(&self) -> bool {
         self.accept_blocked
     }
 
-    /// Whether there is work that no socket reports.
+    /// Returns whether there is pending work that the poll does not report.
     pub fn has_pending_work(&self) -> bool {
         self.accepting || !self.pending.is_empty()
     }
 
-    /// Whether anything that arrived waits to be handled or read.
+    /// Returns whether received data is still to be read or handled.
     pub fn has_unhandled(&self) -> bool {
         self.parked.is_some() || !self.pending.is_empty()
     }
 
-    /// Bytes that wait to be written.
+    /// Returns the number of bytes that are buffered and not written yet.
     pub fn pending_bytes(&self) -> usize {
         self.connections.values().map(|connection| connection.stream.pending_bytes()).sum()
     }
--- a/crates/platform/event-loop/src/viewers/socket.rs
+++ b/crates/platform/event-loop/src/viewers/socket.rs
@@ -1,4 +1,4 @@
-//! One viewers' connection: messages that are read ahead, and answers that are not wholly sent.
+//! One viewers' connection, with its queue of received messages and its partly sent answers.
 
 use std::collections::VecDeque;
 
@@ -9,60 +9,60 @@
 
 use crate::buffered_stream::{BufferedStream, ConnectionBroken, ReadOutcome};
 
-/// How far reading ahead has come.
+/// Reason for which reading ahead has stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadAhead {
-    /// The kernel holds no more for now.
+    /// The receive buffer of the socket is empty.
     Drained,
-    /// What was read has to be handled first.
+    /// Queued messages have to be handled before more data is read.
     Paused,
-    /// The client has closed the connection, or it is broken.
+    /// The client has closed the connection, or the connection is broken.
     Closed,
 }
 
-/// A message that is read and not handled yet.
+/// Message that is received and not handled yet.
 struct QueuedMessage {
     message: FromViewer,
-    /// Its length on the connection.
+    /// Length of the encoded message.
     bytes: usize,
 }
 
-/// A message of which a part has arrived.
+/// Message of which only a part has arrived.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PartialMessage {
-    /// When the first part was read.
+    /// Time at which the first part was read.
     pub since: Micros,
-    /// When the last part was read.
+    /// Time at which the last part was read.
     last_read_at: Micros,
 }
 
-/// An answer that has not wholly left.
+/// Answer that is not completely written to the socket yet.
 struct UnsentAnswer {
     id: CallId,
-    /// Its end, in bytes since the beginning of the connection.
+    /// Offset of the end of the answer, in bytes since the start of the connection.
     ends_at: u64,
 }
 
-/// One viewers' connection.
+/// Viewers' connection.
 pub(super) struct ViewerSocket {
     pub stream: BufferedStream,
     decoder: FrameDecoder,
     queue: VecDeque<QueuedMessage>,
-    /// Bytes of the messages in the queue.
+    /// Total length of the encoded messages in the queue.
     queued_bytes: usize,
-    /// The kernel may hold more.
+    /// Whether reading ahead has stopped although the socket may hold more data.
     may_have_more: bool,
-    /// It has carried a set-up that could be read, or a test.
-    pub proven: bool,
-    /// Something malformed has come: the connection is closed once everything before it is handled.
+    /// Whether the connection has carried a valid set-up or a test.
+    pub has_valid_request: bool,
+    /// Whether malformed data has arrived. The connection is closed once all messages before it are handled.
     pub malformed: bool,
-    /// The client has gone: nothing is owed on this connection, and what is still unread counts for established sessions
-    /// alone.
+    /// Whether the client has disconnected. No answers are sent on the connection any more, and of the unread messages
+    /// only releases are handled.
     pub client_closed: bool,
-    /// When the last whole message came, or the connection was opened.
+    /// Time at which the last complete message arrived, or at which the connection was accepted.
     pub last_message_at: Micros,
     pub partial: Option<PartialMessage>,
-    /// Bytes sent since the beginning, those in the write buffer included.
+    /// Number of bytes sent since the start of the connection, including buffered ones.
     sent_bytes: u64,
     unsent: VecDeque<UnsentAnswer>,
 }
@@ -75,7 +75,7 @@
             queue: VecDeque::new(),
             queued_bytes: 0,
             may_have_more: false,
-            proven: false,
+            has_valid_request: false,
             malformed: false,
             client_closed: false,
             last_message_at: now,
@@ -85,9 +85,10 @@
         }
     }
 
-    /// Reads ahead until `max_bytes` wait for their turn or are read at once. A set-up that is withdrawn before its turn is
-    /// removed from the queue. Releases go to `releases` at once: they must not wait behind what the client sent before,
-    /// as an attempt that begins meanwhile would be for nobody.
+    /// Reads messages into the queue, until `max_bytes` are queued or this call has read `max_bytes`.
+    ///
+    /// Releases are appended to `releases` and not queued, as an attempt that started before a queued release is handled
+    /// would be useless. A queued set-up that is released is removed from the queue.
     pub fn read_ahead(
         &mut self,
         now: Micros,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Decodes what has been read.
+    /// Decodes received bytes, and queues the complete messages.
     fn decode(&mut self, now: Micros, releases: &mut Vec<FromViewer>) {
         while !self.malformed {
             let bytes_before = self.decoder.pending();
@@ -133,16 +134,16 @@
             let bytes = bytes_before - self.decoder.pending();
             self.enqueue(QueuedMessage { message, bytes }, now, releases);
         }
-        // A part behind whole messages of the same read waits from now on, too.
+        // An incomplete message that follows complete ones in the same read counts from now on.
         let has_partial = !self.malformed && self.decoder.pending() > 0;
-        let begun = PartialMessage { since: now, last_read_at: now };
-        self.partial = has_partial.then(|| self.partial.unwrap_or(begun));
+        let started = PartialMessage { since: now, last_read_at: now };
+        self.partial = has_partial.then(|| self.partial.unwrap_or(started));
     }
 
     fn enqueue(&mut self, queued: QueuedMessage, now: Micros, releases: &mut Vec<FromViewer>) {
         self.last_message_at = now;
         self.partial = None;
-        self.proven |= matches!(queued.message, FromViewer::SetUp(_, Ok(_)) | FromViewer::Test(_));
+        self.has_valid_request |= matches!(queued.message, FromViewer::SetUp(_, Ok(_)) | FromViewer::Test(_));
         if let FromViewer::Release(id) = queued.message {
             self.remove_set_up(id);
             releases.push(queued.message);
@@ -152,11 +153,11 @@
         }
     }
 
-    /// Removes a withdrawn set-up from the queue.
-    fn remove_set_up(&mut self, withdrawn: CallId) {
+    /// Removes a released set-up from the queue.
+    fn remove_set_up(&mut self, released: CallId) {
         let queued_bytes = &mut self.queued_bytes;
         self.queue.retain(|queued| {
-            let keep = !matches!(&queued.message, FromViewer::SetUp(id, _) if *id == withdrawn);
+            let keep = !matches!(&queued.message, FromViewer::SetUp(id, _) if *id == released);
             if !keep {
                 *queued_bytes -= queued.bytes;
             }
@@ -164,39 +165,39 @@
         });
     }
 
-    /// The next message whose turn it is.
+    /// Removes and returns the first message of the queue.
     pub fn next_message(&mut self) -> Option<FromViewer> {
         let queued = self.queue.pop_front()?;
         self.queued_bytes -= queued.bytes;
         Some(queued.message)
     }
 
-    /// Whether messages wait for their turn.
+    /// Returns whether messages are queued.
     pub fn has_messages(&self) -> bool {
         !self.queue.is_empty()
     }
 
-    /// Whether there is work that its socket does not report.
+    /// Returns whether there is pending work that the poll does not report.
     pub fn has_pending_work(&self) -> bool {
         self.has_messages() || self.may_have_more || self.malformed
     }
 
-    /// Whether a part of a message has arrived, and more of it within `stall_timeout`.
+    /// Returns whether a message is incomplete and its last part arrived within `stall_timeout`.
     pub fn is_receiving(&self, now: Micros, stall_timeout: Micros) -> bool {
         self.partial.is_some_and(|partial| now - partial.last_read_at <= stall_timeout)
     }
 
-    /// The client has gone: set-ups that wait for their turn are for nobody.
+    /// Marks the client as disconnected, and drops the queued messages.
     pub fn mark_client_closed(&mut self) {
         self.client_closed = true;
         self.queue.clear();
         self.queued_bytes = 0;
     }
 
-    /// Sends a message, or buffers it.
+    /// Sends a message, and buffers the bytes that the socket does not take now.
     ///
     /// # Errors
-    /// The message can't be encoded, or the connection is broken.
+    /// Returns an error if the message cannot be encoded or the connection is broken.
     pub fn send(&mut self, message: &ToViewer) -> Result<(), ConnectionBroken> {
         let bytes = message.encode();
         self.sent_bytes += bytes.as_ref().map_or(0, Vec::len) as u64;
@@ -204,28 +205,28 @@
             self.unsent.push_back(UnsentAnswer { id: *id, ends_at: self.sent_bytes });
         }
         self.stream.send(&bytes.ok_or(ConnectionBroken)?)?;
-        self.forget_sent_answers();
+        self.remove_sent_answers();
         Ok(())
     }
 
-    /// Writes what is buffered.
+    /// Writes buffered bytes.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// Returns an error if the connection is broken.
     pub fn flush(&mut self) -> Result<(), ConnectionBroken> {
         let flushed = self.stream.flush();
-        self.forget_sent_answers();
+        self.remove_sent_answers();
         flushed
     }
 
-    fn forget_sent_answers(&mut self) {
+    fn remove_sent_answers(&mut self) {
         let written = self.sent_bytes - self.stream.pending_bytes() as u64;
         while self.unsent.front().is_some_and(|answer| answer.ends_at <= written) {
             self.unsent.pop_front();
         }
     }
 
-    /// Answers that have not wholly left.
+    /// Returns the sessions whose answers are not completely written to the socket yet.
     pub fn unsent_answers(&self) -> impl Iterator<Item = CallId> {
         self.unsent.iter().map(|answer| answer.id)
     }
--- a/crates/platform/event-loop/src/viewers/sweep.rs
+++ b/crates/platform/event-loop/src/viewers/sweep.rs
@@ -1,4 +1,4 @@
-//! Closes viewers' connections whose time is over, and all unused ones at the shutdown.
+//! Closes viewers' connections on timeouts, and unused ones during the shutdown.
 
 use beechloft::api::Micros;
 use beechloft_front_node::ConnectionUse;
@@ -7,16 +7,16 @@
 use super::socket::ViewerSocket;
 use super::{UsageLookup, ViewerConnections, ViewerContext};
 use crate::limits::SocketLimits;
-use crate::tokens::viewer_conn;
+use crate::tokens::viewer_connection;
 
-/// A connection that is to be closed unless a message has come since.
+/// Connection whose timeout has passed. It is closed unless a further message has arrived.
 struct Expired {
     token: Token,
     last_message_at: Micros,
 }
 
 impl ViewerConnections {
-    /// Closes connections whose time is over, unless something has just come on them.
+    /// Closes timed-out connections, unless a message has just arrived on them.
     pub fn sweep(&mut self, usage: UsageLookup<'_>, context: &mut ViewerContext<'_>) {
         self.draining.sweep(context.now, context.registry);
         self.accepting |= std::mem::take(&mut self.accept_blocked);
@@ -31,7 +31,7 @@
 
     fn expired(&self, usage: UsageLookup<'_>, now: Micros) -> Vec<Expired> {
         let is_expired = |(token, connection): &(&Token, &ViewerSocket)| {
-            connection.is_expired(usage(viewer_conn(**token)), now, &self.limits)
+            connection.is_expired(usage(viewer_connection(**token)), now, &self.limits)
         };
         self.connections
             .iter()
@@ -40,12 +40,13 @@
             .collect()
     }
 
-    /// Closes all connections on which nothing is open and nothing has just come; whether all are closed.
+    /// Closes all connections without an open or unread set-up. Returns whether no connection is left.
     pub fn close_unused(&mut self, usage: UsageLookup<'_>, context: &mut ViewerContext<'_>) -> bool {
         for token in self.connections.keys().copied().collect::<Vec<_>>() {
             self.read_ahead(token, context);
-            let is_unused =
-                |c: &ViewerSocket| !c.has_messages() && usage(viewer_conn(token)) != ConnectionUse::Pending;
+            let is_unused = |c: &ViewerSocket| {
+                !c.has_messages() && usage(viewer_connection(token)) != ConnectionUse::Pending
+            };
             if self.connections.get(&token).is_some_and(is_unused) {
                 self.close(token, context);
             }
@@ -59,12 +60,12 @@
         if usage == ConnectionUse::Pending || self.has_messages() {
             return false;
         }
-        // A client that goes on sending may be slow and honest: it gets more time to finish, within a bound.
-        let still_sends = self.is_receiving(now, limits.stall_timeout);
-        let unproven_timeout = if still_sends { limits.slow_sender_timeout } else { limits.unproven_timeout };
-        let partial_expired = self.partial.is_some_and(|partial| now - partial.since > unproven_timeout);
+        // A client that is still sending may be on a slow network. It gets more time to complete its message.
+        let is_receiving = self.is_receiving(now, limits.stall_timeout);
+        let request_timeout = if is_receiving { limits.slow_sender_timeout } else { limits.request_timeout };
+        let partial_expired = self.partial.is_some_and(|partial| now - partial.since > request_timeout);
         let idle_timeout = match usage {
-            ConnectionUse::None if !self.proven => unproven_timeout,
+            ConnectionUse::None if !self.has_valid_request => request_timeout,
             ConnectionUse::None => limits.unused_viewer_timeout,
             _ => limits.viewer_idle_timeout,
         };
--- a/crates/platform/event-loop/tests/crossings/main.rs
+++ b/crates/platform/event-loop/tests/crossings/main.rs
@@ -1,5 +1,5 @@
-//! Events that meet at the front node's sockets in one instant, each order forced: bytes, FIN or RST are in the kernel's
-//! buffers before the turn that finds them.
+//! Tests of concurrent events at the sockets of the front node, with a forced order: data, FIN or RST are in the kernel's
+//! buffers before the iteration that handles them.
 
 mod phases;
 mod servers;
--- a/crates/platform/event-loop/tests/crossings/phases.rs
+++ b/crates/platform/event-loop/tests/crossings/phases.rs
@@ -1,41 +1,43 @@
-//! The order of the phases in one turn of the loop.
+//! Order of the phases in one iteration of the loop.
 
 use std::sync::mpsc;
 
 use beechloft::api::Micros;
-use beechloft_event_loop::TurnPhase;
+use beechloft_event_loop::IterationPhase;
 
 use crate::support::manual::{Client, Harness, Received};
 use crate::support::messages::{kinds, release, test};
 
-const PHASES: [TurnPhase; 4] = [
-    TurnPhase::SocketsPolled,
-    TurnPhase::ServersHandled,
-    TurnPhase::ViewersHandled,
-    TurnPhase::TimeoutsHandled,
+const PHASES: [IterationPhase; 4] = [
+    IterationPhase::SocketsPolled,
+    IterationPhase::ServersHandled,
+    IterationPhase::ViewersHandled,
+    IterationPhase::TimeoutsHandled,
 ];
 
 #[test]
-fn each_turn_passes_its_phases_once_and_in_order() {
+fn runs_each_phase_once_and_in_order() {
     let mut harness = Harness::new(1);
     let (report, reported) = mpsc::channel();
-    harness.event_loop.on_phase_end(move |phase| report.send(phase).expect("the test still listens"));
+    harness.event_loop.on_phase_end(move |phase| report.send(phase).expect("receiver dropped"));
     for _ in 0..3 {
-        harness.run_turn();
+        harness.run_iteration();
         assert_eq!(reported.try_iter().collect::<Vec<_>>(), PHASES);
     }
 }
 
-/// Types of the messages that a client has received since it last looked, and whether its connection has ended.
+/// Returns the types of the messages that a client has received since the last call, and whether its connection is
+/// closed.
 fn received(client: &mut Client) -> (Vec<u8>, bool) {
-    let Received { frames, closed } = client.receive().expect("no reset");
+    let Received { frames, closed } = client.receive().expect("connection reset");
     (kinds(&frames), closed)
 }
 
-/// All events are in the kernel's buffers before one turn. What each client has received by each phase shows the order:
-/// a media server's answer before a viewer's message, and that before the sweep of idle connections.
+/// All events are in the kernel's buffers before one iteration. The messages that each client has received after each
+/// phase show the order: the answer of a media server, then the message of a viewer, then the sweep of idle
+/// connections.
 #[test]
-fn a_turn_handles_media_servers_then_viewers_messages_then_idle_connections() {
+fn handles_servers_then_viewers_then_timeouts() {
     let mut harness = Harness::new(1);
     let mut idle = harness.connect_client();
     harness.advance_ms(1_775);
@@ -47,48 +49,49 @@
     let (report, reported) = mpsc::channel();
     harness.event_loop.on_phase_end(move |phase| {
         let seen = (phase, received(&mut waiting), received(&mut testing), received(&mut idle));
-        report.send(seen).expect("the test still listens");
+        report.send(seen).expect("receiver dropped");
     });
-    harness.run_turn();
+    harness.run_iteration();
     let nothing = (vec![], false);
     let expected = [
-        (TurnPhase::SocketsPolled, nothing.clone(), nothing.clone(), nothing.clone()),
-        (TurnPhase::ServersHandled, (vec![9], false), nothing.clone(), nothing.clone()),
-        (TurnPhase::ViewersHandled, nothing.clone(), (vec![53], false), nothing.clone()),
-        (TurnPhase::TimeoutsHandled, nothing.clone(), nothing.clone(), (vec![], true)),
+        (IterationPhase::SocketsPolled, nothing.clone(), nothing.clone(), nothing.clone()),
+        (IterationPhase::ServersHandled, (vec![9], false), nothing.clone(), nothing.clone()),
+        (IterationPhase::ViewersHandled, nothing.clone(), (vec![53], false), nothing.clone()),
+        (IterationPhase::TimeoutsHandled, nothing.clone(), nothing.clone(), (vec![], true)),
     ];
     assert_eq!(reported.try_iter().collect::<Vec<_>>(), expected);
 }
 
-/// A client's withdrawal is handled before its media server's error in the same turn, and the shutdown comes last.
+/// The withdrawal of a client is handled before the error of its media server in the same iteration. The shutdown is
+/// last.
 #[test]
-fn a_turn_handles_withdrawals_before_media_servers_and_the_shutdown_last() {
+fn handles_withdrawals_first_and_shutdown_last() {
     let mut harness = Harness::new(2);
     let (mut client, mut offered) = harness.start_set_up(1);
     offered.connection.end(1, 47);
     client.send(&release(1));
     let (report, reported) = mpsc::channel();
     harness.event_loop.on_phase_end(move |phase| {
-        report.send((phase, received(&mut client))).expect("the test still listens");
+        report.send((phase, received(&mut client))).expect("receiver dropped");
     });
-    harness.run_turn();
-    let acknowledged: Vec<_> = reported.try_iter().collect();
-    assert_eq!(acknowledged[0], (TurnPhase::SocketsPolled, (vec![], false)));
-    assert_eq!(acknowledged[1], (TurnPhase::ServersHandled, (vec![16], false)));
-    assert_eq!(harness.offer_count(), 1, "a further attempt was begun");
+    harness.run_iteration();
+    let first: Vec<_> = reported.try_iter().collect();
+    assert_eq!(first[0], (IterationPhase::SocketsPolled, (vec![], false)));
+    assert_eq!(first[1], (IterationPhase::ServersHandled, (vec![16], false)));
+    assert_eq!(harness.offer_count(), 1, "a further attempt was started");
 
-    // Nothing is pending: the turn that may stop serving closes the connection after its last phase.
+    // Nothing is pending, so the iteration that may stop serving closes the connection after its last phase.
     harness.signals.terminate();
-    harness.run_turn();
-    let serve_on = harness.event_loop.limits().serve_after_sigterm;
-    harness.skip(serve_on);
+    harness.run_iteration();
+    let serve_after_sigterm = harness.event_loop.limits().serve_after_sigterm;
+    harness.skip(serve_after_sigterm);
     let _ = reported.try_iter().count();
-    harness.run_turn();
+    harness.run_iteration();
     let last: Vec<_> = reported.try_iter().collect();
     assert_eq!(
         last[3],
-        (TurnPhase::TimeoutsHandled, (vec![], false)),
-        "the connection ended before the shutdown's phase"
+        (IterationPhase::TimeoutsHandled, (vec![], false)),
+        "the connection was closed before the shutdown phase"
     );
     assert!(std::net::TcpStream::connect(harness.addr).is_err(), "the listener is still open");
 }
--- a/crates/platform/event-loop/tests/crossings/servers.rs
+++ b/crates/platform/event-loop/tests/crossings/servers.rs
@@ -1,15 +1,15 @@
-//! Connections to media servers that end, break or are never established, at the wrong instant.
+//! Connections to media servers that are closed, reset or not established while they are needed.
 
 use std::sync::mpsc;
 
 use beechloft::api::Micros;
-use beechloft_event_loop::TurnPhase;
+use beechloft_event_loop::IterationPhase;
 
 use crate::support::configuration::{TestSettings, endpoint, server_name};
 use crate::support::manual::{Client, Harness, Received, ServerConnection, UnreachableSession};
 use crate::support::messages::{kinds, release, set_up};
 
-/// A connection that has carried a session and is idle now.
+/// Returns an idle connection that has carried a session, and its client.
 fn idle_connection(harness: &mut Harness) -> (Client, ServerConnection) {
     let (mut client, mut connection) = harness.establish_session(1);
     connection.end(1, 16);
@@ -18,40 +18,40 @@
     (client, connection)
 }
 
-/// The media server closes an idle connection at the instant at which a set-up is to be sent on it: the set-up is sent on
-/// another, and counts as never sent on the first. Otherwise a class that may not be repeated would lose it.
+/// The media server closes an idle connection just before a set-up would be sent on it. The set-up must be sent on
+/// another connection. If it was sent on the first, a set-up of a class that may not be repeated would fail.
 #[test]
-fn a_set_up_is_not_sent_on_a_connection_whose_end_has_arrived() {
+fn set_up_avoids_connection_closed_by_server() {
     let mut harness = Harness::with_settings(1, &TestSettings { effect: "once", ..TestSettings::default() });
     let (mut client, mut idle) = idle_connection(&mut harness);
     client.send(&set_up(2, 3_000));
     let (closed, closing) = mpsc::channel();
     let mut to_close = Some(idle.duplicate());
     harness.event_loop.on_phase_end(move |phase| {
-        // Media servers have been read in this turn.
-        if phase == TurnPhase::ServersHandled
+        // Media servers have already been read in this iteration.
+        if phase == IterationPhase::ServersHandled
             && let Some(mut connection) = to_close.take()
         {
             connection.close();
-            closed.send(()).expect("received");
+            closed.send(()).expect("receiver dropped");
         }
     });
     let mut offered = harness.wait_for_offer(2);
-    closing.recv().expect("it was closed");
+    closing.recv().expect("connection was not closed");
     idle.read();
-    assert!(!idle.has_offer(2), "it was sent on the connection that had ended");
+    assert!(!idle.has_offer(2), "the set-up was sent on the closed connection");
     offered.connection.accept(2);
     harness.settle();
     assert_eq!(kinds(&client.receive_frames()), [9]);
 }
 
-/// The end of a session waits for a connection that is never established: it is sent on the next that is.
+/// The release of a session is queued for a connection that is not established. It must be sent on the next one.
 #[test]
-fn the_end_of_a_session_survives_a_failed_connection() {
+fn session_release_survives_failed_connect() {
     let UnreachableSession { mut harness, mut client, filler } = Harness::with_unreachable_session();
     client.send(&release(1));
     harness.settle();
-    // Past the connect timeout.
+    // After the connect timeout.
     harness.advance_ms(400);
     harness.servers[0].drop_queued_connection();
     drop(filler);
@@ -60,10 +60,9 @@
     assert_eq!(harness.servers[0].received("end")[0]["call"], "0000000000000001");
 }
 
-/// An answer is cut off in the middle; two whole ones come on another connection: one answer to the viewer, and no session
-/// remains from the others.
+/// A media server sends a truncated answer, and the next one sends two complete answers. The viewer must get one answer.
 #[test]
-fn a_truncated_answer_fails_its_attempt_alone() {
+fn truncated_answer_fails_only_its_attempt() {
     let mut harness = Harness::new(2);
     let (mut client, mut offered) = harness.start_set_up(1);
     offered.connection.send_bytes(br#"{"op":"accept","call":"00000000"#);
@@ -74,20 +73,21 @@
     second.connection.accept(1);
     second.connection.accept(1);
     harness.settle();
-    let Received { frames, closed } = client.receive().expect("no reset");
+    let Received { frames, closed } = client.receive().expect("connection reset");
     assert_eq!((frames.len(), frames[0].kind, closed), (1, 9, false));
 }
 
-/// The answer arrives at the instant of the timeout, or shortly after.
+/// The answer arrives at the time of the timeout or shortly after it. The viewer gets one answer, and the media server
+/// keeps the session only if that answer accepts it.
 #[test]
-fn an_answer_at_the_instant_of_the_timeout_gives_one_answer() {
+fn answer_concurrent_with_timeout_yields_one_answer() {
     for late_ms in [0, 25, 50] {
         let mut harness = Harness::with_settings(
             1,
             &TestSettings { effect: "once", max_attempts: 1, ..TestSettings::default() },
         );
         let (mut client, mut offered) = harness.start_set_up(1);
-        // The only attempt times out after the aim.
+        // The only attempt times out after the latency objective.
         harness.advance_ms(775);
         harness.skip(Micros(25_000 + late_ms * 1000));
         offered.connection.accept(1);
@@ -99,26 +99,26 @@
         assert_eq!(
             ends,
             usize::from(frames[0].kind != 9),
-            "{late_ms} ms late: the session that remains is the one that was answered"
+            "{late_ms} ms late: a session is kept only if it was accepted"
         );
     }
 }
 
-/// An answer for a session that was abandoned an instant earlier is released at its media server.
+/// The media server answers just after the attempt was abandoned. The session must be released there.
 #[test]
-fn an_answer_just_after_its_session_was_abandoned_leaves_no_session() {
+fn answer_after_abandoned_attempt_is_released() {
     let mut harness = Harness::with_settings(1, &TestSettings { effect: "once", ..TestSettings::default() });
     let (mut client, mut offered) = harness.start_set_up(1);
     harness.advance_ms(1_000);
     let frames = client.receive_frames();
     assert_eq!((frames.len(), frames[0].kind), (1, 12));
     offered.connection.accept(1);
-    harness.run_until("its release there", |h| h.servers[0].received("end").len() == 2);
+    harness.run_until("the release at the media server", |h| h.servers[0].received("end").len() == 2);
 }
 
-/// The list removes a media server while the end of its last session waits for a connection.
+/// The endpoint list removes a media server while the release of its last session is queued for a connection.
 #[test]
-fn a_server_removed_from_the_list_still_receives_the_end_of_its_session() {
+fn removed_server_receives_pending_release() {
     let mut harness = Harness::new(1);
     let (mut client, mut offered) = harness.start_set_up(1);
     offered.connection.accept(1);
@@ -135,26 +135,27 @@
     harness.run_until_end_received();
 }
 
-/// A repeat of a keyed class waits for a connection, which is established after the key's window: it would run a second time.
+/// A retry of a keyed class is queued for a connection that is established after the key window. The retry must not be
+/// sent, as the media server would execute it a second time.
 #[test]
-fn a_repeat_is_not_sent_after_its_key_window() {
-    for (waits_ms, sent) in [(50, 1), (250, 0)] {
+fn retry_is_not_sent_after_key_window() {
+    for (delay_ms, expected_offers) in [(50, 1), (250, 0)] {
         let settings = TestSettings {
             effect: "by_key",
             key_window_ms: Some(300),
-            aim_ms: 2_000,
+            latency_objective_ms: 2_000,
             ..TestSettings::default()
         };
         let mut harness = Harness::with_settings(2, &settings);
         let (client, mut offered) = harness.start_set_up(1);
         harness.advance_ms(100);
         offered.connection.end(1, 47);
-        // The further attempt is begun, and its connection too; that the connection is established is noticed only later.
-        harness.run_turn();
-        harness.skip(Micros(waits_ms * 1000));
+        // Starts the further attempt and its connect, whose result is handled only in a later iteration.
+        harness.run_iteration();
+        harness.skip(Micros(delay_ms * 1000));
         harness.settle();
         let other = &mut harness.servers[1 - offered.server];
-        assert_eq!(other.received("offer").len(), sent, "after {waits_ms} ms more");
+        assert_eq!(other.received("offer").len(), expected_offers, "after {delay_ms} ms more");
         drop(client);
     }
 }
--- a/crates/platform/event-loop/tests/crossings/shutdown.rs
+++ b/crates/platform/event-loop/tests/crossings/shutdown.rs
@@ -1,34 +1,34 @@
-//! The shutdown of the front node, and what crosses it.
+//! Events during the shutdown of the front node.
 
 use std::sync::mpsc;
 
 use beechloft::api::Micros;
-use beechloft_event_loop::TurnPhase;
+use beechloft_event_loop::IterationPhase;
 
 use crate::support::configuration::TestSettings;
 use crate::support::manual::{Client, Harness, ServerConnection, UnreachableSession};
 use crate::support::messages::{encode, final_answers, release, set_up, test};
 
-/// Final answers that a client has received, on a connection that is not reset.
+/// Returns the number of final answers that a client has received since the last call.
 fn answer_count(client: &mut Client) -> usize {
     final_answers(&client.receive_frames())
 }
 
-/// SIGTERM has come, and requests were served for a while after; from here on each turn may be the last.
-fn advance_to_last_turns(harness: &mut Harness) {
+/// Sends SIGTERM and advances to the end of the time for which requests are served. Each iteration may then be the last.
+fn advance_to_last_iterations(harness: &mut Harness) {
     harness.signals.terminate();
-    harness.run_turn();
+    harness.run_iteration();
     let serve_after_sigterm = harness.event_loop.limits().serve_after_sigterm;
     harness.skip(serve_after_sigterm - Micros(1));
-    harness.run_turn();
+    harness.run_iteration();
     assert!(!harness.stopped);
     harness.skip(Micros(1));
 }
 
-/// Media servers accept all set-ups, until the loop has stopped or a second has passed.
-fn run_to_end(harness: &mut Harness) {
+/// Runs iterations in which the media servers accept all set-ups, until the loop has stopped or a second has passed.
+fn run_until_stopped(harness: &mut Harness) {
     for _ in 0..200 {
-        harness.run_turn();
+        harness.run_iteration();
         for server in &mut harness.servers {
             server.poll();
             server.connections.iter_mut().for_each(ServerConnection::accept_all);
@@ -41,78 +41,78 @@
 }
 
 #[test]
-fn set_ups_in_the_listen_queue_at_the_shutdown_are_answered() {
+fn shutdown_answers_set_ups_in_listen_queue() {
     let mut harness = Harness::new(2);
-    advance_to_last_turns(&mut harness);
+    advance_to_last_iterations(&mut harness);
     let mut clients: Vec<Client> = (0..100).map(|_| Client::connect(harness.addr)).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&set_up(1 + number as u64, 3_000));
     }
-    run_to_end(&mut harness);
+    run_until_stopped(&mut harness);
     assert!(harness.stopped);
     let unanswered = clients.iter_mut().filter_map(|c| (answer_count(c) != 1).then_some(())).count();
     assert_eq!(unanswered, 0, "of {}", clients.len());
 }
 
 #[test]
-fn a_set_up_at_any_phase_of_the_last_turns_is_answered_or_finds_its_connection_closed() {
+fn set_up_during_last_iterations_is_answered_or_connection_closed() {
     for phase in [
-        TurnPhase::SocketsPolled,
-        TurnPhase::ServersHandled,
-        TurnPhase::ViewersHandled,
-        TurnPhase::TimeoutsHandled,
+        IterationPhase::SocketsPolled,
+        IterationPhase::ServersHandled,
+        IterationPhase::ViewersHandled,
+        IterationPhase::TimeoutsHandled,
     ] {
         for after in 0..4 {
             let mut harness = Harness::new(2);
             let mut waiting = Some(harness.connect_client());
-            advance_to_last_turns(&mut harness);
+            advance_to_last_iterations(&mut harness);
             let (report, reported) = mpsc::channel();
-            let mut turns = 0;
+            let mut iterations = 0;
             harness.event_loop.on_phase_end(move |ended_phase| {
                 if ended_phase != phase {
                     return;
                 }
-                turns += 1;
-                if turns > after
+                iterations += 1;
+                if iterations > after
                     && let Some(mut client) = waiting.take()
                 {
-                    // A client that has seen its connection's end sends nothing.
+                    // A client sends nothing on a connection that it knows to be closed.
                     let closed = client.is_closed();
                     if !closed {
                         client.send(&set_up(1, 3_000));
                     }
-                    report.send((client, closed)).expect("received");
+                    report.send((client, closed)).expect("receiver dropped");
                 }
             });
-            run_to_end(&mut harness);
+            run_until_stopped(&mut harness);
             assert!(harness.stopped, "{phase:?} {after}");
             if let Ok((mut client, false)) = reported.try_recv() {
-                assert_eq!(answer_count(&mut client), 1, "{phase:?}, {after} turns later");
+                assert_eq!(answer_count(&mut client), 1, "{phase:?}, {after} iterations later");
             }
         }
     }
 }
 
 #[test]
-fn messages_after_the_last_answer_do_not_destroy_it() {
+fn message_after_last_answer_does_not_destroy_it() {
     let mut harness = Harness::new(1);
     let (mut client, mut offered) = harness.start_set_up(1);
-    advance_to_last_turns(&mut harness);
+    advance_to_last_iterations(&mut harness);
     offered.connection.accept(1);
-    // Half a message, which nobody will ever read to its end.
+    // An incomplete message, which remains unread.
     client.send_bytes(&encode(&[set_up(2, 3_000)])[..30]);
-    run_to_end(&mut harness);
+    run_until_stopped(&mut harness);
     assert!(harness.stopped);
     drop(harness);
     assert_eq!(answer_count(&mut client), 1);
 }
 
-/// The end of a session waits for a connection that is not established yet, and nothing else is left to be done: the front
-/// node waits for it.
+/// The release of a session is queued for a connection that is not established yet. The front node must not stop before
+/// it is sent, even if no other work is left.
 #[test]
-fn pending_lines_to_media_servers_are_sent_before_the_shutdown_ends() {
+fn shutdown_sends_pending_lines_to_servers() {
     let UnreachableSession { mut harness, mut client, filler } = Harness::with_unreachable_session();
-    advance_to_last_turns(&mut harness);
+    advance_to_last_iterations(&mut harness);
     client.send(&release(1));
     client.close();
     harness.settle();
@@ -121,25 +121,27 @@
     drop(filler);
     harness.advance_ms(1_500);
     harness.run_until_end_received();
-    run_to_end(&mut harness);
+    run_until_stopped(&mut harness);
     assert!(harness.stopped);
 }
 
-/// SIGKILL comes the longest deadline, counted as 3 s where longer, and 0.7 s after SIGTERM: by then everything is answered,
-/// whatever the deadline, and the front node has stopped by itself.
+/// SIGKILL follows SIGTERM after the longest deadline, but at most 3 s, plus 0.7 s. By then all requests must be
+/// answered and the front node must have stopped, whatever the deadline is.
 #[test]
-fn everything_is_answered_before_sigkill() {
-    for (deadline_ms, aim_ms) in [(200, 150), (1_500, 300), (4_000, 800), (20_000, 20_000)] {
-        let mut harness =
-            Harness::with_settings(1, &TestSettings { deadline_ms, aim_ms, ..TestSettings::default() });
+fn shutdown_answers_all_requests_before_sigkill() {
+    for (deadline_ms, latency_objective_ms) in [(200, 150), (1_500, 300), (4_000, 800), (20_000, 20_000)] {
+        let mut harness = Harness::with_settings(
+            1,
+            &TestSettings { deadline_ms, latency_objective_ms, ..TestSettings::default() },
+        );
         let killed_after_ms = deadline_ms.min(3_000) + 700;
         let mut before = harness.connect_client();
         before.send(&set_up(1, deadline_ms));
         harness.settle();
         harness.signals.terminate();
-        harness.run_turn();
+        harness.run_iteration();
         harness.advance_ms(600);
-        // The last that may come, to media servers that never answer.
+        // The latest possible request, to media servers that do not answer.
         let mut late = harness.connect_client();
         late.send(&set_up(2, deadline_ms));
         harness.settle();
@@ -154,19 +156,19 @@
 }
 
 #[test]
-fn repeated_sigterm_and_sighup_shut_down_once_with_everything_answered() {
+fn repeated_signals_shut_down_once() {
     let mut harness = Harness::new(1);
     let (mut client, mut offered) = harness.start_set_up(1);
     harness.signals.terminate();
     harness.signals.reload();
     harness.signals.terminate();
-    // All in one turn: the signals, the answer, another set-up and a test.
+    // One iteration handles the signals, the answer, another set-up and a test.
     offered.connection.accept(1);
     client.send_bytes(&encode(&[set_up(2, 3_000), test(9)]));
-    harness.run_turn();
+    harness.run_iteration();
     harness.signals.terminate();
-    advance_to_last_turns(&mut harness);
-    run_to_end(&mut harness);
+    advance_to_last_iterations(&mut harness);
+    run_until_stopped(&mut harness);
     assert!(harness.stopped);
     assert_eq!(answer_count(&mut client), 2);
 }
