--- a/crates/platform/event-loop/tests/crossings/viewers.rs
+++ b/crates/platform/event-loop/tests/crossings/viewers.rs
@@ -1,48 +1,49 @@
-//! Clients that go, or withdraw their set-ups, while the front node works for them.
+//! Clients that disconnect or withdraw their set-ups while the front node handles them.
 
 use std::sync::mpsc;
 
 use beechloft::api::Micros;
-use beechloft_event_loop::TurnPhase;
+use beechloft_event_loop::IterationPhase;
 use beechloft_event_loop::limits::RESERVED_DESCRIPTORS;
 
 use crate::support::configuration::TestSettings;
 use crate::support::manual::{Client, Harness, Received, SocketState};
 use crate::support::messages::{encode, final_answers, release, set_up, test};
 
-/// One of two media servers refuses a set-up; before the front node reads that, the client leaves. No further attempt may begin.
-fn leave_before_the_error_is_read(leave: impl FnOnce(Client)) {
+/// One of two media servers refuses a set-up, and the client disconnects before the front node reads the refusal. No
+/// further attempt may start.
+fn disconnect_before_error_is_read(disconnect: impl FnOnce(Client)) {
     let mut harness = Harness::new(2);
     let (client, mut offered) = harness.start_set_up(1);
     offered.connection.end(1, 47);
-    leave(client);
+    disconnect(client);
     harness.settle();
     harness.advance_ms(500);
-    assert_eq!(harness.offer_count(), 1, "a further attempt was begun");
+    assert_eq!(harness.offer_count(), 1, "a further attempt was started");
 }
 
 #[test]
-fn no_further_attempt_for_a_client_that_closed() {
-    leave_before_the_error_is_read(Client::close);
+fn no_retry_after_client_close() {
+    disconnect_before_error_is_read(Client::close);
 }
 
 #[test]
-fn no_further_attempt_for_a_client_that_reset() {
-    leave_before_the_error_is_read(Client::reset);
+fn no_retry_after_client_reset() {
+    disconnect_before_error_is_read(Client::reset);
 }
 
 #[test]
-fn no_further_attempt_for_a_client_that_withdrew_its_set_up() {
-    leave_before_the_error_is_read(|mut client| {
+fn no_retry_after_withdrawal() {
+    disconnect_before_error_is_read(|mut client| {
         client.send(&release(1));
-        // The connection stays open, for other sessions.
+        // The connection stays open for other sessions.
         std::mem::forget(client);
     });
 }
 
 #[test]
-fn no_further_attempt_for_a_client_that_withdrew_its_set_up_behind_other_messages() {
-    leave_before_the_error_is_read(|mut client| {
+fn no_retry_after_withdrawal_behind_other_messages() {
+    disconnect_before_error_is_read(|mut client| {
         let mut all: Vec<_> = (100..140).map(test).collect();
         all.push(release(1));
         client.send_bytes(&encode(&all));
@@ -51,38 +52,38 @@
 }
 
 #[test]
-fn no_further_attempt_for_a_client_that_closed_behind_a_flood() {
-    leave_before_the_error_is_read(|mut client| {
-        // More than is read ahead on one connection.
+fn no_retry_after_client_close_behind_unread_messages() {
+    disconnect_before_error_is_read(|mut client| {
+        // These are more bytes than one connection reads ahead.
         let all: Vec<_> = (1_000..1_600).map(|id| set_up(id, 3_000)).collect();
         client.send_bytes(&encode(&all));
         client.close();
     });
 }
 
-/// The same, with the end of the connection arriving after the poll.
+/// The client closes its connection after the poll of the iteration that reads the refusal.
 #[test]
-fn no_further_attempt_for_a_client_that_closes_during_the_turn() {
+fn no_retry_after_client_close_during_iteration() {
     let mut harness = Harness::new(2);
-    // Both have an established idle connection, so that a further attempt would be sent at once.
+    // Both media servers have an idle connection, so that a further attempt would be sent immediately.
     harness.warm_up_connections();
     let before = harness.offer_count();
     let (client, mut offered) = harness.start_set_up(1);
     offered.connection.end(1, 47);
-    let mut leaving = Some(client);
+    let mut disconnecting = Some(client);
     harness.event_loop.on_phase_end(move |phase| {
-        if phase == TurnPhase::SocketsPolled
-            && let Some(leaver) = leaving.take()
+        if phase == IterationPhase::SocketsPolled
+            && let Some(client) = disconnecting.take()
         {
-            leaver.close();
+            client.close();
         }
     });
     harness.settle();
-    assert_eq!(harness.offer_count(), before + 1, "a further attempt was begun");
+    assert_eq!(harness.offer_count(), before + 1, "a further attempt was started");
 }
 
 #[test]
-fn no_attempt_for_a_set_up_that_arrives_with_its_release() {
+fn no_attempt_for_set_up_received_with_its_release() {
     let mut harness = Harness::new(1);
     let mut closing = harness.connect_client();
     closing.send(&set_up(1, 3_000));
@@ -93,22 +94,21 @@
     offered.connection.accept(3);
     harness.settle();
     assert_eq!(harness.offer_count(), 1);
-    let Received { frames, closed } = client.receive().expect("no reset");
+    let Received { frames, closed } = client.receive().expect("connection reset");
     let answers: Vec<_> = frames.iter().map(|frame| (frame.kind, frame.id.0)).collect();
     assert_eq!((answers, closed), (vec![(16, 2), (9, 3)], false));
 }
 
-/// A set-up waits for a connection; its client leaves or withdraws it, and only then the connection is established. Whether
-/// cancelling is allowed makes no difference to what has not been sent.
+/// A set-up is queued for a connection that is established only after the client has disconnected or withdrawn the
+/// set-up. An unsent set-up is dropped whether or not the settings allow to cancel sent ones.
 #[test]
-fn a_set_up_queued_for_a_connection_is_not_sent_after_its_client_has_gone() {
-    for (allowed, closes) in [(true, true), (true, false), (false, true), (false, false)] {
-        let mut harness =
-            Harness::with_settings(1, &TestSettings { cancel: allowed, ..TestSettings::default() });
+fn queued_set_up_is_dropped_after_client_disconnect() {
+    for (cancel, closes) in [(true, true), (true, false), (false, true), (false, false)] {
+        let mut harness = Harness::with_settings(1, &TestSettings { cancel, ..TestSettings::default() });
         let mut client = harness.connect_client();
         client.send(&set_up(1, 3_000));
-        // It is read, and a connection is begun.
-        harness.run_turn();
+        // Reads the set-up and starts a connect.
+        harness.run_iteration();
         if closes {
             client.close();
         } else {
@@ -120,13 +120,13 @@
             !h.servers[0].connections.is_empty()
         });
         harness.settle();
-        assert_eq!(harness.offer_count(), 0, "cancelling allowed: {allowed}, the client closes: {closes}");
+        assert_eq!(harness.offer_count(), 0, "cancel allowed: {cancel}, client closes: {closes}");
     }
 }
 
-/// The answer of a media server and the end of the client cross: no session remains.
+/// The answer of a media server and the disconnect of the client arrive at the same time. No session may remain.
 #[test]
-fn an_answer_that_crosses_its_clients_end_leaves_no_session() {
+fn answer_concurrent_with_client_disconnect_leaves_no_session() {
     for how in 0..3 {
         let mut harness = Harness::new(1);
         let (mut client, mut offered) = harness.start_set_up(1);
@@ -139,16 +139,17 @@
                 std::mem::forget(client);
             }
         }
-        // Its withdrawal and its answer may cross, so that it is ended a second time, to be sure.
-        harness.run_until("the end of the session", |h| !h.servers[0].received("end").is_empty());
+        // The session is released twice if its withdrawal is sent before its answer is read.
+        harness.run_until("the release of the session", |h| !h.servers[0].received("end").is_empty());
         assert!(harness.servers[0].received("end").iter().all(|e| e["why"] == 16));
         harness.settle();
         assert_eq!(harness.event_loop.counts().established, 0);
     }
 }
 
-/// Session 1 is answered, and the answer to session 2 arrives; after the poll its client leaves. Session 2 alone is ended.
-fn leave_before_the_answer_is_sent(leave: impl Fn(Client) + Send + 'static) {
+/// Session 1 is established. The answer for session 2 arrives, and the client disconnects after the poll of the
+/// iteration that reads it. Only session 2 must be released, as its answer was not sent.
+fn disconnect_before_answer_is_sent(disconnect: impl Fn(Client) + Send + 'static) {
     let mut harness = Harness::new(1);
     let (mut client, mut offered) = harness.start_set_up(1);
     offered.connection.accept(1);
@@ -157,71 +158,72 @@
     client.send(&set_up(2, 3_000));
     let mut second = harness.wait_for_offer(2);
     second.connection.accept(2);
-    let mut leaving = Some(client);
+    let mut disconnecting = Some(client);
     harness.event_loop.on_phase_end(move |phase| {
-        if phase == TurnPhase::SocketsPolled
-            && let Some(leaver) = leaving.take()
+        if phase == IterationPhase::SocketsPolled
+            && let Some(client) = disconnecting.take()
         {
-            leave(leaver);
+            disconnect(client);
         }
     });
-    harness.run_until("the end of the second session", |h| !h.servers[0].received("end").is_empty());
+    harness.run_until("the release of the second session", |h| !h.servers[0].received("end").is_empty());
     let ends = harness.servers[0].received("end");
     assert_eq!((ends.len(), &ends[0]["call"]), (1, &"0000000000000002".into()));
 }
 
 #[test]
-fn an_answer_that_can_not_be_sent_ends_its_session_and_a_sent_one_does_not() {
-    leave_before_the_answer_is_sent(Client::reset);
+fn client_reset_ends_only_session_with_unsent_answer() {
+    disconnect_before_answer_is_sent(Client::reset);
 }
 
 #[test]
-fn an_answer_to_a_client_that_has_closed_ends_its_session() {
-    leave_before_the_answer_is_sent(Client::close);
+fn client_close_ends_only_session_with_unsent_answer() {
+    disconnect_before_answer_is_sent(Client::close);
 }
 
-/// The client reads what was written last, though it has sent bytes that nobody reads: no reset destroys it.
+/// The client has sent malformed bytes that are not all read. The close of the connection must not cause a reset, which
+/// would destroy the previous answer.
 #[test]
-fn closing_a_connection_for_malformed_bytes_does_not_destroy_earlier_answers() {
+fn malformed_bytes_do_not_destroy_earlier_answers() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect_client();
     let malformed = vec![0xee; 40_000];
     client.send_bytes(&[encode(&[test(7)]), malformed].concat());
     harness.settle();
-    let Received { frames, closed } = client.receive().expect("no reset");
+    let Received { frames, closed } = client.receive().expect("connection reset");
     assert_eq!((frames.len(), frames[0].kind, closed), (1, 53, true));
 }
 
-/// A set-up arrives at the instant at which its connection has been idle for too long.
+/// A set-up arrives at the time at which its connection reaches the idle timeout.
 #[test]
-fn a_set_up_that_crosses_the_idle_timeout_of_its_connection_is_served() {
+fn set_up_concurrent_with_idle_timeout_is_served() {
     let mut harness = Harness::new(1);
     let mut idle = Some(harness.connect_client());
     harness.advance_ms(1_775);
     harness.skip(Micros(200_000));
     let (requested, request) = mpsc::channel();
     harness.event_loop.on_phase_end(move |phase| {
-        if phase == TurnPhase::ViewersHandled
+        if phase == IterationPhase::ViewersHandled
             && let Some(mut client) = idle.take()
         {
             client.send(&set_up(1, 3_000));
-            requested.send(client).expect("received");
+            requested.send(client).expect("receiver dropped");
         }
     });
     let mut offered = harness.wait_for_offer(1);
     offered.connection.accept(1);
     harness.settle();
-    let mut client = request.recv().expect("a request was sent");
+    let mut client = request.recv().expect("no request was sent");
     assert_eq!(client.receive_frames()[0].kind, 9);
 }
 
 #[test]
-fn a_set_up_that_crosses_the_eviction_of_its_connection_is_served() {
+fn set_up_concurrent_with_eviction_is_served() {
     let mut harness = Harness::with_settings(1, &TestSettings { sockets: 64, ..TestSettings::default() });
     let capacity = harness.event_loop.limits().max_viewer_connections;
     let mut oldest = harness.connect_client();
     let mut others: Vec<Client> = (1..capacity).map(|_| harness.connect_client()).collect();
-    // It sends a request; before the front node has read that, one more connection comes than there is capacity for.
+    // A connection beyond the capacity arrives before the front node has read the set-up of the oldest.
     oldest.send(&set_up(1, 3_000));
     let newest = Client::connect(harness.addr);
     let mut offered = harness.wait_for_offer(1);
@@ -234,9 +236,9 @@
     drop(newest);
 }
 
-/// When all connections wait for their answers, one more waits as well, and gets its own.
+/// If all connections within the capacity wait for answers, further connections wait for capacity and are then answered.
 #[test]
-fn a_connection_beyond_the_capacity_waits_and_is_answered() {
+fn connection_beyond_capacity_waits_and_is_answered() {
     let mut harness = Harness::with_settings(1, &TestSettings { sockets: 64, ..TestSettings::default() });
     let capacity = harness.event_loop.limits().max_viewer_connections;
     let mut clients = Vec::new();
@@ -246,7 +248,7 @@
         clients.push(client);
         harness.settle();
     }
-    // Set-ups that the policy refused have their answers; their connections are free, and are filled again by other set-ups.
+    // Connections whose set-ups the policy has refused can be evicted for other set-ups.
     harness.servers[0].poll();
     assert!(!harness.servers[0].connections.is_empty());
     let mut further: Vec<Client> = (0..capacity).map(|_| Client::connect(harness.addr)).collect();
@@ -256,27 +258,28 @@
     harness.settle();
     harness.advance_ms(4_000);
     for client in &mut further {
-        assert_eq!(final_answers(&client.receive_frames()), 1, "one answer each");
+        assert_eq!(final_answers(&client.receive_frames()), 1, "each client gets one answer");
     }
 }
 
-/// Connections with half a set-up, or a byte now and then, are closed in time; a set-up that arrives slowly is answered.
+/// Connections with an incomplete set-up are closed in time, even if single bytes keep arriving. A set-up that arrives
+/// slowly is answered.
 #[test]
-fn slow_clients_are_given_a_bounded_time() {
+fn slow_clients_have_bounded_time() {
     let mut harness = Harness::new(1);
-    let whole = encode(&[set_up(1, 3_000)]);
-    let mut half = harness.connect_client();
-    half.send_bytes(&whole[..20]);
-    let mut drip = harness.connect_client();
-    let mut honest = harness.connect_client();
+    let complete = encode(&[set_up(1, 3_000)]);
+    let mut partial = harness.connect_client();
+    partial.send_bytes(&complete[..20]);
+    let mut trickling = harness.connect_client();
+    let mut slow = harness.connect_client();
     let mut sent = 0;
     for tick in 0..25 {
-        if tick % 10 == 0 && drip.state_at_front() != SocketState::Absent {
-            drip.send_bytes(&whole[tick / 10..=tick / 10]);
+        if tick % 10 == 0 && trickling.state_at_front() != SocketState::Absent {
+            trickling.send_bytes(&complete[tick / 10..=tick / 10]);
         }
-        let until = whole.len() * (tick + 1) / 25;
+        let until = complete.len() * (tick + 1) / 25;
         if until > sent {
-            honest.send_bytes(&whole[sent..until]);
+            slow.send_bytes(&complete[sent..until]);
             sent = until;
         }
         harness.advance_ms(100);
@@ -284,17 +287,17 @@
     let mut offered = harness.wait_for_offer(1);
     offered.connection.accept(1);
     harness.settle();
-    assert_eq!(honest.receive_frames()[0].kind, 9);
+    assert_eq!(slow.receive_frames()[0].kind, 9);
     harness.advance_ms(450);
-    for client in [&mut half, &mut drip] {
-        assert!(client.is_closed(), "it is still open after 3 s");
+    for client in [&mut partial, &mut trickling] {
+        assert!(client.is_closed(), "the connection is still open after 3 s");
     }
 }
 
-/// Idle clients want every descriptor while the event bus is down: they get the viewers' part of them, the event bus is requested
-/// again, and an active client and its media server are served.
+/// Idle clients open more connections than there are file descriptors while the event bus is down. Their share of the
+/// descriptors is limited, so that the event bus is requested again and an active client is served.
 #[test]
-fn idle_clients_leave_descriptors_for_the_event_bus_media_servers_and_active_clients() {
+fn idle_clients_do_not_exhaust_descriptors() {
     let mut harness = Harness::with_settings(1, &TestSettings { sockets: 64, ..TestSettings::default() });
     harness.disconnect_event_bus();
     let mut idle: Vec<Client> = (0..100).map(|_| Client::connect(harness.addr)).collect();
@@ -303,10 +306,10 @@
     let limits = harness.event_loop.limits();
     assert!(open <= limits.max_viewer_connections, "{open} of {}", limits.max_viewer_connections);
     assert!(limits.max_viewer_connections + limits.max_server_connections + RESERVED_DESCRIPTORS <= 64);
-    let (mut honest, mut offered) = harness.start_set_up(1);
+    let (mut active, mut offered) = harness.start_set_up(1);
     offered.connection.accept(1);
     harness.settle();
-    assert_eq!(honest.receive_frames()[0].kind, 9);
+    assert_eq!(active.receive_frames()[0].kind, 9);
     harness.advance_ms(500);
     harness.disconnect_event_bus();
 }
--- a/crates/platform/event-loop/tests/event_bus/harness.rs
+++ b/crates/platform/event-loop/tests/event_bus/harness.rs
@@ -1,5 +1,6 @@
-//! The client of the event bus, run by hand on loopback sockets: its time is set by the test, and what the bus sends is in the
-//! kernel's buffers before the client reads.
+//! Harness around the event bus client on loopback sockets.
+//!
+//! The test sets the time, and runs the client once the data of the bus is in the kernel's buffers.
 
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read, Write};
@@ -21,39 +22,39 @@
 pub const SECOND: Micros = Micros(1_000_000);
 pub const MINUTE: Micros = Micros(60_000_000);
 
-/// From one sweep of the loop to the next.
+/// Interval between sweeps of the loop.
 const SWEEP_INTERVAL: Micros = Micros(25_000);
 
-/// The last event that the client knows at the beginning.
+/// Offset of the last event that the client knows at the start.
 const LAST_EVENT_ID: u64 = 41;
 
-/// No wait of the client is longer than this.
+/// Upper bound of all delays of the client.
 const MAX_WAIT: Micros = Micros(120_000_000);
 
-/// The time between the comments of a bus without events.
+/// Interval between the comments of a bus without events.
 const COMMENT_INTERVAL: Micros = Micros(500_000);
 
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A client and its event bus.
+/// Event bus client with its event bus.
 pub struct Harness {
     pub client: EventBusClient,
     pub now: Micros,
     pub listener: TcpListener,
-    /// The event bus's end of the newest connection.
+    /// End of the most recent connection at the event bus.
     pub bus_stream: Option<TcpStream>,
     poll: Poll,
     tokens: TokenAllocator,
-    /// The token of the newest connection.
+    /// Token of the most recent connection.
     token: Token,
     inputs: VecDeque<Input>,
-    /// The names of media servers in the events so far, in order.
+    /// Names of the media servers in the events so far, in order.
     pub received: Vec<String>,
     /// Whether the last event was a snapshot.
     pub last_was_snapshot: bool,
 }
 
-/// The limits of the client.
+/// Returns the limits of the client.
 pub fn limits() -> SocketLimits {
     SocketLimits::derive(&LimitInputs {
         descriptors: 256,
@@ -64,24 +65,24 @@
     })
 }
 
-/// A listener for an event bus.
+/// Returns a listener for an event bus, and its address.
 pub fn listen() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let addr = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind failed");
+    let addr = listener.local_addr().expect("no address");
     (listener, addr)
 }
 
-/// An address that refuses connections while the socket exists, which is bound and does not listen.
+/// Returns an address that refuses connections while the returned socket exists, which is bound and does not listen.
 pub fn refusing_address() -> (Socket, SocketAddr) {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    let any_port: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    socket.bind(&any_port.into()).expect("a port");
-    let addr = socket.local_addr().ok().and_then(|addr| addr.as_socket()).expect("an address");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("socket error");
+    let any_port: SocketAddr = "127.0.0.1:0".parse().expect("no address");
+    socket.bind(&any_port.into()).expect("bind failed");
+    let addr = socket.local_addr().ok().and_then(|addr| addr.as_socket()).expect("no address");
     (socket, addr)
 }
 
 impl Harness {
-    /// A client that knows event 41 and has not connected yet.
+    /// Returns a client that knows event 41 and has not connected yet.
     pub fn new(seed: u64) -> Harness {
         Harness::with_limits(limits(), seed)
     }
@@ -93,7 +94,7 @@
             now: SECOND,
             listener,
             bus_stream: None,
-            poll: Poll::new().expect("a poll"),
+            poll: Poll::new().expect("poll failed"),
             tokens: TokenAllocator::default(),
             token: Token(0),
             inputs: VecDeque::new(),
@@ -102,7 +103,7 @@
         }
     }
 
-    /// A client that has sent its request and got the head of the response.
+    /// Returns a client that has sent its request and received the head of the response.
     pub fn connected() -> Harness {
         let mut harness = Harness::new(7);
         assert_eq!(harness.wait_for_request(), "41");
@@ -110,18 +111,18 @@
         harness
     }
 
-    /// Runs a sweep; whether the client began a connection.
+    /// Runs a sweep. Returns whether the client has started to connect.
     pub fn sweep(&mut self) -> bool {
         let mut tokens_before = self.tokens.clone();
         self.client.sweep(self.now, self.poll.registry(), &mut self.tokens);
-        let began = self.tokens != tokens_before;
-        if began {
+        let has_connected = self.tokens != tokens_before;
+        if has_connected {
             self.token = tokens_before.allocate();
         }
-        began
+        has_connected
     }
 
-    /// Lets time pass in steps of a sweep until the client begins a connection; how long that took.
+    /// Advances the clock in steps of a sweep until the client starts to connect. Returns the time until then.
     pub fn time_until_connect(&mut self, max: Micros) -> Micros {
         let start = self.now;
         while !self.sweep() {
@@ -131,7 +132,7 @@
         self.now - start
     }
 
-    /// Lets time pass, in which the client may not begin a connection.
+    /// Advances the clock, and checks that the client starts no connect.
     pub fn assert_no_connect(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
@@ -140,17 +141,17 @@
         }
     }
 
-    /// Whether the client has the newest connection still.
+    /// Returns whether the client still has the most recent connection.
     pub fn is_connected(&self) -> bool {
         self.client.has(self.token)
     }
 
-    /// Polls and lets the client read until something holds.
-    pub fn run_until(&mut self, what: &str, mut holds: impl FnMut(&Harness) -> bool) {
+    /// Polls and lets the client read until a condition holds.
+    pub fn run_until(&mut self, description: &str, mut holds: impl FnMut(&Harness) -> bool) {
         let (mut events, deadline) = (Events::with_capacity(8), Instant::now() + TIMEOUT);
         while !holds(self) {
-            assert!(Instant::now() < deadline, "timed out waiting for: {what}");
-            self.poll.poll(&mut events, Some(Duration::from_millis(100))).expect("a poll");
+            assert!(Instant::now() < deadline, "timed out waiting for: {description}");
+            self.poll.poll(&mut events, Some(Duration::from_millis(100))).expect("poll failed");
             let is_ready = events.iter().any(|polled| self.client.has(polled.token()));
             if is_ready {
                 self.read();
@@ -168,12 +169,12 @@
         }
     }
 
-    /// Accepts the connection that the client has begun and reads its request; its `Last-Event-ID`.
+    /// Accepts the connection of the client and reads its request. Returns the `Last-Event-ID`.
     pub fn accept_request(&mut self) -> String {
-        let (stream, _) = self.listener.accept().expect("a connection");
-        stream.set_nonblocking(true).expect("set");
+        let (stream, _) = self.listener.accept().expect("no connection");
+        stream.set_nonblocking(true).expect("cannot set socket option");
         let mut head = Vec::new();
-        let mut reader = stream.try_clone().expect("a copy");
+        let mut reader = stream.try_clone().expect("clone failed");
         self.run_until("the request", |_| {
             let mut buffer = [0; 1024];
             match reader.read(&mut buffer) {
@@ -182,41 +183,41 @@
             }
             head.ends_with(b"\r\n\r\n")
         });
-        stream.set_nonblocking(false).expect("set");
-        stream.set_write_timeout(Some(TIMEOUT)).expect("set");
+        stream.set_nonblocking(false).expect("cannot set socket option");
+        stream.set_write_timeout(Some(TIMEOUT)).expect("cannot set socket option");
         self.bus_stream = Some(stream);
-        let text = String::from_utf8(head).expect("text");
+        let text = String::from_utf8(head).expect("invalid UTF-8");
         assert!(text.starts_with("GET /bus/read HTTP/1.1\r\n"), "{text}");
         let last_event_id = text.lines().find_map(|line| line.strip_prefix("last-event-id: "));
-        last_event_id.expect("a number").to_owned()
+        last_event_id.expect("no Last-Event-ID").to_owned()
     }
 
-    /// Waits until the client connects and sends its request; its `Last-Event-ID`.
+    /// Waits until the client connects and sends its request. Returns the `Last-Event-ID`.
     pub fn wait_for_request(&mut self) -> String {
         self.time_until_connect(MAX_WAIT);
         self.accept_request()
     }
 
-    /// The bus sends text.
+    /// Sends text from the bus.
     pub fn send(&mut self, text: &str) {
-        self.bus_stream.as_mut().expect("a connection").write_all(text.as_bytes()).expect("written");
+        self.bus_stream.as_mut().expect("no connection").write_all(text.as_bytes()).expect("write failed");
     }
 
-    /// The bus sends text and the client reads all of it, as an event behind it shows.
-    pub fn send_and_sync(&mut self, text: &str, number: u64) {
-        let mark = format!("mark-{number}");
-        self.send(&format!("{text}{}", event(number, &mark)));
-        self.wait_for_endpoint(&mark);
+    /// Sends text from the bus, followed by a marker event, and waits until the client has handled the marker.
+    pub fn send_and_sync(&mut self, text: &str, marker_offset: u64) {
+        let marker = format!("marker-{marker_offset}");
+        self.send(&format!("{text}{}", event(marker_offset, &marker)));
+        self.wait_for_endpoint(&marker);
     }
 
-    /// Runs until the last endpoint that was received has this name.
+    /// Runs until the last received endpoint has the given name.
     pub fn wait_for_endpoint(&mut self, name: &str) {
         self.run_until(name, |harness| harness.received.last().is_some_and(|last| last == name));
     }
 
-    /// The bus closes the connection, and the client notices.
+    /// Closes the connection from the bus, and waits until the client has closed it too.
     pub fn close_by_bus(&mut self) {
-        self.bus_stream.as_ref().expect("a connection").shutdown(Shutdown::Write).expect("shut down");
+        self.bus_stream.as_ref().expect("no connection").shutdown(Shutdown::Write).expect("shutdown failed");
         self.wait_for_disconnect();
     }
 
@@ -225,15 +226,15 @@
         self.run_until("the client to disconnect", |harness| !harness.is_connected());
     }
 
-    pub fn move_to(&mut self, addr: SocketAddr) {
-        self.client.move_to(addr, self.now, self.poll.registry());
+    pub fn change_address(&mut self, addr: SocketAddr) {
+        self.client.change_address(addr, self.now, self.poll.registry());
     }
 
     pub fn suspect(&mut self) {
         self.client.suspect(self.now);
     }
 
-    /// Lets time pass and runs a sweep; whether the connection is still the same.
+    /// Advances the clock and runs a sweep. Returns whether the client still has the same connection.
     pub fn advance(&mut self, span: Micros) -> bool {
         let token_before = self.token;
         self.now = self.now + span;
@@ -241,21 +242,21 @@
         self.client.has(token_before)
     }
 
-    /// Waits until the poll reports bytes, and lets the client read them.
+    /// Waits until the poll reports received data, and lets the client read it.
     pub fn read_available(&mut self) {
         let mut events = Events::with_capacity(8);
-        self.poll.poll(&mut events, Some(TIMEOUT)).expect("a poll");
+        self.poll.poll(&mut events, Some(TIMEOUT)).expect("poll failed");
         assert!(events.iter().any(|polled| self.client.has(polled.token())), "nothing to read");
         self.read();
     }
 
-    /// The bus sends this text again and again, up to so many bytes or until the client disconnects.
+    /// Sends a text repeatedly from the bus, up to `max_bytes` or until the client disconnects.
     pub fn send_repeatedly(&mut self, text: &str, max_bytes: usize) {
         let block = text.repeat(READ_BUFFER_BYTES / text.len() + 1);
         for _ in 0..=max_bytes / block.len() {
-            let written = self.bus_stream.as_mut().expect("a connection").write_all(block.as_bytes());
+            let written = self.bus_stream.as_mut().expect("no connection").write_all(block.as_bytes());
             let mut events = Events::with_capacity(8);
-            self.poll.poll(&mut events, Some(Duration::ZERO)).expect("a poll");
+            self.poll.poll(&mut events, Some(Duration::ZERO)).expect("poll failed");
             self.read();
             if written.is_err() || !self.is_connected() {
                 return;
@@ -263,7 +264,8 @@
         }
     }
 
-    /// The bus sends comments, for so long or until the client sends another request; after how long it did.
+    /// Sends comments from the bus for at most `max`. Returns the time after which the client closed the connection, or
+    /// `None`.
     pub fn send_comments(&mut self, max: Micros) -> Option<Micros> {
         let start = self.now;
         while self.now - start < max {
@@ -276,13 +278,13 @@
         None
     }
 
-    /// Waits until what was sent is in the kernel's buffers of the client, which does not read it.
+    /// Waits until sent data is in the receive buffer of the client, and does not let the client read it.
     pub fn wait_for_unread(&mut self) {
         let mut events = Events::with_capacity(8);
         let deadline = Instant::now() + TIMEOUT;
         while !events.iter().any(|polled| polled.is_readable() && self.client.has(polled.token())) {
             assert!(Instant::now() < deadline, "nothing arrives");
-            self.poll.poll(&mut events, Some(TIMEOUT)).expect("a poll");
+            self.poll.poll(&mut events, Some(TIMEOUT)).expect("poll failed");
         }
     }
 }
--- a/crates/platform/event-loop/tests/event_bus/main.rs
+++ b/crates/platform/event-loop/tests/event_bus/main.rs
@@ -1,4 +1,4 @@
-//! The client of the event bus on real sockets: which events it accepts, and when it requests them again.
+//! Tests of the event bus client on sockets: which events it accepts, and when it requests events again.
 
 mod disconnects;
 mod harness;
--- a/crates/platform/event-loop/tests/event_bus/malformed.rs
+++ b/crates/platform/event-loop/tests/event_bus/malformed.rs
@@ -1,4 +1,4 @@
-//! Malformed events and responses: nothing but themselves is lost.
+//! Malformed events and responses. Other events must not be lost.
 
 use beechloft_event_loop::limits::SocketLimits;
 
@@ -6,8 +6,9 @@
 use crate::support::messages::EVENT_STREAM_HEAD;
 use crate::texts::{CHUNKED_HEAD, chunk, endpoint, event, event_with_id};
 
-/// A malformed event is requested again twice, as it may have been corrupted on its way, and then skipped. `last_id`: the
-/// number from which the next request comes.
+/// Checks that a malformed event is requested again twice, as it may have been corrupted in transit, and then skipped.
+///
+/// `last_id` is the expected `Last-Event-ID` of the next request.
 fn assert_skipped(malformed: &str, good: &str, last_id: &str) {
     let mut harness = Harness::connected();
     let mut retries = 0;
@@ -20,7 +21,7 @@
             break;
         }
         retries += 1;
-        assert!(retries <= 5, "requested again and again, and later events are never handled");
+        assert!(retries <= 5, "too many requests, and later events are not handled");
         assert_eq!(harness.wait_for_request(), "41");
         harness.send(EVENT_STREAM_HEAD);
     }
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn a_malformed_event_does_not_hide_later_ones() {
+fn malformed_event_does_not_hide_later_events() {
     assert_skipped(&event_with_id("42", "{noise"), &event(43, "later"), "43");
     assert_skipped(
         &event_with_id("42", r#"{"offset":42,"topology":{"endpoints":7}}"#),
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn a_skipped_event_is_not_requested_again() {
+fn skipped_event_is_not_requested_again() {
     let mut harness = Harness::connected();
     for attempt in 0..3 {
         harness.send(&event_with_id("42", "{noise"));
@@ -50,35 +51,35 @@
             harness.send(EVENT_STREAM_HEAD);
         }
     }
-    // A part of an event follows, then the end.
+    // A partial event follows, and then the connection is closed.
     harness.send("id: 43\nda");
     harness.close_by_bus();
     assert_eq!(harness.wait_for_request(), "42");
 }
 
 #[test]
-fn a_malformed_event_without_a_number_is_skipped() {
+fn malformed_event_without_offset_is_skipped() {
     assert_skipped("data: {noise\n\n", &event(42, "later"), "42");
     assert_skipped(&event_with_id("forty", "{noise"), &event(42, "later"), "42");
-    // An implausible number counts as none.
+    // An implausible offset is ignored.
     assert_skipped(&event_with_id(&u64::MAX.to_string(), "{noise"), &event(42, "later"), "42");
 }
 
 #[test]
-fn many_malformed_events_in_a_row_cost_two_requests() {
+fn consecutive_malformed_events_share_two_retries() {
     let bad: String = (42..92).map(|n| event_with_id(&n.to_string(), "{noise")).collect();
     assert_skipped(&bad, &event(92, "later"), "92");
 }
 
 #[test]
-fn a_repeated_event_is_ignored_though_malformed() {
+fn malformed_duplicate_event_is_ignored() {
     let mut harness = Harness::connected();
     harness.send_and_sync(&event_with_id("41", "{noise"), 42);
     assert!(harness.is_connected());
 }
 
 #[test]
-fn a_malformed_endpoint_is_skipped_alone() {
+fn only_malformed_endpoint_is_skipped() {
     let malformed_endpoints = [
         r#"{"name":"b","address":"10.1.0.9:2905","status":"Resting"}"#,
         r#"{"name":"b","address":"10.1.0.9:2905","status":"Ready","weight":"four"}"#,
@@ -97,12 +98,12 @@
             &event_with_id("42", &format!(r#"{{"offset":42,"topology":{{"endpoints":[{lines}]}}}}"#)),
             43,
         );
-        assert_eq!(harness.received, ["a", "c", "mark-43"], "{bad}");
+        assert_eq!(harness.received, ["a", "c", "marker-43"], "{bad}");
     }
 }
 
 #[test]
-fn a_snapshot_with_malformed_lines_is_no_snapshot() {
+fn snapshot_with_malformed_endpoint_is_no_snapshot() {
     let list = |lines: &str| {
         event_with_id(
             "42",
@@ -116,12 +117,15 @@
     let mut with_malformed = Harness::connected();
     with_malformed.send(&list(&format!(r#"{{"name":"b","status":"Resting"}},{}"#, endpoint("a"))));
     with_malformed.wait_for_endpoint("a");
-    assert!(!with_malformed.last_was_snapshot, "the server of the malformed line would count as removed");
+    assert!(
+        !with_malformed.last_was_snapshot,
+        "the media server with the malformed entry would count as removed"
+    );
 }
 
 #[test]
-fn an_oversized_event_is_skipped_and_does_not_hide_later_ones() {
-    // Longer than an event may be, but it ends.
+fn oversized_event_does_not_hide_later_events() {
+    // The event exceeds the size limit, but it ends.
     let long = format!("data: {}\n\n", "x".repeat(limits().max_event_bytes + 10));
     assert_skipped(&long, &event(42, "later"), "42");
     let lines = format!("{}\n", "data: some noise\r\n".repeat(limits().max_event_bytes / 12));
@@ -129,24 +133,24 @@
 }
 
 #[test]
-fn an_event_that_never_ends_closes_the_connection_and_the_waits_grow() {
+fn endless_event_closes_connection_and_increases_retry_delay() {
     let mut harness = Harness::connected();
     let mut last = Default::default();
     for _ in 0..12 {
         harness.send_repeatedly("x", 4 << 20);
-        assert!(!harness.is_connected(), "4 MiB of one event were taken");
+        assert!(!harness.is_connected(), "4 MiB of one event were accepted");
         last = harness.time_until_connect(SECOND + SECOND);
         assert_eq!(harness.accept_request(), "41");
         harness.send(EVENT_STREAM_HEAD);
     }
-    assert!(last >= limits().bus_retry_max, "still every {last:?} after a dozen");
+    assert!(last >= limits().bus_retry_max, "the delay is only {last:?} after 12 requests");
 }
 
 #[test]
-fn malformed_chunks_do_not_hide_earlier_events() {
+fn malformed_chunk_does_not_hide_earlier_events() {
     let mut harness = Harness::new(7);
     assert_eq!(harness.wait_for_request(), "41");
-    // All in one read: events before the malformed chunk are handled.
+    // Events before a malformed chunk in the same read are handled.
     harness.send(&format!("{CHUNKED_HEAD}{}noise\r\n", chunk(&event(42, "before"))));
     harness.wait_for_disconnect();
     assert_eq!(harness.received, ["before"]);
@@ -156,8 +160,8 @@
 }
 
 #[test]
-fn whole_events_before_an_oversized_one_are_handled() {
-    // Both in one read.
+fn complete_events_before_oversized_event_are_handled() {
+    // Both events arrive in one read.
     let mut harness = Harness::with_limits(SocketLimits { max_event_bytes: 1_000, ..limits() }, 7);
     assert_eq!(harness.wait_for_request(), "41");
     harness.send(&format!("{EVENT_STREAM_HEAD}{}data: {}", event(42, "before"), "x".repeat(2_000)));
@@ -166,10 +170,10 @@
     assert_eq!(harness.wait_for_request(), "42");
 }
 
-/// Bytes corrupted anywhere, in the same way at each request, cost some requests and the events that they belong to. The last
-/// event, which is sound, is always handled.
+/// Bytes at random positions are corrupted in the same way at each request. Some events may be lost and some requests
+/// repeated, but the last event, which is not corrupted, must be handled.
 #[test]
-fn the_last_event_of_any_corrupted_stream_is_handled() {
+fn last_event_of_corrupted_stream_is_handled() {
     for seed in 0..40_u64 {
         let mut state = seed;
         let mut random_below = |bound: usize| {
@@ -178,16 +182,16 @@
         };
         let mut events = (42..62).map(|n| event(n, &format!("s-{n}")).into_bytes()).collect::<Vec<_>>();
         for _ in 0..1 + random_below(12) {
-            let of = random_below(events.len());
-            let at = random_below(events[of].len());
-            events[of][at] = b"0123456789{}[]:,\"\n\r x"[random_below(21)];
+            let event = random_below(events.len());
+            let position = random_below(events[event].len());
+            events[event][position] = b"0123456789{}[]:,\"\n\r x"[random_below(21)];
         }
         let mut harness = Harness::new(seed);
         for requests in 1.. {
             assert!(requests <= 60, "seed {seed}: {requests} requests, {:?}", harness.received);
-            let from: usize = harness.wait_for_request().parse().expect("a number");
+            let from: usize = harness.wait_for_request().parse().expect("invalid Last-Event-ID");
             let rest = events.iter().skip(from.saturating_sub(41)).flatten().copied().collect::<Vec<_>>();
-            harness.send(&format!("{EVENT_STREAM_HEAD}{}", String::from_utf8(rest).expect("text")));
+            harness.send(&format!("{EVENT_STREAM_HEAD}{}", String::from_utf8(rest).expect("invalid UTF-8")));
             harness.send(&event(62, "last"));
             harness.run_until("the event to be handled", |harness| {
                 !harness.is_connected() || harness.received.last().is_some_and(|n| n == "last")
--- a/crates/platform/event-loop/tests/event_bus/suspicion.rs
+++ b/crates/platform/event-loop/tests/event_bus/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicions that a stream with comments but without events has lost its events.
+//! Suspicions that a stream with comments but without events has lost events.
 
 use std::io::{ErrorKind, Read};
 
@@ -15,32 +15,32 @@
 }
 
 #[test]
-fn a_suspicion_leads_to_a_request_from_the_last_number() {
+fn suspicion_requests_events_after_last_offset() {
     let mut harness = Harness::connected();
     harness.send_and_sync("", 42);
-    let mut old = harness.bus_stream.as_ref().expect("a connection").try_clone().expect("a socket");
+    let mut old = harness.bus_stream.as_ref().expect("no connection").try_clone().expect("socket error");
     harness.suspect();
-    let after = harness.send_comments(MINUTE).expect("another request");
+    let after = harness.send_comments(MINUTE).expect("no further request");
     assert!((4..=8).contains(&(after.0 / SECOND.0)), "{after:?}");
     assert_eq!(harness.accept_request(), "42");
-    // The old connection is closed: by an end, or by a reset if a comment crossed it. A timeout would be neither.
-    old.set_read_timeout(Some(std::time::Duration::from_secs(15))).expect("a socket");
+    // The old connection is closed, or reset if a comment arrived after the close. A timeout would mean that it is open.
+    old.set_read_timeout(Some(std::time::Duration::from_secs(15))).expect("socket error");
     let ended = old.read(&mut [0; 16]);
-    let gone =
+    let closed =
         matches!(&ended, Ok(0)) || ended.as_ref().is_err_and(|e| e.kind() == ErrorKind::ConnectionReset);
-    assert!(gone, "the old connection stays open: {ended:?}");
-    // An event that the old connection never carried.
+    assert!(closed, "the old connection stays open: {ended:?}");
+    // This event was not sent on the old connection.
     harness.send(&format!("{EVENT_STREAM_HEAD}{}", event(43, "hidden")));
     harness.wait_for_endpoint("hidden");
 }
 
 #[test]
-fn suspicions_without_new_events_lead_to_fewer_requests() {
+fn unfounded_suspicions_increase_request_delay() {
     let mut harness = Harness::connected();
     let mut spans = Vec::new();
     for _ in 0..8 {
         let from = harness.now;
-        // The failed server is met again and again, also right after the last request.
+        // The failed media server is detected repeatedly, also immediately after a request.
         while {
             harness.suspect();
             harness.send_comments(Micros(500_000)).is_none()
@@ -50,19 +50,19 @@
         harness.read_available();
         spans.push((harness.now - from).0 / SECOND.0);
     }
-    for (span, most) in spans.iter().zip([8, 16, 32, 60, 60, 60, 60, 60]) {
-        assert!((most / 2..=most + 1).contains(span), "{spans:?}");
+    for (span, max) in spans.iter().zip([8, 16, 32, 60, 60, 60, 60, 60]) {
+        assert!((max / 2..=max + 1).contains(span), "{spans:?}");
     }
-    // After a new event, the next suspicion is handled as the first was.
+    // A new event resets the delay of the next suspicion.
     harness.send(&event(42, "new"));
     harness.wait_for_endpoint("new");
     harness.suspect();
-    let after = harness.send_comments(MINUTE).expect("another request");
+    let after = harness.send_comments(MINUTE).expect("no further request");
     assert!((4..=8).contains(&(after.0 / SECOND.0)), "{after:?}");
 }
 
 #[test]
-fn a_new_event_clears_a_suspicion_and_an_old_one_does_not() {
+fn only_new_event_clears_suspicion() {
     let mut harness = Harness::connected();
     harness.suspect();
     harness.advance(SECOND);
@@ -77,13 +77,13 @@
 }
 
 #[test]
-fn fronts_that_suspect_at_one_instant_request_at_different_ones() {
+fn concurrent_suspicions_request_at_different_times() {
     let after = |seed| {
         let mut harness = Harness::new(seed);
         harness.wait_for_request();
         harness.send(EVENT_STREAM_HEAD);
         harness.suspect();
-        harness.send_comments(MINUTE).expect("another request")
+        harness.send_comments(MINUTE).expect("no further request")
     };
     let mut all = (0..16).map(after).collect::<Vec<_>>();
     all.sort_unstable();
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_request_for_another_reason_clears_a_suspicion() {
+fn any_request_clears_suspicion() {
     let mut harness = Harness::connected();
     harness.close_by_bus();
     harness.suspect();
@@ -102,15 +102,15 @@
 }
 
 #[test]
-fn a_failed_request_after_a_suspicion_is_retried() {
+fn failed_request_after_suspicion_is_retried() {
     let mut harness = Harness::connected();
     harness.suspect();
     assert!(harness.send_comments(MINUTE).is_some());
-    let most = limits().bus_retry_max;
+    let max_delay = limits().bus_retry_max;
     for _ in 0..6 {
         assert_eq!(harness.accept_request(), "41");
         harness.close_by_bus();
-        harness.time_until_connect(most + Micros(50_000));
+        harness.time_until_connect(max_delay + Micros(50_000));
     }
     assert_eq!(harness.accept_request(), "41");
     harness.send(&format!("{EVENT_STREAM_HEAD}{}", event(42, "new")));
--- a/crates/platform/event-loop/tests/replaced.rs
+++ b/crates/platform/event-loop/tests/replaced.rs
@@ -1,4 +1,4 @@
-//! Media servers that are replaced again and again. Alone in its process, as it counts that process's descriptors.
+//! Repeated replacement of media servers. This test has a process of its own, as it counts the file descriptors.
 
 mod support;
 
@@ -7,16 +7,16 @@
 use support::wait_until;
 
 #[test]
-fn servers_replaced_repeatedly_leave_no_connections_open() {
+fn replaced_servers_leave_no_connections_open() {
     let mut front = RunningFrontNode::start(&[ServerBehavior::Accept]);
     let mut viewer = ViewerClient::connect(front.addr);
     let mut offset = 1;
     for number in 1..=30 {
-        // A new server at the address of the one before, under a new name.
+        // The new media server has the address of the previous one and a new name.
         let old = front.servers.remove(0);
         old.crash();
         let new = loop {
-            // The port is free once the old listener has ended.
+            // The port is free once the old listener is closed.
             if std::net::TcpStream::connect(old.addr).is_err() {
                 break FakeMediaServer::start_at(number, ServerBehavior::Accept, old.addr);
             }
@@ -36,7 +36,7 @@
             }
         });
     }
-    let open = std::fs::read_dir("/proc/self/fd").expect("a list").count();
+    let open = std::fs::read_dir("/proc/self/fd").expect("cannot list file descriptors").count();
     assert!(open < 150, "{open} descriptors");
     front.stop();
 }
--- a/crates/platform/event-loop/tests/sockets.rs
+++ b/crates/platform/event-loop/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! A front node on loopback sockets between fakes; the rules are checked by what crossed the sockets.
+//! Tests of a front node on loopback sockets with fake peers. They check the messages on the sockets.
 
 mod support;
 
@@ -17,7 +17,7 @@
 use support::wait_until;
 
 #[test]
-fn a_session_is_set_up_and_ended() {
+fn sets_up_and_ends_session() {
     let front = RunningFrontNode::start(&[ServerBehavior::Accept]);
     let mut viewer = ViewerClient::connect(front.addr);
     viewer.send(&test(1));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn malformed_answers_fail_their_attempt_alone() {
+fn malformed_answers_fail_only_their_attempt() {
     for behavior in [
         ServerBehavior::MalformedLine,
         ServerBehavior::EndlessLine,
@@ -54,7 +54,7 @@
     ] {
         let front = RunningFrontNode::start(&[behavior, ServerBehavior::Accept, ServerBehavior::Accept]);
         let mut viewer = ViewerClient::connect(front.addr);
-        // Enough of them that the failing server is tried.
+        // Enough set-ups that the failing media server is tried.
         for id in 1..=40 {
             viewer.request_session(id, 3_000);
             let answer = viewer.receive_message();
@@ -69,7 +69,7 @@
 fn duplicate_answers_and_unknown_ids_are_ignored() {
     let front = RunningFrontNode::start(&[ServerBehavior::DuplicateAnswers]);
     let mut viewer = ViewerClient::connect(front.addr);
-    // As many as the policy allows at one server at once.
+    // The policy allows this number of concurrent set-ups at one media server.
     for id in 1..=4 {
         viewer.request_session(id, 3_000);
     }
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_silent_server_is_abandoned_before_another_attempt() {
+fn silent_server_attempt_is_abandoned_before_retry() {
     let front = RunningFrontNode::start(&[ServerBehavior::Silent, ServerBehavior::Accept]);
     let mut viewer = ViewerClient::connect(front.addr);
     let mut id = 0;
@@ -92,26 +92,26 @@
         viewer.request_session(id, 3_000);
         assert_eq!(viewer.receive_message().kind, 9);
     }
-    wait_until("the withdrawal there", || !front.servers[0].received("end").is_empty());
+    wait_until("the release at the media server", || !front.servers[0].received("end").is_empty());
     let end = &front.servers[0].received("end")[0];
     assert_eq!((&end["call"], &end["why"]), (&json!(CallId(id).to_string()), &json!(16)));
     front.stop();
 }
 
 #[test]
-fn a_withdrawn_set_up_is_abandoned_at_the_server() {
+fn withdrawn_set_up_is_abandoned_at_server() {
     let front = RunningFrontNode::start(&[ServerBehavior::Silent]);
     let mut viewer = ViewerClient::connect(front.addr);
     viewer.request_session(1, 3_000);
     wait_until("the set-up", || front.servers[0].received("offer").len() == 1);
     viewer.send(&release(1));
-    wait_until("the withdrawal there", || front.servers[0].received("end").len() == 1);
+    wait_until("the release at the media server", || front.servers[0].received("end").len() == 1);
     assert_eq!(viewer.receive_message().kind, 16);
     front.stop();
 }
 
-/// Bytes that are no message, half a message, and a connection without any bytes: the front node closes each in time.
-fn assert_malformed_bytes_close_their_connections(front: SocketAddr) {
+/// Checks that the front node closes connections with malformed bytes, with a partial message and without any data.
+fn assert_malformed_bytes_close_connections(front: SocketAddr) {
     let malformed: [&[u8]; 5] = [
         &[0, 0],
         &[0xff, 0xff, 1],
@@ -121,34 +121,34 @@
     ];
     for bytes in malformed {
         let mut viewer = ViewerClient::connect(front);
-        viewer.stream.write_all(bytes).expect("written");
+        viewer.stream.write_all(bytes).expect("write failed");
         assert!(viewer.ends(), "{bytes:?}");
     }
-    let mut half = ViewerClient::connect(front);
-    half.stream.write_all(&[0, 40, 1, 0]).expect("written");
+    let mut partial = ViewerClient::connect(front);
+    partial.stream.write_all(&[0, 40, 1, 0]).expect("write failed");
     let mut silent = ViewerClient::connect(front);
-    assert!(half.ends() && silent.ends());
+    assert!(partial.ends() && silent.ends());
 }
 
-/// Half a message behind a whole one: the connection is closed as soon, not as late as an idle one.
-fn assert_half_a_message_behind_a_whole_one_closes_its_connection(front: SocketAddr) {
+/// Checks that a partial message after a complete one closes its connection before the idle timeout.
+fn assert_partial_message_after_complete_one_closes_connection(front: SocketAddr) {
     let mut viewer = ViewerClient::connect(front);
-    let whole = test(1).encode().expect("short");
-    viewer.stream.write_all(&[&whole[..], &[0, 40, 1, 0]].concat()).expect("written");
+    let complete = test(1).encode().expect("message too long");
+    viewer.stream.write_all(&[&complete[..], &[0, 40, 1, 0]].concat()).expect("write failed");
     let sent_at = Instant::now();
     assert!(viewer.ends());
     assert!(sent_at.elapsed() < Duration::from_secs(4), "{:?}", sent_at.elapsed());
 }
 
-/// A client that sends 60 MB at full speed is not read to its end.
-fn assert_endless_bytes_close_their_connection(front: SocketAddr) {
+/// Checks that the connection of a client that sends 60 MB of malformed data at full speed is closed.
+fn assert_endless_bytes_close_connection(front: SocketAddr) {
     let mut viewer = ViewerClient::connect(front);
     let chunk = vec![0xee; 1 << 20];
-    let cut = (0..60).any(|_| viewer.stream.write_all(&chunk).is_err());
-    assert!(cut || viewer.ends());
+    let broken = (0..60).any(|_| viewer.stream.write_all(&chunk).is_err());
+    assert!(broken || viewer.ends());
 }
 
-/// Set-ups with an invalid parameter are refused with cause 100; their connection stays open.
+/// Checks that set-ups with an invalid parameter are refused with cause 100 on a connection that stays open.
 fn assert_invalid_parameters_are_refused(viewer: &mut ViewerClient) {
     let invalid: [(u8, &[u8]); 6] = [
         (1, b"nobody"),
@@ -168,12 +168,12 @@
 }
 
 #[test]
-fn malformed_input_is_refused_or_its_connection_closed_without_affecting_others() {
+fn malformed_input_does_not_affect_other_connections() {
     let front = RunningFrontNode::start(&[ServerBehavior::Accept]);
     let started = Instant::now();
-    assert_malformed_bytes_close_their_connections(front.addr);
-    assert_half_a_message_behind_a_whole_one_closes_its_connection(front.addr);
-    assert_endless_bytes_close_their_connection(front.addr);
+    assert_malformed_bytes_close_connections(front.addr);
+    assert_partial_message_after_complete_one_closes_connection(front.addr);
+    assert_endless_bytes_close_connection(front.addr);
     let mut viewer = ViewerClient::connect(front.addr);
     assert_invalid_parameters_are_refused(&mut viewer);
     assert!(started.elapsed() < Duration::from_secs(12));
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_flood_and_silent_connections_do_not_starve_other_viewers() {
+fn flood_does_not_starve_other_viewers() {
     let front = RunningFrontNode::start_with_sockets(&[ServerBehavior::Accept, ServerBehavior::Accept], 256);
     let silent: Vec<ViewerClient> = (0..400).map(|_| ViewerClient::connect(front.addr)).collect();
     let mut flood = ViewerClient::connect(front.addr);
@@ -192,7 +192,8 @@
         flood.request_session(id, 3_000);
     }
     let mut viewer = ViewerClient::connect(front.addr);
-    // While the servers have no capacity it may be refused, but each set-up is answered, and soon one is accepted.
+    // A set-up may be refused while the media servers have no capacity, but each is answered, and a later one is
+    // accepted.
     let mut id = 0;
     wait_until("an established session", || {
         id += 1;
@@ -208,10 +209,10 @@
     front.stop();
 }
 
-/// Found in review: withdrawn set-ups left their connection counted as busy, so that it was never closed. And a connection
-/// with open set-ups must not be closed for others.
+/// A connection must not count as busy after its set-ups were withdrawn, as it would never be evicted. A connection
+/// with open set-ups must not be evicted.
 #[test]
-fn idle_connections_are_evicted_and_those_with_open_set_ups_never() {
+fn evicts_only_idle_connections() {
     let front = RunningFrontNode::start_with_sockets(&[ServerBehavior::Silent], 96);
     let mut withdrawn: Vec<ViewerClient> = (0..30).map(|_| ViewerClient::connect(front.addr)).collect();
     for (viewer, id) in withdrawn.iter_mut().zip(100..) {
@@ -219,7 +220,7 @@
         viewer.send(&release(id));
         while viewer.receive_message().kind != 16 {}
     }
-    // A session keeps its connection, however quiet, while unused connections are closed.
+    // A connection with a session is kept even if it is idle, while unused connections are evicted.
     front.servers[0].set_behavior(ServerBehavior::Accept);
     let mut quiet = ViewerClient::connect(front.addr);
     quiet.request_session(2, 3_000);
@@ -227,14 +228,14 @@
     front.servers[0].set_behavior(ServerBehavior::Silent);
     let mut waiting = ViewerClient::connect(front.addr);
     waiting.request_session(1, 1_000);
-    // More than the capacity: idle connections are closed, and one that waits for an answer gets it.
-    let proven_client = || {
+    // These exceed the capacity, so idle connections are evicted. The one that waits for an answer must get it.
+    let client_with_valid_request = || {
         let mut viewer = ViewerClient::connect(front.addr);
         viewer.send(&test(1));
         assert_eq!(viewer.receive_message().kind, 53);
         viewer
     };
-    let others: Vec<ViewerClient> = (0..60).map(|_| proven_client()).collect();
+    let others: Vec<ViewerClient> = (0..60).map(|_| client_with_valid_request()).collect();
     assert_eq!(waiting.receive_answers(1).len(), 1);
     assert!(withdrawn.iter_mut().all(ViewerClient::ends));
     front.servers[0].send(&end_line("0000000000000002", 16));
@@ -245,14 +246,14 @@
 }
 
 #[test]
-fn hundreds_of_withdrawn_set_ups_leave_nothing_open() {
+fn withdrawn_set_ups_leave_nothing_open() {
     let front = RunningFrontNode::start(&[ServerBehavior::Silent]);
     let mut viewer = ViewerClient::connect(front.addr);
     for id in 1..=300 {
         viewer.request_session(id, 3_000);
         viewer.send(&release(id));
     }
-    viewer.stream.shutdown(Shutdown::Write).expect("half closed");
+    viewer.stream.shutdown(Shutdown::Write).expect("shutdown failed");
     assert!(viewer.ends());
     front.servers[0].set_behavior(ServerBehavior::Accept);
     let mut next_viewer = ViewerClient::connect(front.addr);
@@ -260,7 +261,7 @@
     assert_eq!(next_viewer.receive_message().id, CallId(1_000));
     for offer in front.servers[0].received("offer") {
         if offer["call"] != "00000000000003e8" {
-            wait_until("the withdrawal there", || {
+            wait_until("the release at the media server", || {
                 front.servers[0].received("end").iter().any(|e| e["call"] == offer["call"])
             });
         }
@@ -269,7 +270,7 @@
 }
 
 #[test]
-fn a_crashed_server_ends_its_sessions_towards_their_viewers() {
+fn server_crash_ends_its_sessions() {
     let front = RunningFrontNode::start(&[ServerBehavior::Accept, ServerBehavior::Accept]);
     let mut viewer = ViewerClient::connect(front.addr);
     for id in 1..=10 {
@@ -279,7 +280,7 @@
     let there: Vec<String> = front.servers[0]
         .received("offer")
         .iter()
-        .map(|o| o["call"].as_str().expect("an id").to_owned())
+        .map(|o| o["call"].as_str().expect("missing id").to_owned())
         .collect();
     assert!(!there.is_empty() && there.len() < 10);
     front.servers[0].crash();
@@ -295,12 +296,12 @@
 }
 
 #[test]
-fn a_broken_connection_alone_ends_no_session() {
+fn broken_connection_ends_no_session() {
     let front = RunningFrontNode::start(&[ServerBehavior::Accept]);
     let mut viewer = ViewerClient::connect(front.addr);
     viewer.request_session(1, 3_000);
     assert_eq!(viewer.receive_message().kind, 9);
-    // A malformed line closes the connection; the front node connects again, as a session is established there.
+    // A malformed line closes the connection. The front node reconnects because of the established session.
     front.servers[0].send(&json!("noise"));
     wait_until("another connection", || front.servers[0].accepted_connections() == 2);
     front.servers[0].send(&end_line("0000000000000001", 16));
@@ -310,12 +311,12 @@
 }
 
 #[test]
-fn truncated_or_repeated_events_are_handled_once_and_in_order() {
+fn truncated_and_duplicate_events_are_handled_once() {
     let mut front = RunningFrontNode::start(&[ServerBehavior::Error]);
     let added = FakeMediaServer::start(9, ServerBehavior::Accept);
     let new = added.endpoint(1, "Ready");
     let text = topology_event(2, false, &[front.servers[0].endpoint(0, "Terminating"), new]);
-    // Cut off in the middle: nothing of it is handled, and it is requested again.
+    // A truncated event is not handled and is requested again.
     front.event_bus.send_bytes(&text.as_bytes()[..text.len() / 2]);
     front.event_bus.disconnect();
     wait_until("another request", || front.event_bus.requested_ids().len() == 2);
@@ -337,15 +338,15 @@
 }
 
 #[test]
-fn a_reload_moves_to_another_event_bus_and_keeps_sessions() {
+fn reload_changes_event_bus_and_keeps_sessions() {
     let front = RunningFrontNode::start(&[ServerBehavior::Accept]);
     let mut viewer = ViewerClient::connect(front.addr);
     viewer.request_session(1, 3_000);
     assert_eq!(viewer.receive_message().kind, 9);
     front.event_bus.send_event(5, false, &[]);
     let other = FakeEventBus::start();
-    // Half written at first.
-    std::fs::write(&front.config_path, b"{\"name\":").expect("written");
+    // The file is incomplete at first.
+    std::fs::write(&front.config_path, b"{\"name\":").expect("write failed");
     front.signals.reload();
     std::thread::sleep(Duration::from_millis(150));
     write_configuration(&front.config_path, other.addr, &settings(256), &[]);
@@ -357,7 +358,7 @@
 }
 
 #[test]
-fn after_sigterm_everything_accepted_is_answered_and_new_requests_are_served_for_a_while() {
+fn sigterm_answers_pending_and_late_requests() {
     let front = RunningFrontNode::start(&[ServerBehavior::Silent, ServerBehavior::Silent]);
     let mut viewer = ViewerClient::connect(front.addr);
     for id in 1..=20 {
--- a/crates/platform/event-loop/tests/support/manual/client.rs
+++ b/crates/platform/event-loop/tests/support/manual/client.rs
@@ -1,4 +1,4 @@
-//! A viewers' client that the test controls by hand.
+//! Client of viewers that the test controls step by step.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,6 +9,7 @@
 use super::socket_state::{SocketState, socket_state};
 use crate::support::{messages, wait_until};
 
+/// Connection of a client, at its end.
 pub struct Client {
     pub stream: TcpStream,
     decoder: FrameDecoder,
@@ -16,39 +17,39 @@
     front_addr: SocketAddr,
 }
 
-/// What a client has received since it last looked.
+/// Messages that a client has received since its last read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Received {
     pub frames: Vec<Frame>,
-    /// The front node has closed the connection.
+    /// Whether the front node has closed the connection.
     pub closed: bool,
 }
 
 impl Client {
     pub fn connect(front_addr: SocketAddr) -> Client {
-        let stream = TcpStream::connect(front_addr).expect("a connection");
-        stream.set_nonblocking(true).expect("set");
-        let local_addr = stream.local_addr().expect("an address");
+        let stream = TcpStream::connect(front_addr).expect("no connection");
+        stream.set_nonblocking(true).expect("cannot set socket option");
+        let local_addr = stream.local_addr().expect("no address");
         Client { stream, decoder: FrameDecoder::default(), local_addr, front_addr }
     }
 
-    /// The state of the connection at the front node.
+    /// Returns the state of the connection at the front node.
     pub fn state_at_front(&self) -> SocketState {
         socket_state(self.front_addr, self.local_addr)
     }
 
-    /// Sends a message, and waits until the front node's kernel has it.
+    /// Sends a message, and waits until it is in the receive buffer of the front node.
     pub fn send(&mut self, frame: &Frame) {
         self.send_bytes(&messages::encode(std::slice::from_ref(frame)));
     }
 
-    /// Sends bytes, and waits until the front node's kernel has them.
+    /// Sends bytes, and waits until they are in the receive buffer of the front node.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         let unread_before = match self.state_at_front() {
             SocketState::Open(unread) => unread,
             other => panic!("the connection is not open: {other:?}"),
         };
-        self.stream.write_all(bytes).expect("written");
+        self.stream.write_all(bytes).expect("write failed");
         let expected = unread_before + bytes.len();
         wait_until(
             "the bytes to arrive",
@@ -56,25 +57,27 @@
         );
     }
 
-    /// Closes the connection, and waits until the front node's kernel knows.
+    /// Closes the connection, and waits until the kernel of the front node has received the FIN or RST.
     pub fn close(self) {
         let (front_addr, local_addr) = (self.front_addr, self.local_addr);
         drop(self);
-        wait_until("the end to arrive", || {
+        wait_until("the FIN or RST to arrive", || {
             !matches!(socket_state(front_addr, local_addr), SocketState::Open(_))
         });
     }
 
-    /// Resets the connection, and waits until the front node's kernel knows.
+    /// Resets the connection, and waits until the kernel of the front node has received the RST.
     pub fn reset(self) {
-        socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).expect("set");
+        socket2::SockRef::from(&self.stream)
+            .set_linger(Some(Duration::ZERO))
+            .expect("cannot set socket option");
         self.close();
     }
 
-    /// Takes what has arrived so far.
+    /// Returns the messages that have arrived since the last call.
     ///
     /// # Errors
-    /// The connection is reset.
+    /// Returns an error if the connection is reset.
     pub fn receive(&mut self) -> Result<Received, ErrorKind> {
         let mut buffer = [0; 4096];
         let closed = loop {
@@ -86,18 +89,18 @@
             }
         };
         let mut frames = Vec::new();
-        while let Some(frame) = self.decoder.next_frame().expect("a front node sends valid frames") {
+        while let Some(frame) = self.decoder.next_frame().expect("malformed frame from the front node") {
             frames.push(frame);
         }
         Ok(Received { frames, closed })
     }
 
-    /// The messages that have arrived so far, on a connection that is not reset.
+    /// Returns the messages that have arrived since the last call, on a connection that is not reset.
     pub fn receive_frames(&mut self) -> Vec<Frame> {
-        self.receive().expect("no reset").frames
+        self.receive().expect("connection reset").frames
     }
 
-    /// Whether the front node has closed or reset the connection.
+    /// Returns whether the front node has closed or reset the connection.
     pub fn is_closed(&mut self) -> bool {
         self.receive().map_or(true, |received| received.closed)
     }
--- a/crates/platform/event-loop/tests/support/manual/mod.rs
+++ b/crates/platform/event-loop/tests/support/manual/mod.rs
@@ -1,5 +1,7 @@
-//! An event loop whose turns the test runs by hand, between sockets that the test holds itself: no threads, no sleeps, a
-//! manual time. Events that are to meet are put into the kernel's buffers first; only then the turn is run.
+//! An event loop of which the test runs single iterations, with sockets that the test controls.
+//!
+//! There are no threads and no sleeps, and the clock is manual. Concurrent events are placed in the kernel's buffers
+//! before the iteration that handles them.
 
 mod client;
 mod server;
@@ -22,44 +24,44 @@
 pub use server::{ManualServer, ServerConnection};
 pub use socket_state::SocketState;
 
-/// From one sweep of the loop to the next.
+/// Interval between sweeps of the loop.
 const SWEEP_INTERVAL: Micros = Micros(25_000);
 
-/// The time at which tests begin.
+/// Time at which tests start.
 const START_TIME: Micros = Micros(1_700_000_000_000_000);
 
-/// The number of the first session that [`Harness::warm_up_connections`] sets up.
+/// Identifier of the first session that [`Harness::warm_up_connections`] sets up.
 const FIRST_WARM_UP_SESSION: u64 = 900;
 
-/// Turns after which nothing is left to be done at a given time.
-const TURNS_TO_SETTLE: usize = 50;
+/// Number of iterations after which no work is left at a given time.
+const ITERATIONS_TO_SETTLE: usize = 50;
 
-/// An event loop with media servers and an event bus.
+/// Event loop with media servers and an event bus.
 pub struct Harness {
     pub event_loop: EventLoop,
     pub addr: SocketAddr,
     pub signals: SignalHandle,
     pub now: Micros,
     pub servers: Vec<ManualServer>,
-    /// The loop has stopped.
+    /// Whether the loop has stopped.
     pub stopped: bool,
     event_bus: TcpListener,
     event_stream: Option<TcpStream>,
     _dir: tempfile::TempDir,
 }
 
-/// A set-up that has arrived at a media server.
+/// Set-up that has arrived at a media server.
 pub struct OfferedSetUp {
-    /// The media server's index.
+    /// Index of the media server.
     pub server: usize,
     pub connection: ServerConnection,
 }
 
-/// A session that is established at a media server which can't be reached.
+/// Session that is established at an unreachable media server.
 pub struct UnreachableSession {
     pub harness: Harness,
     pub client: Client,
-    /// Keeps the media server's listen queue full.
+    /// Connection that keeps the listen queue of the media server full.
     pub filler: TcpStream,
 }
 
@@ -73,18 +75,18 @@
     }
 
     pub fn with_servers(servers: Vec<ManualServer>, settings: &TestSettings) -> Harness {
-        let event_bus = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let dir = tempfile::tempdir().expect("a temporary folder");
+        let event_bus = TcpListener::bind("127.0.0.1:0").expect("bind failed");
+        let dir = tempfile::tempdir().expect("cannot create a temporary directory");
         let path = dir.path().join("config.json");
         let endpoints: Vec<Value> = servers
             .iter()
             .enumerate()
             .map(|(number, server)| endpoint(&server_name(number), server.addr, 0, "Ready"))
             .collect();
-        write_configuration(&path, event_bus.local_addr().expect("an address"), settings, &endpoints);
-        let event_loop = EventLoop::start(&path, &Environment::default()).expect("it starts");
-        let addr = event_loop.local_addr().expect("an address");
-        let signals = event_loop.signal_handle().expect("a handle");
+        write_configuration(&path, event_bus.local_addr().expect("no address"), settings, &endpoints);
+        let event_loop = EventLoop::start(&path, &Environment::default()).expect("front node did not start");
+        let addr = event_loop.local_addr().expect("no address");
+        let signals = event_loop.signal_handle().expect("no signal handle");
         let mut harness = Harness {
             event_loop,
             addr,
@@ -96,82 +98,83 @@
             event_stream: None,
             _dir: dir,
         };
-        harness.run_turn();
-        // Past the time in which a media server may still be starting slowly from before.
+        harness.run_iteration();
+        // After the slow start of the media servers.
         harness.advance_ms(100);
         harness
     }
 
-    /// Session 1 is established at the only media server, which has closed its connection. No other is established until
-    /// the filler is taken out of the listen queue.
+    /// Establishes session 1 at the only media server, which then closes the connection.
+    ///
+    /// No other connection is established until the filler is removed from the listen queue.
     pub fn with_unreachable_session() -> UnreachableSession {
         let (server, first_filler) = ManualServer::with_full_queue();
         let mut harness = Harness::with_servers(vec![server], &TestSettings::default());
-        // The queue is emptied, so that one connection is established, ...
+        // Emptying the queue lets one connection be established.
         harness.servers[0].drop_queued_connection();
         drop(first_filler);
         let (mut client, mut offered) = harness.start_set_up(1);
         offered.connection.accept(1);
         harness.settle();
         assert_eq!(kinds(&client.receive_frames()), [9]);
-        // ... and filled again before that one ends.
-        let filler = TcpStream::connect(harness.servers[0].addr).expect("a connection");
+        // The queue is full again before that connection is closed.
+        let filler = TcpStream::connect(harness.servers[0].addr).expect("no connection");
         offered.connection.close();
         harness.servers[0].connections.clear();
         UnreachableSession { harness, client, filler }
     }
 
-    /// Runs one turn, with what the kernel holds now.
-    pub fn run_turn(&mut self) {
+    /// Runs one iteration, with the data that is now in the kernel's buffers.
+    pub fn run_iteration(&mut self) {
         if !self.stopped {
             self.event_loop.set_time(self.now);
-            let status = self.event_loop.run_turn(Some(Duration::ZERO)).expect("no error");
+            let status = self.event_loop.run_iteration(Some(Duration::ZERO)).expect("event loop failed");
             self.stopped = status == LoopStatus::Stopped;
         }
     }
 
-    /// Runs turns until nothing is left to be done at this time.
+    /// Runs iterations until no work is left at this time.
     pub fn settle(&mut self) {
-        for _ in 0..TURNS_TO_SETTLE {
-            self.run_turn();
+        for _ in 0..ITERATIONS_TO_SETTLE {
+            self.run_iteration();
         }
     }
 
-    /// Lets time pass, with a turn for each sweep.
+    /// Advances the clock, with an iteration for each sweep.
     pub fn advance_ms(&mut self, ms: u64) {
         for _ in 0..(ms * 1000).div_ceil(SWEEP_INTERVAL.0) {
             self.now = self.now + SWEEP_INTERVAL;
-            self.run_turn();
+            self.run_iteration();
         }
     }
 
-    /// Lets time pass without a turn.
-    pub fn skip(&mut self, time: Micros) {
-        self.now = self.now + time;
+    /// Advances the clock without an iteration.
+    pub fn skip(&mut self, duration: Micros) {
+        self.now = self.now + duration;
     }
 
-    /// Runs turns until something holds; time stands still.
-    pub fn run_until(&mut self, what: &str, mut holds: impl FnMut(&mut Harness) -> bool) {
+    /// Runs iterations until a condition holds. The clock does not advance.
+    pub fn run_until(&mut self, description: &str, mut holds: impl FnMut(&mut Harness) -> bool) {
         let deadline = Instant::now() + TIMEOUT;
         while !holds(self) {
-            assert!(Instant::now() < deadline, "timed out waiting for: {what}");
-            self.run_turn();
+            assert!(Instant::now() < deadline, "timed out waiting for: {description}");
+            self.run_iteration();
         }
     }
 
-    /// Runs turns until the end of a session has come at the first media server, once.
+    /// Runs iterations until the first media server has received exactly one release.
     pub fn run_until_end_received(&mut self) {
-        self.run_until("the end of the session", |h| h.servers[0].received("end").len() == 1);
+        self.run_until("the release of the session", |h| h.servers[0].received("end").len() == 1);
     }
 
-    /// A client whose connection has been accepted.
+    /// Returns a client whose connection has been accepted.
     pub fn connect_client(&mut self) -> Client {
         let client = Client::connect(self.addr);
         self.settle();
         client
     }
 
-    /// A client whose set-up has been sent to a media server.
+    /// Returns a client whose set-up has been sent to a media server.
     pub fn start_set_up(&mut self, id: u64) -> (Client, OfferedSetUp) {
         let mut client = self.connect_client();
         client.send(&set_up(id, 3_000));
@@ -179,7 +182,7 @@
         (client, offered)
     }
 
-    /// A client with an established session.
+    /// Returns a client with an established session.
     pub fn establish_session(&mut self, id: u64) -> (Client, ServerConnection) {
         let (client, mut offered) = self.start_set_up(id);
         offered.connection.accept(id);
@@ -187,7 +190,7 @@
         (client, offered.connection)
     }
 
-    /// Sets up and ends a session at each media server, so that each has an established idle connection.
+    /// Sets up and ends sessions until each media server has an established idle connection.
     pub fn warm_up_connections(&mut self) {
         for id in FIRST_WARM_UP_SESSION.. {
             if self.servers.iter().all(|server| !server.connections.is_empty()) {
@@ -199,12 +202,12 @@
         }
     }
 
-    /// Runs turns until the set-up of a session has come at a media server.
+    /// Runs iterations until the set-up of a session has arrived at a media server.
     pub fn wait_for_offer(&mut self, id: u64) -> OfferedSetUp {
         self.wait_for_offer_at(id, |_| true)
     }
 
-    /// The same, at another media server than this one.
+    /// Runs iterations until the set-up of a session has arrived at a media server other than `excluded`.
     pub fn wait_for_offer_elsewhere(&mut self, id: u64, excluded: usize) -> OfferedSetUp {
         self.wait_for_offer_at(id, |server| server != excluded)
     }
@@ -219,23 +222,23 @@
             });
             offered.is_some()
         });
-        offered.expect("just found")
+        offered.expect("no set-up found")
     }
 
-    /// The event bus closes the connection of its client, once there is one.
+    /// Waits for a connection to the event bus, and closes it.
     pub fn disconnect_event_bus(&mut self) {
-        drop(self.event_bus.accept().expect("a connection"));
+        drop(self.event_bus.accept().expect("no connection"));
     }
 
-    /// The event bus responds with one event, about changes of these endpoints.
+    /// Sends an event about changed endpoints as the response of the event bus.
     pub fn send_event(&mut self, endpoints: &[Value]) {
-        let (mut stream, _) = self.event_bus.accept().expect("a connection");
+        let (mut stream, _) = self.event_bus.accept().expect("no connection");
         let text = format!("{EVENT_STREAM_HEAD}{}", topology_event(2, false, endpoints));
-        stream.write_all(text.as_bytes()).expect("written");
+        stream.write_all(text.as_bytes()).expect("write failed");
         self.event_stream = Some(stream);
     }
 
-    /// How many set-ups have come so far, at all media servers.
+    /// Returns the number of set-ups that all media servers have received.
     pub fn offer_count(&mut self) -> usize {
         self.servers.iter_mut().map(|server| server.received("offer").len()).sum()
     }
--- a/crates/platform/event-loop/tests/support/manual/server.rs
+++ b/crates/platform/event-loop/tests/support/manual/server.rs
@@ -1,4 +1,4 @@
-//! A media server that the test controls by hand.
+//! Media server that the test controls step by step.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,17 +10,17 @@
 use crate::support::messages::{accept_line, end_line};
 use crate::support::wait_until;
 
-/// A media server's listener and its connections.
+/// Media server with its listener and connections.
 pub struct ManualServer {
     listener: TcpListener,
     pub addr: SocketAddr,
     pub connections: Vec<ServerConnection>,
 }
 
-/// One connection of a media server, at its end.
+/// Connection of a media server, at its end.
 pub struct ServerConnection {
     stream: TcpStream,
-    /// A part of a line.
+    /// Incomplete line at the end of the received data.
     partial: Vec<u8>,
     received: Vec<Value>,
     unanswered: Vec<String>,
@@ -28,36 +28,36 @@
 
 impl ManualServer {
     pub fn start() -> ManualServer {
-        ManualServer::on(TcpListener::bind("127.0.0.1:0").expect("a port"))
+        ManualServer::on(TcpListener::bind("127.0.0.1:0").expect("bind failed"))
     }
 
-    /// A media server to which no connection can be established while the one returned waits in its listen queue.
+    /// Returns a media server to which no connection can be established, and the connection that fills its listen queue.
     pub fn with_full_queue() -> (ManualServer, TcpStream) {
         let socket =
-            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-        let any_port: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-        socket.bind(&any_port.into()).expect("a port");
-        socket.listen(0).expect("it listens");
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("socket error");
+        let any_port: SocketAddr = "127.0.0.1:0".parse().expect("no address");
+        socket.bind(&any_port.into()).expect("bind failed");
+        socket.listen(0).expect("listen failed");
         let server = ManualServer::on(socket.into());
-        let filler = TcpStream::connect(server.addr).expect("a connection");
+        let filler = TcpStream::connect(server.addr).expect("no connection");
         (server, filler)
     }
 
     fn on(listener: TcpListener) -> ManualServer {
-        listener.set_nonblocking(true).expect("set");
-        let addr = listener.local_addr().expect("an address");
+        listener.set_nonblocking(true).expect("cannot set socket option");
+        let addr = listener.local_addr().expect("no address");
         ManualServer { listener, addr, connections: Vec::new() }
     }
 
-    /// Takes one connection out of the listen queue and drops it.
+    /// Accepts one connection from the listen queue and drops it.
     pub fn drop_queued_connection(&mut self) {
         wait_until("a connection in the queue", || self.listener.accept().is_ok());
     }
 
-    /// Accepts the connections in the listen queue, and reads all.
+    /// Accepts the connections in the listen queue, and reads all connections.
     pub fn poll(&mut self) {
         while let Ok((stream, _)) = self.listener.accept() {
-            stream.set_nonblocking(true).expect("set");
+            stream.set_nonblocking(true).expect("cannot set socket option");
             self.connections.push(ServerConnection {
                 stream,
                 partial: Vec::new(),
@@ -68,14 +68,14 @@
         self.connections.iter_mut().for_each(ServerConnection::read);
     }
 
-    /// The lines of this type that have come so far, on all connections.
+    /// Returns the lines of a type that have arrived on all connections.
     pub fn received(&mut self, op: &str) -> Vec<Value> {
         self.poll();
         let lines = self.connections.iter().flat_map(|connection| &connection.received);
         lines.filter(|line| line["op"] == op).cloned().collect()
     }
 
-    /// The connection on which the set-up of a session has come.
+    /// Returns the connection on which the set-up of a session has arrived.
     pub fn connection_with_offer(&mut self, id: u64) -> Option<ServerConnection> {
         self.poll();
         self.connections.iter().find(|connection| connection.has_offer(id)).map(ServerConnection::duplicate)
@@ -83,22 +83,22 @@
 }
 
 impl ServerConnection {
-    /// The same connection for another owner, who answers set-ups that come from now on.
+    /// Returns a second handle to this connection, which answers set-ups that arrive from now on.
     pub fn duplicate(&self) -> ServerConnection {
         ServerConnection {
-            stream: self.stream.try_clone().expect("a copy"),
+            stream: self.stream.try_clone().expect("clone failed"),
             partial: self.partial.clone(),
             received: self.received.clone(),
             unanswered: Vec::new(),
         }
     }
 
-    /// Whether the set-up of a session has come on it.
+    /// Returns whether the set-up of a session has arrived on this connection.
     pub fn has_offer(&self, id: u64) -> bool {
         self.received.iter().any(|line| line["op"] == "offer" && line["call"] == CallId(id).to_string())
     }
 
-    /// Reads what has come.
+    /// Reads all received lines.
     pub fn read(&mut self) {
         let mut buffer = [0; 4096];
         while let Ok(count @ 1..) = self.stream.read(&mut buffer) {
@@ -106,7 +106,7 @@
         }
         while let Some(end) = self.partial.iter().position(|byte| *byte == b'\n') {
             let text: Vec<u8> = self.partial.drain(..=end).collect();
-            let line: Value = serde_json::from_slice(&text).expect("a front node sends JSON");
+            let line: Value = serde_json::from_slice(&text).expect("malformed line from the front node");
             if line["op"] == "offer" {
                 self.unanswered.extend(line["call"].as_str().map(str::to_owned));
             }
@@ -114,9 +114,9 @@
         }
     }
 
-    /// Sends bytes, and waits until the front node's kernel has them.
+    /// Sends bytes, and waits until they are in the receive buffer of the front node.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
-        self.stream.write_all(bytes).expect("written");
+        self.stream.write_all(bytes).expect("write failed");
         self.wait_for_state_at_front(|state| matches!(state, SocketState::Open(1..)));
     }
 
@@ -134,7 +134,7 @@
         self.send(&end_line(&CallId(id).to_string(), cause));
     }
 
-    /// Accepts each set-up that was not answered yet.
+    /// Accepts all set-ups that are not answered yet.
     pub fn accept_all(&mut self) {
         for call in std::mem::take(&mut self.unanswered) {
             // The front node may have stopped meanwhile.
@@ -142,16 +142,18 @@
         }
     }
 
-    /// Closes the connection, and waits until the front node's kernel knows.
+    /// Closes the connection, and waits until the kernel of the front node has received the FIN or RST.
     pub fn close(&mut self) {
-        self.stream.shutdown(Shutdown::Both).expect("shut down");
+        self.stream.shutdown(Shutdown::Both).expect("shutdown failed");
         self.wait_for_state_at_front(|state| !matches!(state, SocketState::Open(_)));
     }
 
     fn wait_for_state_at_front(&self, is_expected: impl Fn(SocketState) -> bool) {
-        let local_addr = self.stream.local_addr().expect("an address");
-        let peer_addr = self.stream.peer_addr().expect("an address");
-        wait_until("it to arrive", || is_expected(socket_state(peer_addr, local_addr)));
+        let local_addr = self.stream.local_addr().expect("no address");
+        let peer_addr = self.stream.peer_addr().expect("no address");
+        wait_until("the expected socket state at the front node", || {
+            is_expected(socket_state(peer_addr, local_addr))
+        });
     }
 }
 
--- a/crates/platform/event-loop/tests/support/manual/socket_state.rs
+++ b/crates/platform/event-loop/tests/support/manual/socket_state.rs
@@ -6,21 +6,21 @@
 const ESTABLISHED: &str = "01";
 const CLOSE_WAIT: &str = "08";
 
-/// The state of a TCP socket.
+/// State of a TCP socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SocketState {
-    /// Open, with so many bytes that wait to be read.
+    /// The connection is open, with this number of unread bytes.
     Open(usize),
-    /// The peer has closed it, with so many bytes that wait to be read.
+    /// The peer has closed the connection, with this number of unread bytes.
     ClosedByPeer(usize),
-    /// It is reset, or there never was one.
+    /// The connection is reset or does not exist.
     Absent,
 }
 
-/// The state of the socket at `local` towards `peer`.
+/// Returns the state of the connection from `local` to `peer`.
 pub fn socket_state(local: SocketAddr, peer: SocketAddr) -> SocketState {
     let (local, peer) = (to_hex(local), to_hex(peer));
-    let table = fs::read_to_string("/proc/net/tcp").expect("the kernel's table");
+    let table = fs::read_to_string("/proc/net/tcp").expect("cannot read /proc/net/tcp");
     for line in table.lines() {
         let mut columns = line.split_whitespace().skip(1);
         if (columns.next(), columns.next()) != (Some(&local), Some(&peer)) {
@@ -40,6 +40,6 @@
 fn to_hex(address: SocketAddr) -> String {
     match address {
         SocketAddr::V4(v4) => format!("{:08X}:{:04X}", u32::from_le_bytes(v4.ip().octets()), v4.port()),
-        SocketAddr::V6(_) => unreachable!("the tests use IPv4's loopback"),
+        SocketAddr::V6(_) => unreachable!("the tests use the IPv4 loopback address"),
     }
 }
--- a/crates/platform/event-loop/tests/support/mod.rs
+++ b/crates/platform/event-loop/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Shared test support: settings, messages, and two harnesses around the event loop.
 //!
-//! [`manual`] runs the loop's turns by hand, with a manual time and sockets that the test holds itself. [`threaded`] runs the
-//! loop in a thread, between fakes on loopback.
+//! [`manual`] runs single iterations of the loop, with a manual clock and sockets that the test controls. [`threaded`]
+//! runs the loop in a thread, with fake peers on loopback.
 #![allow(dead_code, unused_imports, reason = "each test binary uses a part of the support")]
 
 pub mod configuration;
@@ -12,16 +12,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Long enough for anything that is to happen.
+/// Maximum time that a test waits for a condition.
 pub const TIMEOUT: Duration = Duration::from_secs(15);
 
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Waits until something holds.
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds.
+///
+/// # Panics
+/// Panics if it does not hold within [`TIMEOUT`].
+pub fn wait_until(description: &str, mut holds: impl FnMut() -> bool) {
     let deadline = Instant::now() + TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for: {description}");
         thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/platform/event-loop/tests/support/threaded/event_bus.rs
+++ b/crates/platform/event-loop/tests/support/threaded/event_bus.rs
@@ -1,4 +1,4 @@
-//! A fake event bus that sends a comment twice a second.
+//! Fake event bus that sends a comment twice a second.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,7 +12,7 @@
 
 const COMMENT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Comments are sent for two minutes, longer than any test lasts.
+/// Number of comments, which last for two minutes and thus longer than any test.
 const MAX_COMMENTS: usize = 240;
 
 #[derive(Default)]
@@ -21,7 +21,7 @@
     connections: Mutex<Vec<TcpStream>>,
 }
 
-/// A fake event bus.
+/// Fake event bus.
 pub struct FakeEventBus {
     pub addr: SocketAddr,
     shared: Arc<Shared>,
@@ -29,23 +29,23 @@
 
 impl FakeEventBus {
     pub fn start() -> FakeEventBus {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let addr = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind failed");
+        let addr = listener.local_addr().expect("no address");
         let shared = Arc::new(Shared::default());
-        let (of_listener, of_comments) = (Arc::clone(&shared), Arc::clone(&shared));
-        thread::spawn(move || accept_requests(&listener, &of_listener));
-        thread::spawn(move || send_comments(&of_comments));
+        let (listener_shared, comments_shared) = (Arc::clone(&shared), Arc::clone(&shared));
+        thread::spawn(move || accept_requests(&listener, &listener_shared));
+        thread::spawn(move || send_comments(&comments_shared));
         FakeEventBus { addr, shared }
     }
 
-    /// The `Last-Event-ID` of each request so far.
+    /// Returns the `Last-Event-ID` of each request so far.
     pub fn requested_ids(&self) -> Vec<String> {
-        self.shared.requested_ids.lock().expect("unpoisoned").clone()
+        self.shared.requested_ids.lock().expect("lock poisoned").clone()
     }
 
     /// Sends bytes on all connections.
     pub fn send_bytes(&self, bytes: &[u8]) {
-        let mut connections = self.shared.connections.lock().expect("unpoisoned");
+        let mut connections = self.shared.connections.lock().expect("lock poisoned");
         connections.retain_mut(|stream| stream.write_all(bytes).is_ok());
         assert!(!connections.is_empty(), "no connection to the event bus");
     }
@@ -57,7 +57,7 @@
 
     /// Closes all connections.
     pub fn disconnect(&self) {
-        for stream in self.shared.connections.lock().expect("unpoisoned").drain(..) {
+        for stream in self.shared.connections.lock().expect("lock poisoned").drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
@@ -68,14 +68,14 @@
         let Ok(mut stream) = stream else { return };
         let last_event_id = read_request(&stream);
         let _ = stream.write_all(EVENT_STREAM_HEAD.as_bytes());
-        shared.requested_ids.lock().expect("unpoisoned").push(last_event_id);
-        shared.connections.lock().expect("unpoisoned").push(stream);
+        shared.requested_ids.lock().expect("lock poisoned").push(last_event_id);
+        shared.connections.lock().expect("lock poisoned").push(stream);
     }
 }
 
-/// Reads a request's head; its `Last-Event-ID`.
+/// Reads the head of a request and returns its `Last-Event-ID`.
 fn read_request(stream: &TcpStream) -> String {
-    let mut reader = BufReader::new(stream.try_clone().expect("a copy"));
+    let mut reader = BufReader::new(stream.try_clone().expect("clone failed"));
     let (mut line, mut last_event_id) = (String::new(), String::new());
     while reader.read_line(&mut line).unwrap_or(0) > 2 {
         if let Some((_, value)) = line.to_ascii_lowercase().split_once("last-event-id:") {
@@ -89,7 +89,7 @@
 fn send_comments(shared: &Shared) {
     for _ in 0..MAX_COMMENTS {
         thread::sleep(COMMENT_INTERVAL);
-        let mut connections = shared.connections.lock().expect("unpoisoned");
+        let mut connections = shared.connections.lock().expect("lock poisoned");
         connections.retain_mut(|stream| stream.write_all(b":\n\n").is_ok());
     }
 }
--- a/crates/platform/event-loop/tests/support/threaded/media_server.rs
+++ b/crates/platform/event-loop/tests/support/threaded/media_server.rs
@@ -1,4 +1,4 @@
-//! A fake media server with a behavior.
+//! Fake media server with a configurable behavior.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,40 +12,41 @@
 use crate::support::configuration::{endpoint, server_name};
 use crate::support::messages::accept_line;
 
-/// What a fake media server does with set-ups.
+/// Response of a fake media server to set-ups.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerBehavior {
+    /// Accepts the set-up.
     Accept,
-    /// No answer, and the connection stays open.
+    /// Sends no answer, and keeps the connection open.
     Silent,
-    /// A refusal for want of capacity.
+    /// Refuses the set-up because of a lack of capacity.
     Full,
-    /// A refusal for an error.
+    /// Refuses the set-up because of an error.
     Error,
-    /// A line that can't be read.
+    /// Sends a malformed line.
     MalformedLine,
-    /// A line that never ends.
+    /// Sends a line without an end.
     EndlessLine,
-    /// An answer with an unknown id, then the right one twice.
+    /// Sends an answer with an unknown id, then the correct answer twice.
     DuplicateAnswers,
-    /// A reset of the connection once the set-up is read.
+    /// Resets the connection once the set-up is read.
     Reset,
-    /// A part of the answer, then the end of the connection.
+    /// Sends a part of the answer and closes the connection.
     TruncatedAnswer,
-    /// An answer that never ends and declares a huge length.
+    /// Sends an answer without an end that declares a huge length.
     HugeAnswer,
 }
 
 struct Shared {
     behavior: Mutex<ServerBehavior>,
-    /// Received lines, in order.
+    /// Received lines in the order of arrival.
     received: Mutex<Vec<Value>>,
     connections: Mutex<Vec<TcpStream>>,
     closed: AtomicBool,
     accepted: AtomicUsize,
 }
 
-/// A fake media server.
+/// Fake media server.
 pub struct FakeMediaServer {
     pub name: String,
     pub addr: SocketAddr,
@@ -54,16 +55,16 @@
 
 impl FakeMediaServer {
     pub fn start(number: usize, behavior: ServerBehavior) -> FakeMediaServer {
-        FakeMediaServer::on(number, behavior, TcpListener::bind("127.0.0.1:0").expect("a port"))
+        FakeMediaServer::on(number, behavior, TcpListener::bind("127.0.0.1:0").expect("bind failed"))
     }
 
-    /// Starts at an address.
+    /// Starts a media server on a given address.
     pub fn start_at(number: usize, behavior: ServerBehavior, addr: SocketAddr) -> FakeMediaServer {
-        FakeMediaServer::on(number, behavior, TcpListener::bind(addr).expect("the port"))
+        FakeMediaServer::on(number, behavior, TcpListener::bind(addr).expect("bind failed"))
     }
 
     fn on(number: usize, behavior: ServerBehavior, listener: TcpListener) -> FakeMediaServer {
-        let addr = listener.local_addr().expect("an address");
+        let addr = listener.local_addr().expect("no address");
         let shared = Arc::new(Shared {
             behavior: Mutex::new(behavior),
             received: Mutex::default(),
@@ -71,45 +72,45 @@
             closed: AtomicBool::new(false),
             accepted: AtomicUsize::new(0),
         });
-        let of_listener = Arc::clone(&shared);
-        thread::spawn(move || accept_connections(&listener, &of_listener));
+        let listener_shared = Arc::clone(&shared);
+        thread::spawn(move || accept_connections(&listener, &listener_shared));
         FakeMediaServer { name: server_name(number), addr, shared }
     }
 
     pub fn set_behavior(&self, behavior: ServerBehavior) {
-        *self.shared.behavior.lock().expect("unpoisoned") = behavior;
+        *self.shared.behavior.lock().expect("lock poisoned") = behavior;
     }
 
-    /// The lines of a type that have come so far.
+    /// Returns the lines of a type that have arrived.
     pub fn received(&self, op: &str) -> Vec<Value> {
-        let lines = self.shared.received.lock().expect("unpoisoned");
+        let lines = self.shared.received.lock().expect("lock poisoned");
         lines.iter().filter(|line| line["op"] == op).cloned().collect()
     }
 
-    /// How many connections it has accepted.
+    /// Returns the number of accepted connections.
     pub fn accepted_connections(&self) -> usize {
         self.shared.accepted.load(Ordering::SeqCst)
     }
 
-    /// Sends a line on the newest connection.
+    /// Sends a line on the most recent connection.
     pub fn send(&self, line: &Value) {
-        let mut connections = self.shared.connections.lock().expect("unpoisoned");
-        let newest = connections.last_mut().expect("a connection");
-        newest.write_all(format!("{line}\n").as_bytes()).expect("written");
+        let mut connections = self.shared.connections.lock().expect("lock poisoned");
+        let newest = connections.last_mut().expect("no connection");
+        newest.write_all(format!("{line}\n").as_bytes()).expect("write failed");
     }
 
-    /// The process dies: nothing listens, connections are reset.
+    /// Simulates a crash of the process: closes the listener and resets all connections.
     pub fn crash(&self) {
         self.shared.closed.store(true, Ordering::SeqCst);
-        // Wakes the listener's thread.
+        // Wakes the thread of the listener.
         let _ = TcpStream::connect(self.addr);
-        for stream in self.shared.connections.lock().expect("unpoisoned").drain(..) {
+        for stream in self.shared.connections.lock().expect("lock poisoned").drain(..) {
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Its line of the list.
+    /// Returns the entry of this media server in the endpoint list.
     pub fn endpoint(&self, group: usize, status: &str) -> Value {
         endpoint(&self.name, self.addr, group, status)
     }
@@ -122,11 +123,11 @@
         }
         let Ok(stream) = stream else { return };
         shared.accepted.fetch_add(1, Ordering::SeqCst);
-        shared.connections.lock().expect("unpoisoned").extend(stream.try_clone());
-        let of_connection = Arc::clone(shared);
+        shared.connections.lock().expect("lock poisoned").extend(stream.try_clone());
+        let connection_shared = Arc::clone(shared);
         thread::spawn(move || {
             let duplicate = stream.try_clone();
-            serve(stream, &of_connection);
+            serve(stream, &connection_shared);
             if let Ok(open) = duplicate {
                 let _ = open.shutdown(Shutdown::Both);
             }
@@ -134,25 +135,25 @@
     }
 }
 
-/// Serves a connection until it ends or the behavior ends it; `None` then.
+/// Serves a connection. Returns `None` if the behavior or an error ends it before the peer closes it.
 fn serve(mut stream: TcpStream, shared: &Shared) -> Option<()> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     let mut text = String::new();
     while reader.read_line(&mut text).ok()? > 0 {
-        let line: Value = serde_json::from_str(&text).expect("a front node sends JSON");
+        let line: Value = serde_json::from_str(&text).expect("malformed line from the front node");
         text.clear();
         let call = line["call"].as_str().unwrap_or_default().to_owned();
         let is_offer = line["op"] == "offer";
-        shared.received.lock().expect("unpoisoned").push(line);
+        shared.received.lock().expect("lock poisoned").push(line);
         if is_offer {
-            let behavior = *shared.behavior.lock().expect("unpoisoned");
+            let behavior = *shared.behavior.lock().expect("lock poisoned");
             answer(&mut stream, behavior, &call)?;
         }
     }
     Some(())
 }
 
-/// Answers a set-up; `None` if the connection is to end.
+/// Answers a set-up. Returns `None` if the connection has to be closed.
 fn answer(stream: &mut TcpStream, behavior: ServerBehavior, call: &str) -> Option<()> {
     match behavior {
         ServerBehavior::Accept => send(stream, &accept(call)),
--- a/crates/platform/event-loop/tests/support/threaded/mod.rs
+++ b/crates/platform/event-loop/tests/support/threaded/mod.rs
@@ -1,4 +1,4 @@
-//! An event loop in a thread, between fakes on loopback: media servers, an event bus, viewers' clients.
+//! An event loop in a thread, with fake media servers, a fake event bus and clients on loopback.
 
 mod event_bus;
 mod media_server;
@@ -20,25 +20,25 @@
 pub use media_server::{FakeMediaServer, ServerBehavior};
 pub use viewer::{ViewerClient, set_up};
 
-/// Groups over which the media servers are spread.
+/// Number of groups over which the media servers are distributed.
 const GROUPS: usize = 4;
 
-/// Descriptors of the front node, unless a test says otherwise.
+/// Default number of file descriptors of the front node.
 const DEFAULT_SOCKETS: usize = 256;
 
-/// Settings of these tests: titles on four places, and a class without keys.
+/// Returns the settings of these tests: four cells, two racks and a class without keys.
 pub fn settings(sockets: usize) -> TestSettings {
     TestSettings {
         zones: &["a", "b"],
-        places: 4,
-        shelves: 2,
+        cells: 4,
+        racks: 2,
         key_window_ms: None,
         sockets,
         ..TestSettings::default()
     }
 }
 
-/// A running front node between fakes.
+/// Running front node with fake peers.
 pub struct RunningFrontNode {
     pub addr: SocketAddr,
     pub event_bus: FakeEventBus,
@@ -50,12 +50,12 @@
 }
 
 impl RunningFrontNode {
-    /// Starts a front node with a media server for each of the behaviors.
+    /// Starts a front node with one media server for each behavior.
     pub fn start(behaviors: &[ServerBehavior]) -> RunningFrontNode {
         RunningFrontNode::start_with_sockets(behaviors, DEFAULT_SOCKETS)
     }
 
-    /// The same, with so many descriptors.
+    /// Starts a front node with one media server for each behavior and a number of file descriptors.
     pub fn start_with_sockets(behaviors: &[ServerBehavior], sockets: usize) -> RunningFrontNode {
         let servers: Vec<FakeMediaServer> = behaviors
             .iter()
@@ -68,18 +68,19 @@
             .map(|(number, server)| server.endpoint(number % GROUPS, "Ready"))
             .collect();
         let event_bus = FakeEventBus::start();
-        let dir = tempfile::tempdir().expect("a temporary folder");
+        let dir = tempfile::tempdir().expect("cannot create a temporary directory");
         let config_path = dir.path().join("config.json");
         write_configuration(&config_path, event_bus.addr, &settings(sockets), &endpoints);
-        let mut event_loop = EventLoop::start(&config_path, &Environment::default()).expect("it starts");
-        let addr = event_loop.local_addr().expect("an address");
-        let signals = event_loop.signal_handle().expect("a handle");
+        let mut event_loop =
+            EventLoop::start(&config_path, &Environment::default()).expect("front node did not start");
+        let addr = event_loop.local_addr().expect("no address");
+        let signals = event_loop.signal_handle().expect("no signal handle");
         let thread = thread::spawn(move || event_loop.run());
         wait_until("a request to the event bus", || !event_bus.requested_ids().is_empty());
         RunningFrontNode { addr, event_bus, servers, signals, config_path, thread, _dir: dir }
     }
 
-    /// How many set-ups have come at all media servers.
+    /// Returns the number of set-ups that all media servers have received.
     pub fn offer_count(&self) -> usize {
         self.servers.iter().map(|server| server.received("offer").len()).sum()
     }
@@ -88,9 +89,9 @@
         self.thread.is_finished()
     }
 
-    /// Terminates it, and checks that it stops without an error.
+    /// Terminates the front node, and checks that it stops without an error.
     pub fn stop(self) {
         self.signals.terminate();
-        self.thread.join().expect("no panic").expect("no error");
+        self.thread.join().expect("event loop panicked").expect("event loop failed");
     }
 }
--- a/crates/platform/event-loop/tests/support/threaded/viewer.rs
+++ b/crates/platform/event-loop/tests/support/threaded/viewer.rs
@@ -1,4 +1,4 @@
-//! A client of one viewer, or of many, on one connection.
+//! Client of one or more viewers on one connection.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -9,48 +9,48 @@
 use crate::support::TIMEOUT;
 use crate::support::messages::{cause, is_final_answer, set_up_with_copies};
 
-/// The copies of the titles that these clients request.
+/// Number of copies of each title that these clients request.
 const COPIES: usize = 4;
 
-/// A client of one viewer, or of many, on one connection.
+/// Client of one or more viewers on one connection.
 pub struct ViewerClient {
     pub stream: TcpStream,
     decoder: FrameDecoder,
 }
 
-/// A final answer to a set-up.
+/// Final answer to a set-up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FinalAnswer {
     pub kind: u8,
     pub cause: u8,
 }
 
-/// A set-up as these clients send it.
+/// Returns a set-up as these clients send it.
 pub fn set_up(id: u64, time_left_ms: u64) -> Frame {
     set_up_with_copies(id, time_left_ms, COPIES)
 }
 
 impl ViewerClient {
     pub fn connect(addr: SocketAddr) -> ViewerClient {
-        let stream = TcpStream::connect(addr).expect("a connection");
-        stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
+        let stream = TcpStream::connect(addr).expect("no connection");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("cannot set the timeout");
         ViewerClient { stream, decoder: FrameDecoder::default() }
     }
 
     pub fn send(&mut self, frame: &Frame) {
-        self.stream.write_all(&frame.encode().expect("short")).expect("written");
+        self.stream.write_all(&frame.encode().expect("message too long")).expect("write failed");
     }
 
-    /// Requests a session.
+    /// Sends a set-up.
     pub fn request_session(&mut self, id: u64, time_left_ms: u64) {
         self.send(&set_up(id, time_left_ms));
     }
 
-    /// The next message; `None`: the connection has ended.
+    /// Returns the next message, or `None` if the connection has ended.
     pub fn receive(&mut self) -> Option<Frame> {
         let mut buffer = [0; 4096];
         loop {
-            if let Some(frame) = self.decoder.next_frame().expect("a front node sends valid frames") {
+            if let Some(frame) = self.decoder.next_frame().expect("malformed frame from the front node") {
                 return Some(frame);
             }
             match self.stream.read(&mut buffer) {
@@ -64,22 +64,24 @@
         }
     }
 
-    /// The next message, on a connection that is open.
+    /// Returns the next message on an open connection.
     pub fn receive_message(&mut self) -> Frame {
-        self.receive().expect("a message")
+        self.receive().expect("no message")
     }
 
-    /// Whether the connection ends, whatever is received before.
+    /// Receives messages until the connection ends, and returns true. Panics if it does not end.
     pub fn ends(&mut self) -> bool {
         while self.receive().is_some() {}
         true
     }
 
-    /// Receives until so many set-ups have their final answers; by id. None may have two.
+    /// Receives messages until `count` set-ups have a final answer, and returns the answers by id.
+    ///
+    /// Panics if a set-up gets two final answers.
     pub fn receive_answers(&mut self, count: usize) -> BTreeMap<u64, FinalAnswer> {
         let mut answers = BTreeMap::new();
         while answers.len() < count {
-            let frame = self.receive().expect("an open connection");
+            let frame = self.receive().expect("connection closed");
             if is_final_answer(&frame) {
                 let answer = FinalAnswer { kind: frame.kind, cause: cause(&frame) };
                 let earlier = answers.insert(frame.id.0, answer);
