--- a/crates/platform/event-loop/src/limits.rs
+++ b/crates/platform/event-loop/src/limits.rs
@@ -51,7 +51,7 @@
     pub bus_silence_timeout: Micros,
     /// Delay of the first retry after a failed request to the event bus. Each further failure doubles the delay.
     pub bus_retry_min: Micros,
-    /// Maximum delay of a retry.
+    /// Maximum delay of a retry while the event bus does not respond.
     pub bus_retry_max: Micros,
     /// Maximum size of an event.
     pub max_event_bytes: usize,
