--- a/crates/platform/event-loop/tests/crossings/viewers.rs
+++ b/crates/platform/event-loop/tests/crossings/viewers.rs
@@ -73,9 +73,9 @@
     let mut disconnecting = Some(client);
     harness.event_loop.on_phase_end(move |phase| {
         if phase == IterationPhase::SocketsPolled
-            && let Some(client) = disconnecting.take()
+            && let Some(to_disconnect) = disconnecting.take()
         {
-            client.close();
+            to_disconnect.close();
         }
     });
     harness.settle();
@@ -161,9 +161,9 @@
     let mut disconnecting = Some(client);
     harness.event_loop.on_phase_end(move |phase| {
         if phase == IterationPhase::SocketsPolled
-            && let Some(client) = disconnecting.take()
+            && let Some(to_disconnect) = disconnecting.take()
         {
-            disconnect(client);
+            disconnect(to_disconnect);
         }
     });
     harness.run_until("the release of the second session", |h| !h.servers[0].received("end").is_empty());
