--- a/crates/fleet/coordinator/src/settings/quotas/mod.rs
+++ b/crates/fleet/coordinator/src/settings/quotas/mod.rs
@@ -90,7 +90,7 @@
         ("class", Scope::Class),
         ("viewer", Scope::Viewer),
         ("uplink", Scope::Uplink),
-        ("box", Scope::Box),
+        ("box", Scope::MediaServer),
     ];
     for key in ["counts", "of", "kind"] {
         if !section.has(key) {
@@ -122,16 +122,16 @@
     let definition = LimitDefinition {
         name: name?,
         version: 0,
-        counts: resource,
-        of: scope,
-        only: key.as_deref().map(Key::of),
+        resource,
+        scope,
+        only_key: key.as_deref().map(Key::of),
         limit: section.required_integer("limit", 1..=MAX_LIMIT),
-        kind: enforcement,
-        least: guaranteed,
+        enforcement,
+        min_share: guaranteed,
         weights,
-        keep_milli: milli(section.number("keep", 0.0..=1.0).unwrap_or(0.0)),
-        longest_ms: section.integer("longest_s", 1..=604_800).unwrap_or(DEFAULT_MAX_SESSION_S) * 1_000,
-        burst_milli: integer_u32(section, "burst_ms", 0..=60_000).unwrap_or(DEFAULT_BURST_MS),
+        reserved_milli: milli(section.number("keep", 0.0..=1.0).unwrap_or(0.0)),
+        max_session_ms: section.integer("longest_s", 1..=604_800).unwrap_or(DEFAULT_MAX_SESSION_S) * 1_000,
+        burst_ms: integer_u32(section, "burst_ms", 0..=60_000).unwrap_or(DEFAULT_BURST_MS),
         fronts: rules.fronts,
         settle_ms: rules.settle_ms,
     };
--- a/crates/fleet/coordinator/src/settings/quotas/tests.rs
+++ b/crates/fleet/coordinator/src/settings/quotas/tests.rs
@@ -19,7 +19,7 @@
     )
     .expect("valid settings");
     assert_eq!((settings.rules.fronts, settings.definitions.len()), (10, 3));
-    assert_eq!((settings.definitions[0].weights.len(), settings.definitions[1].least), (2, 500));
+    assert_eq!((settings.definitions[0].weights.len(), settings.definitions[1].min_share), (2, 500));
 }
 
 #[test]
--- a/crates/testing/fakes/tests/topic_planted.rs
+++ b/crates/testing/fakes/tests/topic_planted.rs
@@ -100,7 +100,8 @@
     fn resume_outside_tail(self, record: &Recorded) -> Reader {
         let at = self.0.complete_to().expect("it was caught up");
         // The window is what the feed may have sent ahead; the second tail allows for a batch that exceeds it.
-        let bytes = SubscriberSettings::default().window as usize + 2 * Layout::default().tail_bytes;
+        let window = usize::try_from(SubscriberSettings::default().window).expect("a window in memory");
+        let bytes = window + 2 * Layout::default().tail_bytes;
         let values = bytes / PACE.bytes + 1;
         let began = Instant::now();
         while record.lock().values_since(Self::WRITER, at) < values {
