--- a/crates/fleet/coordinator/src/outlier_detector.rs
+++ b/crates/fleet/coordinator/src/outlier_detector.rs
@@ -210,7 +210,7 @@
 ) -> Report {
     let invert = |server: &u32| {
         let instance = instance_of(boots, *server);
-        let is_failing = report.of(instance).is_some_and(AttemptCounts::is_failing);
+        let is_failing = report.counts_of(instance).is_some_and(AttemptCounts::is_failing);
         ServerReport {
             instance,
             counts: AttemptCounts {
--- a/crates/fleet/coordinator/src/settings/tests.rs
+++ b/crates/fleet/coordinator/src/settings/tests.rs
@@ -16,7 +16,7 @@
     let errors = FleetSettings::read(&invalid).expect_err("invalid settings").to_string();
     for expected in [
         "round of at least 10 ms",
-        "evidence is fresh for 100ms",
+        "reports expire after 100ms",
         "fronts",
         "party: unknown key",
         "fleet.seeds",
--- a/crates/fleet/outlier-detection/src/attempt_window/mod.rs
+++ b/crates/fleet/outlier-detection/src/attempt_window/mod.rs
@@ -1,4 +1,4 @@
-//! The outcomes of this front's own attempts, in a window that slides by slices.
+//! Counts of the outcomes of this front's own attempts in a sliding window, which is divided into slices.
 
 mod zone_context;
 
@@ -12,25 +12,25 @@
     ViewerReport,
 };
 
-/// Slices of a window.
+/// Number of slices of a window.
 const SLICES: u32 = 10;
-/// The shortest slice.
+/// Minimum length of a slice.
 const MIN_SLICE: Duration = Duration::from_millis(1);
-/// Maximum number of servers, titles at servers, and viewers in one slice. Others are not counted.
+/// Maximum number of servers, of titles at servers, and of viewers in one slice. Further ones are not counted.
 const MAX_KEYS: usize = 4_096;
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The server accepted it in time.
+    /// The server accepted the request in time.
     Success,
-    /// The server accepted it, later than the settings allow.
+    /// The server accepted the request, but later than the settings allow.
     Slow,
-    /// An error, or no connection.
+    /// The server answered with an error, or no connection was established.
     Error,
-    /// No answer in time.
+    /// The server did not answer in time.
     Timeout,
-    /// The server found the request itself at fault.
+    /// The server rejected the request as invalid, which does not count against the server.
     Declined,
 }
 
@@ -41,17 +41,17 @@
     pub instance: ServerInstance,
     /// The server's zone.
     pub zone: u16,
-    /// The title: see [`crate::title_key`].
+    /// The key of the title, from [`crate::title_key`].
     pub title: u32,
-    /// A hash of the viewer's address, if it is known.
+    /// Hash of the viewer's address, or `None` if it is unknown.
     pub viewer: Option<u64>,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// Whether it was a probe of an ejected server, under the lease for it.
+    /// Whether the attempt was a probe of an ejected server, made under the probe lease.
     pub is_probe: bool,
 }
 
-/// Attempts, and how many of them failed.
+/// Numbers of attempts and of failures among them.
 #[derive(Debug, Clone, Copy, Default)]
 struct Ratio {
     attempts: u16,
@@ -76,29 +76,30 @@
     *count = count.saturating_add(1);
 }
 
+/// The counts of one slice of the window.
 #[derive(Debug, Clone, Default)]
 struct Slice {
-    number: u64,
+    index: u64,
     servers: BTreeMap<ServerInstance, AttemptCounts>,
     titles: BTreeMap<TitleAtServer, Ratio>,
     viewers: BTreeMap<u64, Ratio>,
 }
 
-/// Whether a map has a key, or room for it.
-fn has_room<K: Ord, V>(map: &BTreeMap<K, V>, key: &K) -> bool {
+/// Returns whether a map contains a key or has capacity for it.
+fn has_capacity_for<K: Ord, V>(map: &BTreeMap<K, V>, key: &K) -> bool {
     map.len() < MAX_KEYS || map.contains_key(key)
 }
 
 impl Slice {
     fn count_viewer(&mut self, attempt: &Attempt) {
-        if let Some(viewer) = attempt.viewer.filter(|viewer| has_room(&self.viewers, viewer)) {
+        if let Some(viewer) = attempt.viewer.filter(|viewer| has_capacity_for(&self.viewers, viewer)) {
             self.viewers.entry(viewer).or_default().count(attempt.outcome == Outcome::Declined);
         }
     }
 
-    /// Counts an attempt that was not declined; false: there is no room for its server.
+    /// Counts an attempt that was not declined. Returns false if there is no capacity for its server.
     fn count_server(&mut self, attempt: &Attempt) -> bool {
-        if !has_room(&self.servers, &attempt.instance) {
+        if !has_capacity_for(&self.servers, &attempt.instance) {
             return false;
         }
         let counts = self.servers.entry(attempt.instance).or_default();
@@ -119,7 +120,7 @@
 
     fn count_title(&mut self, attempt: &Attempt) {
         let key = TitleAtServer { instance: attempt.instance, title: attempt.title };
-        if has_room(&self.titles, &key) {
+        if has_capacity_for(&self.titles, &key) {
             self.titles.entry(key).or_default().count(attempt.outcome != Outcome::Success);
         }
     }
@@ -134,7 +135,7 @@
 }
 
 impl AttemptWindow {
-    /// An empty window of a front in this zone.
+    /// Creates an empty window for a front in the zone `zone`.
     pub fn new(window: Duration, zone: u16) -> AttemptWindow {
         AttemptWindow {
             slice_length: (window / SLICES).max(MIN_SLICE),
@@ -143,25 +144,25 @@
         }
     }
 
-    fn slice_number(&self, now: Duration) -> u64 {
+    fn slice_index(&self, now: Duration) -> u64 {
         u64::try_from(now.as_nanos() / self.slice_length.as_nanos()).unwrap_or(u64::MAX)
     }
 
-    /// Drops slices that are out of the window.
+    /// Drops the slices that have left the window.
     fn slide(&mut self, now: Duration) {
-        let number = self.slice_number(now);
-        let is_old = |slice: &Slice| slice.number + u64::from(SLICES) <= number;
+        let index = self.slice_index(now);
+        let is_old = |slice: &Slice| slice.index + u64::from(SLICES) <= index;
         while self.slices.front().is_some_and(is_old) {
             self.slices.pop_front();
         }
     }
 
-    /// Records an attempt that ends now.
+    /// Records an attempt that ended at `now`.
     pub fn record(&mut self, now: Duration, attempt: Attempt) {
         self.slide(now);
-        let number = self.slice_number(now);
-        if self.slices.back().is_none_or(|slice| slice.number < number) {
-            self.slices.push_back(Slice { number, ..Slice::default() });
+        let index = self.slice_index(now);
+        if self.slices.back().is_none_or(|slice| slice.index < index) {
+            self.slices.push_back(Slice { index, ..Slice::default() });
         }
         let Some(slice) = self.slices.back_mut() else { return };
         slice.count_viewer(&attempt);
@@ -172,7 +173,7 @@
         self.zone_context.record(now, &attempt);
     }
 
-    /// The attempts at each server in the window.
+    /// Returns the counts of each server in the window.
     fn server_counts(&self) -> BTreeMap<ServerInstance, AttemptCounts> {
         let mut sums: BTreeMap<ServerInstance, AttemptCounts> = BTreeMap::new();
         for (instance, counts) in self.slices.iter().flat_map(|slice| &slice.servers) {
@@ -194,7 +195,8 @@
         sums
     }
 
-    /// Servers with failures and those that were requested first, then those with the most attempts.
+    /// Returns the reports of servers that had failures or were requested, then of the others. Within both groups those with the
+    /// most attempts come first.
     fn server_reports(&self, requested: &BTreeSet<u32>) -> Vec<ServerReport> {
         let report = |(instance, counts)| ServerReport { instance, counts };
         let mut reports: Vec<ServerReport> = self.server_counts().into_iter().map(report).collect();
@@ -206,7 +208,7 @@
         reports
     }
 
-    /// Titles with failures, those with the most first.
+    /// Returns the reports of titles with failures, in descending order of failures.
     fn title_reports(&self) -> Vec<TitleReport> {
         let mut sums: BTreeMap<TitleAtServer, Ratio> = BTreeMap::new();
         for (key, ratio) in self.slices.iter().flat_map(|slice| &slice.titles) {
@@ -225,7 +227,7 @@
         reports
     }
 
-    /// Viewers with declined requests, those with the most first.
+    /// Returns the reports of viewers with declined requests, in descending order of those requests.
     fn viewer_reports(&self) -> Vec<ViewerReport> {
         let mut sums: BTreeMap<u64, Ratio> = BTreeMap::new();
         for (viewer, ratio) in self.slices.iter().flat_map(|slice| &slice.viewers) {
@@ -243,8 +245,9 @@
         reports
     }
 
-    /// The report for the other fronts. `requested` are servers that any front finds failing: they are reported even if all attempts
-    /// at them succeeded.
+    /// Returns the report for the other fronts.
+    ///
+    /// `requested` contains the servers that any front finds failing. Attempts at them are reported even if all of them succeeded.
     pub fn report(&mut self, now: Duration, requested: &BTreeSet<u32>) -> Report {
         self.slide(now);
         Report {
--- a/crates/fleet/outlier-detection/src/attempt_window/zone_context.rs
+++ b/crates/fleet/outlier-detection/src/attempt_window/zone_context.rs
@@ -1,4 +1,5 @@
-//! How attempts at other servers went while one server failed: it shows whether the server or the way to it is at fault.
+//! Outcomes of the attempts at other servers while one server failed. They show whether the server or the network path to its zone
+//! is at fault.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,10 +7,10 @@
 use super::{Attempt, MAX_KEYS, Outcome};
 use crate::report::ServerInstance;
 
-/// Failures of a server that are remembered one by one.
+/// Maximum number of individual failures that are stored per server.
 const MAX_FAILURES: usize = 64;
 
-/// Attempts so far.
+/// Numbers of attempts so far.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Totals {
     pub(super) successes: u64,
@@ -37,16 +38,19 @@
     }
 }
 
-/// The totals at the moment of a failure.
+/// A failure of a server, with the totals just after it.
 #[derive(Debug, Clone, Copy)]
 struct Failure {
     at: Duration,
+    /// Attempts at all servers of the zone.
     zone: Totals,
+    /// Attempts at all servers.
     all: Totals,
+    /// Attempts at the server itself.
     own: Totals,
 }
 
-/// The attempts at one server: its oldest failures in the window, and its last one.
+/// The attempts at one server, with its oldest failures in the window and its last one.
 #[derive(Debug, Clone, Default)]
 struct ServerHistory {
     zone: u16,
@@ -57,14 +61,14 @@
 impl ServerHistory {
     fn add_failure(&mut self, failure: Failure) {
         if self.failures.len() >= MAX_FAILURES {
-            // The last one is replaced, so that the first is kept.
+            // Replaces the last failure, so that the oldest ones are kept.
             self.failures.pop_back();
         }
         self.failures.push_back(failure);
     }
 }
 
-/// Totals of all attempts, and what they were at each server's failures.
+/// Totals of all attempts, now and at the time of each server's failures.
 #[derive(Debug, Clone)]
 pub(super) struct ZoneContext {
     window: Duration,
@@ -96,7 +100,7 @@
         if self.servers.len() >= MAX_KEYS {
             self.servers.retain(|_, server| server.failures.back().is_some_and(|last| !is_old(last)));
         }
-        // A server without failures has no context.
+        // Servers that have not failed need no history.
         if is_success && !self.servers.contains_key(&attempt.instance) {
             return;
         }
@@ -111,8 +115,9 @@
         }
     }
 
-    /// The attempts at other servers between a server's first failure and its last: at those of its zone; at all others, if the zone
-    /// is the front's own and no other server of it was tried.
+    /// Returns the totals of attempts at other servers of the zone between a server's first failure and its last.
+    ///
+    /// If the zone is the front's own and there were no such attempts, the totals are those of all other servers.
     pub(super) fn others_between_failures(&self, instance: ServerInstance) -> Totals {
         let Some(server) = self.servers.get(&instance) else { return Totals::default() };
         let (Some(first), Some(last)) = (server.failures.front(), server.failures.back()) else {
--- a/crates/fleet/outlier-detection/src/detection.rs
+++ b/crates/fleet/outlier-detection/src/detection.rs
@@ -1,4 +1,4 @@
-//! Detection of outliers: pure functions of all fronts' reports.
+//! Detection of outliers by pure functions of all fronts' reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,21 +7,21 @@
 use crate::report::{AttemptCounts, ServerInstance, TitleReport};
 use crate::settings::DetectionSettings;
 
-/// Failures of one front that count at most, so that none outweighs the others.
+/// Maximum number of failures that count per front, so that no front outweighs the others.
 const MAX_FAILURES_PER_FRONT: u32 = 3;
-/// Requests of a viewer below which it is not judged.
+/// Number of requests below which a viewer is not evaluated.
 const MIN_VIEWER_REQUESTS: u16 = 4;
 
-/// Where a server is.
+/// The zone and capacity of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerLocation {
-    /// Its zone.
+    /// The server's zone.
     pub zone: u16,
-    /// Its capacity, by which it counts in its zone.
+    /// The server's capacity, its weight within the zone.
     pub capacity: f64,
 }
 
-/// All servers of the list of endpoints, by their numbers.
+/// All servers of the endpoint list, by their indices in it.
 pub type ServerLocations = BTreeMap<u32, ServerLocation>;
 
 /// A server that is detected as an outlier.
@@ -29,11 +29,11 @@
 pub struct Outlier {
     /// The server.
     pub instance: ServerInstance,
-    /// Fronts that find it failing.
+    /// Number of fronts that find the server failing.
     pub failing_fronts: u32,
-    /// Fronts that find it healthy.
+    /// Number of fronts that find the server healthy.
     pub healthy_fronts: u32,
-    /// Failures that the first ones have seen.
+    /// Number of failures that the failing fronts have observed.
     pub failures: u32,
 }
 
@@ -42,14 +42,14 @@
 pub struct TitleAtServer {
     /// The server.
     pub instance: ServerInstance,
-    /// The title: see [`crate::title_key`].
+    /// The key of the title, from [`crate::title_key`].
     pub title: u32,
 }
 
-/// What fronts report of one server or title.
+/// Totals of what fronts report about one server or title.
 #[derive(Debug, Default)]
 struct Tally {
-    /// The zones of fronts that find it failing.
+    /// The zone of each front that finds the server or title failing.
     failing_zones: Vec<u16>,
     healthy_fronts: u32,
     failures: u32,
@@ -79,15 +79,17 @@
     }
 }
 
-/// Whether a report against a server counts: while the server failed, the front's attempts at others of its zone succeeded at least
-/// as often as they failed. This excludes fronts for which all attempts fail, and those that are or were cut off from the zone:
-/// successes before or after show nothing of the time between.
+/// Returns whether a report of a failing server counts.
+///
+/// It counts if, while the server failed, the front's attempts at other servers of the zone succeeded at least as often as they
+/// failed. This excludes fronts for which all attempts fail and fronts that are or were partitioned from the zone. Successes before
+/// or after the failures say nothing about the time between.
 fn is_credible(settings: &DetectionSettings, counts: &AttemptCounts) -> bool {
     (counts.zone_successes > 0 && counts.zone_successes >= counts.zone_failures)
         || settings.has_fault(Fault::TrustsFailingFronts)
 }
 
-/// Whether fronts of these zones are enough when any one of them is not counted.
+/// Returns whether fronts in these zones suffice for a detection when any one of them is not counted.
 fn has_quorum(settings: &DetectionSettings, zones: &[u16]) -> bool {
     if settings.has_fault(Fault::OneFront) {
         return !zones.is_empty();
@@ -116,8 +118,9 @@
     tally
 }
 
-/// The servers that the reports show to be outliers, those with the most failing fronts first. Fronts that have the same reports and
-/// the same list of servers get the same result.
+/// Returns the servers that the reports show to be outliers, in descending order of their failing fronts.
+///
+/// Fronts that have the same reports and the same list of servers get the same result.
 pub fn detect_outliers(
     settings: &DetectionSettings,
     servers: &ServerLocations,
@@ -146,20 +149,20 @@
     outliers
 }
 
-/// Whether most of a front's attempts at a server for other titles succeeded.
+/// Returns whether most of a front's attempts at a server for other titles succeeded.
 fn plays_other_titles(counts: &AttemptCounts, title: &TitleReport) -> bool {
     let attempts = u32::from(counts.attempts).saturating_sub(u32::from(title.attempts));
     let failures = counts.failures().saturating_sub(u32::from(title.failures));
     attempts > 0 && failures * 2 < attempts
 }
 
-/// The titles that servers can't play though they play others.
+/// Returns the titles that a server fails to play although it plays other titles.
 pub fn detect_title_outliers(settings: &DetectionSettings, reports: &FrontReports) -> Vec<TitleAtServer> {
     let mut tallies: BTreeMap<TitleAtServer, Tally> = BTreeMap::new();
     for (_, front) in reports.iter() {
         for title in &front.report.titles {
             let is_failing = title.failures > 0 && u32::from(title.failures) * 2 >= u32::from(title.attempts);
-            let counts = front.report.of(title.instance);
+            let counts = front.report.counts_of(title.instance);
             if is_failing && counts.is_some_and(|counts| plays_other_titles(counts, title)) {
                 let key = TitleAtServer { instance: title.instance, title: title.title };
                 tallies.entry(key).or_default().add_failing(front.zone, u32::from(title.failures));
@@ -170,8 +173,10 @@
     outliers.map(|(key, _)| key).collect()
 }
 
-/// Viewers most of whose requests are declined, as more than [`DetectionSettings::min_fronts`] fronts report. They are warned of;
-/// nothing is done to them.
+/// Returns the viewers for whom more than [`DetectionSettings::min_fronts`] fronts report that at least half of the requests are
+/// declined.
+///
+/// The caller logs a warning about these viewers. Their requests are treated as any other's.
 pub fn detect_viewer_outliers(settings: &DetectionSettings, reports: &FrontReports) -> Vec<u64> {
     let mut fronts_by_viewer: BTreeMap<u64, usize> = BTreeMap::new();
     for viewer in reports.iter().flat_map(|(_, front)| &front.report.viewers) {
--- a/crates/fleet/outlier-detection/src/ejection/mod.rs
+++ b/crates/fleet/outlier-detection/src/ejection/mod.rs
@@ -1,4 +1,4 @@
-//! Ejection of outliers: since when, until when, and how servers come back.
+//! Ejection of outliers, and readmission of the servers through probes and probation.
 
 mod probing;
 mod result;
@@ -14,20 +14,21 @@
 use crate::report::{AttemptCounts, ServerInstance};
 use crate::settings::DetectionSettings;
 
-/// The sessions that are offered a server in each step of its probation, in thousandths.
+/// Fraction of the sessions that are offered a server in each step of its probation, in thousandths.
 const PROBATION_STEPS: [u16; 3] = [125, 250, 500];
-/// The number of those steps.
+/// Number of steps of a probation.
 const PROBATION_STEP_COUNT: u32 = 3;
-/// All sessions, in thousandths.
-const ALL_SESSIONS: u16 = 1_000;
-/// Tolerance of the comparison of capacities, which are sums of floating-point numbers.
+/// The fraction of all sessions, in thousandths.
+const ALL_SESSIONS_PER_MILLE: u16 = 1_000;
+/// Tolerance for comparing capacities, which are sums of floating-point numbers.
 const CAPACITY_TOLERANCE: f64 = 1e-9;
 
+/// The state of a server that was detected as an outlier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum EjectionState {
-    /// No session is offered the server.
+    /// The server is offered to no session.
     Ejected { since: Duration, last_detected: Duration },
-    /// A rising part of sessions is offered the server.
+    /// The server is offered to a fraction of the sessions that rises in steps.
     Probation { since: Duration },
 }
 
@@ -38,6 +39,7 @@
     succeeded: bool,
 }
 
+/// The ejection of one server instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Ejection {
     state: EjectionState,
@@ -61,15 +63,15 @@
 pub struct OutlierDetector {
     settings: DetectionSettings,
     ejections: BTreeMap<ServerInstance, Ejection>,
-    /// Outliers that are not ejected, as too much of their zones is; when they were detected first.
+    /// Outliers that are not ejected because of the ejection limit, with the time of their first detection.
     suppressed: BTreeMap<ServerInstance, Duration>,
-    /// When each title was last detected as an outlier.
+    /// Titles that were detected as outliers, with the time of the last detection.
     titles: BTreeMap<TitleAtServer, Duration>,
     probes: ProbeSchedule,
 }
 
 impl OutlierDetector {
-    /// A detector without ejections.
+    /// Creates a detector without ejections.
     pub fn new(settings: DetectionSettings) -> OutlierDetector {
         OutlierDetector {
             settings,
@@ -80,22 +82,22 @@
         }
     }
 
-    /// Its settings.
+    /// Returns the settings of the detector.
     pub fn settings(&self) -> &DetectionSettings {
         &self.settings
     }
 
-    /// Servers that are ejected or on probation.
+    /// Returns the servers that are ejected or on probation.
     pub fn ejections(&self) -> impl Iterator<Item = ServerInstance> {
         self.ejections.keys().copied()
     }
 
-    /// The server that this front probes now.
+    /// Returns the server that this front is probing, or `None` if there is no probe.
     pub fn probing(&self) -> Option<ServerInstance> {
         self.probes.current()
     }
 
-    /// An attempt that was a probe has ended.
+    /// Records that an attempt at the server that this front is probing has ended.
     pub fn probe_ended(&mut self, now: Duration, instance: ServerInstance, succeeded: bool) {
         if !self.probes.end(instance) {
             return;
@@ -105,7 +107,7 @@
             if let EjectionState::Ejected { last_detected, .. } = &mut ejection.state
                 && !succeeded
             {
-                // What this front has observed itself counts for itself.
+                // A failed probe of this front counts as a detection by this front.
                 *last_detected = now;
             }
         }
@@ -114,8 +116,11 @@
         }
     }
 
-    /// Evaluates what is known now. `reports` are fresh: see [`FrontReports::fresh`]. `current_instance` is the process that runs at
-    /// a server, as far as this front knows. `has_probe_lease`: this front holds the lease for probes at this moment.
+    /// Updates the ejections from the reports of all fronts and returns the result.
+    ///
+    /// - `reports` contains only reports that have not expired, see [`FrontReports::fresh`].
+    /// - `current_instance` returns the running instance of a server, as far as this front knows it.
+    /// - `has_probe_lease` states whether this front holds the probe lease at `now`.
     pub fn evaluate(
         &mut self,
         now: Duration,
@@ -154,7 +159,7 @@
         }
     }
 
-    /// A new process starts without an ejection.
+    /// Removes the ejections of instances that are no longer running or listed. A new instance starts without an ejection.
     fn drop_replaced_instances(&mut self, is_listed: impl Fn(ServerInstance) -> bool) -> Vec<EjectionEvent> {
         let replaced: Vec<ServerInstance> =
             self.ejections().filter(|instance| !is_listed(*instance)).collect();
@@ -164,7 +169,7 @@
         replaced.into_iter().map(EjectionEvent::InstanceReplaced).collect()
     }
 
-    /// Ejects an outlier, or prolongs its ejection.
+    /// Ejects an outlier or extends its ejection.
     fn apply_outlier(
         &mut self,
         now: Duration,
@@ -197,7 +202,9 @@
         }
     }
 
-    /// Whether a server may be ejected besides those of its zone that are ejected or on probation, by capacity.
+    /// Returns whether a server may be ejected in addition to those of its zone that are ejected or on probation.
+    ///
+    /// The servers are weighted by capacity.
     fn is_within_ejection_limit(&self, instance: ServerInstance, servers: &ServerLocations) -> bool {
         let Some(server) = servers.get(&instance.server) else { return false };
         let capacity: f64 =
@@ -209,12 +216,13 @@
             .filter(|other| other.zone == server.zone)
             .map(|other| other.capacity)
             .sum();
-        let limit = capacity * f64::from(self.settings.max_ejection_per_mille) / f64::from(ALL_SESSIONS);
+        let limit =
+            capacity * f64::from(self.settings.max_ejection_per_mille) / f64::from(ALL_SESSIONS_PER_MILLE);
         ejected + server.capacity <= limit + CAPACITY_TOLERANCE
             || self.settings.has_fault(Fault::NoEjectionLimit)
     }
 
-    /// Titles are excluded until probes of a server would be due.
+    /// Excludes titles that are detected as outliers, for as long as the probe of a server would be delayed.
     fn update_titles(
         &mut self,
         now: Duration,
@@ -234,14 +242,14 @@
         });
     }
 
-    /// Ends ejections after enough successful probes, or when they expire.
+    /// Ends ejections that have enough successful probes or have expired, and starts the probations.
     fn start_probations(&mut self, now: Duration, reports: &FrontReports, events: &mut Vec<EjectionEvent>) {
         let settings = self.settings;
         for (instance, ejection) in &mut self.ejections {
             let EjectionState::Ejected { since, last_detected } = ejection.state else { continue };
             let is_expired = now.saturating_sub(last_detected) >= settings.ejection_time
                 && !settings.has_fault(Fault::NoExpiry);
-            // Probes before an earlier probation are out of all windows by then.
+            // After this delay, probes from before an earlier probation have left all windows.
             let counts_probes = now.saturating_sub(since) >= settings.probe_delay;
             if counts_probes && has_enough_probes(&settings, reports, *instance) {
                 events.push(EjectionEvent::ProbesSucceeded(*instance));
@@ -264,7 +272,7 @@
         finished.map(|(instance, _)| *instance).collect()
     }
 
-    /// The servers that not all sessions are offered, those with the most failing fronts first.
+    /// Returns the servers that are not offered to all sessions, in descending order of their failing fronts.
     fn exclusions(&self, now: Duration) -> Vec<Exclusion> {
         let mut ejections: Vec<(ServerInstance, &Ejection)> =
             self.ejections.iter().map(|(instance, ejection)| (*instance, ejection)).collect();
@@ -273,29 +281,32 @@
             instance,
             admitted_per_mille: self.admitted_per_mille(now, instance, ejection),
         };
-        let is_excluded = |server: &Exclusion| server.admitted_per_mille < ALL_SESSIONS;
+        let is_excluded = |server: &Exclusion| server.admitted_per_mille < ALL_SESSIONS_PER_MILLE;
         ejections.into_iter().map(exclusion).filter(is_excluded).collect()
     }
 
     fn admitted_per_mille(&self, now: Duration, instance: ServerInstance, ejection: &Ejection) -> u16 {
         match ejection.state {
-            _ if self.probing() == Some(instance) => ALL_SESSIONS,
+            _ if self.probing() == Some(instance) => ALL_SESSIONS_PER_MILLE,
             EjectionState::Ejected { .. } => 0,
-            EjectionState::Probation { .. } if self.settings.has_fault(Fault::NoProbation) => ALL_SESSIONS,
+            EjectionState::Probation { .. } if self.settings.has_fault(Fault::NoProbation) => {
+                ALL_SESSIONS_PER_MILLE
+            }
             EjectionState::Probation { since } => {
                 let step =
                     now.saturating_sub(since).as_nanos() / self.settings.probation_step.as_nanos().max(1);
                 let step = usize::try_from(step).unwrap_or(usize::MAX);
-                PROBATION_STEPS.get(step).copied().unwrap_or(ALL_SESSIONS)
+                PROBATION_STEPS.get(step).copied().unwrap_or(ALL_SESSIONS_PER_MILLE)
             }
         }
     }
 }
 
-/// Whether enough fronts report successful probes of a server, and more than report failed ones.
+/// Returns whether enough fronts report successful probes of a server, and more of them than report failed ones.
 fn has_enough_probes(settings: &DetectionSettings, reports: &FrontReports, instance: ServerInstance) -> bool {
     let fronts_with = |probes: fn(&AttemptCounts) -> u8| {
-        let counts = |report: &crate::FrontReport| report.report.of(instance).is_some_and(|c| probes(c) > 0);
+        let counts =
+            |report: &crate::FrontReport| report.report.counts_of(instance).is_some_and(|c| probes(c) > 0);
         reports.iter().filter(|(_, report)| counts(report)).count()
     };
     let succeeded = fronts_with(|counts| counts.probe_successes);
--- a/crates/fleet/outlier-detection/src/ejection/probing.rs
+++ b/crates/fleet/outlier-detection/src/ejection/probing.rs
@@ -1,5 +1,7 @@
-//! Probes of ejected servers: one front at a time, the holder of a lease, offers one ejected server to its sessions until one attempt
-//! has ended there. It is the half-open state of a circuit breaker, for a whole fleet.
+//! Probes of ejected servers.
+//!
+//! One front at a time, the holder of the probe lease, offers one ejected server to its sessions until one attempt there has ended.
+//! This is the half-open state of a circuit breaker, shared by all fronts of the fleet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,19 +11,20 @@
 use crate::report::ServerInstance;
 use crate::settings::DetectionSettings;
 
+/// A probe that waits for an attempt at the server.
 #[derive(Debug, Clone, Copy)]
 struct Probe {
     instance: ServerInstance,
     started_at: Duration,
 }
 
-/// Which server this front probes, and when it wants the lease for it.
+/// The server that this front is probing, and the times that decide whether it wants the probe lease.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ProbeSchedule {
     current: Option<Probe>,
-    /// After a failed probe the lease is held until then, so that the next one in the fleet waits.
+    /// Time until which the lease is held after a failed probe, to delay the next probe in the fleet.
     hold_lease_until: Duration,
-    /// After a probe without an attempt the lease is left to other fronts until then.
+    /// Time until which the lease is left to other fronts after a probe that got no attempt.
     yield_lease_until: Duration,
 }
 
@@ -30,7 +33,7 @@
         self.current.map(|probe| probe.instance)
     }
 
-    /// Ends the current probe, if it is of this server.
+    /// Ends the current probe if it is a probe of `instance`. Returns whether it was.
     pub(super) fn end(&mut self, instance: ServerInstance) -> bool {
         self.current.take_if(|probe| probe.instance == instance).is_some()
     }
@@ -39,7 +42,7 @@
         self.hold_lease_until = until;
     }
 
-    /// Starts or ends a probe; whether this front wants the lease.
+    /// Starts or ends a probe. Returns whether this front wants the lease.
     pub(super) fn update(
         &mut self,
         settings: &DetectionSettings,
@@ -59,7 +62,7 @@
         wants_lease
     }
 
-    /// Ends the current probe if the lease is lost, the server is not ejected any more, or no attempt came in time.
+    /// Ends the current probe if the lease is lost, the server is no longer ejected, or no attempt was made in time.
     fn check_current(
         &mut self,
         settings: &DetectionSettings,
@@ -74,13 +77,13 @@
             self.current = None;
         }
         if is_timed_out {
-            // Another front may get an attempt.
+            // Leaves the lease to a front that may get an attempt sooner.
             self.yield_lease_until = now + settings.probe_timeout * 2;
         }
     }
 }
 
-/// The ejected server whose probe is due, the one that this front probed longest ago first.
+/// Returns the ejected server whose probe is due. Of several, it is the one that this front has not probed for the longest time.
 fn next_probe(
     settings: &DetectionSettings,
     now: Duration,
@@ -88,12 +91,12 @@
 ) -> Option<ServerInstance> {
     let is_due = |ejection: &Ejection| {
         let EjectionState::Ejected { last_detected, .. } = ejection.state else { return false };
-        // A front that has probed a server leaves the next probe to others.
-        let is_other_fronts_turn = ejection
+        // Probes of several fronts must succeed, so a front that has probed a server leaves the next probe to others.
+        let is_recently_probed = ejection
             .last_probe
             .is_some_and(|probe| now.saturating_sub(probe.ended_at) < settings.probe_delay);
-        let is_quiet = now.saturating_sub(last_detected) >= settings.probe_delay;
-        !is_other_fronts_turn && (is_quiet || settings.has_fault(Fault::ProbesWithoutLease))
+        let is_delay_over = now.saturating_sub(last_detected) >= settings.probe_delay;
+        !is_recently_probed && (is_delay_over || settings.has_fault(Fault::ProbesWithoutLease))
     };
     let due = ejections.iter().filter(|(_, ejection)| is_due(ejection));
     due.min_by_key(|(instance, ejection)| (ejection.last_probe, **instance)).map(|(instance, _)| *instance)
--- a/crates/fleet/outlier-detection/src/ejection/result.rs
+++ b/crates/fleet/outlier-detection/src/ejection/result.rs
@@ -1,45 +1,45 @@
-//! What an evaluation results in.
+//! The result of an evaluation by the outlier detector.
 
 use crate::detection::{Outlier, TitleAtServer};
 use crate::report::ServerInstance;
 
-/// A server that not all sessions are offered.
+/// A server that is not offered to all sessions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Exclusion {
     /// The server.
     pub instance: ServerInstance,
-    /// The sessions that are offered it, in thousandths; 0: it is ejected.
+    /// Fraction of the sessions that are offered the server, in thousandths. It is 0 while the server is ejected.
     pub admitted_per_mille: u16,
 }
 
 /// A change of a server's ejection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EjectionEvent {
-    /// It is ejected from now on.
+    /// The server is ejected.
     Ejected(Outlier),
-    /// It would be ejected, but too much of its zone is already.
+    /// The server is an outlier, but is not ejected because of the ejection limit of its zone.
     EjectionSuppressed(Outlier),
-    /// Its probation begins, as probes succeeded.
+    /// The server's probation starts because enough probes succeeded.
     ProbesSucceeded(ServerInstance),
-    /// Its probation begins, as it was not detected for long.
+    /// The server's probation starts because its ejection expired.
     EjectionExpired(ServerInstance),
-    /// Its probation is over: all sessions are offered it.
+    /// The server's probation is over, and it is offered to all sessions.
     Reinstated(ServerInstance),
-    /// Another process runs in its place.
+    /// Another process runs in the server's place, or the server is no longer in the endpoint list.
     InstanceReplaced(ServerInstance),
 }
 
 /// The result of an evaluation.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Evaluation {
-    /// Servers that not all sessions are offered, those with the most failing fronts first.
+    /// Servers that are not offered to all sessions, in descending order of their failing fronts.
     pub exclusions: Vec<Exclusion>,
-    /// Titles that no session is offered at some servers.
+    /// Titles that are offered to no session at a server.
     pub excluded_titles: Vec<TitleAtServer>,
-    /// Whether this front wants the lease for probes.
+    /// Whether this front wants the probe lease.
     pub wants_probe_lease: bool,
-    /// The server that this front probes now.
+    /// The server that this front is probing, or `None` if there is no probe.
     pub probing: Option<ServerInstance>,
-    /// What has changed.
+    /// Changes of ejections since the last evaluation.
     pub events: Vec<EjectionEvent>,
 }
--- a/crates/fleet/outlier-detection/src/fault_injection.rs
+++ b/crates/fleet/outlier-detection/src/fault_injection.rs
@@ -1,30 +1,30 @@
 //! Faults that tests inject, one at a time, to show that the tests detect them.
 
-/// A fault of the implementation.
+/// A fault that a test injects into the implementation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A report that is received twice is added to what is known of its front.
+    /// The counts of a report that is received twice are added up.
     DuplicatesAdded,
-    /// This front's own report is accepted from others.
+    /// A front accepts its own report from others.
     OwnReportFromOthers,
-    /// An ejection applies to whichever process runs at the server's address.
+    /// An ejection also applies to a new process of the same server.
     IgnoresInstance,
-    /// A front for which all attempts fail counts as any other.
+    /// Reports of fronts for which all attempts fail count as well.
     TrustsFailingFronts,
     /// Reports and ejections never expire.
     NoExpiry,
-    /// Any part of a zone's capacity may be ejected.
+    /// All of a zone's capacity may be ejected.
     NoEjectionLimit,
-    /// Fronts of one zone are enough.
+    /// Fronts of a single zone suffice for an ejection.
     OneZone,
-    /// One front is enough.
+    /// A single front suffices for an ejection.
     OneFront,
-    /// One front that finds a server healthy outweighs all others.
+    /// A single front that finds a server healthy outweighs all others.
     OneHealthyFrontVetoes,
-    /// Any front probes an ejected server, with the lease or without.
+    /// Fronts probe ejected servers without holding the lease.
     ProbesWithoutLease,
-    /// A server comes back for all sessions at once.
+    /// A server whose ejection ends is offered to all sessions at once.
     NoProbation,
-    /// One front's successful probe ends an ejection.
+    /// The successful probe of a single front ends an ejection.
     OneProbe,
 }
--- a/crates/fleet/outlier-detection/src/front_reports.rs
+++ b/crates/fleet/outlier-detection/src/front_reports.rs
@@ -1,5 +1,7 @@
-//! The reports of all fronts, merged: a map from a front to its last report, in which the higher version wins (a state-based CRDT:
-//! Shapiro, Preguica, Baquero and Zawirski, "Conflict-free Replicated Data Types", SSS 2011).
+//! The merged reports of all fronts.
+//!
+//! They are a map from each front to its last report, in which the higher version wins. The map is a state-based CRDT (Shapiro,
+//! Preguica, Baquero and Zawirski, "Conflict-free Replicated Data Types", SSS 2011).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,16 +10,16 @@
 use crate::report::Report;
 use crate::settings::DetectionSettings;
 
-/// A front's process, by its member id: a restarted one is another front.
+/// The member id of a front's process. A restarted front has another id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FrontId(pub u64);
 
-/// A front's report, with its origin.
+/// A front's report with its version and the front's zone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FrontReport {
     /// The report's version.
     pub version: u64,
-    /// The front's zone, by the member list.
+    /// The front's zone, from the member list.
     pub zone: u16,
     /// The report.
     pub report: Report,
@@ -30,17 +32,21 @@
 }
 
 impl FrontReports {
-    /// Inserts a front's report, unless a newer one is known. `settings` only carry a test's fault.
+    /// Inserts a front's report, unless a newer one is known.
+    ///
+    /// `settings` matter only for injected faults.
     pub fn insert(&mut self, settings: &DetectionSettings, front: FrontId, report: FrontReport) {
         match self.reports.get_mut(&front) {
-            Some(known) if settings.has_fault(Fault::DuplicatesAdded) => add(known, &report),
-            // Two reports of one version are the same unless one is forged; then the greater one wins at all fronts.
+            Some(known) if settings.has_fault(Fault::DuplicatesAdded) => add_duplicate(known, &report),
+            // Two reports of one version are equal unless one is forged. The greater one wins then, so that all fronts keep the same.
             Some(known) if (known.version, &known.report) >= (report.version, &report.report) => {}
             _ => drop(self.reports.insert(front, report)),
         }
     }
 
-    /// Merges what another front knows. The report of `own` is accepted from nobody.
+    /// Merges the reports that another front knows.
+    ///
+    /// The report of `own`, this front itself, is ignored: no other front may replace it.
     pub fn merge(&mut self, settings: &DetectionSettings, own: FrontId, other: &FrontReports) {
         for (front, report) in &other.reports {
             if *front != own || settings.has_fault(Fault::OwnReportFromOthers) {
@@ -49,8 +55,9 @@
         }
     }
 
-    /// The reports that are not older than [`DetectionSettings::max_report_age`]. `age` is the age of a front's report, if it is
-    /// known.
+    /// Returns the reports that are not older than [`DetectionSettings::max_report_age`].
+    ///
+    /// `age` returns the age of a front's report, or `None` if it is unknown. Reports of unknown age are left out.
     pub fn fresh(
         &self,
         settings: &DetectionSettings,
@@ -64,19 +71,19 @@
         FrontReports { reports: fresh.map(|(front, report)| (*front, report.clone())).collect() }
     }
 
-    /// All reports.
+    /// Returns all reports with their fronts.
     pub fn iter(&self) -> impl Iterator<Item = (FrontId, &FrontReport)> {
         self.reports.iter().map(|(front, report)| (*front, report))
     }
 
-    /// A front's report.
+    /// Returns the report of a front, or `None` if there is none.
     pub fn get(&self, front: FrontId) -> Option<&FrontReport> {
         self.reports.get(&front)
     }
 }
 
-/// What [`Fault::DuplicatesAdded`] does.
-fn add(known: &mut FrontReport, duplicate: &FrontReport) {
+/// Adds the counts of a duplicate report to the known ones, for [`Fault::DuplicatesAdded`].
+fn add_duplicate(known: &mut FrontReport, duplicate: &FrontReport) {
     for server in &duplicate.report.servers {
         let counts = server.counts;
         match known.report.servers.iter_mut().find(|known| known.instance == server.instance) {
--- a/crates/fleet/outlier-detection/src/lib.rs
+++ b/crates/fleet/outlier-detection/src/lib.rs
@@ -1,12 +1,14 @@
-//! Outlier detection of media servers from what all fronts have observed.
+//! Outlier detection of media servers from the observations of all fronts.
 //!
-//! [`AttemptWindow`] counts the outcomes of this front's own attempts in a sliding window. Its [`Report`] is disseminated to the
-//! other fronts. [`FrontReports`] merges the reports of all fronts; reordering, duplication and loss do no harm. [`detect_outliers`]
-//! is a pure function of those reports: fronts that have the same reports detect the same outliers. [`OutlierDetector`] ejects
-//! outliers, lets ejections expire, has ejected servers probed by whoever holds the lease for it, and lets servers back in steps.
+//! - [`AttemptWindow`] counts the outcomes of this front's own attempts in a sliding window. Gossip disseminates its [`Report`] to
+//!   the other fronts.
+//! - [`FrontReports`] merges the reports of all fronts. Reordering, duplication and loss of reports do no harm.
+//! - [`detect_outliers`] is a pure function of the merged reports, so fronts that have the same reports detect the same outliers.
+//! - [`OutlierDetector`] ejects outliers and lets ejections expire. The front that holds the probe lease probes ejected servers. A
+//!   server whose ejection ends is readmitted in steps, its probation.
 //!
 //! The terms are those of Envoy's and gRPC's outlier detection. `docs/outlier-detection.md` compares the alternatives and derives
-//! the bounds. Nothing here has I/O, a clock or threads.
+//! the bounds. The crate performs no I/O, reads no clock and starts no threads.
 #![forbid(unsafe_code)]
 
 mod attempt_window;
--- a/crates/fleet/outlier-detection/src/report.rs
+++ b/crates/fleet/outlier-detection/src/report.rs
@@ -1,9 +1,9 @@
-//! What a front reports of the attempts in its window.
+//! The report of a front on the attempts in its window.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Maximum bytes of an encoded report.
+/// Maximum size of an encoded report in bytes.
 pub const MAX_REPORT_BYTES: usize = 560;
 /// Maximum number of servers in a report.
 pub(crate) const MAX_SERVERS: usize = 24;
@@ -12,60 +12,60 @@
 /// Maximum number of viewers in a report.
 pub(crate) const MAX_VIEWERS: usize = 4;
 
-/// A media server's process: a restarted one is another instance.
+/// One run of a media server's process. A restarted server is another instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerInstance {
-    /// The server's number in the list of endpoints.
+    /// The server's index in the endpoint list.
     pub server: u32,
-    /// A hash of the id that the process gave its run; 0: not known yet.
+    /// Hash of the boot id that the process reports, or 0 if the id is not known yet.
     pub boot_hash: u32,
 }
 
 impl ServerInstance {
-    /// The instance of a server whose process gave its run the id `boot`.
+    /// Returns the instance of a server whose process reports the boot id `boot`.
     pub fn new(server: u32, boot: Option<u64>) -> ServerInstance {
         ServerInstance { server, boot_hash: boot.map_or(0, boot_hash) }
     }
 }
 
-#[expect(clippy::cast_possible_truncation, reason = "both halves of the number are in the lower one")]
+#[expect(clippy::cast_possible_truncation, reason = "the upper half is folded into the lower one")]
 fn boot_hash(boot: u64) -> u32 {
     ((boot ^ (boot >> 32)) as u32).max(1)
 }
 
-/// The attempts at one server in a window.
+/// Counts of the attempts at one server in a window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct AttemptCounts {
-    /// All attempts.
+    /// Number of attempts.
     pub attempts: u16,
-    /// Attempts that ended with an error, or without a connection.
+    /// Number of attempts that ended with an error or without a connection.
     pub errors: u16,
-    /// Attempts that were not answered in time.
+    /// Number of attempts that were not answered in time.
     pub timeouts: u16,
-    /// Attempts that succeeded late.
+    /// Number of attempts that succeeded late.
     pub slow: u16,
-    /// Attempts at other servers of its zone that succeeded between the first failure at this server and the last.
+    /// Number of attempts at other servers of the zone that succeeded between the first failure at this server and the last.
     pub zone_successes: u8,
-    /// Attempts at other servers of its zone that failed in that time.
+    /// Number of attempts at other servers of the zone that failed between the first failure at this server and the last.
     pub zone_failures: u8,
-    /// Probes that succeeded.
+    /// Number of probes that succeeded.
     pub probe_successes: u8,
-    /// Probes that failed.
+    /// Number of probes that failed.
     pub probe_failures: u8,
 }
 
 impl AttemptCounts {
-    /// Attempts that count against the server.
+    /// Returns the number of attempts that count against the server: errors, timeouts and slow successes.
     pub fn failures(&self) -> u32 {
         u32::from(self.errors) + u32::from(self.timeouts) + u32::from(self.slow)
     }
 
-    /// Whether at least half of the attempts failed.
+    /// Returns whether there were failures and at least half of the attempts failed.
     pub fn is_failing(&self) -> bool {
         self.failures() > 0 && self.failures() * 2 >= u32::from(self.attempts)
     }
 
-    /// Whether there were attempts and most of them succeeded.
+    /// Returns whether there were attempts and most of them succeeded.
     pub fn is_healthy(&self) -> bool {
         self.attempts > 0 && !self.is_failing()
     }
@@ -76,56 +76,56 @@
     }
 }
 
-/// The attempts at one server.
+/// A server and the counts of the attempts at it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerReport {
     /// The server.
     pub instance: ServerInstance,
-    /// The attempts.
+    /// The counts of the attempts.
     pub counts: AttemptCounts,
 }
 
-/// The attempts for one title at one server.
+/// Counts of the attempts for one title at one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TitleReport {
     /// The server.
     pub instance: ServerInstance,
-    /// The title: see [`title_key`].
+    /// The key of the title, from [`title_key`].
     pub title: u32,
-    /// All attempts.
+    /// Number of attempts.
     pub attempts: u16,
-    /// Attempts that failed.
+    /// Number of attempts that failed.
     pub failures: u16,
 }
 
-/// The requests of one viewer.
+/// Counts of the requests of one viewer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ViewerReport {
-    /// A hash of the viewer's address.
+    /// Hash of the viewer's address.
     pub viewer: u64,
-    /// All requests.
+    /// Number of requests.
     pub requests: u16,
-    /// Requests that servers declined.
+    /// Number of requests that servers declined.
     pub declined: u16,
 }
 
-/// What a front reports of the attempts in its window.
+/// The report of a front on the attempts in its window.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Report {
-    /// By server.
+    /// Counts by server.
     pub servers: Vec<ServerReport>,
-    /// By title.
+    /// Counts by title and server.
     pub titles: Vec<TitleReport>,
-    /// By viewer.
+    /// Counts by viewer.
     pub viewers: Vec<ViewerReport>,
 }
 
-/// Bytes that are no valid report.
+/// Error of decoding bytes that are not a valid report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the bytes are no valid report")]
+#[error("invalid outlier report")]
 pub struct ReportError;
 
-/// The key of a title among those of a server: FNV-1a of its name.
+/// Returns the key of a title among those of a server: the 32-bit FNV-1a hash of its name.
 pub fn title_key(name: &str) -> u32 {
     const OFFSET_BASIS: u32 = 0x811c_9dc5;
     const PRIME: u32 = 0x0100_0193;
@@ -133,7 +133,9 @@
 }
 
 impl Report {
-    /// The encoded report. Its last servers are left out if it would be too long.
+    /// Encodes the report.
+    ///
+    /// Its last servers are left out if it would exceed [`MAX_REPORT_BYTES`].
     pub fn encode(mut self) -> Vec<u8> {
         self.servers.truncate(MAX_SERVERS);
         self.titles.truncate(MAX_TITLES);
@@ -150,7 +152,7 @@
     /// Decodes a report.
     ///
     /// # Errors
-    /// The bytes are no report, or one that no front could have sent.
+    /// Returns an error if the bytes are not a report or contain values that no front sends.
     pub fn decode(bytes: &[u8]) -> Result<Report, ReportError> {
         if bytes.len() > MAX_REPORT_BYTES {
             return Err(ReportError);
@@ -175,7 +177,7 @@
             && self.viewers.iter().all(|viewer| viewer.declined <= viewer.requests)
     }
 
-    /// A server that is listed twice would count twice.
+    /// Returns whether each server is listed once. A server that is listed twice would count twice.
     fn has_unique_servers(&self) -> bool {
         let mut instances: Vec<ServerInstance> = self.servers.iter().map(|server| server.instance).collect();
         instances.sort();
@@ -183,8 +185,8 @@
         instances.len() == self.servers.len()
     }
 
-    /// The attempts at a server, if it is listed.
-    pub fn of(&self, instance: ServerInstance) -> Option<&AttemptCounts> {
+    /// Returns the counts of the attempts at a server, or `None` if the report does not list it.
+    pub fn counts_of(&self, instance: ServerInstance) -> Option<&AttemptCounts> {
         self.servers.iter().find(|server| server.instance == instance).map(|server| &server.counts)
     }
 }
--- a/crates/fleet/outlier-detection/src/settings.rs
+++ b/crates/fleet/outlier-detection/src/settings.rs
@@ -6,35 +6,36 @@
 
 use crate::fault_injection::Fault;
 
-/// Fronts that must find a server failing besides one that may lie.
+/// Minimum number of fronts that must find a server failing, besides one that may report falsely.
 const MIN_FRONTS: usize = 2;
 
-/// What an ejection needs, and how it ends.
+/// Thresholds and durations of detection, ejection and probing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DetectionSettings {
-    /// Fronts, in two zones, that must find a server failing when any one front is not counted.
+    /// Number of fronts, in at least two zones, that must find a server failing when any one front is not counted.
     pub min_fronts: usize,
-    /// Failures that all those fronts together must have seen, at most three of each.
+    /// Number of failures that those fronts together must have observed. At most three failures count per front.
     pub min_failures: u32,
-    /// Maximum part of a zone's capacity that is ejected, and of a title's ready holders, in thousandths.
+    /// Maximum fraction of a zone's capacity that is ejected, and of the servers that are ready to play a title, in thousandths.
     pub max_ejection_per_mille: u16,
-    /// How long attempts are counted.
+    /// Time for which an attempt is counted.
     pub window: Duration,
-    /// Older reports are ignored.
+    /// Age above which a report is ignored.
     pub max_report_age: Duration,
-    /// An ejection ends this long after the server was last detected as an outlier.
+    /// Time from the last detection of a server as an outlier until its ejection expires.
     pub ejection_time: Duration,
-    /// From the last detection to the first probe: the window, and until all other fronts know that it has passed.
+    /// Time from the last detection of a server to its first probe. It covers the window and the time until all other fronts have
+    /// reports without the attempts in it.
     pub probe_delay: Duration,
-    /// From a failed probe to the next one in the fleet.
+    /// Time from a failed probe to the next probe in the fleet.
     pub probe_retry_delay: Duration,
-    /// How long a probe waits for an attempt.
+    /// Time that a probe waits for an attempt.
     pub probe_timeout: Duration,
-    /// Fronts whose probes must succeed.
+    /// Number of fronts whose probes must succeed to end an ejection.
     pub required_probes: usize,
-    /// How long each step of probation takes.
+    /// Duration of each step of a probation.
     pub probation_step: Duration,
-    /// A fault that a test injected.
+    /// Fault that a test injected.
     pub(crate) fault: Option<Fault>,
 }
 
@@ -57,34 +58,34 @@
     }
 }
 
-/// Settings under which outlier detection can't work.
+/// Error of settings with which outlier detection cannot work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// One front alone could have a server ejected.
-    #[error("fewer than {MIN_FRONTS} fronts besides one that may lie")]
+    /// A single front could have a server ejected.
+    #[error("an ejection must require at least {MIN_FRONTS} fronts besides one that may report falsely")]
     MinFronts,
-    /// Reports would be too old before they reach all fronts.
-    #[error("evidence is fresh for {max_report_age:?}, and comes around in {staleness:?}")]
+    /// Reports would expire before they reach all fronts.
+    #[error("reports expire after {max_report_age:?}, but take up to {staleness:?} to reach all fronts")]
     MaxReportAge {
-        /// As set.
+        /// The configured maximum age.
         max_report_age: Duration,
-        /// The minimum.
+        /// The minimum of that age: the time that a report takes to reach all fronts.
         staleness: Duration,
     },
-    /// Probes would be judged by attempts before them.
-    #[error("probes after {probe_delay:?}, and earlier attempts count for {min:?}")]
+    /// Attempts from before a probe would count for its result.
+    #[error("the first probe is sent after {probe_delay:?}, but earlier attempts count for up to {min:?}")]
     ProbeDelay {
-        /// As set.
+        /// The configured delay.
         probe_delay: Duration,
-        /// The minimum.
+        /// The minimum delay.
         min: Duration,
     },
     /// An ejection would end before the first probe.
-    #[error("ejections last {ejection_time:?}, and the first probe is after {probe_delay:?}")]
+    #[error("ejections expire after {ejection_time:?}, but the first probe is sent after {probe_delay:?}")]
     EjectionTime {
-        /// As set.
+        /// The configured duration of an ejection.
         ejection_time: Duration,
-        /// The minimum, exclusive.
+        /// The delay of the first probe, which the duration must exceed.
         probe_delay: Duration,
     },
 }
@@ -93,7 +94,7 @@
     /// Checks the settings for a fleet in which reports reach all fronts within `staleness`.
     ///
     /// # Errors
-    /// Outlier detection can't work with them.
+    /// Returns the first setting with which outlier detection cannot work.
     pub fn check(&self, staleness: Duration) -> Result<(), SettingsError> {
         let (max_report_age, probe_delay, ejection_time) =
             (self.max_report_age, self.probe_delay, self.ejection_time);
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Injects a fault.
+    /// Injects a fault for a test.
     #[cfg(feature = "planted")]
     pub fn inject_fault(&mut self, fault: Fault) {
         self.fault = Some(fault);
--- a/crates/fleet/outlier-detection/tests/detection/attempt_window.rs
+++ b/crates/fleet/outlier-detection/tests/detection/attempt_window.rs
@@ -40,7 +40,7 @@
         window.record(SECOND + SECOND / 10 * tried.tenth, attempt);
     }
     let report = window.report(9 * SECOND, &[].into());
-    let counts = report.of(instance(7)).copied().expect("it was tried");
+    let counts = report.counts_of(instance(7)).copied().expect("it was tried");
     (counts.zone_successes, counts.zone_failures)
 }
 
@@ -75,7 +75,7 @@
     }
     let requested = [80].into();
     let report = window.report(6 * SECOND, &requested);
-    assert!(report.of(instance(80)).is_some(), "it was requested");
+    assert!(report.counts_of(instance(80)).is_some(), "it was requested");
     let bytes = report.encode();
     assert!(bytes.len() <= MAX_REPORT_BYTES, "{}", bytes.len());
     assert!(Report::decode(&bytes).expect("valid").servers.len() >= 20);
