--- a/crates/fleet/membership/src/anti_entropy.rs
+++ b/crates/fleet/membership/src/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Repair of what dissemination missed: the updates of those buckets in which two member lists differ.
+//! Anti-entropy: selects the updates of the buckets in which two member lists differ, to repair what dissemination missed.
 
 use std::sync::Arc;
 
@@ -6,11 +6,12 @@
 use crate::member_list::{Member, MemberList, MemberState};
 use crate::messages::{BUCKETS, Digests, MAX_UPDATE_BYTES, Update};
 
-/// Maximum packets of one answer. What is left out comes with a later exchange.
+/// Maximum number of packets of an answer. Later exchanges send the updates that are left out.
 const MAX_PACKETS: usize = 8;
 
-/// The updates of all buckets whose digests differ, split into packets. The caller draws `first_bucket`, so that a bounded answer
-/// leaves out other buckets each time.
+/// Returns the updates of all buckets whose digests differ, split into packets.
+///
+/// The caller draws `first_bucket` at random, so that a truncated answer leaves out different buckets each time.
 pub(crate) fn updates_of_differing_buckets(
     members: &MemberList,
     theirs: &Digests,
@@ -27,7 +28,7 @@
     split_into_packets(updates)
 }
 
-/// The updates that bring another member list to what is believed of one member here.
+/// Returns the updates that transfer the believed state of a member to another member list.
 fn updates_of(id: MemberId, member: &Member, by: MemberId) -> Vec<Update> {
     let incarnation = member.incarnation;
     let alive = Update::Alive { id, incarnation, info: Arc::clone(&member.info) };
--- a/crates/fleet/membership/src/broadcast_queue/mod.rs
+++ b/crates/fleet/membership/src/broadcast_queue/mod.rs
@@ -1,13 +1,13 @@
-//! Updates that are still to be disseminated (SWIM, section 4.1).
+//! Queue of updates that are yet to be disseminated (SWIM, section 4.1).
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::identity::MemberId;
 use crate::messages::{MAX_UPDATE_BYTES, Update};
 
-/// Maximum number of queued updates: one of each member of the largest fleet.
+/// Maximum number of queued updates, one for each member of the largest fleet.
 const MAX_QUEUED: usize = 8192;
-/// Transmissions of each update per doubling of the number of members (SWIM's lambda, section 4.1).
+/// Number of transmissions of each update per doubling of the number of members (SWIM's lambda, section 4.1).
 const RETRANSMIT_MULTIPLIER: u32 = 3;
 
 #[derive(Debug, Clone)]
@@ -23,16 +23,16 @@
     }
 }
 
-/// The order of transmission: the least transmitted updates first, the newest first among those.
+/// The order of transmission. Updates that were transmitted least come first, and the newest of them first of all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     transmissions: u32,
-    /// Falls with each update that is queued.
+    /// Sequence number that decreases with each queued update.
     sequence: u64,
     id: MemberId,
 }
 
-/// A queue with at most one update per member, the newest. Each is transmitted a bounded number of times.
+/// A queue that holds only the newest update per member and transmits each a bounded number of times.
 #[derive(Debug, Default)]
 pub(crate) struct BroadcastQueue {
     updates: BTreeMap<MemberId, Queued>,
@@ -41,7 +41,7 @@
 }
 
 impl BroadcastQueue {
-    /// Queues an update, in place of an older one about the same member. A full queue drops its most transmitted update.
+    /// Queues an update and replaces an older one about the same member. A full queue drops its most transmitted update.
     pub fn push(&mut self, update: Update) {
         let id = update.member();
         if let Some(replaced) = self.updates.remove(&id) {
@@ -66,19 +66,20 @@
         }
     }
 
-    /// The first updates in order that fit into a packet and are about none of its members.
+    /// Returns the first updates in order that fit into a packet and whose members the packet has no update about.
     fn select(&self, packet: &[Update]) -> Vec<Rank> {
-        let mut room = MAX_UPDATE_BYTES.saturating_sub(packet.iter().map(Update::max_encoded_len).sum());
+        let mut remaining_bytes =
+            MAX_UPDATE_BYTES.saturating_sub(packet.iter().map(Update::max_encoded_len).sum());
         let present: Vec<MemberId> = packet.iter().map(Update::member).collect();
         let mut selected = Vec::new();
         for rank in &self.order {
             let Some(queued) = self.updates.get(&rank.id) else { continue };
             let length = queued.update.max_encoded_len();
-            if length > room {
+            if length > remaining_bytes {
                 break;
             }
             if !present.contains(&rank.id) {
-                room -= length;
+                remaining_bytes -= length;
                 selected.push(*rank);
             }
         }
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Number of queued updates.
+    /// Returns the number of queued updates.
     pub fn len(&self) -> usize {
         self.updates.len()
     }
--- a/crates/fleet/membership/src/identity.rs
+++ b/crates/fleet/membership/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who a member is: its id, incarnation, zone, kind and address.
+//! Identity of a member: id, incarnation, zone, kind and address.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Maximum length of a zone's name, in bytes.
+/// Maximum length of a zone's name in bytes.
 pub(crate) const MAX_ZONE_BYTES: usize = 32;
 
-/// One run of a process, drawn at random when it starts: a process that is restarted is another member.
+/// The id of a member, which is drawn at random when its process starts. A restarted process is another member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u64);
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// How often a member has refuted a suspicion of itself. Only the member itself increments it.
+/// Number of times that a member has refuted a false statement about itself. Only the member itself increments it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
@@ -29,21 +29,21 @@
     }
 }
 
-/// The name of a zone: a failure domain, as the operators define it.
+/// The name of a zone, a failure domain that the operator defines.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Zone(String);
 
 impl Zone {
-    /// Length of the name in bytes.
+    /// Returns the length of the name in bytes.
     pub(crate) fn len(&self) -> usize {
         self.0.len()
     }
 }
 
-/// A zone's name that is too long or has control characters.
+/// Error of a zone's name that is too long or contains control characters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("a zone's name has at most {MAX_ZONE_BYTES} bytes and no control characters")]
+#[error("zone name exceeds {MAX_ZONE_BYTES} bytes or contains control characters")]
 pub struct ZoneError;
 
 impl TryFrom<String> for Zone {
@@ -67,22 +67,22 @@
     }
 }
 
-/// What kind of process a member is.
+/// The kind of a member's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberKind {
-    /// A session front, which may run a replica as well.
+    /// A session front, which may also run a replica of the coordinator.
     Front,
-    /// A replica alone.
+    /// A process that runs only a replica of the coordinator.
     Replica,
 }
 
-/// What a member announces of itself. It does not change while the member runs.
+/// Properties that a member announces. They do not change while the member runs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberInfo {
-    /// Where it receives packets.
+    /// Address at which the member receives packets.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The member's zone.
     pub zone: Zone,
-    /// Its kind.
+    /// The kind of the member's process.
     pub kind: MemberKind,
 }
--- a/crates/fleet/membership/src/member_list/mod.rs
+++ b/crates/fleet/membership/src/member_list/mod.rs
@@ -1,4 +1,4 @@
-//! The member list: all members that one member knows, with the state that it believes them to be in.
+//! The member list: all members that one member knows, each with its believed state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,68 +8,69 @@
 use crate::identity::{Incarnation, MemberId, MemberInfo};
 use crate::messages::{BUCKETS, Digests, Update};
 
-/// Maximum number of members, dead ones included.
+/// Maximum number of members in the list, including dead ones.
 const MAX_MEMBERS: usize = 8192;
-/// How long dead members are remembered: later updates about them are stale, and after a partition they are contacted again.
+/// Time for which dead members are kept, so that older updates about them are recognized as stale and that they are contacted again
+/// after a partition.
 const DEAD_MEMBER_RETENTION: Duration = Duration::from_secs(600);
 
-/// The state that a member is believed to be in.
+/// The believed state of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// It answers probes.
+    /// The member answers probes.
     Alive,
-    /// It did not answer lately, and may refute that.
+    /// The member did not answer a recent probe, and may refute the suspicion.
     Suspect,
-    /// It did not refute in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It announced that it leaves.
+    /// The member announced its departure.
     Left,
 }
 
 impl MemberState {
-    /// Whether it counts as a member: alive or suspect.
+    /// Returns whether the member counts as active, which means alive or suspect.
     pub fn is_active(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
-/// A known member.
+/// A member in the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// What it announced of itself.
+    /// Properties that the member announced.
     pub info: Arc<MemberInfo>,
-    /// Its highest known incarnation.
+    /// Highest known incarnation of the member.
     pub incarnation: Incarnation,
-    /// Its state.
+    /// Believed state of the member.
     pub state: MemberState,
-    /// When it entered that state, by the clock of who keeps the list.
+    /// Time at which the member entered that state, by the clock of the list's owner.
     pub state_since: Duration,
-    /// When it was first known, by the same clock.
+    /// Time at which the member was first known, by the clock of the list's owner.
     pub first_seen: Duration,
 }
 
-/// What an update did to the member list.
+/// The effect of an update on the member list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Effect {
-    /// Nothing: it is known, older than what is known, or about an unknown member.
+    /// The update changed nothing: it is known, older than the known state, or about an unknown member.
     Stale,
-    /// A member that was unknown or inactive is active.
+    /// A member that was unknown or inactive is active now.
     Joined,
-    /// A known member changed its state or incarnation.
+    /// The state or incarnation of a known member changed.
     Changed,
-    /// Nothing, but it may be an independent confirmation of a suspicion.
+    /// The update changed nothing, but may be an independent confirmation of a suspicion.
     SuspectedAlready,
 }
 
-/// All known members, the one that keeps the list included.
+/// All known members, including the owner of the list.
 #[derive(Debug, Clone)]
 pub struct MemberList {
     members: BTreeMap<MemberId, Member>,
-    /// Digest of the active members of each bucket.
+    /// Digest of the active members, by bucket.
     bucket_digests: Vec<u64>,
-    /// The members of each bucket, active or not.
+    /// Ids of the active and inactive members, by bucket.
     buckets: Vec<BTreeSet<MemberId>>,
-    active: usize,
+    active_count: usize,
 }
 
 impl Default for MemberList {
@@ -78,7 +79,7 @@
             members: BTreeMap::new(),
             bucket_digests: vec![0; BUCKETS],
             buckets: vec![BTreeSet::new(); BUCKETS],
-            active: 0,
+            active_count: 0,
         }
     }
 }
@@ -88,37 +89,39 @@
 }
 
 impl MemberList {
-    /// A known member.
+    /// Returns a member, or `None` if it is unknown.
     pub fn get(&self, id: MemberId) -> Option<&Member> {
         self.members.get(&id)
     }
 
-    /// All known members, dead ones included.
+    /// Returns all known members, including dead ones.
     pub fn iter(&self) -> impl Iterator<Item = (MemberId, &Member)> {
         self.members.iter().map(|(id, member)| (*id, member))
     }
 
-    /// The known members of a bucket.
+    /// Returns the known members of a bucket.
     pub(crate) fn in_bucket(&self, bucket: usize) -> impl Iterator<Item = (MemberId, &Member)> {
         self.buckets[bucket].iter().filter_map(|id| Some((*id, self.members.get(id)?)))
     }
 
-    /// Number of members that are alive or suspect.
+    /// Returns the number of members that are alive or suspect.
     pub fn active_count(&self) -> usize {
-        self.active
+        self.active_count
     }
 
-    /// A digest of the active members of each bucket.
+    /// Returns a digest of the active members for each bucket.
     pub fn digests(&self) -> Digests {
         Digests(self.bucket_digests.clone())
     }
 
-    /// A digest of all active members.
+    /// Returns a digest of all active members.
     pub fn digest(&self) -> u64 {
         self.bucket_digests.iter().fold(0, |digest, bucket| mix64(digest ^ bucket))
     }
 
-    /// Adds an active member to the digest of its bucket, or removes it: an exclusive or, so that the order does not matter.
+    /// Adds an active member to the digest of its bucket, or removes it. Returns whether the member is active.
+    ///
+    /// The digest is an exclusive or, so it does not depend on the order of changes.
     fn toggle_in_digest(&mut self, id: MemberId) -> bool {
         let Some(member) = self.members.get(&id) else { return false };
         let is_active = member.state.is_active();
@@ -130,16 +133,17 @@
 
     fn add_to_digest(&mut self, id: MemberId) {
         if self.toggle_in_digest(id) {
-            self.active += 1;
+            self.active_count += 1;
         }
     }
 
     fn remove_from_digest(&mut self, id: MemberId) {
         if self.toggle_in_digest(id) {
-            self.active = self.active.saturating_sub(1);
+            self.active_count = self.active_count.saturating_sub(1);
         }
     }
 
+    /// Changes a member, and keeps the digest, the number of active members and the time of the last change of state up to date.
     fn change(&mut self, id: MemberId, now: Duration, change: impl FnOnce(&mut Member)) {
         self.remove_from_digest(id);
         if let Some(member) = self.members.get_mut(&id) {
@@ -152,8 +156,10 @@
         self.add_to_digest(id);
     }
 
-    /// Applies an update if it is newer than what is known (SWIM, section 4.2). In contrast to the paper, a dead member may come
-    /// back by a higher incarnation, which only the member itself issues: partitions may heal.
+    /// Applies an update if it is newer than the known state (SWIM, section 4.2).
+    ///
+    /// In contrast to the paper, a dead member becomes alive again with a higher incarnation, which only the member itself issues,
+    /// because partitions may heal.
     pub(crate) fn apply(&mut self, now: Duration, update: &Update) -> Effect {
         let (id, incarnation) = (update.member(), update.incarnation());
         let Some(member) = self.members.get(&id) else {
@@ -177,8 +183,8 @@
                 self.change_state(id, now, incarnation, MemberState::Suspect)
             }
             Update::Dead { by, .. } if state.is_active() && incarnation >= known => {
-                let dead = if *by == id { MemberState::Left } else { MemberState::Dead };
-                self.change_state(id, now, incarnation, dead)
+                let inactive_state = if *by == id { MemberState::Left } else { MemberState::Dead };
+                self.change_state(id, now, incarnation, inactive_state)
             }
             _ => Effect::Stale,
         }
@@ -221,7 +227,7 @@
         Effect::Joined
     }
 
-    /// Makes room for another member; false if all are active.
+    /// Removes the member that has been inactive for the longest time. Returns false if all members are active.
     fn evict_oldest_inactive(&mut self) -> bool {
         let inactive = self.members.iter().filter(|(_, member)| !member.state.is_active());
         let Some(oldest) = inactive.min_by_key(|(_, member)| member.state_since).map(|(id, _)| *id) else {
@@ -232,7 +238,7 @@
         true
     }
 
-    /// Removes members that have been dead for longer than they are remembered.
+    /// Removes members that have been inactive for longer than the retention time.
     pub(crate) fn remove_expired(&mut self, now: Duration) {
         self.members.retain(|_, member| {
             member.state.is_active() || now.saturating_sub(member.state_since) < DEAD_MEMBER_RETENTION
--- a/crates/fleet/membership/src/messages/mod.rs
+++ b/crates/fleet/membership/src/messages/mod.rs
@@ -7,60 +7,60 @@
 
 use crate::identity::{Incarnation, MemberId, MemberInfo};
 
-/// Buckets of a member list, each with a digest of its own.
+/// Number of buckets of a member list. Each bucket has a digest.
 pub(crate) const BUCKETS: usize = 64;
-/// Maximum bytes of a packet's updates, by [`Update::max_encoded_len`]. A whole packet then stays under 1,300 bytes, which no
-/// network between two fronts fragments.
+/// Maximum size in bytes of a packet's updates, by [`Update::max_encoded_len`]. A complete packet then stays under 1,300 bytes, so
+/// that no network between two fronts fragments it.
 pub(crate) const MAX_UPDATE_BYTES: usize = 700;
-/// An incarnation above this is invalid: each increment takes a suspicion, and there are never so many.
+/// Maximum valid incarnation. Each increment takes a suspicion, so that no member reaches it.
 const MAX_INCARNATION: u64 = 1 << 40;
 
-/// Maximum bytes of an encoded 64-bit number.
-const MAX_NUMBER_LEN: usize = 10;
-/// Maximum bytes of an encoded address.
+/// Maximum size in bytes of an encoded 64-bit integer.
+const MAX_VARINT_LEN: usize = 10;
+/// Maximum size in bytes of an encoded address.
 const MAX_ADDRESS_LEN: usize = 20;
 
-/// A statement about one member, which members disseminate.
+/// A statement about one member that members disseminate.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Update {
     /// The member is alive.
     Alive {
-        /// The member.
+        /// The member that the update is about.
         id: MemberId,
-        /// Its incarnation, as the member states it.
+        /// The incarnation of the member.
         incarnation: Incarnation,
-        /// What the member announces of itself.
+        /// Properties that the member announces.
         info: Arc<MemberInfo>,
     },
     /// The member did not answer a probe.
     Suspect {
-        /// The member.
+        /// The member that the update is about.
         id: MemberId,
         /// The incarnation that is suspected.
         incarnation: Incarnation,
-        /// Who suspects it.
+        /// The member that suspects it.
         by: MemberId,
     },
     /// The member is dead, or has left.
     Dead {
-        /// The member.
+        /// The member that the update is about.
         id: MemberId,
         /// The incarnation that is declared dead.
         incarnation: Incarnation,
-        /// Who declares it. The member itself: it has left.
+        /// The member that declares it dead. If it is the member itself, the member has left.
         by: MemberId,
     },
 }
 
 impl Update {
-    /// The member that the update is about.
+    /// Returns the member that the update is about.
     pub fn member(&self) -> MemberId {
         match self {
             Update::Alive { id, .. } | Update::Suspect { id, .. } | Update::Dead { id, .. } => *id,
         }
     }
 
-    /// The incarnation that the update is about.
+    /// Returns the incarnation that the update is about.
     pub fn incarnation(&self) -> Incarnation {
         match self {
             Update::Alive { incarnation, .. }
@@ -69,81 +69,81 @@
         }
     }
 
-    /// An upper bound of its encoded length in bytes.
+    /// Returns an upper bound of the encoded length in bytes.
     pub fn max_encoded_len(&self) -> usize {
         match self {
             Update::Alive { info, .. } => {
-                1 + MAX_NUMBER_LEN + MAX_NUMBER_LEN + MAX_ADDRESS_LEN + 1 + info.zone.len() + 1
+                1 + MAX_VARINT_LEN + MAX_VARINT_LEN + MAX_ADDRESS_LEN + 1 + info.zone.len() + 1
             }
-            Update::Suspect { .. } | Update::Dead { .. } => 1 + 3 * MAX_NUMBER_LEN,
+            Update::Suspect { .. } | Update::Dead { .. } => 1 + 3 * MAX_VARINT_LEN,
         }
     }
 
-    /// Whether a member could have sent it.
+    /// Returns whether a member could have sent the update.
     pub(crate) fn is_valid(&self) -> bool {
         self.incarnation().0 <= MAX_INCARNATION
     }
 }
 
-/// A digest of each bucket of a member list.
+/// The digests of a member list, one per bucket.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digests(pub Vec<u64>);
 
-/// What a packet is for, besides the updates in it.
+/// The purpose of a packet, besides the updates in it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A probe. It asks for an [`Message::Ack`].
+    /// Probe, which the receiver answers with [`Message::Ack`].
     Ping {
-        /// The sender's number for the probe.
+        /// Sequence number that the sender gave the probe.
         seq: u64,
-        /// Digest of the sender's whole member list.
+        /// Digest of the sender's entire member list.
         digest: u64,
     },
-    /// Asks the receiver to probe a third member: SWIM's ping-req, an indirect probe.
+    /// Request to the receiver to probe a third member on behalf of the sender (SWIM's ping-req).
     PingRequest {
-        /// The sender's number for the probe.
+        /// Sequence number that the sender gave the probe.
         seq: u64,
         /// The member to probe.
         target: MemberId,
-        /// Its address.
+        /// The address of the member to probe.
         address: SocketAddr,
     },
-    /// The probed member has answered, directly or by way of the sender.
+    /// Answer of the probed member, sent by itself or forwarded by a relay.
     Ack {
-        /// The number of the probe.
+        /// Sequence number of the probe.
         seq: u64,
-        /// Digest of the sender's whole member list.
+        /// Digest of the sender's entire member list.
         digest: u64,
     },
-    /// The sender is alive, and the member that it was asked to probe has not answered yet (Lifeguard, section IV-A).
+    /// Answer of a relay whose target has not answered yet (Lifeguard, section IV-A).
     Nack {
-        /// The number of the probe.
+        /// Sequence number of the probe.
         seq: u64,
     },
-    /// The probed member does not run at this address any more: the sender does.
+    /// Answer to a probe of a member that no longer runs at this address, sent by the member that does.
     Replaced {
-        /// The number of the probe.
+        /// Sequence number of the probe.
         seq: u64,
     },
-    /// Asks for the updates of all buckets whose digests differ.
+    /// Request for the updates of all buckets whose digests differ.
     CompareDigests {
         /// The sender's digests.
         digests: Digests,
-        /// It answers another one, and no answer to it is wanted.
+        /// Whether the message answers another one, so that only updates are sent in return.
         is_reply: bool,
     },
-    /// Carries the updates of buckets that differ, and nothing else.
+    /// Packet that only carries updates, as an answer to [`Message::CompareDigests`] or an announcement of a departure.
     Updates,
 }
 
-/// A datagram's payload.
+/// The payload of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
     /// The sender.
     pub from: MemberId,
-    /// The receiver; none: whoever listens at the address.
+    /// The receiver, or `None` for whichever member listens at the address.
     pub to: Option<MemberId>,
-    /// What it is for.
+    /// The purpose of the packet.
     pub message: Message,
     /// Piggybacked updates.
     pub updates: Vec<Update>,
--- a/crates/fleet/membership/src/swim/digest_exchange.rs
+++ b/crates/fleet/membership/src/swim/digest_exchange.rs
@@ -1,4 +1,4 @@
-//! Digest exchanges: anti-entropy between two members whose lists differ for longer than dissemination takes.
+//! Digest exchanges, the anti-entropy between two members whose lists differ for longer than dissemination takes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,17 +12,17 @@
 use crate::messages::{BUCKETS, Digests, Message, Packet};
 use crate::rate_limit::TokenBucket;
 
-/// From one exchange to the next.
+/// Time between two exchanges.
 const EXCHANGE_INTERVAL: Duration = Duration::from_secs(10);
-/// The same while the last exchange brought unknown members, so that a newcomer knows all within seconds.
+/// Time between two exchanges after one that brought unknown members, so that a newcomer knows all members within seconds.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Exchanges that are answered per second: a bound for a fleet that starts at once at one seed, and for a member that sends
-/// requests without end.
+/// Maximum number of exchanges that are answered per second. It limits the load of a fleet that starts all at once with one seed,
+/// and of a member that keeps sending requests.
 const MAX_ANSWERS_PER_SECOND: f64 = 20.0;
-/// How long digests must differ before an exchange is started: dissemination is over by then.
+/// Time for which digests must differ before an exchange is started. Dissemination is complete after this time.
 const DIFFERENCE_TOLERANCE: Duration = Duration::from_secs(6);
 
-/// Whom the last exchange was started with.
+/// The member with which the last exchange was started.
 #[derive(Debug, Clone, Copy)]
 struct Peer {
     address: SocketAddr,
@@ -35,7 +35,7 @@
     differs_since: Option<Duration>,
     next_at: Duration,
     peer: Option<Peer>,
-    /// Whether the exchange is repeated with the same peer, as it brought unknown members.
+    /// Whether the exchange is repeated with the same peer because it brought unknown members.
     repeats: bool,
     answers: TokenBucket,
 }
@@ -46,7 +46,7 @@
         DigestExchange { differs_since: None, next_at: now, peer: None, repeats: false, answers }
     }
 
-    /// Whether the last exchange was started with whoever is at this address.
+    /// Returns whether the last exchange was started with the member at this address.
     pub(super) fn is_peer(&self, address: SocketAddr) -> bool {
         self.peer.is_some_and(|peer| peer.address == address)
     }
@@ -57,7 +57,7 @@
 }
 
 impl Swim {
-    /// Compares the digest of another's whole list with the own one.
+    /// Compares the digest of another member's list with that of the own list, and starts an exchange if they differ for long.
     pub(super) fn compare_digest(
         &mut self,
         digest: u64,
@@ -89,13 +89,13 @@
         self.counters.digest_exchanges += 1;
         self.exchange.next_at = self.now + self.jittered(EXCHANGE_INTERVAL);
         self.exchange.peer = Some(Peer { address, id: to });
-        // The peer learns of this member, which may be new to it.
+        // This member may be unknown to the peer.
         let own = vec![self.alive_update()];
         let request = Message::CompareDigests { digests: self.members.digests(), is_reply: false };
         self.send(address, to, request, own, out);
     }
 
-    /// The exchange brought unknown members: there may be others.
+    /// Schedules another exchange with the same peer, which may have more unknown members.
     pub(super) fn repeat_exchange_soon(&mut self) {
         if !self.exchange.repeats {
             self.exchange.repeats = true;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Sends the updates of buckets that differ and, unless it is a reply, the own digests.
+    /// Sends the updates of buckets whose digests differ and, unless the received digests are a reply, the own digests.
     pub(super) fn answer_exchange(
         &mut self,
         address: SocketAddr,
--- a/crates/fleet/membership/src/swim/indirect_probe.rs
+++ b/crates/fleet/membership/src/swim/indirect_probe.rs
@@ -1,4 +1,4 @@
-//! Indirect probes: those that this member requests of others, and those that it relays for them (SWIM, section 3.1; Lifeguard,
+//! Indirect probes that this member requests from others, and those that it relays for others (SWIM, section 3.1; Lifeguard,
 //! section IV-A).
 
 use std::net::SocketAddr;
@@ -13,29 +13,29 @@
 use crate::member_list::MemberState;
 use crate::messages::Message;
 
-/// Members that are asked for an indirect probe (SWIM's k).
+/// Number of members from which indirect probes are requested (SWIM's k).
 const INDIRECT_PROBES: usize = 3;
-/// Draws until those members are found.
+/// Maximum number of random draws to find those members.
 const MAX_DRAWS: usize = 8 * INDIRECT_PROBES;
-/// When a relay sends a nack, as a part of the probe timeout (Lifeguard, section IV-A).
+/// Time after which a relay sends a nack, as a fraction of the probe timeout (Lifeguard, section IV-A).
 const NACK_TIMEOUT_FACTOR: f64 = 0.8;
-/// Maximum number of probes that are relayed at once.
+/// Maximum number of concurrent relayed probes.
 const MAX_RELAYED_PROBES: usize = 64;
 
-/// Who asked for an indirect probe.
+/// The member that requested an indirect probe.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Requester {
     pub(super) id: MemberId,
     pub(super) address: SocketAddr,
-    /// Its number for the probe.
+    /// Sequence number that the requester gave the probe.
     pub(super) seq: u64,
 }
 
-/// A probe that this member sends for another.
+/// A probe that this member sends on behalf of another.
 #[derive(Debug, Clone)]
 pub(super) struct RelayedProbe {
     requester: Requester,
-    /// When the requester gets a nack, unless it got one.
+    /// Time at which a nack is sent to the requester, or `None` once it has been sent.
     nack_at: Option<Duration>,
     expires_at: Duration,
 }
@@ -47,7 +47,7 @@
 }
 
 impl Swim {
-    /// Asks others to probe the target of the current probe.
+    /// Requests indirect probes of the current probe's target from other members.
     pub(super) fn request_indirect_probes(&mut self, out: &mut Vec<Output>) {
         let Some(mut probe) = self.probe.take() else { return };
         probe.indirect_at = None;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The members to ask for help with a probe; none if it is answered.
+    /// Returns the members from which to request indirect probes. There are none if the probe has been answered.
     fn relays_of(&mut self, probe: &Probe) -> Vec<MemberId> {
         let is_known = self.members.get(probe.target).is_some();
         if probe.is_acked || !is_known || self.has_fault(Fault::NoIndirectProbes) {
@@ -73,40 +73,42 @@
         self.draw_relays(probe.target)
     }
 
-    /// Members that are alive, the target excluded. At most one of them is of this member's own zone if others are known: a
-    /// partition between two zones must not look like the target's death to relays on the same side.
+    /// Draws relays at random among the members that are alive.
+    ///
+    /// At most one relay is in this member's own zone if enough members of other zones are drawn. Otherwise a partition between two
+    /// zones could look like the target's death, as all relays would be on the same side.
     fn draw_relays(&mut self, target: MemberId) -> Vec<MemberId> {
         let mut relays: Vec<MemberId> = Vec::new();
-        let mut of_own_zone: Vec<MemberId> = Vec::new();
+        let mut in_own_zone: Vec<MemberId> = Vec::new();
         for _ in 0..MAX_DRAWS {
             let targets = &self.probe_order.targets;
-            let drawn = self.rng.random_range(0..targets.len().max(1));
-            let Some(id) = targets.get(drawn).copied() else { break };
+            let index = self.rng.random_range(0..targets.len().max(1));
+            let Some(id) = targets.get(index).copied() else { break };
             let Some(member) = self.members.get(id).filter(|member| member.state == MemberState::Alive)
             else {
                 continue;
             };
-            if id == target || id == self.id || relays.contains(&id) || of_own_zone.contains(&id) {
+            if id == target || id == self.id || relays.contains(&id) || in_own_zone.contains(&id) {
                 continue;
             }
-            let is_of_own_zone = member.info.zone == self.info.zone;
-            if !is_of_own_zone || of_own_zone.is_empty() {
+            let is_in_own_zone = member.info.zone == self.info.zone;
+            if !is_in_own_zone || in_own_zone.is_empty() {
                 relays.push(id);
             }
-            if is_of_own_zone {
-                of_own_zone.push(id);
+            if is_in_own_zone {
+                in_own_zone.push(id);
             }
             if relays.len() == INDIRECT_PROBES {
                 return relays;
             }
         }
-        let rest: Vec<MemberId> = of_own_zone.into_iter().filter(|id| !relays.contains(id)).collect();
-        relays.extend(rest);
+        let remaining: Vec<MemberId> = in_own_zone.into_iter().filter(|id| !relays.contains(id)).collect();
+        relays.extend(remaining);
         relays.truncate(INDIRECT_PROBES);
         relays
     }
 
-    /// Probes a member for another.
+    /// Probes a member on behalf of another.
     pub(super) fn relay_probe(
         &mut self,
         requester: Requester,
@@ -129,7 +131,7 @@
         self.send(address, Some(target), Message::Ping { seq, digest }, Vec::new(), out);
     }
 
-    /// Tells those whose targets have not answered in time.
+    /// Sends a nack to each requester whose target has not answered in time.
     pub(super) fn send_due_nacks(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         self.relayed_probes.retain(|_, relayed| now < relayed.expires_at);
@@ -144,7 +146,7 @@
         }
     }
 
-    /// The target of a relayed probe has answered.
+    /// Sends an ack to the requester of a relayed probe whose target has answered.
     pub(super) fn relay_ack(&mut self, seq: u64, out: &mut Vec<Output>) {
         if let Some(relayed) = self.relayed_probes.remove(&seq) {
             let to = relayed.requester;
--- a/crates/fleet/membership/src/swim/join.rs
+++ b/crates/fleet/membership/src/swim/join.rs
@@ -1,4 +1,4 @@
-//! How a member finds others, and how it leaves.
+//! Joining a fleet, reconnecting to partitioned members, and leaving.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,22 +12,22 @@
 use crate::member_list::{Member, MemberState};
 use crate::messages::{Message, Packet, Update};
 
-/// From one attempt to join to the next, by a member that knows no others: at first.
+/// Initial time between two attempts to join, while this member knows no others.
 const MIN_JOIN_BACKOFF: Duration = Duration::from_millis(200);
-/// The same after many attempts.
+/// Maximum time between two attempts to join, while this member knows no others.
 const MAX_JOIN_BACKOFF: Duration = Duration::from_secs(10);
-/// Attempts after which the backoff does not grow any more.
+/// Number of attempts after which the backoff is no longer doubled.
 const MAX_JOIN_DOUBLINGS: u32 = 6;
-/// The same while others are known, so that the parts of a partitioned fleet find each other again.
+/// Time between two attempts to join while other members are known. These attempts reconnect the parts of a fleet after a partition.
 const REJOIN_INTERVAL: Duration = Duration::from_secs(20);
-/// Members that are told of a departure directly.
+/// Number of members to which a departure is sent directly.
 const LEAVE_FANOUT: usize = 8;
 
-/// When this member looks for others next.
+/// The schedule of this member's attempts to join.
 #[derive(Debug)]
 pub(super) struct JoinSchedule {
     pub(super) next_at: Duration,
-    /// Attempts since it knew others.
+    /// Number of attempts since this member last knew others.
     attempts: u32,
 }
 
@@ -36,7 +36,7 @@
         JoinSchedule { next_at: first_at, attempts: 0 }
     }
 
-    /// Counts an attempt; how long to wait for the next.
+    /// Counts an attempt. Returns the time until the next one.
     fn advance(&mut self, is_alone: bool) -> Duration {
         if !is_alone {
             self.attempts = 0;
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Addresses of seeds and dead members at which no active member is known.
+    /// Returns the addresses of seeds and dead members at which no active member is known.
     fn join_candidates(&self) -> Vec<SocketAddr> {
         let is_active = |member: &&Member| member.state.is_active();
         let members = || self.members.iter().map(|(_, member)| member);
@@ -72,13 +72,13 @@
         candidates.filter(|address| !known.contains(address)).collect()
     }
 
-    /// Tells some members that this one leaves. It does nothing afterwards.
+    /// Announces the departure of this member to some others. This member handles no inputs afterwards.
     pub(super) fn leave(&mut self) -> Vec<Output> {
         let (id, incarnation) = (self.id, self.incarnation);
         let left = Update::Dead { id, incarnation, by: id };
-        let is_told = |member: &(MemberId, &Member)| member.0 != id && member.1.state.is_active();
+        let is_recipient = |member: &(MemberId, &Member)| member.0 != id && member.1.state.is_active();
         let mut others: Vec<(MemberId, SocketAddr)> =
-            self.members.iter().filter(is_told).map(|(to, member)| (to, member.info.address)).collect();
+            self.members.iter().filter(is_recipient).map(|(to, member)| (to, member.info.address)).collect();
         others.shuffle(&mut self.rng);
         self.has_left = true;
         let send = |(to, address): (MemberId, SocketAddr)| {
--- a/crates/fleet/membership/src/swim/mod.rs
+++ b/crates/fleet/membership/src/swim/mod.rs
@@ -1,4 +1,4 @@
-//! The protocol's state machine. Its caller passes in packets and the time, and sends the packets that come out.
+//! The state machine of the protocol. The caller passes received packets and the time to it, and sends the packets that it returns.
 
 mod digest_exchange;
 mod indirect_probe;
@@ -26,51 +26,51 @@
 use crate::messages::{Message, Packet, Update};
 use crate::suspicion::Suspicion;
 
-/// SWIM's protocol period: from one probe to the next, of a healthy member.
+/// SWIM's protocol period: the time between two probes of a healthy member.
 const PERIOD: Duration = Duration::from_secs(1);
-/// Maximum local health multiplier: nine times as slow (Lifeguard's S).
+/// Maximum local health multiplier (Lifeguard's S). Timeouts are then nine times as long.
 const MAX_LOCAL_HEALTH: u32 = 8;
-/// A process that handles a deadline later than this was paused.
+/// Delay of a deadline's handling above which the process is considered to have been paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
-/// How often the deadlines of suspicions are checked.
+/// Time between two checks of the deadlines of suspicions.
 const SUSPICION_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Periods between two removals of members that are dead for long.
+/// Number of periods between two removals of expired members.
 const PERIODS_PER_EXPIRY: u64 = 64;
 
 /// An input of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
-    /// Only time has passed.
+    /// Time has passed.
     Tick,
-    /// A packet came from this address.
+    /// A packet was received from this address.
     Received(SocketAddr, Packet),
-    /// This process ends soon.
+    /// This process is about to exit.
     Leave,
 }
 
 /// An output of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// The packet is to be sent to this address. It may be lost.
+    /// Request to send the packet to this address. The packet may be lost.
     Send(SocketAddr, Packet),
-    /// A member is in another state than before.
+    /// Notification that the believed state of a member has changed.
     StateChanged(MemberId, MemberState),
 }
 
 /// Counters since the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Counters {
-    /// Probes sent.
+    /// Number of probes sent.
     pub probes: u64,
-    /// Probes that were not answered, directly or indirectly.
+    /// Number of probes that were answered neither directly nor indirectly.
     pub failed_probes: u64,
-    /// Statements about this member that it refuted.
+    /// Number of false statements about this member that it refuted.
     pub refutations: u64,
-    /// Digest exchanges that this member started.
+    /// Number of digest exchanges that this member started.
     pub digest_exchanges: u64,
-    /// Digest exchanges that it did not answer, as there were too many.
+    /// Number of digest exchanges that this member did not answer because of its rate limit.
     pub throttled_exchanges: u64,
-    /// Received updates that are invalid.
+    /// Number of invalid updates received.
     pub invalid_updates: u64,
 }
 
@@ -86,7 +86,7 @@
     seeds: Vec<SocketAddr>,
     rng: ChaCha8Rng,
     now: Duration,
-    /// Lifeguard's local health multiplier: 0 if this member is healthy.
+    /// Lifeguard's local health multiplier, which is 0 if this member is healthy.
     local_health: u32,
     last_seq: u64,
     probe_order: ProbeOrder,
@@ -94,13 +94,13 @@
     probe: Option<Probe>,
     next_period_at: Duration,
     next_suspicion_check_at: Duration,
-    /// Probes on behalf of others, by their own numbers.
+    /// Probes on behalf of others, by the sequence number that this member gave them.
     relayed_probes: BTreeMap<u64, RelayedProbe>,
     join: JoinSchedule,
     exchange: DigestExchange,
-    /// It has not known all that another member knows yet.
+    /// Whether this member's list has never matched that of another member.
     is_newcomer: bool,
-    /// Whether updates that are applied are disseminated.
+    /// Whether applied updates are disseminated.
     disseminates: bool,
     has_left: bool,
     counters: Counters,
@@ -108,8 +108,10 @@
 }
 
 impl Swim {
-    /// A member that knows itself and the addresses of some others, the seeds. `id` is drawn anew by each process. `now` belongs
-    /// to the clock of all later inputs.
+    /// Creates a member that knows itself and the addresses of some other members, the seeds.
+    ///
+    /// Each process draws a new random `id`. `seed` seeds the random number generator. `now` is read from the same clock as the time
+    /// of all later inputs.
     pub fn new(id: MemberId, info: MemberInfo, seeds: Vec<SocketAddr>, seed: u64, now: Duration) -> Swim {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ id.0);
         let info = Arc::new(info);
@@ -117,7 +119,7 @@
         let incarnation = Incarnation::default();
         members.apply(now, &Update::Alive { id, incarnation, info: Arc::clone(&info) });
         let seeds = seeds.into_iter().filter(|address| *address != info.address).collect();
-        // The members of a fleet that is started at once do not all probe in the same moment.
+        // A random first period keeps the members of a fleet that starts all at once from probing simultaneously.
         let first_period = Duration::from_micros(rng.random_range(0..micros(PERIOD)));
         Swim {
             id,
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Injects a fault.
+    /// Injects a fault for a test.
     #[cfg(feature = "planted")]
     pub fn inject_fault(&mut self, fault: Fault) {
         self.fault = Some(fault);
@@ -157,8 +159,9 @@
         cfg!(feature = "planted") && self.fault == Some(fault)
     }
 
-    /// Applies updates without disseminating them, as if this member had known them for long. For simulations of large fleets that
-    /// are not about their start.
+    /// Applies updates without disseminating them, as if this member had already known them.
+    ///
+    /// Simulations of large fleets use it to skip the phase in which all members join.
     #[cfg(feature = "planted")]
     pub fn preload(&mut self, updates: &[Update]) {
         let now = self.now;
@@ -168,27 +171,27 @@
         self.is_newcomer = false;
     }
 
-    /// This member's id.
+    /// Returns this member's id.
     pub fn id(&self) -> MemberId {
         self.id
     }
 
-    /// The members that it knows.
+    /// Returns the known members.
     pub fn members(&self) -> &MemberList {
         &self.members
     }
 
-    /// Counters since the start.
+    /// Returns the counters since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Number of updates that are still to be disseminated.
+    /// Returns the number of updates that are yet to be disseminated.
     pub fn queued_updates(&self) -> usize {
         self.broadcasts.len()
     }
 
-    /// When [`Swim::handle`] is to be called next, if no packet comes before.
+    /// Returns the time at which [`Swim::handle`] must be called next if no packet is received before.
     pub fn next_deadline(&self) -> Duration {
         let indirect_probe = self.probe.as_ref().and_then(|probe| probe.indirect_at);
         let nack = self.relayed_probes.values().map(RelayedProbe::next_deadline).min();
@@ -198,16 +201,16 @@
         deadlines.into_iter().flatten().fold(self.next_period_at, Duration::min)
     }
 
-    /// Handles an input and whatever is due at `now`.
+    /// Handles an input and all actions that are due at `now`.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
-        let late = now.saturating_sub(self.next_deadline().max(self.now));
+        let delay = now.saturating_sub(self.next_deadline().max(self.now));
         self.now = self.now.max(now);
         let mut out = Vec::new();
         if self.has_left {
             return out;
         }
-        if late > PAUSE_THRESHOLD && !self.has_fault(Fault::NoPauseDetection) {
-            self.recover_from_pause(late);
+        if delay > PAUSE_THRESHOLD && !self.has_fault(Fault::NoPauseDetection) {
+            self.recover_from_pause(delay);
         }
         match input {
             Input::Tick => {}
@@ -218,8 +221,9 @@
         out
     }
 
-    /// A process that was paused, or did not get a core, must not count its pause against others: its probes are void, and
-    /// suspicions are postponed.
+    /// Discards the current probes and postpones suspicions after a pause of this process.
+    ///
+    /// A process that was paused or not scheduled must not count that time against other members.
     fn recover_from_pause(&mut self, pause: Duration) {
         self.probe = None;
         self.relayed_probes.clear();
@@ -231,18 +235,18 @@
         self.local_health = (self.local_health + by).min(MAX_LOCAL_HEALTH);
     }
 
-    /// A timeout, multiplied while this member is slow itself.
+    /// Returns a timeout, multiplied if this member is slow itself.
     fn scaled_by_health(&self, timeout: Duration) -> Duration {
         timeout * (self.local_health + 1)
     }
 
-    /// A random span between half of `span` and all of it.
+    /// Returns a random duration between half of `span` and `span`.
     fn jittered(&mut self, span: Duration) -> Duration {
         let max = micros(span);
         Duration::from_micros(self.rng.random_range(max / 2..=max))
     }
 
-    /// Sends a packet with `first` and further queued updates.
+    /// Sends a packet with the updates in `first` and further queued updates.
     fn send(
         &mut self,
         address: SocketAddr,
--- a/crates/fleet/membership/src/swim/probe.rs
+++ b/crates/fleet/membership/src/swim/probe.rs
@@ -1,4 +1,4 @@
-//! Direct probes: whom to probe, and what follows from an answer or from silence (SWIM, sections 3.1 and 4.3).
+//! Direct probes: the choice of targets, and the handling of answers and timeouts (SWIM, sections 3.1 and 4.3).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::member_list::{MemberList, MemberState};
 use crate::messages::{Message, Update};
 
-/// How long a direct probe may take before indirect probes are requested.
+/// Time after which indirect probes are requested if a direct probe is not answered.
 pub(super) const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The probe of the current period.
@@ -19,12 +19,12 @@
 pub(super) struct Probe {
     pub(super) target: MemberId,
     pub(super) seq: u64,
-    /// When indirect probes are requested, unless that is done or not needed.
+    /// Time at which indirect probes are requested, or `None` if they have been requested or are not needed.
     pub(super) indirect_at: Option<Duration>,
     pub(super) is_acked: bool,
-    /// Members that were asked for an indirect probe.
+    /// Number of members from which indirect probes were requested.
     pub(super) relays: u32,
-    /// Of those, the ones that answered that they got no answer.
+    /// Number of those members that reported that the target did not answer them.
     pub(super) nacks: u32,
 }
 
@@ -34,8 +34,9 @@
     }
 }
 
-/// The order in which members are probed: a round-robin that is shuffled anew each round, so that none waits for longer than two
-/// rounds (SWIM, section 4.3).
+/// The order in which members are probed.
+///
+/// It is a round-robin that is reshuffled for each round, so that no member waits for longer than two rounds (SWIM, section 4.3).
 #[derive(Debug, Default)]
 pub(super) struct ProbeOrder {
     pub(super) targets: Vec<MemberId>,
@@ -43,7 +44,7 @@
 }
 
 impl ProbeOrder {
-    /// The next target in this round that is still active.
+    /// Returns the next target of this round that is still active, or `None` at the end of the round.
     fn next_in_round(&mut self, members: &MemberList) -> Option<MemberId> {
         while let Some(id) = self.targets.get(self.position).copied() {
             self.position += 1;
@@ -62,7 +63,7 @@
     }
 }
 
-/// What a probe needs of a member.
+/// Properties of a member that a probe needs.
 pub(super) struct Target {
     pub(super) address: SocketAddr,
     pub(super) state: MemberState,
@@ -76,7 +77,7 @@
         let seq = self.next_seq();
         self.counters.probes += 1;
         self.probe = Some(Probe::new(id, seq, self.now + self.scaled_by_health(PROBE_TIMEOUT)));
-        // A suspect member learns of the suspicion first of all, so that it can refute it (Lifeguard's buddy system).
+        // The ping informs a suspect member of the suspicion, so that it can refute it (Lifeguard's buddy system).
         let first = match target.state {
             MemberState::Suspect => {
                 vec![Update::Suspect { id, incarnation: target.incarnation, by: self.id }]
@@ -103,10 +104,10 @@
         None
     }
 
-    /// Neither the target nor any relay answered: the target is suspected.
+    /// Suspects the target of a probe that was not acked, directly or through a relay.
     pub(super) fn probe_failed(&mut self, probe: &Probe, out: &mut Vec<Output>) {
         self.counters.failed_probes += 1;
-        // Relays that sent a nack are reachable, so that this member's own network is not at fault (Lifeguard, section IV-A).
+        // A relay that sent a nack is reachable, so this member's own network is not at fault (Lifeguard, section IV-A).
         let missed_nacks = if probe.relays == 0 { 1 } else { probe.relays.saturating_sub(probe.nacks) };
         self.degrade_local_health(missed_nacks);
         if let Some(target) = self.target(probe.target).filter(|target| target.state.is_active()) {
@@ -126,13 +127,13 @@
     }
 
     pub(super) fn nacked(&mut self, seq: u64) {
-        let open = |probe: &&mut Probe| probe.seq == seq && probe.nacks < probe.relays;
-        if let Some(probe) = self.probe.as_mut().filter(open) {
+        let awaits_nack = |probe: &&mut Probe| probe.seq == seq && probe.nacks < probe.relays;
+        if let Some(probe) = self.probe.as_mut().filter(awaits_nack) {
             probe.nacks += 1;
         }
     }
 
-    /// Another process answered at the target's address. Only one can listen there: the target is dead.
+    /// Declares the target of a probe dead because another process answered at its address, where only one can listen.
     pub(super) fn target_replaced(&mut self, seq: u64, out: &mut Vec<Output>) {
         let Some(probe) = self.probe.take_if(|probe| probe.seq == seq) else { return };
         let id = probe.target;
--- a/crates/fleet/membership/src/swim/receive.rs
+++ b/crates/fleet/membership/src/swim/receive.rs
@@ -1,4 +1,4 @@
-//! What a received packet does.
+//! Handling of received packets.
 
 use std::net::SocketAddr;
 
@@ -16,7 +16,7 @@
         let is_exchange = message == Message::Updates && self.exchange.is_peer(from);
         self.apply_all(updates, is_exchange, out);
         if to.is_some_and(|to| to != self.id) {
-            // The receiver that was meant listened here before.
+            // The intended receiver listened at this address before.
             if let Message::Ping { seq, .. } = message {
                 self.send(from, Some(sender), Message::Replaced { seq }, Vec::new(), out);
             }
@@ -27,7 +27,7 @@
 
     fn apply_all(&mut self, updates: Vec<Update>, is_exchange: bool, out: &mut Vec<Output>) {
         let before = self.members.active_count();
-        // A newcomer must not disseminate the fleet's whole member list again.
+        // A newcomer must not disseminate the entire member list that it gets from an exchange.
         self.disseminates = !(is_exchange && self.is_newcomer);
         for update in updates {
             self.apply(update, out);
--- a/crates/fleet/membership/src/swim/updates.rs
+++ b/crates/fleet/membership/src/swim/updates.rs
@@ -1,4 +1,4 @@
-//! How updates are applied: suspicions, refutations and declarations of death (SWIM, section 4.2).
+//! Applying updates: suspicions, refutations and declarations of death (SWIM, section 4.2).
 
 use std::sync::Arc;
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Starts, confirms or ends the suspicion of a member; whether the update is news.
+    /// Starts, confirms or ends the suspicion of a member. Returns whether the update is news.
     fn update_suspicion(&mut self, update: &Update, effect: Effect) -> bool {
         let id = update.member();
         match (effect, update) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Refutes a false statement about this member by a higher incarnation.
+    /// Refutes a false statement about this member with a higher incarnation.
     fn refute(&mut self, update: &Update) {
         let stated = update.incarnation();
         let is_false = match update {
@@ -63,7 +63,7 @@
             return;
         }
         self.counters.refutations += 1;
-        // This member did not answer others in time: it may be slow itself.
+        // Others got no answer from this member in time, so it may be slow itself.
         self.degrade_local_health(1);
         self.incarnation = stated.next();
         let alive = self.alive_update();
@@ -71,12 +71,12 @@
         self.broadcasts.push(alive);
     }
 
-    /// This member's statement about itself.
+    /// Returns the update that states that this member is alive.
     pub(super) fn alive_update(&self) -> Update {
         Update::Alive { id: self.id, incarnation: self.incarnation, info: Arc::clone(&self.info) }
     }
 
-    /// Declares the members dead whose suspicion timeouts have passed.
+    /// Declares the members dead whose suspicion has timed out.
     pub(super) fn declare_dead_after_timeout(&mut self, out: &mut Vec<Output>) {
         let (members, now) = (self.members.active_count(), self.now);
         let expired: Vec<(MemberId, Incarnation)> = self
