--- a/crates/fleet/coordinator/src/membership/gossip/mod.rs
+++ b/crates/fleet/coordinator/src/membership/gossip/mod.rs
@@ -102,7 +102,7 @@
 
     /// Writes the front's slot into this member's own row.
     pub(super) fn set_front_slot(&self, now: Duration, slot: Option<u16>) {
-        self.gossip().set_front_number(now, slot);
+        self.gossip().set_front_slot(now, slot);
     }
 
     /// Returns one section of all rows that have it.
@@ -117,7 +117,7 @@
         let rows = gossip.rows(now).filter_map(|row| {
             Some(GossipRow {
                 member: row.member,
-                front_slot: row.front_number,
+                front_slot: row.front_slot,
                 zone: zone_of(row.member),
                 version: row.version,
                 age: row.age,
--- a/crates/fleet/coordinator/src/membership/gossip/tests.rs
+++ b/crates/fleet/coordinator/src/membership/gossip/tests.rs
@@ -29,7 +29,7 @@
     let versions = || vec![RowVersion { member: MemberKey([1, 2, 3, 4, 5, 6, 7, 8]), version: 300 }];
     let delta = RowDelta {
         member: MemberKey([8; 8]),
-        front_number: Some(3),
+        front_slot: Some(3),
         since: 1,
         version: 300,
         age_ms: 1_000,
--- a/crates/fleet/gossip/src/fault_injection.rs
+++ b/crates/fleet/gossip/src/fault_injection.rs
@@ -1,18 +1,18 @@
 //! Faults that tests inject, one at a time, to show that the tests detect them.
 
-/// A fault of the protocol's implementation.
+/// A fault that a test injects into the protocol's implementation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A row's age is counted from its arrival, not from when it was requested.
+    /// The age of a row is counted from its arrival instead of from its request.
     AgeFromArrival,
-    /// A received row counts as new, whatever age its sender states.
+    /// The age that the sender of a row states is ignored.
     AgeNotCarried,
-    /// A row of any version replaces the known one.
+    /// A row of any version replaces the known row.
     AnyVersion,
-    /// Rows are never expired.
+    /// Rows never expire.
     NoExpiry,
-    /// Rows are accepted that were not requested.
+    /// Rows that were not requested are accepted.
     AcceptsUnsolicited,
-    /// Rows are pushed but never requested.
+    /// Rows are pushed, but never requested.
     NoPull,
 }
--- a/crates/fleet/gossip/src/gossip/exchange.rs
+++ b/crates/fleet/gossip/src/gossip/exchange.rs
@@ -1,4 +1,4 @@
-//! An exchange of rows between two fronts: digests, then versions, then the rows that are newer at either.
+//! An exchange of rows between two fronts: digests, then versions, then the rows that are newer at either of them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,21 +15,21 @@
 };
 use crate::row_table::{MergeOutcome, bucket};
 
-/// Maximum packets of one answer: the versions of all rows fit in.
+/// Maximum number of packets of an answer. The versions of all rows fit into them.
 const MAX_ANSWER_PACKETS: usize = 24;
-/// Maximum versions of one packet.
+/// Maximum number of versions in a packet.
 const MAX_VERSIONS: usize = (MAX_PACKET_BYTES - VERSIONS_OVERHEAD) / MAX_ROW_VERSION_LEN;
 
-/// The front that an answer goes to.
+/// The front to which an answer is sent.
 #[derive(Debug, Clone, Copy)]
 struct Receiver {
     address: SocketAddr,
     id: MemberId,
 }
 
-/// A row that another front knows less of.
+/// A row of which another front knows only an older version, or none.
 #[derive(Debug, Clone, Copy)]
-struct WantedRow {
+struct OutdatedRow {
     member: MemberId,
     /// The version that the other front knows.
     known: u64,
@@ -43,7 +43,7 @@
 }
 
 impl VersionsBatch {
-    fn has_room_for(&self, versions: usize) -> bool {
+    fn has_capacity_for(&self, versions: usize) -> bool {
         self.versions.len() + versions <= MAX_VERSIONS
     }
 
@@ -55,7 +55,7 @@
 impl Gossip {
     pub(super) fn receive(&mut self, from: SocketAddr, packet: Packet, out: &mut Vec<Output>) {
         let Packet { from: sender, to, message } = packet;
-        // Nobody can have this front send answers to an address that is no front's.
+        // Keeps a forged packet from making this front send answers to an address that is not a front's.
         let is_peer = self.peers.get(&sender).is_some_and(|peer| peer.address == from);
         if to != self.id || !is_peer {
             self.counters.unsolicited_packets += 1;
@@ -73,11 +73,11 @@
                 }
             }
             Message::RequestRows { seq, versions } => {
-                let wanted = |version: &RowVersion| WantedRow {
+                let outdated = |version: &RowVersion| OutdatedRow {
                     member: MemberId::from(version.member),
                     known: version.version,
                 };
-                let rows: Vec<WantedRow> = versions.iter().map(wanted).collect();
+                let rows: Vec<OutdatedRow> = versions.iter().map(outdated).collect();
                 self.send_rows(sender, seq, &rows, out);
             }
             Message::Rows { in_reply_to, rows } => {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// When the request was sent that a packet from this address answers.
+    /// Returns the time at which the request was sent that a packet from this address answers, or `None` if there is no such request.
     fn request_sent_at(&mut self, seq: u64, from: SocketAddr) -> Option<Duration> {
         let sent_at = self.requests.sent_at(seq, from, self.now);
         if sent_at.is_none() && self.has_fault(Fault::AcceptsUnsolicited) {
@@ -118,15 +118,15 @@
     fn versions_of_differing_buckets(&self, theirs: &[[u8; 8]], first_bucket: usize) -> Vec<VersionsBatch> {
         let mut batches = Vec::new();
         let mut batch = VersionsBatch::default();
-        for number in (0..BUCKETS).map(|offset| (first_bucket + offset) % BUCKETS) {
-            if !theirs.get(number).is_some_and(|digest| self.table.differs(number, digest)) {
+        for index in (0..BUCKETS).map(|offset| (first_bucket + offset) % BUCKETS) {
+            if !theirs.get(index).is_some_and(|digest| self.table.differs(index, digest)) {
                 continue;
             }
-            let mut versions: Vec<RowVersion> = self.table.versions_in(number).collect();
-            // A bucket with more rows than a packet takes is listed in part. Only ids that are chosen on purpose lead to one.
+            let mut versions: Vec<RowVersion> = self.table.versions_in(index).collect();
+            // A bucket with more rows than fit into a packet is listed in part. Only deliberately chosen member ids lead to one.
             let is_complete = versions.len() <= MAX_VERSIONS;
             versions.truncate(MAX_VERSIONS);
-            if !batch.has_room_for(versions.len()) {
+            if !batch.has_capacity_for(versions.len()) {
                 batches.push(std::mem::take(&mut batch));
                 if batches.len() >= MAX_ANSWER_PACKETS {
                     return batches;
@@ -134,7 +134,7 @@
             }
             batch.versions.extend(versions);
             if is_complete {
-                batch.complete_buckets |= 1 << number;
+                batch.complete_buckets |= 1 << index;
             }
         }
         if !batch.is_empty() {
@@ -143,7 +143,7 @@
         batches
     }
 
-    /// Sends the rows that are newer here, and requests those that are newer at the sender.
+    /// Sends the rows that are newer at this front, and requests those that are newer at the sender.
     fn answer_versions(
         &mut self,
         sender: Receiver,
@@ -164,14 +164,14 @@
         }
     }
 
-    fn rows_newer_than(&self, theirs: &BTreeMap<MemberId, u64>, complete_buckets: u32) -> Vec<WantedRow> {
+    fn rows_newer_than(&self, theirs: &BTreeMap<MemberId, u64>, complete_buckets: u32) -> Vec<OutdatedRow> {
         let mut newer = Vec::new();
         for member in self.table.members() {
             let listed = theirs.get(&member).copied();
             let is_compared = listed.is_some() || complete_buckets & (1 << bucket(member)) != 0;
             let known = listed.unwrap_or(0);
             if is_compared && self.table.version(member) > known {
-                newer.push(WantedRow { member, known });
+                newer.push(OutdatedRow { member, known });
             }
         }
         newer
@@ -203,23 +203,23 @@
         }
     }
 
-    /// Whether a member's row may be accepted.
+    /// Returns whether a member's row may be accepted.
     fn is_known(&self, member: MemberId) -> bool {
         self.table.contains(member) || self.peers.contains_key(&member)
     }
 
-    /// Sends what changed of rows since the versions that the receiver knows.
-    fn send_rows(&mut self, to: Receiver, in_reply_to: u64, wanted: &[WantedRow], out: &mut Vec<Output>) {
-        // The first row is drawn, so that a bounded answer leaves out other rows each time.
-        let first = if wanted.is_empty() { 0 } else { self.rng.random_range(0..wanted.len()) };
-        let in_order = wanted.iter().cycle().skip(first).take(wanted.len());
+    /// Sends the changes of rows since the versions that the receiver knows.
+    fn send_rows(&mut self, to: Receiver, in_reply_to: u64, outdated: &[OutdatedRow], out: &mut Vec<Output>) {
+        // The first row is drawn at random, so that a truncated answer leaves out different rows each time.
+        let first = if outdated.is_empty() { 0 } else { self.rng.random_range(0..outdated.len()) };
+        let in_order = outdated.iter().cycle().skip(first).take(outdated.len());
         let deltas = in_order.filter_map(|row| self.table.delta(row.member, row.known, self.now));
         for rows in split_into_packets(deltas) {
             self.send(to.address, to.id, Message::Rows { in_reply_to, rows }, out);
         }
     }
 
-    /// Compares a stated version of the own row. One that this front did not write is forged, and overwritten.
+    /// Checks a received version of the own row. A version that this front did not write is forged, and is overwritten.
     fn check_own_version(&mut self, version: u64) {
         if version > self.table.version(self.id) && version < MAX_VERSION {
             self.counters.forged_own_rows += 1;
--- a/crates/fleet/gossip/src/gossip/mod.rs
+++ b/crates/fleet/gossip/src/gossip/mod.rs
@@ -1,4 +1,4 @@
-//! The protocol's state machine. Its caller passes in packets and the time, and sends the packets that come out.
+//! The state machine of the protocol. The caller passes received packets and the time to it, and sends the packets that it returns.
 
 mod exchange;
 mod pending_requests;
@@ -18,59 +18,59 @@
 use crate::row_table::{RowTable, RowTooLong, RowView};
 use crate::settings::Settings;
 
-/// Another front, as the member list has it.
+/// Another front, from the member list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Its member id.
+    /// The front's member id.
     pub id: MemberId,
-    /// Where it receives packets.
+    /// Address at which the front receives packets.
     pub address: SocketAddr,
-    /// Its zone, as it announced it.
+    /// The zone that the front announced.
     pub zone: Zone,
 }
 
 /// An input of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
-    /// Only time has passed.
+    /// Time has passed.
     Tick,
-    /// A packet came from this address.
+    /// A packet was received from this address.
     Received(SocketAddr, Packet),
-    /// The other fronts that are members now.
+    /// The other fronts that are members have changed to these.
     Peers(Vec<Peer>),
 }
 
 /// An output of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// The packet is to be sent to this address. It may be lost.
+    /// Request to send the packet to this address. The packet may be lost.
     Send(SocketAddr, Packet),
 }
 
 /// Counters since the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Counters {
-    /// Packets sent.
+    /// Number of packets sent.
     pub sent_packets: u64,
-    /// Their bytes, by [`Packet::max_encoded_len`].
+    /// Total size of the packets sent in bytes, by [`Packet::max_encoded_len`].
     pub sent_bytes: u64,
-    /// Packets that were not sent, as the bytes of the second were used up.
+    /// Number of packets that were dropped because of the limit of bytes per second.
     pub throttled_packets: u64,
-    /// Received rows that were newer than the known ones.
+    /// Number of received rows that were newer than the known ones.
     pub accepted_rows: u64,
-    /// Received packets that answer no request, are late, or come from no peer.
+    /// Number of received packets that answer no request, arrived too late, or were not sent by a peer.
     pub unsolicited_packets: u64,
-    /// Received rows and lists of digests that are invalid.
+    /// Number of received rows and lists of digests that are invalid.
     pub invalid_rows: u64,
-    /// Received rows of unknown members, or for which there is no room.
+    /// Number of received rows of unknown members or that exceed a maximum size.
     pub rejected_rows: u64,
-    /// Received versions of the own row that this front did not write.
+    /// Number of received versions of the own row that this front did not write.
     pub forged_own_rows: u64,
-    /// Rows that were dropped, as their fronts are gone.
+    /// Number of rows that expired.
     pub expired_rows: u64,
 }
 
-/// The rows of all fronts, as one front knows and disseminates them.
+/// One front's participant in the gossip protocol, with the rows that it knows.
 #[derive(Debug)]
 pub struct Gossip {
     id: MemberId,
@@ -81,14 +81,16 @@
     rng: ChaCha8Rng,
     now: Duration,
     next_round_at: Duration,
-    /// Limits the bytes that are sent.
+    /// Limit of the bytes sent per second.
     send_budget: TokenBucket,
     counters: Counters,
 }
 
 impl Gossip {
-    /// A front that knows its own empty row alone. `id` is drawn anew by each process. `now` belongs to the clock of all later
-    /// inputs.
+    /// Creates a participant that knows only its own, empty row.
+    ///
+    /// Each process draws a new random `id`. `seed` seeds the random number generator. `now` is read from the same clock as the time
+    /// of all later inputs.
     pub fn new(id: MemberId, settings: Settings, seed: u64, now: Duration) -> Gossip {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ id.0);
         let first_round = settings.round_interval.mul_f64(rng.random_range(0.0..1.0));
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Injects a fault.
+    /// Injects a fault for a test.
     #[cfg(feature = "planted")]
     pub fn inject_fault(&mut self, fault: Fault) {
         self.table.fault = Some(fault);
@@ -116,25 +118,25 @@
         cfg!(feature = "planted") && self.table.fault == Some(fault)
     }
 
-    /// This front's member id.
+    /// Returns this front's member id.
     pub fn id(&self) -> MemberId {
         self.id
     }
 
-    /// Counters since the start.
+    /// Returns the counters since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Its settings.
+    /// Returns the settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Writes a section of the own row. It is sent in the next rounds; of several writes between two rounds the last counts.
+    /// Writes a section of the own row. The next rounds disseminate it. Of several writes between two rounds only the last is sent.
     ///
     /// # Errors
-    /// The row would be too long. It stays as it was.
+    /// Returns an error if the row would be too long. The row is unchanged then.
     pub fn write_section(
         &mut self,
         now: Duration,
@@ -145,33 +147,33 @@
         self.table.write_section(kind, bytes, self.now)
     }
 
-    /// Sets this front's number among the fronts.
-    pub fn set_front_number(&mut self, now: Duration, front_number: Option<u16>) {
+    /// Sets this front's slot.
+    pub fn set_front_slot(&mut self, now: Duration, front_slot: Option<u16>) {
         self.now = self.now.max(now);
-        self.table.set_front_number(front_number, self.now);
+        self.table.set_front_slot(front_slot, self.now);
     }
 
-    /// All known rows, the own one included.
+    /// Returns all known rows, including the own one.
     pub fn rows(&self, now: Duration) -> impl Iterator<Item = RowView<'_>> {
         self.table.views(now.max(self.now))
     }
 
-    /// The known row of a member.
+    /// Returns the row of a member, or `None` if it is unknown.
     pub fn row(&self, now: Duration, member: MemberId) -> Option<RowView<'_>> {
         self.table.view(member, now.max(self.now))
     }
 
-    /// The peer with this id.
+    /// Returns the peer with this id, or `None` if there is none.
     pub fn peer(&self, id: MemberId) -> Option<&Peer> {
         self.peers.get(&id)
     }
 
-    /// When [`Gossip::handle`] is to be called next, if no packet comes before.
+    /// Returns the time at which [`Gossip::handle`] must be called next if no packet is received before.
     pub fn next_deadline(&self) -> Duration {
         self.next_round_at
     }
 
-    /// Handles an input and whatever is due. `now` never goes back.
+    /// Handles an input and all actions that are due. `now` must not decrease from call to call.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
         let mut out = Vec::new();
@@ -186,9 +188,9 @@
         out
     }
 
-    /// Starts an exchange with some random peers.
+    /// Starts an exchange with randomly chosen peers.
     fn run_round(&mut self, out: &mut Vec<Output>) {
-        // The interval varies, so that fronts that were started together do not stay in step.
+        // Jitter keeps the rounds of fronts that started together from staying synchronized.
         self.next_round_at = self.now + self.settings.round_interval.mul_f64(self.rng.random_range(0.9..1.1));
         self.counters.expired_rows += self.table.remove_expired(self.now) as u64;
         self.requests.remove_expired(self.now);
@@ -205,7 +207,7 @@
         }
     }
 
-    /// The number of a request that is sent now. It is random, so that only whoever gets the request can answer it.
+    /// Returns the id of a request that is sent now. It is random, so that only the receiver of the request can answer it.
     fn next_request(&mut self, receiver: SocketAddr) -> u64 {
         let seq = self.rng.random();
         self.requests.add(seq, receiver, self.now);
@@ -224,12 +226,12 @@
         out.push(Output::Send(address, packet));
     }
 
-    /// Number of known rows, the own one included.
+    /// Returns the number of known rows, including the own one.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Whether no rows are known: never, as the own row always is.
+    /// Returns whether no rows are known, which is never the case because the own row is always known.
     pub fn is_empty(&self) -> bool {
         self.table.len() == 0
     }
--- a/crates/fleet/gossip/src/row_table/mod.rs
+++ b/crates/fleet/gossip/src/row_table/mod.rs
@@ -1,10 +1,12 @@
 //! The rows that a front knows.
 //!
-//! **How a row's age is bounded.** The age of a row is the time since it was its front's current one. A front states age 0 for its
-//! own row. Whoever requests rows notes when it did; the answer states how old the row was when it was sent; the time since the
-//! request is added, which includes the packet's transit. While a row is kept, its age grows by the local clock, divided by the
-//! slowest rate that a clock may have. So each hop adds at least the true time, and the bound is never below the true age. Two
-//! answers with the same version are two bounds of one age, and the smaller one counts.
+//! # Age of a row
+//!
+//! The age of a known row is the time since its version was the current one at its front. A front states age 0 for its own row. An
+//! answer to a request states the age that the row had when it was sent. The receiver adds the time since it sent the request, which
+//! includes the packet's transit. While a row is kept, its age grows by the local clock, divided by the slowest rate that a clock may
+//! have. Each hop therefore adds at least the true time, and the age is an upper bound of the true one. Two answers with the same
+//! version give two bounds of the same age, of which the smaller one counts.
 
 mod row;
 
@@ -20,20 +22,20 @@
 use crate::messages::{BUCKETS, MAX_AGE_MS, MAX_ROWS, MemberKey, RowDelta, RowVersion, Section, SectionKind};
 use crate::settings::Settings;
 
-/// What became of a received row.
+/// The outcome of merging a received row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum MergeOutcome {
-    /// It is newer than the known one and replaces it.
+    /// The row is newer than the known one and has replaced it.
     Accepted,
-    /// It is not newer, or its age is past the expiry.
+    /// The row is not newer than the known one, or has expired.
     Stale,
-    /// It lacks changes after the known version.
+    /// The row lacks changes that follow the known version.
     Gap,
-    /// There is no room for it.
+    /// The table or the row would exceed its maximum size.
     Full,
 }
 
-/// All known rows, the own one included.
+/// All known rows, including the own one.
 #[derive(Debug, Clone)]
 pub(crate) struct RowTable {
     own: MemberId,
@@ -43,7 +45,7 @@
     pub(crate) fault: Option<Fault>,
 }
 
-/// The bucket of a member's row.
+/// Returns the bucket of a member's row.
 pub(crate) fn bucket(member: MemberId) -> usize {
     bucket_of(member.0, BUCKETS)
 }
@@ -53,7 +55,7 @@
 }
 
 impl RowTable {
-    /// A table with the own row alone, at its first version.
+    /// Creates a table that contains only the own row, at its first version.
     pub(crate) fn new(own: MemberId, settings: Settings, now: Duration) -> RowTable {
         let rows = BTreeMap::from([(own, Row::new(1, Duration::ZERO, now))]);
         let mut table = RowTable { own, settings, rows, bucket_digests: [0; BUCKETS], fault: None };
@@ -69,7 +71,7 @@
         self.rows.len()
     }
 
-    /// The known version of a row; 0: the row is unknown.
+    /// Returns the known version of a row, or 0 if the row is unknown.
     pub(crate) fn version(&self, member: MemberId) -> u64 {
         self.rows.get(&member).map_or(0, |row| row.version)
     }
@@ -91,7 +93,7 @@
         self.rows.keys().filter_map(move |member| self.view(*member, now))
     }
 
-    /// A digest of the rows' versions in each bucket.
+    /// Returns a digest of the rows' versions for each bucket.
     pub(crate) fn digests(&self) -> Vec<[u8; 8]> {
         self.bucket_digests.iter().map(|digest| digest.to_le_bytes()).collect()
     }
@@ -100,9 +102,9 @@
         self.bucket_digests.get(bucket).is_some_and(|own| own.to_le_bytes() != *digest)
     }
 
-    /// The known versions of a bucket's rows.
-    pub(crate) fn versions_in(&self, wanted: usize) -> impl Iterator<Item = RowVersion> {
-        let is_in_bucket = move |(member, _): &(&MemberId, &Row)| bucket(**member) == wanted;
+    /// Returns the known versions of the rows in a bucket.
+    pub(crate) fn versions_in(&self, index: usize) -> impl Iterator<Item = RowVersion> {
+        let is_in_bucket = move |(member, _): &(&MemberId, &Row)| bucket(**member) == index;
         self.rows
             .iter()
             .filter(is_in_bucket)
@@ -113,39 +115,41 @@
         self.rows.keys().copied()
     }
 
-    /// Adds a version to its bucket's digest, or removes it: an exclusive or, so that the order does not matter.
+    /// Adds a version to the digest of its bucket, or removes it.
+    ///
+    /// The digest is an exclusive or, so it does not depend on the order of changes.
     fn toggle_in_digest(&mut self, member: MemberId, version: u64) {
         self.bucket_digests[bucket(member)] ^= row_digest(member, version);
     }
 
-    /// Gives the own row a new version, above `above` too.
-    pub(crate) fn bump(&mut self, above: u64, now: Duration) {
+    /// Gives the own row a new version that is also greater than `min_exclusive`.
+    pub(crate) fn bump(&mut self, min_exclusive: u64, now: Duration) {
         let own = self.own;
         let Some(row) = self.rows.get_mut(&own) else { return };
         let before = row.version;
-        let version = before.max(above) + 1;
+        let version = before.max(min_exclusive) + 1;
         row.version = version;
         row.age_known_at = now;
         self.toggle_in_digest(own, before);
         self.toggle_in_digest(own, version);
     }
 
-    /// When the own row got its version.
+    /// Returns the time at which the own row got its version.
     pub(crate) fn bumped_at(&self) -> Duration {
         self.rows.get(&self.own).map_or(Duration::ZERO, |row| row.age_known_at)
     }
 
-    pub(crate) fn set_front_number(&mut self, front_number: Option<u16>, now: Duration) {
+    pub(crate) fn set_front_slot(&mut self, front_slot: Option<u16>, now: Duration) {
         let own = self.own;
-        if self.rows.get(&own).is_some_and(|row| row.front_number != front_number) {
+        if self.rows.get(&own).is_some_and(|row| row.front_slot != front_slot) {
             self.bump(0, now);
             if let Some(row) = self.rows.get_mut(&own) {
-                row.front_number = front_number;
+                row.front_slot = front_slot;
             }
         }
     }
 
-    /// Writes a section of the own row. Nothing changes if it has the same content already.
+    /// Writes a section of the own row. The row keeps its version if the section already has this content.
     pub(crate) fn write_section(
         &mut self,
         kind: SectionKind,
@@ -168,7 +172,7 @@
         Ok(())
     }
 
-    /// What changed of a row since a version, if anything did.
+    /// Returns the changes of a row since a version, or `None` if the row has no newer version.
     pub(crate) fn delta(&self, member: MemberId, since: u64, now: Duration) -> Option<RowDelta> {
         let row = self.rows.get(&member).filter(|row| row.version > since)?;
         let age = self.age(member, row, now);
@@ -176,7 +180,7 @@
         let changed = row.sections.values().filter(|section| section.version > since);
         Some(RowDelta {
             member: MemberKey::from(member),
-            front_number: row.front_number,
+            front_slot: row.front_slot,
             since,
             version: row.version,
             age_ms,
@@ -184,7 +188,7 @@
         })
     }
 
-    /// A bound of the age of a received row that was requested at a time.
+    /// Returns an upper bound of the age of a received row that was requested at `requested_at`.
     fn received_age(&self, delta: &RowDelta, requested_at: Duration, now: Duration) -> Duration {
         let mut since_request = now.saturating_sub(requested_at);
         let mut stated = Duration::from_millis(u64::from(delta.age_ms));
@@ -197,7 +201,7 @@
         stated + self.settings.max_true_duration(since_request)
     }
 
-    /// Merges a received row that was requested at a time.
+    /// Merges a received row that was requested at `requested_at`.
     pub(crate) fn merge(&mut self, delta: RowDelta, requested_at: Duration, now: Duration) -> MergeOutcome {
         let member = MemberId::from(delta.member);
         let age = self.received_age(&delta, requested_at, now);
@@ -233,7 +237,7 @@
         MergeOutcome::Accepted
     }
 
-    /// Drops the rows whose fronts are gone; how many there were.
+    /// Removes expired rows. Returns their number.
     pub(crate) fn remove_expired(&mut self, now: Duration) -> usize {
         if self.has_fault(Fault::NoExpiry) {
             return 0;
--- a/crates/fleet/gossip/src/row_table/row.rs
+++ b/crates/fleet/gossip/src/row_table/row.rs
@@ -1,4 +1,4 @@
-//! One row, as it is kept and as it is shown to readers.
+//! A stored row, and the view of it for readers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,16 +9,17 @@
 use crate::messages::{MAX_ROW_BYTES, MAX_SECTIONS, RowDelta, Section, SectionKind};
 use crate::settings::Settings;
 
-/// Sections that do not fit into a row.
+/// Error of writing a section that does not fit into a row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("a row has {MAX_SECTIONS} sections and {MAX_ROW_BYTES} bytes at most")]
+#[error("row exceeds {MAX_SECTIONS} sections or {MAX_ROW_BYTES} bytes")]
 pub struct RowTooLong;
 
+/// A stored row.
 #[derive(Debug, Clone)]
 pub(super) struct Row {
-    pub(super) front_number: Option<u16>,
+    pub(super) front_slot: Option<u16>,
     pub(super) version: u64,
-    /// Bound of its age at `age_known_at`.
+    /// Upper bound of the row's age at `age_known_at`.
     known_age: Duration,
     pub(super) age_known_at: Duration,
     pub(super) sections: BTreeMap<SectionKind, Section>,
@@ -26,20 +27,20 @@
 
 impl Row {
     pub(super) fn new(version: u64, known_age: Duration, now: Duration) -> Row {
-        Row { front_number: None, version, known_age, age_known_at: now, sections: BTreeMap::new() }
+        Row { front_slot: None, version, known_age, age_known_at: now, sections: BTreeMap::new() }
     }
 
-    /// Bound of its age now.
+    /// Returns an upper bound of the row's age at `now`.
     pub(super) fn age(&self, settings: &Settings, now: Duration) -> Duration {
         self.known_age + settings.max_true_duration(now.saturating_sub(self.age_known_at))
     }
 
     pub(super) fn view(&self, member: MemberId, age: Duration) -> RowView<'_> {
-        let (front_number, version) = (self.front_number, self.version);
-        RowView { member, front_number, version, age, sections: &self.sections }
+        let (front_slot, version) = (self.front_slot, self.version);
+        RowView { member, front_slot, version, age, sections: &self.sections }
     }
 
-    /// Takes another bound of the same version's age if it is smaller: both are true.
+    /// Replaces the age by another bound of the same version's age if that one is smaller.
     pub(super) fn lower_age(&mut self, age: Duration, settings: &Settings, now: Duration) {
         if age < self.age(settings, now) {
             self.known_age = age;
@@ -47,7 +48,9 @@
         }
     }
 
-    /// Takes the changes of another version. `accepts_any` is a test's fault: sections of any version are taken.
+    /// Replaces changed sections by those of another version.
+    ///
+    /// `accepts_any` is an injected fault that accepts sections of any version.
     pub(super) fn replace(&mut self, delta: RowDelta, age: Duration, now: Duration, accepts_any: bool) {
         for section in delta.sections {
             let known = self.sections.get(&section.kind);
@@ -55,7 +58,7 @@
                 self.sections.insert(section.kind, section);
             }
         }
-        self.front_number = delta.front_number;
+        self.front_slot = delta.front_slot;
         self.version = delta.version;
         self.known_age = age;
         self.age_known_at = now;
@@ -65,25 +68,25 @@
 /// A row as this front knows it.
 #[derive(Debug, Clone, Copy)]
 pub struct RowView<'a> {
-    /// Whose row.
+    /// The member whose row it is.
     pub member: MemberId,
-    /// Its front's number among the fronts, if it states one.
-    pub front_number: Option<u16>,
-    /// Its version.
+    /// The front's slot, or `None` if it has none.
+    pub front_slot: Option<u16>,
+    /// The known version of the row.
     pub version: u64,
-    /// Bound of its age; zero for the own row.
+    /// Upper bound of the row's age, which is zero for the own row.
     pub age: Duration,
     sections: &'a BTreeMap<SectionKind, Section>,
 }
 
 impl<'a> RowView<'a> {
-    /// The content of a section, if the row has one of this kind.
+    /// Returns the content of a section, or `None` if the row has no section of this kind.
     pub fn section(&self, kind: SectionKind) -> Option<&'a [u8]> {
         self.sections.get(&kind).map(|section| section.bytes.as_slice())
     }
 }
 
-/// Whether a row with changed sections keeps within its bounds: it may be filled up by one section after another.
+/// Returns whether a row stays within its maximum size after some of its sections have been replaced or added.
 pub(super) fn fits(known: &BTreeMap<SectionKind, Section>, changed: &[Section]) -> bool {
     let is_kept = |section: &&Section| changed.iter().all(|other| other.kind != section.kind);
     let sections = || known.values().filter(is_kept).chain(changed);
--- a/crates/fleet/gossip/src/settings.rs
+++ b/crates/fleet/gossip/src/settings.rs
@@ -1,32 +1,32 @@
-//! Settings of the dissemination of rows.
+//! Settings of gossip.
 
 use std::time::Duration;
 
 use thiserror::Error;
 
-/// The shortest interval of rounds.
+/// Minimum interval between rounds.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(10);
-/// The largest fanout.
+/// Maximum fanout.
 const MAX_FANOUT: usize = 8;
-/// Rounds that a row takes to reach all fronts, besides one per doubling of their number.
+/// Number of rounds that a row takes to reach all fronts, in addition to one per doubling of their number.
 const EXTRA_ROUNDS: u32 = 7;
-/// A million, of which drifts are parts.
-const MILLION: u32 = 1_000_000;
+/// Divisor of a drift in parts per million.
+const PARTS_PER_MILLION: u32 = 1_000_000;
 
-/// How rows are disseminated.
+/// Intervals and limits of gossip.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// From one round to the next.
+    /// Time between two rounds.
     pub round_interval: Duration,
-    /// Peers that are asked in a round.
+    /// Number of peers with which an exchange is started in each round.
     pub fanout: usize,
-    /// The own row gets a new version at least this often, so that its age stays small.
+    /// Maximum time between two versions of the own row. An unchanged row gets a new version too, so that its age stays small.
     pub refresh_interval: Duration,
-    /// Rows that are older than this are dropped: their fronts are gone.
+    /// Age at which a row expires, because its front is considered gone.
     pub row_expiry: Duration,
-    /// Maximum bytes of packets sent per second. A packet that exceeds it is not sent; its rows are requested again later.
+    /// Maximum number of bytes sent per second. A packet that exceeds it is dropped, and its rows are requested again later.
     pub max_bytes_per_second: u32,
-    /// Bound of the difference of two clocks' rates, in parts per million.
+    /// Maximum difference of two clocks' rates, in parts per million.
     pub max_drift_ppm: u32,
 }
 
@@ -43,29 +43,27 @@
     }
 }
 
-/// Settings under which rows can't be disseminated.
+/// Error of settings with which rows cannot be disseminated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// Nothing would be sent, or too much.
-    #[error("a round of at least 10 ms and 1 to 8 peers are needed")]
+    /// The interval of rounds or the fanout is out of range.
+    #[error("gossip needs a round of at least 10 ms and 1 to 8 peers per round")]
     Rounds,
-    /// Rows would be dropped before their next version arrives.
-    #[error(
-        "rows are dropped after {row_expiry:?}, which is less than the {min:?} that they need to reach all fronts"
-    )]
+    /// Rows could expire before their next version arrives.
+    #[error("rows expire after {row_expiry:?}, less than the {min:?} that the size of the fleet requires")]
     RowExpiry {
-        /// As set.
+        /// The configured expiry.
         row_expiry: Duration,
-        /// The minimum.
+        /// The minimum expiry.
         min: Duration,
     },
 }
 
 impl Settings {
-    /// Checks whether rows reach all of so many fronts in time.
+    /// Checks the settings for a fleet of `fronts` fronts.
     ///
     /// # Errors
-    /// They don't.
+    /// Returns an error if a setting is out of range or rows could expire before their next version arrives.
     pub fn check(&self, fronts: usize) -> Result<(), SettingsError> {
         if self.round_interval < MIN_ROUND_INTERVAL || !(1..=MAX_FANOUT).contains(&self.fanout) {
             return Err(SettingsError::Rounds);
@@ -77,20 +75,22 @@
         Ok(())
     }
 
-    /// Bound of the age of a running front's row at any other front, while at most a tenth of all packets is lost and none is
-    /// delayed by more than half a round: `refresh + round x (log2(fronts) + 7)`, the logarithm rounded up.
+    /// Returns an upper bound of the age of a running front's row at any other front.
     ///
-    /// `docs/outlier-detection.md` derives it. It holds with high probability: an older row is expected less than once in a million
-    /// rows and rounds. It does not hold across a partition.
+    /// The bound is `refresh + round x (log2(fronts) + 7)`, with the logarithm rounded up. It holds while at most a tenth of all
+    /// packets is lost and none is delayed by more than half a round, with high probability: an older row is expected less than once
+    /// in a million rows and rounds. It does not hold across a partition. `docs/outlier-detection.md` derives it.
     pub fn staleness(&self, fronts: usize) -> Duration {
         let doublings = fronts.max(2).next_power_of_two().trailing_zeros();
         self.refresh_interval + self.round_interval * (doublings + EXTRA_ROUNDS)
     }
 
-    /// A bound of the true duration of a span that was measured by a clock which may be slow: span / (1 - drift), rounded up.
+    /// Returns an upper bound of the true duration of a span that was measured with a clock that may be slow.
+    ///
+    /// The bound is `measured / (1 - drift)`, rounded up.
     pub(crate) fn max_true_duration(&self, measured: Duration) -> Duration {
-        let rate = u64::from(MILLION) - u64::from(self.max_drift_ppm.min(MILLION / 2));
-        let nanos = (measured.as_nanos() * u128::from(MILLION)).div_ceil(u128::from(rate));
+        let rate = u64::from(PARTS_PER_MILLION) - u64::from(self.max_drift_ppm.min(PARTS_PER_MILLION / 2));
+        let nanos = (measured.as_nanos() * u128::from(PARTS_PER_MILLION)).div_ceil(u128::from(rate));
         Duration::from_nanos(u64::try_from(nanos).unwrap_or(u64::MAX))
     }
 }
--- a/crates/fleet/gossip/src/simulation/mod.rs
+++ b/crates/fleet/gossip/src/simulation/mod.rs
@@ -1,5 +1,7 @@
-//! A simulated cluster: many fronts in one process on a simulated network. Packets are delayed, lost, duplicated or blocked, clocks
-//! run at different rates, fronts are paused, killed and restarted. It serves the tests of this crate and of those that build on it.
+//! A simulated cluster of fronts in one process on a simulated network.
+//!
+//! Packets are delayed, lost, duplicated or blocked, clocks run at different rates, and fronts are paused, killed and restarted. The
+//! tests of this crate and of the crates that depend on it use the cluster.
 
 mod observations;
 
@@ -15,17 +17,17 @@
 pub use self::observations::{UnderestimatedAge, VersionRegression};
 use crate::{Fault, Gossip, Input, Output, Packet, Peer, SectionKind, Settings};
 
-/// The time, by each front's own clock, at which it starts.
+/// The time at which each front starts, by its own clock.
 const START: Duration = Duration::from_secs(1);
-/// The address of the first front; those of the others follow it.
+/// The IPv4 address of the first front. Those of the other fronts follow it.
 const FIRST_ADDRESS: u32 = 0x0a00_0000;
 const ZONES: usize = 3;
-/// Bytes of the fleet's header of a datagram.
+/// Size in bytes of the fleet's header of a datagram.
 const FLEET_HEADER_BYTES: usize = 24;
-/// Bytes of the headers of UDP and IP.
-const IP_HEADER_BYTES: usize = 28;
-/// A deadline is handled this much after it, so that a clock's rounding never makes it early.
-const ROUNDING: Duration = Duration::from_micros(1);
+/// Size in bytes of the headers of UDP and IP.
+const UDP_IP_HEADER_BYTES: usize = 28;
+/// Time that is added to each deadline, so that the rounding of a clock never makes it early.
+const ROUNDING_MARGIN: Duration = Duration::from_micros(1);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Event {
@@ -33,7 +35,7 @@
     Packet { from: usize, packet: Packet },
 }
 
-/// The place of an event in the queue: its time, then when it was scheduled.
+/// The position of an event in the queue, ordered by its time and then by when it was scheduled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Scheduled {
     at: Duration,
@@ -43,40 +45,40 @@
 
 /// A running front.
 pub struct Node {
-    /// Its state machine.
+    /// The state machine of the front.
     pub gossip: Gossip,
-    /// Its clock's rate; 1 is the true one.
+    /// Rate of the front's clock, where 1 is the true rate.
     rate: f64,
-    /// When it was started, by true time.
+    /// True time at which the front was started.
     started_at: Duration,
 }
 
-/// How the network treats packets.
+/// Faults of the simulated network.
 #[derive(Debug, Clone, Copy)]
 pub struct Network {
-    /// Lost packets of a thousand.
-    pub lost: u32,
-    /// Duplicated packets of a thousand.
-    pub duplicated: u32,
-    /// Maximum delay.
+    /// Number of lost packets per thousand.
+    pub lost_per_mille: u32,
+    /// Number of duplicated packets per thousand.
+    pub duplicated_per_mille: u32,
+    /// Maximum delay of a packet.
     pub max_delay: Duration,
 }
 
 /// A simulated cluster of fronts.
 pub struct Cluster {
-    /// True time.
+    /// The current true time.
     pub now: Duration,
-    /// The fronts; none: killed.
+    /// The fronts, or `None` for each front that was killed.
     pub nodes: Vec<Option<Node>>,
     /// The zone of each front.
     pub zones: Vec<usize>,
-    /// How the network treats packets.
+    /// Faults of the network.
     pub network: Network,
     /// Zones without a link to any other zone.
     pub isolated_zones: BTreeSet<usize>,
-    /// Bytes that each front sent, headers included.
+    /// Number of bytes that each front sent, including headers.
     pub sent_bytes: Vec<u64>,
-    /// Length of the longest datagram so far.
+    /// Length in bytes of the longest datagram so far.
     pub max_datagram_len: usize,
     rng: ChaCha8Rng,
     queue: BinaryHeap<Reverse<Scheduled>>,
@@ -84,42 +86,46 @@
     scheduled: u64,
     settings: Settings,
     fault: Option<Fault>,
-    /// Until when each version of a member's row was its current one.
+    /// Time until which each version of a member's row was the current one.
     superseded_at: BTreeMap<MemberId, BTreeMap<u64, Duration>>,
     paused_until: BTreeMap<usize, Duration>,
-    /// Versions that were known at the last check, by who knew them and whose rows they are.
+    /// Versions that were known at the last check, by the front that knew them and the member whose row it is.
     known_versions: BTreeMap<(MemberId, MemberId), u64>,
 }
 
-/// The address of a front.
+/// Returns the address of a front.
 ///
 /// # Panics
-/// If there are more fronts than addresses.
+/// Panics if there are more fronts than addresses.
 pub fn address(front: usize) -> SocketAddr {
-    let offset = u32::try_from(front).expect("few fronts");
+    let offset = u32::try_from(front).expect("the index of a front fits into an address");
     SocketAddr::new(IpAddr::V4(Ipv4Addr::from(FIRST_ADDRESS + offset)), 7000)
 }
 
 fn front_at(address: SocketAddr) -> usize {
     match address.ip() {
         IpAddr::V4(ip) => (u32::from(ip) - FIRST_ADDRESS) as usize,
-        IpAddr::V6(_) => unreachable!("all addresses are of version 4"),
+        IpAddr::V6(_) => unreachable!("all addresses are IPv4 addresses"),
     }
 }
 
-/// The zone with a number.
-pub fn zone(number: usize) -> Zone {
-    Zone::try_from(format!("zone-{number}")).expect("a valid name")
+/// Returns the zone with an index.
+pub fn zone(index: usize) -> Zone {
+    Zone::try_from(format!("zone-{index}")).expect("the zone name is valid")
 }
 
 impl Cluster {
-    /// So many fronts in three zones, which know of each other. A fault is injected into each.
+    /// Creates a cluster of `fronts` running fronts in three zones that know each other. `fault` is injected into each front.
     pub fn new(fronts: usize, seed: u64, settings: Settings, fault: Option<Fault>) -> Cluster {
         let mut cluster = Cluster {
             now: START,
             nodes: (0..fronts).map(|_| None).collect(),
             zones: (0..fronts).map(|front| front % ZONES).collect(),
-            network: Network { lost: 0, duplicated: 0, max_delay: Duration::from_millis(2) },
+            network: Network {
+                lost_per_mille: 0,
+                duplicated_per_mille: 0,
+                max_delay: Duration::from_millis(2),
+            },
             isolated_zones: BTreeSet::new(),
             sent_bytes: vec![0; fronts],
             max_datagram_len: 0,
@@ -150,7 +156,7 @@
         self.schedule_deadline(front);
     }
 
-    /// Tells each front which others run.
+    /// Updates the list of peers at each front to the fronts that run.
     pub fn update_peers(&mut self) {
         let peer = |front: usize| {
             let id = self.nodes[front].as_ref()?.gossip.id();
@@ -164,49 +170,49 @@
         }
     }
 
-    /// Kills a front.
+    /// Kills a front and returns its member id.
     ///
     /// # Panics
-    /// If it does not run.
+    /// Panics if the front does not run.
     pub fn kill(&mut self, front: usize) -> MemberId {
         self.nodes[front].take().expect("the front runs").gossip.id()
     }
 
-    /// Kills a front and starts another process in its place.
+    /// Kills a front and starts a new process in its place.
     ///
     /// # Panics
-    /// If it does not run.
+    /// Panics if the front does not run.
     pub fn restart(&mut self, front: usize) {
         self.kill(front);
         self.start(front);
         self.update_peers();
     }
 
-    /// Pauses a front. What it receives meanwhile waits.
+    /// Pauses a front. It handles the packets that it receives meanwhile after the pause.
     pub fn pause(&mut self, front: usize, span: Duration) {
         self.paused_until.insert(front, self.now + span);
     }
 
-    /// A running front.
+    /// Returns a running front.
     ///
     /// # Panics
-    /// If it does not run.
+    /// Panics if the front does not run.
     pub fn node(&self, front: usize) -> &Node {
         self.nodes[front].as_ref().expect("the front runs")
     }
 
-    /// The time by a running front's clock.
+    /// Returns the time by a running front's clock.
     pub fn clock(&self, front: usize) -> Duration {
         let node = self.node(front);
         START + (self.now - node.started_at).mul_f64(node.rate)
     }
 
-    /// The member id of a running front.
+    /// Returns the member id of a running front.
     pub fn id(&self, front: usize) -> MemberId {
         self.node(front).gossip.id()
     }
 
-    /// The fronts that run.
+    /// Returns the indices of the running fronts.
     pub fn running(&self) -> impl Iterator<Item = usize> {
         (0..self.nodes.len()).filter(|front| self.nodes[*front].is_some())
     }
@@ -220,7 +226,7 @@
     fn schedule_deadline(&mut self, front: usize) {
         let Some(node) = &self.nodes[front] else { return };
         let local = node.gossip.next_deadline().saturating_sub(START);
-        let at = node.started_at + local.div_f64(node.rate) + ROUNDING;
+        let at = node.started_at + local.div_f64(node.rate) + ROUNDING_MARGIN;
         let id = node.gossip.id();
         self.schedule(at.max(self.now), front, Event::Deadline(id));
     }
@@ -228,16 +234,16 @@
     /// Writes the section [`SectionKind::OUTLIER_REPORT`] of a running front's row.
     ///
     /// # Panics
-    /// If the front does not run or the section is too long.
+    /// Panics if the front does not run or the section is too long.
     pub fn write(&mut self, front: usize, bytes: Vec<u8>) {
         let now = self.clock(front);
-        self.recording_versions(front, |gossip| {
-            gossip.write_section(now, SectionKind::OUTLIER_REPORT, bytes).expect("short enough");
+        self.change_and_record_version(front, |gossip| {
+            gossip.write_section(now, SectionKind::OUTLIER_REPORT, bytes).expect("the section fits");
         });
     }
 
-    /// Records until when the version of a front's own row was current, if `change` changes it.
-    fn recording_versions<T>(&mut self, front: usize, change: impl FnOnce(&mut Gossip) -> T) -> T {
+    /// Applies `change` to a front, and records the current time as the end of its row's version if that changes.
+    fn change_and_record_version<T>(&mut self, front: usize, change: impl FnOnce(&mut Gossip) -> T) -> T {
         let local = self.clock(front);
         let gossip = &mut self.nodes[front].as_mut().expect("the front runs").gossip;
         let id = gossip.id();
@@ -255,18 +261,20 @@
             return;
         }
         let now = self.clock(front);
-        for Output::Send(to, packet) in self.recording_versions(front, |gossip| gossip.handle(now, input)) {
+        for Output::Send(to, packet) in
+            self.change_and_record_version(front, |gossip| gossip.handle(now, input))
+        {
             self.send(front, to, packet);
         }
     }
 
-    fn count(&mut self, from: usize, packet: &Packet) {
-        let length = postcard::to_allocvec(packet).expect("it is encoded").len();
+    fn record_sent_packet(&mut self, from: usize, packet: &Packet) {
+        let length = postcard::to_allocvec(packet).expect("the packet is encoded").len();
         let bound = packet.max_encoded_len();
-        assert!(length <= bound, "{length} bytes, and the bound is {bound}");
+        assert!(length <= bound, "a packet of {length} bytes exceeds its bound of {bound} bytes");
         let datagram = length + FLEET_HEADER_BYTES;
         self.max_datagram_len = self.max_datagram_len.max(datagram);
-        self.sent_bytes[from] += (datagram + IP_HEADER_BYTES) as u64;
+        self.sent_bytes[from] += (datagram + UDP_IP_HEADER_BYTES) as u64;
     }
 
     fn is_linked(&self, from: usize, to: usize) -> bool {
@@ -275,19 +283,19 @@
     }
 
     fn send(&mut self, from: usize, address: SocketAddr, packet: Packet) {
-        self.count(from, &packet);
+        self.record_sent_packet(from, &packet);
         let to = front_at(address);
-        if !self.is_linked(from, to) || self.rng.random_range(0..1000) < self.network.lost {
+        if !self.is_linked(from, to) || self.rng.random_range(0..1000) < self.network.lost_per_mille {
             return;
         }
         let max_delay = u64::try_from(self.network.max_delay.as_micros()).unwrap_or(u64::MAX);
-        for _ in 0..1 + u32::from(self.rng.random_range(0..1000) < self.network.duplicated) {
+        for _ in 0..1 + u32::from(self.rng.random_range(0..1000) < self.network.duplicated_per_mille) {
             let delay = Duration::from_micros(self.rng.random_range(100..=max_delay));
             self.schedule(self.now + delay, to, Event::Packet { from, packet: packet.clone() });
         }
     }
 
-    /// Runs the cluster for a span of true time.
+    /// Runs the cluster for a duration of true time.
     pub fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
         while self.queue.peek().is_some_and(|Reverse(next)| next.at <= end) {
@@ -309,7 +317,7 @@
     fn run_event(&mut self, front: usize, event: Event) {
         match event {
             Event::Deadline(id) => {
-                // The deadline of a process that was killed meanwhile is void.
+                // The process that the deadline belongs to may have been killed meanwhile.
                 if self.nodes[front].as_ref().is_some_and(|node| node.gossip.id() == id) {
                     self.handle(front, Input::Tick);
                     self.schedule_deadline(front);
--- a/crates/fleet/gossip/src/simulation/observations.rs
+++ b/crates/fleet/gossip/src/simulation/observations.rs
@@ -1,4 +1,4 @@
-//! What a test looks at in a simulated cluster.
+//! Observations of a simulated cluster that tests check.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,51 +8,51 @@
 use super::Cluster;
 use crate::SectionKind;
 
-/// A row whose age is underestimated.
+/// A row whose stated age is below the true one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnderestimatedAge {
-    /// Who does.
+    /// The front that states the age.
     pub front: usize,
-    /// Whose row.
+    /// The member whose row it is.
     pub member: MemberId,
-    /// The version that is known.
+    /// The version that the front knows.
     pub version: u64,
     /// The age that the front states.
     pub stated: Duration,
     /// The true age.
-    pub truth: Duration,
+    pub true_age: Duration,
 }
 
-/// A row of which an older version is known than before.
+/// A row of which a front knows an older version than before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VersionRegression {
-    /// By whom.
+    /// The front that knows the older version.
     pub known_by: MemberId,
-    /// Whose row.
+    /// The member whose row it is.
     pub member: MemberId,
-    /// The version that was known.
+    /// The version that the front knew before.
     pub before: u64,
 }
 
 impl Cluster {
-    /// The age of a version: the time since it was its front's current one.
+    /// Returns the true age of a version, which is the time since it was the current one at its front.
     fn true_age(&self, member: MemberId, version: u64) -> Duration {
         let superseded_at = self.superseded_at.get(&member).and_then(|versions| versions.get(&version));
         superseded_at.map_or(Duration::ZERO, |at| self.now - *at)
     }
 
-    /// A row whose stated age is below the true one, if there is any.
+    /// Returns a row whose stated age is below the true one, or `None` if there is none.
     pub fn underestimated_age(&self) -> Option<UnderestimatedAge> {
         self.running().find_map(|front| {
             self.node(front).gossip.rows(self.clock(front)).find_map(|row| {
-                let truth = self.true_age(row.member, row.version);
+                let true_age = self.true_age(row.member, row.version);
                 let (member, version, stated) = (row.member, row.version, row.age);
-                (stated < truth).then_some(UnderestimatedAge { front, member, version, stated, truth })
+                (stated < true_age).then_some(UnderestimatedAge { front, member, version, stated, true_age })
             })
         })
     }
 
-    /// A row of which an older version is known than at the last call, if there is any.
+    /// Returns a row of which a front knows an older version than at the last call, or `None` if there is none.
     pub fn version_regression(&mut self) -> Option<VersionRegression> {
         let mut known = BTreeMap::new();
         for front in self.running() {
@@ -68,7 +68,7 @@
         Some(VersionRegression { known_by: key.0, member: key.1, before })
     }
 
-    /// The stated ages of all running fronts' rows at all others; none: the row is unknown.
+    /// Returns the stated ages of all running fronts' rows at all others, with `None` for each row that is unknown.
     pub fn ages(&self) -> Vec<Option<Duration>> {
         let ids: Vec<MemberId> = self.running().map(|front| self.id(front)).collect();
         let mut ages = Vec::new();
@@ -81,7 +81,7 @@
         ages
     }
 
-    /// Whether all running fronts know the same sections of all running fronts.
+    /// Returns whether all running fronts know the rows of all running fronts and no others, with the same sections.
     pub fn has_converged(&self) -> bool {
         let sections = |front: usize| -> BTreeMap<MemberId, Option<Vec<u8>>> {
             let rows = self.node(front).gossip.rows(self.clock(front));
--- a/crates/fleet/gossip/tests/gossip/main.rs
+++ b/crates/fleet/gossip/tests/gossip/main.rs
@@ -1,4 +1,4 @@
-//! Dissemination of rows in simulated clusters, and what a single front accepts.
+//! Tests of the dissemination of rows in simulated clusters, and of the packets that a single front accepts.
 
 mod bounds;
 mod dissemination;
--- a/crates/fleet/gossip/tests/gossip/unsolicited.rs
+++ b/crates/fleet/gossip/tests/gossip/unsolicited.rs
@@ -1,4 +1,4 @@
-//! Rows that were not requested, are invalid, or are forged.
+//! Handling of rows that were not requested, are invalid, or are forged.
 
 use beechloft_gossip::simulation::{address, zone};
 use beechloft_gossip::{
@@ -14,10 +14,10 @@
 
 fn row(member: MemberId, version: u64, bytes: usize) -> RowDelta {
     let sections = vec![Section { kind: SectionKind::OUTLIER_REPORT, version, bytes: vec![1; bytes] }];
-    RowDelta { member: MemberKey::from(member), front_number: None, since: 0, version, age_ms: 0, sections }
+    RowDelta { member: MemberKey::from(member), front_slot: None, since: 0, version, age_ms: 0, sections }
 }
 
-/// A front that knows one peer.
+/// Returns a front that knows one peer.
 fn front_with_peer(fault: Option<Fault>) -> Gossip {
     let mut gossip = Gossip::new(OWN, Settings::default(), 1, SECOND);
     if let Some(fault) = fault {
@@ -28,7 +28,7 @@
     gossip
 }
 
-/// Rows that a front accepts from a peer that it did not ask.
+/// Returns the number of rows that a front accepts from a peer without having sent it a request.
 pub fn accepted_unsolicited_rows(fault: Option<Fault>) -> u64 {
     let mut gossip = front_with_peer(fault);
     let message = Message::Rows { in_reply_to: 4, rows: vec![row(PEER, 9, 10)] };
@@ -37,10 +37,10 @@
 }
 
 #[test]
-fn rows_that_are_invalid_or_were_not_requested_are_not_accepted() {
+fn rejects_invalid_unsolicited_and_forged_rows() {
     assert_eq!(accepted_unsolicited_rows(None), 0);
     let mut gossip = front_with_peer(None);
-    // A round sends a request; what follows are possible answers.
+    // The round sends a request, to which the rows below are answers.
     let out = gossip.handle(2 * SECOND, Input::Tick);
     let Some(Output::Send(_, Packet { message: Message::CompareDigests { seq, .. }, .. })) = out.first()
     else {
@@ -64,11 +64,11 @@
         (3, 1, 1, 1),
         "{counters:?}"
     );
-    // The forged version was overwritten: the own one is above it, with nothing of its content.
-    let own = gossip.row(2 * SECOND, OWN).expect("its own");
+    // The own row has a version above the forged one and none of its content.
+    let own = gossip.row(2 * SECOND, OWN).expect("the own row");
     assert_eq!((own.version, own.section(SectionKind::OUTLIER_REPORT)), (51, None));
     let message = Message::CompareDigests { seq: 1, digests: Vec::new() };
-    let stranger = Packet { from: MemberId(3), to: OWN, message };
-    assert_eq!(gossip.handle(2 * SECOND, Input::Received(address(3), stranger)), []);
+    let from_unknown_front = Packet { from: MemberId(3), to: OWN, message };
+    assert_eq!(gossip.handle(2 * SECOND, Input::Received(address(3), from_unknown_front)), []);
     assert_eq!(gossip.counters().unsolicited_packets, 1);
 }
--- a/crates/fleet/gossip/tests/wire_format.rs
+++ b/crates/fleet/gossip/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! The bytes of each kind of packet and of a row's delta: compared both ways with bytes that are committed.
+//! Encoding of each kind of packet and of row deltas. Committed bytes must be encoded and decoded without a difference.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 const FIXTURES: &str = include_str!("fixtures/packets.txt");
 
-/// The committed bytes of each sample: a line each, a name and its bytes in hexadecimal.
+/// Returns the committed bytes of each sample. Each line of the file has a sample's name and its bytes in hexadecimal.
 fn fixtures() -> BTreeMap<&'static str, Vec<u8>> {
     let parse = |line: &'static str| {
         let (name, hex) = line.split_once(' ').expect("a name and its bytes");
@@ -28,15 +28,9 @@
         Section { kind: SectionKind::OUTLIER_REPORT, version: 400, bytes: Vec::new() },
     ];
     let full =
-        RowDelta { member, front_number: Some(300), since: 129, version: 70_000, age_ms: 90_000, sections };
-    let empty = RowDelta {
-        front_number: None,
-        since: 0,
-        version: 1,
-        age_ms: 0,
-        sections: Vec::new(),
-        ..full.clone()
-    };
+        RowDelta { member, front_slot: Some(300), since: 129, version: 70_000, age_ms: 90_000, sections };
+    let empty =
+        RowDelta { front_slot: None, since: 0, version: 1, age_ms: 0, sections: Vec::new(), ..full.clone() };
     vec![("delta", full), ("delta-empty", empty)]
 }
 
@@ -65,10 +59,10 @@
 }
 
 #[test]
-fn each_delta_of_a_row_has_its_committed_bytes() {
+fn delta_encoding_matches_fixtures() {
     let fixtures = fixtures();
     for (name, delta) in deltas() {
-        let bytes = postcard::to_allocvec(&delta).expect("it is encoded");
+        let bytes = postcard::to_allocvec(&delta).expect("the value is encoded");
         let committed = fixtures.get(name).unwrap_or_else(|| panic!("{name} {}", hex(&bytes)));
         assert_eq!(hex(&bytes), hex(committed), "{name}");
         assert_eq!(postcard::from_bytes::<RowDelta>(committed), Ok(delta), "{name}");
@@ -76,10 +70,10 @@
 }
 
 #[test]
-fn each_packet_has_its_committed_bytes() {
+fn packet_encoding_matches_fixtures() {
     let fixtures = fixtures();
     for (name, packet) in packets() {
-        let bytes = postcard::to_allocvec(&packet).expect("it is encoded");
+        let bytes = postcard::to_allocvec(&packet).expect("the value is encoded");
         let committed = fixtures.get(name).unwrap_or_else(|| panic!("{name} {}", hex(&bytes)));
         assert_eq!(hex(&bytes), hex(committed), "{name}");
         assert_eq!(postcard::from_bytes::<Packet>(committed), Ok(packet), "{name}");
@@ -87,6 +81,6 @@
 }
 
 #[test]
-fn no_committed_bytes_are_without_a_sample() {
+fn every_fixture_has_a_sample() {
     assert_eq!(fixtures().len(), deltas().len() + packets().len());
 }
--- a/crates/fleet/outlier-detection/tests/fleet/fleet.rs
+++ b/crates/fleet/outlier-detection/tests/fleet/fleet.rs
@@ -1,5 +1,7 @@
-//! Simulated fronts that choose among simulated servers. Each front chooses at random among the servers that it is offered. One that
-//! failed is avoided for half a second, twice as long after each further failure, up to eight seconds: so a front by itself does.
+//! Simulated fleet of fronts and media servers.
+//!
+//! Each front chooses at random among the servers that it is offered. It backs off from a server that failed for half a second, and
+//! for twice as long after each further failure, up to eight seconds. This is what a front does without outlier detection.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,20 +18,20 @@
 
 pub const STEP: Duration = Duration::from_millis(100);
 const ZONES: usize = 3;
-/// Attempts of one session.
+/// Maximum number of attempts of a session.
 const MAX_ATTEMPTS: usize = 3;
-/// How long a server is avoided after its first failure.
+/// Backoff after the first failure of a server.
 const MIN_BACKOFF: Duration = Duration::from_millis(500);
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// The chance, in each step, that a front learns of a server's new process.
-const INSTANCE_DISCOVERY: f64 = 0.3;
-/// Servers that a lying front reports.
-const LIES: usize = 20;
-/// What the fleet's random numbers are seeded with besides its seed.
+/// Probability per step that a front discovers a server's new process.
+const INSTANCE_DISCOVERY_PROBABILITY: f64 = 0.3;
+/// Maximum number of servers in the report of a lying front.
+const MAX_FALSE_SERVER_REPORTS: usize = 20;
+/// Mask that makes the seed of the fleet differ from that of its cluster.
 const SEED_MASK: u64 = 77;
 
-fn zone_of(number: usize) -> u16 {
-    u16::try_from(number % ZONES).expect("small")
+fn zone_of(index: usize) -> u16 {
+    u16::try_from(index % ZONES).expect("a small integer")
 }
 
 fn server_id(server: usize) -> u32 {
@@ -39,7 +41,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Health {
     Healthy,
-    /// This part of attempts fails.
+    /// This fraction of attempts fails.
     Failing(f64),
 }
 
@@ -62,11 +64,11 @@
     window: AttemptWindow,
     detector: OutlierDetector,
     reports: FrontReports,
-    /// The process that it knows of each server.
+    /// The boot id that the front knows of each server.
     boots: Vec<u64>,
     backoffs: BTreeMap<usize, Backoff>,
-    /// The sessions, in thousandths, that are offered an excluded server.
-    admitted: BTreeMap<usize, u16>,
+    /// The fraction of sessions that are offered an excluded server, in thousandths.
+    admitted_per_mille: BTreeMap<usize, u16>,
     wants_lease: bool,
 }
 
@@ -79,27 +81,27 @@
             reports: FrontReports::default(),
             boots: vec![1; servers],
             backoffs: BTreeMap::new(),
-            admitted: BTreeMap::new(),
+            admitted_per_mille: BTreeMap::new(),
             wants_lease: false,
         }
     }
 
-    fn is_offered(&self, server: usize, lot: u16) -> bool {
-        self.admitted.get(&server).is_none_or(|admitted| lot < *admitted)
+    fn is_offered(&self, server: usize, draw_per_mille: u16) -> bool {
+        self.admitted_per_mille.get(&server).is_none_or(|admitted| draw_per_mille < *admitted)
     }
 
     fn is_backed_off(&self, server: usize, now: Duration) -> bool {
         self.backoffs.get(&server).is_some_and(|backoff| now < backoff.until)
     }
 
-    fn back_off(&mut self, server: usize, now: Duration) {
+    fn extend_backoff(&mut self, server: usize, now: Duration) {
         let backoff = self.backoffs.entry(server).or_default();
         backoff.until = now + MIN_BACKOFF * 2u32.pow(backoff.failures.min(MAX_BACKOFF_DOUBLINGS));
         backoff.failures += 1;
     }
 }
 
-/// An event, and where and when it occurred.
+/// An ejection event with its front and its time.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetEvent {
     pub at: Duration,
@@ -111,19 +113,19 @@
     pub cluster: Cluster,
     pub servers: Vec<SimulatedServer>,
     pub fronts: Vec<SimulatedFront>,
-    /// Attempts of each front.
-    pub attempts_per_second: f64,
-    /// Whether there is anybody to grant the lease for probes.
+    /// Rate of sessions at each front.
+    pub sessions_per_second: f64,
+    /// Whether a coordinator grants the probe lease.
     pub has_coordinator: bool,
-    /// When attempts at each server failed.
+    /// Times of the failed attempts at each server.
     pub failed_attempts: Vec<Vec<Duration>>,
     pub events: Vec<FleetEvent>,
     pub max_concurrent_probes: usize,
     settings: DetectionSettings,
-    shares_reports: bool,
+    is_detection_enabled: bool,
     rng: ChaCha8Rng,
     lease_holder: Option<usize>,
-    /// Fronts that probe now.
+    /// Fronts that are probing a server.
     probing: BTreeSet<usize>,
 }
 
@@ -133,20 +135,20 @@
         servers: usize,
         seed: u64,
         settings: DetectionSettings,
-        shares_reports: bool,
+        is_detection_enabled: bool,
     ) -> Fleet {
-        let server = |number| SimulatedServer { zone: zone_of(number), boot: 1, health: Health::Healthy };
+        let server = |index| SimulatedServer { zone: zone_of(index), boot: 1, health: Health::Healthy };
         Fleet {
             cluster: Cluster::new(fronts, seed, GossipSettings::default(), None),
             servers: (0..servers).map(server).collect(),
             fronts: (0..fronts).map(|front| SimulatedFront::new(front, servers, settings)).collect(),
-            attempts_per_second: 4.0,
+            sessions_per_second: 4.0,
             has_coordinator: true,
             failed_attempts: vec![Vec::new(); servers],
             events: Vec::new(),
             max_concurrent_probes: 0,
             settings,
-            shares_reports,
+            is_detection_enabled,
             rng: ChaCha8Rng::seed_from_u64(seed ^ SEED_MASK),
             lease_holder: None,
             probing: BTreeSet::new(),
@@ -154,8 +156,8 @@
     }
 
     fn locations(&self) -> ServerLocations {
-        let location = |(number, server): (usize, &SimulatedServer)| {
-            (server_id(number), ServerLocation { zone: server.zone, capacity: 1.0 })
+        let location = |(index, server): (usize, &SimulatedServer)| {
+            (server_id(index), ServerLocation { zone: server.zone, capacity: 1.0 })
         };
         self.servers.iter().enumerate().map(location).collect()
     }
@@ -170,22 +172,22 @@
         ServerInstance::new(server_id(server), Some(self.fronts[front].boots[server]))
     }
 
-    /// One session: attempts at different servers until one succeeds.
+    /// Runs a session, which makes attempts at different servers until one succeeds.
     fn run_session(&mut self, front: usize, now: Duration) {
         let mut tried = BTreeSet::new();
         for _ in 0..MAX_ATTEMPTS {
-            let lot = self.rng.random_range(0..1_000u16);
+            let draw_per_mille = self.rng.random_range(0..1_000u16);
             let state = &self.fronts[front];
-            let is_open = |server: &usize| {
+            let is_available = |server: &usize| {
                 !tried.contains(server)
-                    && state.is_offered(*server, lot)
+                    && state.is_offered(*server, draw_per_mille)
                     && !state.is_backed_off(*server, now)
             };
-            let open: Vec<usize> = (0..self.servers.len()).filter(is_open).collect();
-            if open.is_empty() {
+            let available: Vec<usize> = (0..self.servers.len()).filter(is_available).collect();
+            if available.is_empty() {
                 return;
             }
-            let server = open[self.rng.random_range(0..open.len())];
+            let server = available[self.rng.random_range(0..available.len())];
             tried.insert(server);
             if self.attempt(front, server, now) {
                 return;
@@ -197,11 +199,11 @@
         self.reaches(front, server)
             && match self.servers[server].health {
                 Health::Healthy => true,
-                Health::Failing(part) => !self.rng.random_bool(part),
+                Health::Failing(fraction) => !self.rng.random_bool(fraction),
             }
     }
 
-    /// One attempt; whether it succeeds.
+    /// Makes one attempt. Returns whether it succeeds.
     fn attempt(&mut self, front: usize, server: usize, now: Duration) -> bool {
         let succeeds = self.succeeds(front, server);
         let instance = self.instance(front, server);
@@ -212,21 +214,21 @@
         state.window.record(now, Attempt { instance, zone, title: 0, viewer: None, outcome, is_probe });
         if is_probe {
             state.detector.probe_ended(now, instance, succeeds);
-            state.admitted.insert(server, 0);
+            state.admitted_per_mille.insert(server, 0);
         }
         if succeeds {
             state.backoffs.remove(&server);
         } else {
-            state.back_off(server, now);
+            state.extend_backoff(server, now);
             self.failed_attempts[server].push(self.cluster.now);
         }
         succeeds
     }
 
-    /// The opposite of what is so.
+    /// Returns a report that states the opposite of each server's health.
     fn false_report(&self, front: usize) -> Report {
-        let server = |number: usize| {
-            let is_healthy = self.servers[number].health == Health::Healthy;
+        let server = |index: usize| {
+            let is_healthy = self.servers[index].health == Health::Healthy;
             let counts = AttemptCounts {
                 attempts: 9,
                 errors: if is_healthy { 9 } else { 0 },
@@ -234,13 +236,13 @@
                 probe_successes: u8::from(!is_healthy),
                 ..AttemptCounts::default()
             };
-            ServerReport { instance: self.instance(front, number), counts }
+            ServerReport { instance: self.instance(front, index), counts }
         };
-        let servers = (0..self.servers.len().min(LIES)).map(server).collect();
+        let servers = (0..self.servers.len().min(MAX_FALSE_SERVER_REPORTS)).map(server).collect();
         Report { servers, ..Report::default() }
     }
 
-    /// Takes the reports of all fronts from the rows that this front knows.
+    /// Reads the reports of all fronts from the rows that a front knows.
     fn read_reports(&mut self, front: usize) {
         let zones: BTreeMap<FrontId, u16> = self
             .cluster
@@ -275,7 +277,7 @@
         let admitted = |exclusion: &beechloft_outlier_detection::Exclusion| {
             (exclusion.instance.server as usize, exclusion.admitted_per_mille)
         };
-        state.admitted = result.exclusions.iter().map(admitted).collect();
+        state.admitted_per_mille = result.exclusions.iter().map(admitted).collect();
         state.wants_lease = result.wants_probe_lease;
         let at = self.cluster.now;
         self.events.extend(result.events.into_iter().map(|event| FleetEvent { at, front, event }));
@@ -302,7 +304,7 @@
         self.cluster.write(front, report.encode());
     }
 
-    /// Grants the lease for probes to one front at a time, while there is a coordinator.
+    /// Grants the probe lease to one front at a time while there is a coordinator.
     fn grant_lease(&mut self) {
         let is_valid = |front: usize| {
             self.fronts[front].wants_lease && self.has_coordinator && self.cluster.nodes[front].is_some()
@@ -312,34 +314,38 @@
         }
         if self.lease_holder.is_none() && self.has_coordinator {
             let wants_lease = |front: &usize| self.fronts[*front].wants_lease;
-            let wanting: Vec<usize> = (0..self.fronts.len()).filter(wants_lease).collect();
-            if !wanting.is_empty() {
-                self.lease_holder = Some(wanting[self.rng.random_range(0..wanting.len())]);
+            let candidates: Vec<usize> = (0..self.fronts.len()).filter(wants_lease).collect();
+            if !candidates.is_empty() {
+                self.lease_holder = Some(candidates[self.rng.random_range(0..candidates.len())]);
             }
         }
     }
 
-    /// A front learns of a new process by its event stream, within a second.
+    /// Discovers new processes of servers at random. A real front learns of them through the server's event stream.
     fn discover_instances(&mut self, front: usize) {
         for server in 0..self.servers.len() {
             let boot = self.servers[server].boot;
             if self.fronts[front].boots[server] != boot
                 && self.reaches(front, server)
-                && self.rng.random_bool(INSTANCE_DISCOVERY)
+                && self.rng.random_bool(INSTANCE_DISCOVERY_PROBABILITY)
             {
                 self.fronts[front].boots[server] = boot;
             }
         }
     }
 
-    #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a few sessions")]
+    #[expect(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "the number of sessions is small and not negative"
+    )]
     fn run_front(&mut self, front: usize) {
         let now = self.cluster.clock(front);
-        let expected = self.attempts_per_second * STEP.as_secs_f64();
+        let expected = self.sessions_per_second * STEP.as_secs_f64();
         let sessions = expected as u32 + u32::from(self.rng.random_bool(expected.fract()));
         (0..sessions).for_each(|_| self.run_session(front, now));
         self.discover_instances(front);
-        if self.shares_reports {
+        if self.is_detection_enabled {
             self.read_reports(front);
             self.evaluate(front);
             self.write_report(front);
@@ -356,12 +362,12 @@
         }
     }
 
-    /// How many fronts offer a server to no session.
+    /// Returns the number of fronts that offer a server to no session.
     pub fn ejecting_fronts(&self, server: usize) -> usize {
-        self.fronts.iter().filter(|front| front.admitted.get(&server) == Some(&0)).count()
+        self.fronts.iter().filter(|front| front.admitted_per_mille.get(&server) == Some(&0)).count()
     }
 
-    /// An ejection, since a moment, of a server other than `failing`.
+    /// Returns an ejection of a server other than `failing` since a time, or `None` if there is none.
     pub fn wrong_ejection(&self, since: Duration, failing: Option<usize>) -> Option<FleetEvent> {
         let is_wrong = |event: &&FleetEvent| match event.event {
             EjectionEvent::Ejected(outlier) => Some(outlier.instance.server as usize) != failing,
--- a/crates/fleet/outlier-detection/tests/fleet/main.rs
+++ b/crates/fleet/outlier-detection/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Fleets of simulated fronts with servers that fail and restart, and a front that lies; zones isolated, packets lost, duplicated and
-//! late. Figures here are of simulated fleets.
+//! Tests of simulated fleets with failing and restarting servers, a lying front, isolated zones, and lost, duplicated and delayed
+//! packets.
 
 mod fleet;
 mod measurement;
@@ -23,7 +23,7 @@
     settings
 }
 
-/// Fails if a server other than `failing` was ejected since a moment.
+/// Fails if a server other than `failing` was ejected since a time.
 fn check_ejections(fleet: &Fleet, since: Duration, failing: Option<usize>, when: &str) -> Result<(), String> {
     match fleet.wrong_ejection(since, failing) {
         Some(event) => Err(format!("{when}: {event:?}")),
@@ -41,17 +41,17 @@
 fn check_probes(fleet: &Fleet) -> Result<(), String> {
     match fleet.max_concurrent_probes {
         0 | 1 => Ok(()),
-        fronts => Err(format!("{fronts} fronts probed at once")),
+        fronts => Err(format!("{fronts} fronts probed concurrently")),
     }
 }
 
-/// A fleet with a lying front, in which a zone is isolated for a while in every second run.
+/// Runs a fleet with a lying front and without failing servers. In every second run a zone is isolated for a while.
 fn fleet_without_failures(rng: &mut ChaCha8Rng, seed: u64, fault: Option<Fault>) -> Result<Fleet, String> {
     let (fronts, servers) = (rng.random_range(9..18), rng.random_range(9..13));
     let mut fleet = Fleet::new(fronts, servers, seed, settings(fault), true);
     fleet.cluster.network = Network {
-        lost: rng.random_range(0..150),
-        duplicated: 100,
+        lost_per_mille: rng.random_range(0..150),
+        duplicated_per_mille: 100,
         max_delay: Duration::from_millis(rng.random_range(2..300)),
     };
     let liar = rng.random_range(0..fronts);
@@ -68,7 +68,7 @@
     Ok(fleet)
 }
 
-/// The failing server is replaced by a new process, which is healthy.
+/// Replaces the failing server by a new, healthy process and checks that it is not ejected.
 fn restart(fleet: &mut Fleet, server: usize) -> Result<(), String> {
     fleet.servers[server].boot = 2;
     fleet.servers[server].health = Health::Healthy;
@@ -78,7 +78,7 @@
     check_ejections(fleet, since, None, "after the restart")
 }
 
-/// The failing server recovers by itself, without a coordinator to grant the lease for probes in some runs.
+/// Lets the failing server recover and checks that its ejection ends. In some runs no coordinator grants the probe lease.
 fn recover(fleet: &mut Fleet, server: usize, rng: &mut ChaCha8Rng) -> Result<(), String> {
     fleet.has_coordinator = rng.random_bool(0.7);
     fleet.servers[server].health = Health::Healthy;
@@ -88,7 +88,7 @@
     check_not_ejected(fleet, server, &when)
 }
 
-/// A run with a failing server, a lying front, an isolated zone, and a restart or a recovery of the server.
+/// Runs a fleet with a failing server, a lying front, an isolated zone, and a restart or a recovery of the server.
 fn random_failures(seed: u64, fault: Option<Fault>) -> Result<(), String> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut fleet = fleet_without_failures(&mut rng, seed, fault)?;
@@ -109,14 +109,14 @@
     check_ejections(&fleet, Duration::ZERO, Some(failing), "one server fails")
 }
 
-fn number_from_environment(name: &str, default: u64) -> u64 {
+fn integer_from_environment(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 #[test]
-fn no_healthy_server_is_ejected_and_a_failing_one_is_by_all() {
-    let first = number_from_environment("FROM", 0);
-    let seeds = number_from_environment("SEEDS", 40);
+fn all_fronts_eject_only_the_failing_server() {
+    let first = integer_from_environment("FROM", 0);
+    let seeds = integer_from_environment("SEEDS", 40);
     let failed: Vec<(u64, String)> =
         (first..first + seeds).filter_map(|seed| Some((seed, random_failures(seed, None).err()?))).collect();
     assert!(failed.is_empty(), "{} of {seeds}: {:#?}", failed.len(), &failed[..failed.len().min(5)]);
--- a/crates/fleet/outlier-detection/tests/fleet/measurement.rs
+++ b/crates/fleet/outlier-detection/tests/fleet/measurement.rs
@@ -1,4 +1,4 @@
-//! Attempts that fail at a failing server, with and without shared reports.
+//! Measurement of the failed attempts at a failing server, with and without shared reports.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,24 +14,25 @@
 
 struct Measurement {
     failed_attempts: usize,
-    /// From the first failed attempt until all fronts eject the server.
+    /// Time from the first failed attempt until all fronts eject the server, or `None` if they do not.
     all_ejected_after: Option<Duration>,
-    /// From the first failed attempt until each front ejects the server, in ascending order.
+    /// Times from the first failed attempt until each front ejects the server, in ascending order.
     ejected_after: Vec<Duration>,
 }
 
 impl Measurement {
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "an index into the list")]
-    fn percentile(&self, part: f64) -> Option<&Duration> {
-        self.ejected_after.get(((self.ejected_after.len().max(1) - 1) as f64 * part) as usize)
+    fn percentile(&self, fraction: f64) -> Option<&Duration> {
+        self.ejected_after.get(((self.ejected_after.len().max(1) - 1) as f64 * fraction) as usize)
     }
 }
 
-/// One server of sixty fails for a while.
+/// Measures a fleet in which one of sixty servers fails for `seconds`.
 fn measure(fronts: usize, shares_reports: bool, seconds: u32, seed: u64) -> Measurement {
     let mut fleet = Fleet::new(fronts, 60, seed, DetectionSettings::default(), shares_reports);
-    fleet.cluster.network = Network { lost: 20, duplicated: 10, max_delay: Duration::from_millis(5) };
-    fleet.attempts_per_second = 10.0;
+    fleet.cluster.network =
+        Network { lost_per_mille: 20, duplicated_per_mille: 10, max_delay: Duration::from_millis(5) };
+    fleet.sessions_per_second = 10.0;
     fleet.run_for(12 * SECOND);
     fleet.servers[SERVER].health = Health::Failing(1.0);
     let start = fleet.cluster.now;
@@ -60,8 +61,8 @@
 }
 
 #[test]
-#[ignore = "a measurement"]
-fn failed_attempts_of_eight_and_three_hundred_simulated_fronts() {
+#[ignore = "measurement without assertions"]
+fn measures_failed_attempts_with_and_without_shared_reports() {
     for fronts in [8, 300] {
         let alone = measure(fronts, false, 60, 1);
         let shared = measure(fronts, true, 60, 1);
