--- a/crates/fleet/membership/src/broadcast_queue/tests.rs
+++ b/crates/fleet/membership/src/broadcast_queue/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn each_update_is_transmitted_a_bounded_number_of_times_and_none_starves() {
+fn transmits_each_update_equally_often() {
     let mut queue = BroadcastQueue::default();
     (0..100).for_each(|id| queue.push(dead(id)));
     let (mut transmissions, mut packets) = (BTreeMap::new(), 0);
@@ -20,14 +20,14 @@
         assert!(packet.iter().map(Update::max_encoded_len).sum::<usize>() <= MAX_UPDATE_BYTES);
         packet.iter().for_each(|update| *transmissions.entry(update.member()).or_insert(0) += 1);
         if packets == 6 {
-            assert!(transmissions.len() == 100, "all are sent once before any is sent often");
+            assert!(transmissions.len() == 100, "each update is sent once before any is sent repeatedly");
         }
     }
     assert!(transmissions.values().all(|times| *times == 9), "{transmissions:?}");
 }
 
 #[test]
-fn a_newer_update_replaces_the_older_one_and_the_queue_is_bounded() {
+fn newer_update_replaces_older_and_queue_is_bounded() {
     let mut queue = BroadcastQueue::default();
     queue.push(dead(1));
     queue.push(Update::Suspect { id: MemberId(1), incarnation: Incarnation(4), by: MemberId(2) });
--- a/crates/fleet/membership/src/suspicion/tests.rs
+++ b/crates/fleet/membership/src/suspicion/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_confirmation_shortens_the_timeout_and_none_counts_twice() {
+fn independent_confirmations_shorten_the_timeout() {
     let period = Duration::from_secs(1);
     let mut suspicion = Suspicion::new(Incarnation(0), MemberId(1), Duration::ZERO);
     let mut last = suspicion.deadline(300, period);
@@ -12,9 +12,9 @@
         assert!(suspicion.deadline(300, period) < last);
         last = suspicion.deadline(300, period);
     }
-    assert!(!suspicion.confirm(MemberId(9)), "there are enough confirmations");
+    assert!(!suspicion.confirm(MemberId(9)), "the maximum number of confirmations is reached");
     assert!(last > Duration::from_secs(12) && last < Duration::from_secs(13));
-    // In a fleet of two nobody else can confirm it.
-    let of_two = Suspicion::new(Incarnation(0), MemberId(1), Duration::ZERO);
-    assert_eq!(of_two.deadline(2, period), 5 * period);
+    // In a fleet of two, no other member can confirm the suspicion.
+    let in_fleet_of_two = Suspicion::new(Incarnation(0), MemberId(1), Duration::ZERO);
+    assert_eq!(in_fleet_of_two.deadline(2, period), 5 * period);
 }
--- a/crates/fleet/membership/tests/fleet/cluster.rs
+++ b/crates/fleet/membership/tests/fleet/cluster.rs
@@ -1,5 +1,6 @@
-//! Many members in one process on a simulated network: packets delayed, lost, duplicated or blocked by sender and receiver;
-//! members paused and resumed, killed, and started anew.
+//! A simulated fleet of members in one process on a simulated network.
+//!
+//! Packets are delayed, lost, duplicated, or blocked by sender and receiver. Members are paused and resumed, killed and restarted.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -14,13 +15,13 @@
 
 pub const MINUTE: Duration = Duration::from_secs(60);
 
-/// The address of the first member; those of the others follow it.
+/// The IPv4 address of the first member. Those of the other members follow it.
 const FIRST_ADDRESS: u32 = 0x0a00_0000;
 const ZONES: usize = 3;
 const SEEDS: usize = 3;
-/// How often a condition is checked while the simulation runs.
+/// Interval at which a condition is checked while the simulation runs.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Bytes of a datagram's headers: the fleet's, UDP's and IP's.
+/// Size in bytes of a datagram's headers of the fleet, UDP and IP.
 const HEADER_BYTES: u64 = 22 + 28;
 
 #[derive(Debug, PartialEq, Eq)]
@@ -38,7 +39,7 @@
     }
 }
 
-/// An event in the queue, ordered by its time and then by when it was scheduled.
+/// An event in the queue. Events are ordered by their times and then by when they were scheduled.
 #[derive(Debug)]
 struct Scheduled {
     at: Duration,
@@ -66,27 +67,27 @@
     }
 }
 
-/// What a member sent.
+/// Totals of what a member sent.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Traffic {
     pub packets: u64,
     pub bytes: u64,
 }
 
-/// How the network treats packets.
+/// Faults of the simulated network.
 #[derive(Debug, Clone, Copy)]
 pub struct Network {
-    /// Lost packets of a thousand.
-    pub lost: u32,
-    /// Duplicated packets of a thousand.
-    pub duplicated: u32,
-    /// Maximum delay in milliseconds, besides a tenth of one.
-    pub delay_ms: u64,
+    /// Number of lost packets per thousand.
+    pub lost_per_mille: u32,
+    /// Number of duplicated packets per thousand.
+    pub duplicated_per_mille: u32,
+    /// Maximum delay of a packet in milliseconds, in addition to a constant 0.1 ms.
+    pub max_delay_ms: u64,
 }
 
-/// A member that another declared dead.
+/// An event in which one member declares another dead.
 #[derive(Debug, Clone, Copy)]
-#[expect(dead_code, reason = "all fields are for messages of failed tests")]
+#[expect(dead_code, reason = "all fields appear in the messages of failed tests")]
 pub struct Death {
     pub at: Duration,
     pub declared_by: usize,
@@ -99,13 +100,13 @@
     pub zones: Vec<usize>,
     pub rng: ChaCha8Rng,
     pub network: Network,
-    /// Delay of all packets from and to a member.
-    pub slow: BTreeMap<usize, Duration>,
-    /// No packet passes from the first to the second.
+    /// Additional delay of all packets from and to a member.
+    pub additional_delays: BTreeMap<usize, Duration>,
+    /// Pairs of members for which packets from the first to the second are dropped.
     pub blocked: BTreeSet<(usize, usize)>,
-    /// No packet passes between zones.
+    /// Whether packets between zones are dropped.
     pub is_partitioned: bool,
-    /// Whether traffic is counted, which takes time.
+    /// Whether traffic is counted, which slows the simulation down.
     pub counts_traffic: bool,
     pub traffic: Vec<Traffic>,
     pub deaths: Vec<Death>,
@@ -113,8 +114,8 @@
     queue: BinaryHeap<Reverse<Scheduled>>,
     scheduled: u64,
     deadlines: Vec<Duration>,
-    /// Paused until then: a paused member handles nothing. Its packets wait, as in a socket's buffer.
-    paused: BTreeMap<usize, Duration>,
+    /// Times until which members are paused. A paused member handles its packets after the pause, as from a socket's buffer.
+    paused_until: BTreeMap<usize, Duration>,
     max_packet_len: usize,
 }
 
@@ -131,15 +132,15 @@
 }
 
 impl Cluster {
-    /// So many members in three zones, none of which is started.
+    /// Creates a cluster of `members` members in three zones, none of which is running.
     pub fn new(members: usize, seed: u64) -> Cluster {
         Cluster {
             now: Duration::ZERO,
             members: (0..members).map(|_| None).collect(),
             zones: (0..members).map(|member| member % ZONES).collect(),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            network: Network { lost: 0, duplicated: 0, delay_ms: 2 },
-            slow: BTreeMap::new(),
+            network: Network { lost_per_mille: 0, duplicated_per_mille: 0, max_delay_ms: 2 },
+            additional_delays: BTreeMap::new(),
             blocked: BTreeSet::new(),
             is_partitioned: false,
             counts_traffic: false,
@@ -149,7 +150,7 @@
             queue: BinaryHeap::new(),
             scheduled: 0,
             deadlines: vec![Duration::MAX; members],
-            paused: BTreeMap::new(),
+            paused_until: BTreeMap::new(),
             max_packet_len: 0,
         }
     }
@@ -161,7 +162,7 @@
     }
 
     pub fn start(&mut self, member: usize) {
-        let zone = Zone::try_from(format!("zone-{}", self.zones[member])).expect("a zone");
+        let zone = Zone::try_from(format!("zone-{}", self.zones[member])).expect("a valid zone");
         let info = MemberInfo { address: address(member), zone, kind: MemberKind::Front };
         let id = MemberId(self.rng.random());
         let seeds = (0..SEEDS.min(self.members.len())).map(address).collect();
@@ -178,11 +179,11 @@
         self.schedule_deadline(member);
     }
 
-    /// All running members know each other from now on.
+    /// Makes all running members known to each other.
     #[cfg(feature = "planted")]
     pub fn preload_members(&mut self) {
         let alive = |member: &Swim| {
-            let own = member.members().get(member.id()).expect("itself");
+            let own = member.members().get(member.id()).expect("the member knows itself");
             Update::Alive { id: member.id(), incarnation: own.incarnation, info: own.info.clone() }
         };
         let updates: Vec<Update> = self.running().map(alive).collect();
@@ -190,7 +191,7 @@
     }
 
     pub fn kill(&mut self, member: usize) -> MemberId {
-        self.members[member].take().expect("it runs").id()
+        self.members[member].take().expect("the member runs").id()
     }
 
     pub fn leave(&mut self, member: usize) -> MemberId {
@@ -199,7 +200,7 @@
     }
 
     pub fn pause(&mut self, member: usize, span: Duration) {
-        self.paused.insert(member, self.now + span);
+        self.paused_until.insert(member, self.now + span);
     }
 
     /// Blocks all packets between two members.
@@ -208,7 +209,7 @@
     }
 
     pub fn id(&self, member: usize) -> MemberId {
-        self.members[member].as_ref().expect("it runs").id()
+        self.members[member].as_ref().expect("the member runs").id()
     }
 
     pub fn running(&self) -> impl Iterator<Item = &Swim> {
@@ -223,7 +224,7 @@
     fn schedule_deadline(&mut self, member: usize) {
         let Some(deadline) = self.members[member].as_ref().map(Swim::next_deadline) else { return };
         let deadline = deadline.max(self.now);
-        // An event that is earlier stands for this one as well.
+        // An event that is scheduled earlier leads to another call of this function.
         if deadline < self.deadlines[member] || self.deadlines[member] < self.now {
             self.deadlines[member] = deadline;
             self.schedule(deadline, Event::Deadline(member));
@@ -244,8 +245,8 @@
         self.schedule_deadline(member);
     }
 
-    fn count(&mut self, from: usize, packet: &Packet) {
-        let length = postcard::to_allocvec(packet).expect("it is encoded").len();
+    fn record_sent_packet(&mut self, from: usize, packet: &Packet) {
+        let length = postcard::to_allocvec(packet).expect("the value is encoded").len();
         self.max_packet_len = self.max_packet_len.max(length);
         assert!(length <= 1_400, "a packet of {length} bytes");
         self.traffic[from].bytes += length as u64 + HEADER_BYTES;
@@ -254,21 +255,22 @@
 
     fn send(&mut self, from: usize, address: SocketAddr, packet: Packet) {
         if self.counts_traffic {
-            self.count(from, &packet);
+            self.record_sent_packet(from, &packet);
         }
         let Some(to) = member_at(address).filter(|to| *to < self.members.len()) else { return };
-        let is_parted = self.is_partitioned && self.zones[from] != self.zones[to];
-        if is_parted
+        let is_cut_off = self.is_partitioned && self.zones[from] != self.zones[to];
+        if is_cut_off
             || self.blocked.contains(&(from, to))
-            || self.rng.random_range(0..1000) < self.network.lost
+            || self.rng.random_range(0..1000) < self.network.lost_per_mille
         {
             return;
         }
-        let copies = 1 + usize::from(self.rng.random_range(0..1000) < self.network.duplicated);
+        let copies = 1 + usize::from(self.rng.random_range(0..1000) < self.network.duplicated_per_mille);
         for _ in 0..copies {
-            let slowness = [from, to].iter().filter_map(|member| self.slow.get(member)).sum::<Duration>();
-            let micros = self.rng.random_range(100..=100 + self.network.delay_ms * 1000);
-            let arrival = self.now + Duration::from_micros(micros) + slowness;
+            let additional_delay =
+                [from, to].iter().filter_map(|member| self.additional_delays.get(member)).sum::<Duration>();
+            let micros = self.rng.random_range(100..=100 + self.network.max_delay_ms * 1000);
+            let arrival = self.now + Duration::from_micros(micros) + additional_delay;
             self.schedule(arrival, Event::Packet { to, from, packet: packet.clone() });
         }
     }
@@ -278,12 +280,12 @@
         while self.queue.peek().is_some_and(|next| next.0.at <= end) {
             let Some(Reverse(Scheduled { at, event, .. })) = self.queue.pop() else { break };
             self.now = self.now.max(at);
-            if let Some(resumed_at) = self.paused.get(&event.member()).copied() {
+            if let Some(resumed_at) = self.paused_until.get(&event.member()).copied() {
                 if self.now < resumed_at {
                     self.schedule(resumed_at, event);
                     continue;
                 }
-                self.paused.remove(&event.member());
+                self.paused_until.remove(&event.member());
             }
             self.run_event(event);
         }
@@ -300,27 +302,27 @@
         }
     }
 
-    /// Whether each running member believes just the running ones to be active.
+    /// Returns whether each running member believes exactly the running members to be active.
     pub fn has_converged(&self) -> bool {
         let expected: BTreeSet<MemberId> = self.running().map(Swim::id).collect();
         let Some(first) = self.running().next().map(Swim::members) else { return true };
-        // One of them is compared with the truth, and all others with that one.
-        let is_true = |(id, member): (MemberId, &beechloft_membership::Member)| {
+        // The first member is compared with the running members, and all others with the first one.
+        let is_correct = |(id, member): (MemberId, &beechloft_membership::Member)| {
             member.state.is_active() == expected.contains(&id)
         };
         let is_same = |member: &Swim| {
             let members = member.members();
             members.active_count() == expected.len() && members.digest() == first.digest()
         };
-        first.iter().all(is_true) && self.running().all(is_same)
+        first.iter().all(is_correct) && self.running().all(is_same)
     }
 
-    /// How long until the fleet has converged; none: not within the span.
+    /// Runs until the fleet has converged. Returns the time that it took, or `None` if it took longer than `within`.
     pub fn run_until_converged(&mut self, within: Duration) -> Option<Duration> {
         self.run_until(within, Cluster::has_converged)
     }
 
-    /// How long until a condition holds.
+    /// Runs until a condition holds. Returns the time that it took, or `None` if it took longer than `within`.
     pub fn run_until(&mut self, within: Duration, condition: impl Fn(&Cluster) -> bool) -> Option<Duration> {
         let start = self.now;
         while self.now - start <= within {
@@ -332,14 +334,14 @@
         None
     }
 
-    /// How many members believe that this one is active.
-    pub fn believers(&self, id: MemberId) -> usize {
+    /// Returns the number of running members that believe a member to be active.
+    pub fn count_believing_active(&self, id: MemberId) -> usize {
         let is_active = |member: &beechloft_membership::Member| member.state.is_active();
         self.running().filter(|member| member.members().get(id).is_some_and(is_active)).count()
     }
 
-    /// Deaths of members other than this one.
-    pub fn deaths_besides(&self, id: MemberId) -> Vec<Death> {
+    /// Returns the deaths of members other than `id`.
+    pub fn deaths_of_others(&self, id: MemberId) -> Vec<Death> {
         self.deaths.iter().filter(|death| death.member != id).copied().collect()
     }
 
--- a/crates/fleet/membership/tests/fleet/failures.rs
+++ b/crates/fleet/membership/tests/fleet/failures.rs
@@ -1,4 +1,4 @@
-//! Members that are killed, paused, slow, restarted or partitioned: who is declared dead, and how the fleet converges again.
+//! Tests of failures: members that are killed, paused, slow, restarted or partitioned.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,27 +8,27 @@
 
 use super::cluster::{Cluster, Death, MINUTE, Network};
 
-/// What a run found wrong.
+/// A violation of an invariant in a simulation run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Failure(String);
 
 impl Failure {
-    fn new(seed: u64, what: impl fmt::Display) -> Failure {
-        Failure(format!("seed {seed}: {what}"))
+    fn new(seed: u64, message: impl fmt::Display) -> Failure {
+        Failure(format!("seed {seed}: {message}"))
     }
 }
 
 type RunResult = Result<(), Failure>;
 
-fn no_deaths(seed: u64, deaths: &[Death]) -> RunResult {
+fn check_no_deaths(seed: u64, deaths: &[Death]) -> RunResult {
     match deaths.first() {
         Some(death) => Err(Failure::new(seed, format!("declared dead: {death:?}"))),
         None => Ok(()),
     }
 }
 
-/// A fleet that has converged, with a fault injected into each member.
-fn converged_with(members: usize, seed: u64, fault: Option<Fault>) -> Result<Cluster, Failure> {
+/// Starts a fleet, with `fault` injected into each member, and runs it until it has converged.
+fn converged_with_fault(members: usize, seed: u64, fault: Option<Fault>) -> Result<Cluster, Failure> {
     let mut cluster = Cluster::new(members, seed);
     cluster.fault = fault;
     (0..members).for_each(|member| cluster.start(member));
@@ -39,85 +39,89 @@
 }
 
 fn converged(members: usize, seed: u64) -> Cluster {
-    converged_with(members, seed, None).unwrap_or_else(|failure| panic!("{failure:?}"))
+    converged_with_fault(members, seed, None).unwrap_or_else(|failure| panic!("{failure:?}"))
 }
 
 #[test]
-fn a_killed_member_is_declared_dead_by_all_and_no_other_is() {
+fn all_members_declare_only_the_killed_member_dead() {
     for seed in 0..10 {
         let mut cluster = converged(40, seed);
-        cluster.network = Network { lost: 30, duplicated: 30, delay_ms: 50 };
+        cluster.network = Network { lost_per_mille: 30, duplicated_per_mille: 30, max_delay_ms: 50 };
         cluster.run_for(MINUTE);
-        let member = usize::try_from(seed).expect("small") + 5;
+        let member = usize::try_from(seed).expect("a small integer") + 5;
         let killed = cluster.kill(member);
-        let took = cluster.run_until(2 * MINUTE, |cluster| cluster.believers(killed) == 0);
+        let took = cluster.run_until(2 * MINUTE, |cluster| cluster.count_believing_active(killed) == 0);
         assert!(took.is_some_and(|took| took < MINUTE), "seed {seed}: {took:?}");
         cluster.run_for(MINUTE);
-        assert_eq!(no_deaths(seed, &cluster.deaths_besides(killed)), Ok(()));
+        assert_eq!(check_no_deaths(seed, &cluster.deaths_of_others(killed)), Ok(()));
     }
 }
 
 #[test]
-fn a_member_that_leaves_is_removed_and_a_restarted_process_is_another_member() {
+fn departed_and_restarted_members_are_removed_quickly() {
     let mut cluster = converged(40, 3);
     let left = cluster.leave(4);
-    let took = cluster.run_until(MINUTE, |cluster| cluster.believers(left) == 0).expect("all know");
+    let took = cluster
+        .run_until(MINUTE, |cluster| cluster.count_believing_active(left) == 0)
+        .expect("all members detect it");
     assert!(took < Duration::from_secs(20), "{took:?}");
     let state = |member: &Swim| member.members().get(left).map(|left| left.state);
     assert!(cluster.running().all(|member| state(member) == Some(MemberState::Left)));
-    // Killed and restarted at once, at the same address.
+    // Member 5 is killed and restarted immediately at the same address.
     let old = cluster.kill(5);
     cluster.start(5);
-    let replaced = cluster.run_until(MINUTE, |cluster| cluster.believers(old) == 0).expect("all know");
+    let replaced = cluster
+        .run_until(MINUTE, |cluster| cluster.count_believing_active(old) == 0)
+        .expect("all members detect it");
     assert!(replaced < Duration::from_secs(20), "{replaced:?}");
     cluster.start(4);
     assert!(cluster.run_until_converged(MINUTE).is_some());
-    assert_eq!(cluster.deaths_besides(old).len(), 0);
+    assert_eq!(cluster.deaths_of_others(old).len(), 0);
 }
 
-/// A paused process is declared dead by the others, comes back by itself, and declares nobody dead for its own pause.
-fn paused(fault: Option<Fault>, seed: u64) -> RunResult {
+/// Checks that a paused process is declared dead by the others, rejoins, and declares no other member dead because of its pause.
+fn check_pause(fault: Option<Fault>, seed: u64) -> RunResult {
     const PAUSED: usize = 9;
     const BLOCKED: usize = 8;
-    let fail = |what: &str| Failure::new(seed, what);
-    let mut cluster = converged_with(40, seed, fault)?;
-    // It suspects a member that is unreachable for a while when it is paused.
+    let fail = |message: &str| Failure::new(seed, message);
+    let mut cluster = converged_with_fault(40, seed, fault)?;
+    // The process is paused while it suspects a member that is temporarily unreachable.
     (0..40).for_each(|member| cluster.block_both_ways(member, BLOCKED));
     let unreachable = cluster.id(BLOCKED);
     let suspects = |fleet: &Cluster| {
-        let member = fleet.members[PAUSED].as_ref().expect("it runs");
+        let member = fleet.members[PAUSED].as_ref().expect("the member runs");
         member.members().get(unreachable).is_some_and(|other| other.state == MemberState::Suspect)
     };
-    cluster.run_until(MINUTE, suspects).ok_or_else(|| fail("it suspects nobody"))?;
+    cluster.run_until(MINUTE, suspects).ok_or_else(|| fail("the member to pause suspects no other"))?;
     cluster.pause(PAUSED, 3 * MINUTE);
     cluster.blocked.clear();
     let id = cluster.id(PAUSED);
     cluster
-        .run_until(3 * MINUTE, |cluster| cluster.believers(id) == 1)
-        .ok_or_else(|| fail("it is not declared dead"))?;
+        .run_until(3 * MINUTE, |cluster| cluster.count_believing_active(id) == 1)
+        .ok_or_else(|| fail("the paused member is not declared dead"))?;
     cluster.run_for(3 * MINUTE);
-    cluster.run_until_converged(2 * MINUTE).ok_or_else(|| fail("it does not come back"))?;
+    cluster.run_until_converged(2 * MINUTE).ok_or_else(|| fail("the paused member does not rejoin"))?;
     cluster.run_for(MINUTE);
-    no_deaths(seed, &cluster.deaths_besides(id))
+    check_no_deaths(seed, &cluster.deaths_of_others(id))
 }
 
 #[test]
-fn a_process_that_was_paused_for_minutes_comes_back_and_declares_nobody_dead() {
+fn paused_member_rejoins_and_declares_no_other_dead() {
     for seed in 0..6 {
-        assert_eq!(paused(None, seed), Ok(()));
+        assert_eq!(check_pause(None, seed), Ok(()));
     }
 }
 
-/// Three zones are partitioned for minutes, then the partition heals.
-fn partitioned(fault: Option<Fault>, seed: u64) -> RunResult {
-    let fail = |what: &str| Failure::new(seed, what);
-    let mut cluster = converged_with(60, seed, fault)?;
+/// Checks that three zones that are partitioned for minutes converge after the partition heals.
+fn check_partition(fault: Option<Fault>, seed: u64) -> RunResult {
+    let fail = |message: &str| Failure::new(seed, message);
+    let mut cluster = converged_with_fault(60, seed, fault)?;
     cluster.is_partitioned = true;
     let knows_own_zone =
         |fleet: &Cluster| fleet.running().all(|member| member.members().active_count() == 20);
     cluster
         .run_until(4 * MINUTE, knows_own_zone)
-        .ok_or_else(|| fail("a zone does not know what is left of the fleet"))?;
+        .ok_or_else(|| fail("a zone does not detect the partition"))?;
     cluster.run_for(2 * MINUTE);
     cluster.is_partitioned = false;
     cluster.run_until_converged(3 * MINUTE).ok_or_else(|| fail("the zones do not converge"))?;
@@ -127,45 +131,45 @@
 #[test]
 fn zones_converge_after_a_partition_heals() {
     for seed in 0..4 {
-        assert_eq!(partitioned(None, seed), Ok(()));
+        assert_eq!(check_partition(None, seed), Ok(()));
     }
 }
 
-/// Some members can't reach one that all others reach.
-fn partly_unreachable(fault: Option<Fault>, seed: u64) -> RunResult {
-    let mut cluster = converged_with(30, seed, fault)?;
+/// Checks that no member is declared dead if only some members cannot reach it.
+fn check_partially_unreachable(fault: Option<Fault>, seed: u64) -> RunResult {
+    let mut cluster = converged_with_fault(30, seed, fault)?;
     for member in 5..15 {
         cluster.block_both_ways(member, 20);
     }
     cluster.run_for(5 * MINUTE);
-    no_deaths(seed, &cluster.deaths)
+    check_no_deaths(seed, &cluster.deaths)
 }
 
 #[test]
-fn links_that_are_blocked_between_some_members_cost_none_its_membership() {
+fn partially_unreachable_member_stays_alive() {
     for seed in 0..4 {
-        assert_eq!(partly_unreachable(None, seed), Ok(()));
+        assert_eq!(check_partially_unreachable(None, seed), Ok(()));
     }
 }
 
 #[test]
-fn a_member_that_is_slow_by_seconds_has_no_other_declared_dead() {
+fn slow_member_declares_no_other_dead() {
     for seed in 0..4 {
         let mut cluster = converged(40, seed);
-        cluster.slow.insert(7, Duration::from_millis(1_500));
+        cluster.additional_delays.insert(7, Duration::from_millis(1_500));
         cluster.run_for(5 * MINUTE);
         let slow = cluster.id(7);
-        assert_eq!(no_deaths(seed, &cluster.deaths_besides(slow)), Ok(()));
-        cluster.slow.clear();
+        assert_eq!(check_no_deaths(seed, &cluster.deaths_of_others(slow)), Ok(()));
+        cluster.additional_delays.clear();
         assert!(cluster.run_until_converged(3 * MINUTE).is_some(), "seed {seed}");
     }
 }
 
-/// One random failure, or the end of those that last.
-fn fail_at_random(cluster: &mut Cluster) {
-    cluster.network.lost = cluster.rng.random_range(0..200);
-    cluster.network.duplicated = cluster.rng.random_range(0..200);
-    cluster.network.delay_ms = cluster.rng.random_range(0..300);
+/// Causes a random failure, or ends those that last.
+fn cause_random_failure(cluster: &mut Cluster) {
+    cluster.network.lost_per_mille = cluster.rng.random_range(0..200);
+    cluster.network.duplicated_per_mille = cluster.rng.random_range(0..200);
+    cluster.network.max_delay_ms = cluster.rng.random_range(0..300);
     let member = cluster.rng.random_range(3..24);
     let other = cluster.rng.random_range(0..24);
     let span = Duration::from_secs(cluster.rng.random_range(1..90));
@@ -177,7 +181,7 @@
         4 => cluster.pause(member, span),
         5 => drop(cluster.blocked.insert((member, other))),
         6 => cluster.is_partitioned = true,
-        7 => drop(cluster.slow.insert(member, span / 30)),
+        7 => drop(cluster.additional_delays.insert(member, span / 30)),
         _ => heal(cluster),
     }
     cluster.run_for(span / 6);
@@ -185,30 +189,30 @@
 
 fn heal(cluster: &mut Cluster) {
     cluster.blocked.clear();
-    cluster.slow.clear();
+    cluster.additional_delays.clear();
     cluster.is_partitioned = false;
 }
 
-/// Failures of all kinds; in the end all is well again.
-fn random_failures(fault: Option<Fault>, seed: u64) -> RunResult {
+/// Checks that a fleet converges after random failures of all kinds have ended.
+fn check_random_failures(fault: Option<Fault>, seed: u64) -> RunResult {
     let mut cluster = Cluster::new(24, seed);
     cluster.fault = fault;
     (0..24).for_each(|member| cluster.start(member));
     cluster.run_for(MINUTE);
-    (0..40).for_each(|_| fail_at_random(&mut cluster));
+    (0..40).for_each(|_| cause_random_failure(&mut cluster));
     heal(&mut cluster);
-    cluster.network.lost = 0;
-    cluster.network.delay_ms = 5;
+    cluster.network.lost_per_mille = 0;
+    cluster.network.max_delay_ms = 5;
     cluster
         .run_until_converged(5 * MINUTE)
-        .ok_or_else(|| Failure::new(seed, "the fleet does not converge in the end"))?;
+        .ok_or_else(|| Failure::new(seed, "the fleet does not converge after the failures"))?;
     Ok(())
 }
 
 #[test]
-fn a_fleet_converges_after_any_failures_once_all_is_well() {
+fn fleet_converges_after_random_failures_end() {
     for seed in 0..60 {
-        assert_eq!(random_failures(None, seed), Ok(()));
+        assert_eq!(check_random_failures(None, seed), Ok(()));
     }
 }
 
@@ -216,10 +220,10 @@
 fn injected_faults_are_detected() {
     type Run = fn(Option<Fault>, u64) -> RunResult;
     let runs: [(Fault, Run); 4] = [
-        (Fault::NoRefutation, paused),
-        (Fault::NoIndirectProbes, partly_unreachable),
-        (Fault::NoPauseDetection, paused),
-        (Fault::NoAntiEntropy, random_failures),
+        (Fault::NoRefutation, check_pause),
+        (Fault::NoIndirectProbes, check_partially_unreachable),
+        (Fault::NoPauseDetection, check_pause),
+        (Fault::NoAntiEntropy, check_random_failures),
     ];
     for (fault, run) in runs {
         let detected = (0..40).find_map(|seed| run(Some(fault), seed).err());
--- a/crates/fleet/membership/tests/fleet/main.rs
+++ b/crates/fleet/membership/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Simulated fleets of members that start, fail, are partitioned and meet again.
+//! Tests of simulated fleets whose members start, fail, are partitioned and converge.
 
 mod cluster;
 mod failures;
--- a/crates/fleet/membership/tests/fleet/scale.rs
+++ b/crates/fleet/membership/tests/fleet/scale.rs
@@ -4,7 +4,7 @@
 
 use super::cluster::{Cluster, MINUTE, Traffic};
 
-/// Mean packets and bytes of a member per second.
+/// Mean numbers of packets and bytes that a member sends per second.
 #[derive(Debug, Clone, Copy)]
 struct Rate {
     packets: f64,
@@ -12,10 +12,10 @@
 }
 
 impl Rate {
-    fn of(cluster: &Cluster, seconds: f64) -> Rate {
-        let add = |sum: Traffic, of: &Traffic| Traffic {
-            packets: sum.packets + of.packets,
-            bytes: sum.bytes + of.bytes,
+    fn measured(cluster: &Cluster, seconds: f64) -> Rate {
+        let add = |sum: Traffic, member: &Traffic| Traffic {
+            packets: sum.packets + member.packets,
+            bytes: sum.bytes + member.bytes,
         };
         let sum = cluster.traffic.iter().fold(Traffic::default(), add);
         let member_seconds = cluster.traffic.len() as f64 * seconds;
@@ -23,29 +23,29 @@
     }
 }
 
-/// The traffic of a fleet in which nothing changes.
+/// Returns the traffic of a fleet whose members do not change.
 fn idle_rate(members: usize) -> Rate {
     let mut cluster = Cluster::all_started(members, 7);
     assert!(cluster.run_until_converged(2 * MINUTE).is_some(), "{members} members do not converge");
-    // Until all updates of the start have been transmitted often enough.
+    // Waits until the updates of the start are no longer transmitted.
     cluster.run_for(6 * MINUTE);
     cluster.counts_traffic = true;
     cluster.run_for(MINUTE);
-    Rate::of(&cluster, 60.0)
+    Rate::measured(&cluster, 60.0)
 }
 
 #[test]
-fn three_hundred_members_that_start_together_converge_soon() {
+fn three_hundred_members_converge_after_simultaneous_start() {
     let mut cluster = Cluster::all_started(300, 1);
-    let took = cluster.run_until_converged(MINUTE).expect("they converge");
+    let took = cluster.run_until_converged(MINUTE).expect("the fleet converges");
     println!("300 members converge within {took:?}");
     assert!(took <= Duration::from_secs(30) && cluster.deaths.is_empty());
-    let digest = cluster.members[0].as_ref().expect("it runs").members().digest();
+    let digest = cluster.members[0].as_ref().expect("the member runs").members().digest();
     assert!(cluster.running().all(|member| member.members().digest() == digest));
 }
 
 #[test]
-fn what_a_member_sends_does_not_grow_with_the_fleet() {
+fn traffic_per_member_does_not_grow_with_the_fleet() {
     let rates: Vec<Rate> = [10, 100, 300].into_iter().map(idle_rate).collect();
     println!("packets and bytes per second at 10, 100, 300 members: {rates:?}");
     for rate in &rates {
@@ -55,10 +55,10 @@
     assert!(rates[2].bytes <= rates[0].bytes * 1.2, "{rates:?}");
 }
 
-/// Outside CI: `cargo test --release -p beechloft-membership --test fleet -- --ignored --nocapture`.
+/// Runs outside CI with `cargo test --release -p beechloft-membership --test fleet -- --ignored --nocapture`.
 #[test]
-#[ignore = "five thousand members, minutes"]
-fn five_thousand_members() {
+#[ignore = "takes minutes with five thousand members"]
+fn five_thousand_members_detect_a_killed_member() {
     let mut cluster = Cluster::all_started(5_000, 1);
     cluster.preload_members();
     assert!(cluster.has_converged());
@@ -66,14 +66,14 @@
     cluster.counts_traffic = true;
     cluster.run_for(MINUTE / 2);
     cluster.counts_traffic = false;
-    let rate = Rate::of(&cluster, 30.0);
+    let rate = Rate::measured(&cluster, 30.0);
     println!("{} packets, {} bytes per second", rate.packets, rate.bytes);
     let killed = cluster.kill(77);
-    let first = cluster.run_until(2 * MINUTE, |cluster| cluster.believers(killed) < 4_999);
-    let last = cluster.run_until(2 * MINUTE, |cluster| cluster.believers(killed) == 0);
+    let first = cluster.run_until(2 * MINUTE, |cluster| cluster.count_believing_active(killed) < 4_999);
+    let last = cluster.run_until(2 * MINUTE, |cluster| cluster.count_believing_active(killed) == 0);
     println!(
-        "one killed: the first declares it dead after {first:?}, all {last:?} later; longest packet {}",
+        "killed member: the first declares it dead after {first:?}, all others {last:?} later; longest packet {} bytes",
         cluster.max_packet_len()
     );
-    assert!(first.is_some() && last.is_some() && cluster.deaths_besides(killed).is_empty());
+    assert!(first.is_some() && last.is_some() && cluster.deaths_of_others(killed).is_empty());
 }
--- a/crates/fleet/membership/tests/wire_format.rs
+++ b/crates/fleet/membership/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! The bytes of each kind of packet, of each update in it and of digests: compared both ways with bytes that are committed.
+//! Encoding of each kind of packet and update. Committed bytes must be encoded and decoded without a difference.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 
 const FIXTURES: &str = include_str!("fixtures/packets.txt");
 
-/// The committed bytes of each sample: a line each, a name and its bytes in hexadecimal.
+/// Returns the committed bytes of each sample. Each line of the file has a sample's name and its bytes in hexadecimal.
 fn fixtures() -> BTreeMap<&'static str, Vec<u8>> {
     let parse = |line: &'static str| {
         let (name, hex) = line.split_once(' ').expect("a name and its bytes");
@@ -26,10 +26,10 @@
 
 fn info(kind: MemberKind) -> Arc<MemberInfo> {
     let address: SocketAddr = match kind {
-        MemberKind::Front => "10.1.2.3:7000".parse().expect("an address"),
-        MemberKind::Replica => "[2001:db8::7]:7001".parse().expect("an address"),
+        MemberKind::Front => "10.1.2.3:7000".parse().expect("a valid address"),
+        MemberKind::Replica => "[2001:db8::7]:7001".parse().expect("a valid address"),
     };
-    let zone = Zone::try_from("zone-b".to_owned()).expect("a zone");
+    let zone = Zone::try_from("zone-b".to_owned()).expect("a valid zone");
     Arc::new(MemberInfo { address, zone, kind })
 }
 
@@ -55,7 +55,7 @@
         message,
         updates: Vec::new(),
     };
-    let digests = Digests((0..64).map(|part| part * 0x0101_0101_0101).collect());
+    let digests = Digests((0..64).map(|bucket| bucket * 0x0101_0101_0101).collect());
     let all = updates().into_iter().map(|(_, update)| update).collect();
     vec![
         ("ping", packet(to, Message::Ping { seq: 200, digest: u64::MAX - 1 })),
@@ -78,10 +78,10 @@
 }
 
 #[test]
-fn each_update_has_its_committed_bytes() {
+fn update_encoding_matches_fixtures() {
     let fixtures = fixtures();
     for (name, update) in updates() {
-        let bytes = postcard::to_allocvec(&update).expect("it is encoded");
+        let bytes = postcard::to_allocvec(&update).expect("the value is encoded");
         let committed = fixtures.get(name).unwrap_or_else(|| panic!("{name} {}", hex(&bytes)));
         assert_eq!(hex(&bytes), hex(committed), "{name}");
         assert_eq!(postcard::from_bytes::<Update>(committed), Ok(update), "{name}");
@@ -89,10 +89,10 @@
 }
 
 #[test]
-fn each_packet_has_its_committed_bytes() {
+fn packet_encoding_matches_fixtures() {
     let fixtures = fixtures();
     for (name, packet) in packets() {
-        let bytes = postcard::to_allocvec(&packet).expect("it is encoded");
+        let bytes = postcard::to_allocvec(&packet).expect("the value is encoded");
         let committed = fixtures.get(name).unwrap_or_else(|| panic!("{name} {}", hex(&bytes)));
         assert_eq!(hex(&bytes), hex(committed), "{name}");
         assert_eq!(postcard::from_bytes::<Packet>(committed), Ok(packet), "{name}");
@@ -100,6 +100,6 @@
 }
 
 #[test]
-fn no_committed_bytes_are_without_a_sample() {
+fn every_fixture_has_a_sample() {
     assert_eq!(fixtures().len(), updates().len() + packets().len());
 }
--- a/crates/fleet/outlier-detection/tests/detection/decisions.rs
+++ b/crates/fleet/outlier-detection/tests/detection/decisions.rs
@@ -1,4 +1,4 @@
-//! Which reports make an outlier.
+//! Detection of outliers from sets of reports.
 
 use beechloft_outlier_detection::{
     AttemptCounts, DetectionSettings, FrontId, FrontReports, ServerReport, TitleAtServer, TitleReport,
@@ -10,7 +10,7 @@
 };
 
 const FRONTS: usize = 6;
-/// The zones of the fronts.
+/// Assignments of the fronts to zones.
 const LAYOUTS: [[u16; FRONTS]; 5] =
     [[0, 0, 0, 0, 0, 0], [0, 0, 0, 1, 1, 1], [0, 0, 0, 0, 0, 1], [0, 0, 1, 1, 2, 2], [0, 0, 0, 0, 1, 2]];
 
@@ -26,17 +26,17 @@
     zones.len()
 }
 
-/// One of all combinations of six findings.
-fn combination(layout: [u16; FRONTS], mut number: usize) -> Vec<ZoneFinding> {
+/// Returns the combination of six findings with an index.
+fn combination(layout: [u16; FRONTS], mut index: usize) -> Vec<ZoneFinding> {
     let finding = |zone: u16| {
-        let finding = [Finding::None, Finding::Failing, Finding::Healthy][number % 3];
-        number /= 3;
+        let finding = [Finding::None, Finding::Failing, Finding::Healthy][index % 3];
+        index /= 3;
         (zone, finding)
     };
     layout.into_iter().map(finding).collect()
 }
 
-/// Checks that the decision does not depend on one front alone, if it lies.
+/// Checks that a decision does not depend on the report of one lying front.
 fn check_lying_front(
     settings: &DetectionSettings,
     findings: &[ZoneFinding],
@@ -47,25 +47,27 @@
     let honest: Vec<ZoneFinding> = others.map(|(_, finding)| *finding).collect();
     let failing = honest.iter().filter(|(_, finding)| *finding == Finding::Failing).count();
     if detected && (failing < 2 || failing_zones(&honest) < 2) {
-        return Err(format!("ejected by {findings:?}, of whom {liar} may lie"));
+        return Err(format!("ejected because of the lying front {liar}: {findings:?}"));
     }
-    // If no honest front finds the server healthy, a lie that it is changes nothing against no report.
+    // If no honest front finds the server healthy, a false finding that it is must have the same effect as no finding.
     let mut without_liar = findings.to_vec();
     without_liar[liar].1 = Finding::None;
     let is_lie = findings[liar].1 == Finding::Healthy
         && honest.iter().all(|(_, finding)| *finding != Finding::Healthy);
     if is_lie && is_outlier(settings, &without_liar) && !detected {
-        return Err(format!("not ejected because of {liar} alone: {findings:?}"));
+        return Err(format!("not ejected because of the lying front {liar}: {findings:?}"));
     }
     Ok(())
 }
 
-/// Six fronts in five layouts of zones with all combinations of findings, one of which is a lie. How many lead to an ejection.
+/// Checks all combinations of findings of six fronts in five layouts of zones, each with any one front lying.
+///
+/// Returns the number of combinations in which the server is an outlier.
 pub fn check_one_lying_front(settings: &DetectionSettings) -> Result<usize, String> {
     let mut ejections = 0;
     for layout in LAYOUTS {
-        for number in 0..3usize.pow(6) {
-            let findings = combination(layout, number);
+        for index in 0..3usize.pow(6) {
+            let findings = combination(layout, index);
             let detected = is_outlier(settings, &findings);
             ejections += usize::from(detected);
             for liar in 0..FRONTS {
@@ -77,13 +79,13 @@
 }
 
 #[test]
-fn one_front_alone_neither_ejects_a_server_nor_prevents_its_ejection() {
+fn one_lying_front_changes_no_decision() {
     let ejections = check_one_lying_front(&DetectionSettings::default()).expect("the invariants hold");
     assert!(ejections > 100, "{ejections}");
 }
 
 #[test]
-fn a_front_whose_attempts_at_the_zone_fail_does_not_count() {
+fn ignores_fronts_that_fail_throughout_the_zone() {
     let settings = DetectionSettings::default();
     let findings = six_failing();
     assert!(is_outlier(&settings, &findings));
@@ -98,7 +100,7 @@
         }
         !detect_outliers(&settings, &servers(), &reports).is_empty()
     };
-    // All attempts at others of the server's zone failed, or most, or none was made: the way there may be at fault.
+    // The network path may be at fault if all or most attempts at other servers of the zone failed, or none was made.
     assert!(!is_outlier_with(0, 0));
     assert!(!is_outlier_with(0, 4));
     assert!(!is_outlier_with(3, 4));
@@ -107,13 +109,13 @@
 }
 
 #[test]
-fn a_restarted_server_is_another_instance_and_reports_are_replaced_not_added() {
+fn restarted_server_is_a_new_instance_and_newer_reports_replace_older() {
     let settings = DetectionSettings::default();
     let mut reports = front_reports(&settings, &six_failing());
     let duplicate = reports.clone();
     reports.merge(&settings, FrontId(99), &duplicate);
     assert_eq!(reports, duplicate);
-    // Three report the instance before, three this one: without one of them neither is enough in two zones.
+    // Three fronts report the old instance and three the new one. Without one of them, neither has enough failing fronts.
     for zone in 0..3 {
         let mut report = front_report(zone, Finding::Failing);
         report.version = 2;
@@ -130,7 +132,7 @@
 }
 
 #[test]
-fn titles_that_a_server_cannot_play_and_viewers_that_misbehave_are_detected_apart() {
+fn detects_title_and_viewer_outliers_separately() {
     let settings = DetectionSettings::default();
     let title = title_key("title-3");
     let mut reports = FrontReports::default();
--- a/crates/fleet/outlier-detection/tests/detection/ejection.rs
+++ b/crates/fleet/outlier-detection/tests/detection/ejection.rs
@@ -1,4 +1,4 @@
-//! Ejections over time: how they end, and who probes.
+//! Ejections over time: expiry, probes, probation and limits.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 
 const STEP: Duration = Duration::from_millis(100);
 
-/// A detector that evaluates each tenth of a second, and what came of it.
+/// A detector that evaluates the reports every [`STEP`], with a record of the results.
 struct Timeline {
     detector: OutlierDetector,
     now: Duration,
     events: Vec<EjectionEvent>,
-    /// The sessions that were offered the server, each time that changed.
-    admitted: Vec<u16>,
+    /// The fraction of sessions that are offered the server, in thousandths, after each change.
+    admitted_per_mille: Vec<u16>,
     probes_without_lease: usize,
 }
 
@@ -26,12 +26,12 @@
             detector: OutlierDetector::new(settings),
             now: SECOND,
             events: Vec::new(),
-            admitted: Vec::new(),
+            admitted_per_mille: Vec::new(),
             probes_without_lease: 0,
         }
     }
 
-    /// Evaluates without the lease for a span; the server's process is the one with this hash.
+    /// Evaluates the reports for a duration without the lease. `boot_hash` identifies the running instance of the server.
     fn run_for(&mut self, span: Duration, reports: &FrontReports, boot_hash: u32) {
         let end = self.now + span;
         let current = |server: u32| {
@@ -44,8 +44,8 @@
             let exclusion =
                 result.exclusions.iter().find(|exclusion| exclusion.instance.server == SERVER.server);
             let admitted = exclusion.map_or(1_000, |exclusion| exclusion.admitted_per_mille);
-            if self.admitted.last() != Some(&admitted) {
-                self.admitted.push(admitted);
+            if self.admitted_per_mille.last() != Some(&admitted) {
+                self.admitted_per_mille.push(admitted);
             }
             self.probes_without_lease += usize::from(result.probing.is_some());
             self.now += STEP;
@@ -76,24 +76,24 @@
     front_reports(settings, &six_failing())
 }
 
-/// Without probes an ejection expires, and the server comes back in steps.
+/// Checks that an ejection expires without probes, and that the server is readmitted in steps.
 fn check_expiry(settings: DetectionSettings) -> Result<(), String> {
     let mut timeline = Timeline::new(settings);
     let none = FrontReports::default();
     timeline.run_for(5 * SECOND, &failing(&settings), SERVER.boot_hash);
     timeline.run_for(settings.ejection_time + 2 * SECOND, &none, SERVER.boot_hash);
     if timeline.probes_without_lease > 0 {
-        return Err("probed without the lease".into());
+        return Err("a probe was started without the lease".into());
     }
     timeline.run_for(20 * SECOND, &none, SERVER.boot_hash);
     timeline.expect_events("without probes", &["ejected", "expired", "reinstated"])?;
-    if timeline.admitted != [0, 125, 250, 500, 1_000] {
-        return Err(format!("it comes back as {:?}", timeline.admitted));
+    if timeline.admitted_per_mille != [0, 125, 250, 500, 1_000] {
+        return Err(format!("the server is readmitted as {:?}", timeline.admitted_per_mille));
     }
     Ok(())
 }
 
-/// Another process at the server's address is not ejected.
+/// Checks that a new process of an ejected server is not ejected.
 fn check_restart(settings: DetectionSettings) -> Result<(), String> {
     let mut timeline = Timeline::new(settings);
     timeline.run_for(SECOND, &failing(&settings), SERVER.boot_hash);
@@ -101,7 +101,7 @@
     timeline.expect_events("a new process", &["ejected", "replaced"])
 }
 
-/// Successful probes of two fronts end an ejection, that of one does not.
+/// Checks that successful probes of two fronts end an ejection, and that one does not.
 fn check_probes(settings: DetectionSettings) -> Result<(), String> {
     let mut timeline = Timeline::new(settings);
     timeline.run_for(SECOND, &failing(&settings), SERVER.boot_hash);
@@ -121,7 +121,7 @@
     timeline.expect_events("two successful probes", &["ejected", "probes succeeded"])
 }
 
-/// Of a zone's three servers one may be ejected, as half of the zone is the limit.
+/// Checks that only one of a zone's three servers is ejected, as the limit is half of the zone.
 fn check_ejection_limit(settings: DetectionSettings) -> Result<(), String> {
     let one_failing = failing(&settings);
     let mut two_failing = one_failing.clone();
@@ -138,7 +138,7 @@
     timeline.expect_events("two of three servers of a zone", &["ejected", "suppressed"])
 }
 
-/// All ways in which an ejection ends, and its limit.
+/// Checks all ways in which an ejection ends, and the ejection limit.
 pub fn check_ejections(settings: DetectionSettings) -> Result<(), String> {
     check_expiry(settings)?;
     check_restart(settings)?;
@@ -147,12 +147,12 @@
 }
 
 #[test]
-fn ejections_expire_end_in_steps_and_never_take_a_whole_zone() {
+fn ejections_expire_in_steps_and_respect_the_zone_limit() {
     assert_eq!(check_ejections(DetectionSettings::default()), Ok(()));
 }
 
 #[test]
-fn a_probe_is_one_attempt_and_the_front_that_made_it_leaves_the_next_to_others() {
+fn front_leaves_the_next_probe_to_others_after_its_own() {
     let settings = DetectionSettings::default();
     let (failing, none) = (failing(&settings), FrontReports::default());
     let current = |server: u32| {
@@ -169,7 +169,10 @@
     assert!(probing.probing == Some(SERVER) && probing.exclusions.is_empty());
     detector.probe_ended(19 * SECOND, SERVER, false);
     let failed = detector.evaluate(20 * SECOND, &none, &servers(), current, true);
-    assert!(failed.wants_probe_lease && failed.probing.is_none(), "it holds the lease for a while");
+    assert!(
+        failed.wants_probe_lease && failed.probing.is_none(),
+        "the front keeps the lease to delay the next probe"
+    );
     assert_eq!(failed.exclusions[0].admitted_per_mille, 0);
     let released = detector.evaluate(30 * SECOND, &none, &servers(), current, true);
     assert!(!released.wants_probe_lease && released.probing.is_none());
--- a/crates/fleet/outlier-detection/tests/detection/main.rs
+++ b/crates/fleet/outlier-detection/tests/detection/main.rs
@@ -1,4 +1,4 @@
-//! Detection of outliers from all small sets of reports, what is ejected over time, and the window of attempts.
+//! Tests of the detection of outliers, of ejections over time, and of the window of attempts.
 
 mod attempt_window;
 mod decisions;
@@ -16,7 +16,8 @@
 #[test]
 fn injected_faults_are_detected() {
     for fault in [Fault::OneZone, Fault::OneFront, Fault::OneHealthyFrontVetoes] {
-        let detected = decisions::check_one_lying_front(&settings_with(fault)).expect_err("detected");
+        let detected =
+            decisions::check_one_lying_front(&settings_with(fault)).expect_err("the fault is detected");
         println!("{fault:?}: {detected}");
     }
     for fault in [
@@ -27,7 +28,7 @@
         Fault::OneProbe,
         Fault::NoEjectionLimit,
     ] {
-        let detected = ejection::check_ejections(settings_with(fault)).expect_err("detected");
+        let detected = ejection::check_ejections(settings_with(fault)).expect_err("the fault is detected");
         println!("{fault:?}: {detected}");
     }
 }
--- a/crates/fleet/outlier-detection/tests/detection/reports.rs
+++ b/crates/fleet/outlier-detection/tests/detection/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of fronts on one server.
+//! Fixtures: reports of several fronts on one server.
 
 use std::time::Duration;
 
@@ -10,19 +10,19 @@
 pub const SECOND: Duration = Duration::from_secs(1);
 pub const SERVER: ServerInstance = ServerInstance { server: 7, boot_hash: 70 };
 
-/// What a front finds of the server.
+/// The finding of a front about the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Finding {
-    /// It made no attempt.
+    /// The front made no attempt.
     None,
     Failing,
     Healthy,
 }
 
-/// A front's zone and finding.
+/// The zone and the finding of a front.
 pub type ZoneFinding = (u16, Finding);
 
-/// Nine servers of equal capacity in three zones.
+/// Returns nine servers of equal capacity in three zones.
 pub fn servers() -> ServerLocations {
     let location = |server: u16| ServerLocation { zone: server % 3, capacity: 1.0 };
     (0..9).map(|server| (u32::from(server), location(server))).collect()
@@ -31,7 +31,7 @@
 fn counts(finding: Finding) -> Option<AttemptCounts> {
     match finding {
         Finding::None => None,
-        // Its attempts at others of the server's zone succeeded.
+        // Most attempts at other servers of the zone succeeded.
         Finding::Failing => Some(AttemptCounts {
             attempts: 3,
             errors: 3,
@@ -57,7 +57,7 @@
     reports
 }
 
-/// Six fronts in three zones that find the server failing.
+/// Returns the findings of six fronts in three zones that all find the server failing.
 pub fn six_failing() -> Vec<ZoneFinding> {
     (0..6).map(|front| (front % 3, Finding::Failing)).collect()
 }
--- a/crates/fleet/outlier-detection/tests/merging.rs
+++ b/crates/fleet/outlier-detection/tests/merging.rs
@@ -1,5 +1,7 @@
-//! All orders in which reports of three fronts are written, sent, duplicated, lost and forged: what is known converges, and a front's
-//! own report is never another's.
+//! Model check of the merging of reports.
+//!
+//! It explores all orders in which the reports of three fronts are written, sent, duplicated, lost and forged. The merged reports must
+//! converge, and no front may accept a report of its own from another.
 
 use std::collections::BTreeSet;
 use std::hash::Hash;
@@ -27,7 +29,7 @@
 struct State {
     known: Vec<FrontReports>,
     versions: Vec<u64>,
-    /// In transit; each arrives as often as the network likes.
+    /// Messages in transit. Each may arrive any number of times.
     sent: Vec<Sent>,
     is_forged: bool,
 }
@@ -46,9 +48,9 @@
     max_sent: usize,
 }
 
-/// What a front reports at a version.
+/// Returns a front's report at a version.
 fn report_of(front: FrontId, version: u64) -> FrontReport {
-    let attempts = u16::try_from(version).expect("small");
+    let attempts = u16::try_from(version).expect("a small integer");
     let counts = AttemptCounts {
         attempts,
         errors: if front.0 == 2 && version == 1 { 0 } else { attempts },
@@ -56,42 +58,45 @@
         ..AttemptCounts::default()
     };
     let servers = vec![ServerReport { instance: ServerInstance { server: 1, boot_hash: 1 }, counts }];
-    let zone = u16::try_from(front.0).expect("small");
+    let zone = u16::try_from(front.0).expect("a small integer");
     FrontReport { version, zone, report: Report { servers, ..Report::default() } }
 }
 
 impl Merging {
-    /// A front whose knowledge is not what fronts have written.
-    fn false_knowledge(state: &State) -> Option<String> {
+    /// Describes a report that no front has written but that some front knows, or an own report of the wrong version.
+    fn unwritten_report(state: &State) -> Option<String> {
         for (front, known) in state.known.iter().enumerate() {
             let (written, own) = (state.versions[front], known.get(id(front)).map_or(0, |own| own.version));
             if own != written {
-                return Some(format!("front {front} wrote version {written} and has {own} as its own"));
+                return Some(format!(
+                    "front {front} wrote version {written}, but its own report has version {own}"
+                ));
             }
-            let is_false =
+            let is_unwritten =
                 |(origin, report): &(FrontId, &FrontReport)| **report != report_of(*origin, report.version);
-            if let Some((_, report)) = known.iter().find(is_false) {
-                return Some(format!("front {front} has what no front wrote: {report:?}"));
+            if let Some((_, report)) = known.iter().find(is_unwritten) {
+                return Some(format!("front {front} knows a report that no front wrote: {report:?}"));
             }
         }
         None
     }
 
-    /// Whether all that is known is the same, and leads to the same outliers, whatever the order of merging is.
-    fn diverges(&self, state: &State) -> Option<String> {
+    /// Describes a divergence if the order of merging affects the merged reports or the detected outliers.
+    fn divergence(&self, state: &State) -> Option<String> {
         let servers: ServerLocations = [(1, ServerLocation { zone: 0, capacity: 1.0 })].into();
-        let nobody = id(FRONTS);
-        let mut ends = BTreeSet::new();
+        let unused_id = id(FRONTS);
+        let mut results = BTreeSet::new();
         for order in [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
             let mut all = FrontReports::default();
             for front in order.iter().chain(&order[..2]) {
-                all.merge(&self.settings, nobody, &state.known[*front]);
+                all.merge(&self.settings, unused_id, &state.known[*front]);
             }
             let content: Vec<(u64, u64, Report)> =
                 all.iter().map(|(front, known)| (front.0, known.version, known.report.clone())).collect();
-            ends.insert((content, detect_outliers(&self.settings, &servers, &all)));
+            results.insert((content, detect_outliers(&self.settings, &servers, &all)));
         }
-        (ends.len() != 1).then(|| format!("{} ends of the same reports", ends.len()))
+        (results.len() != 1)
+            .then(|| format!("{} different results of merging the same reports", results.len()))
     }
 }
 
@@ -146,7 +151,7 @@
     }
 
     fn violation(&self, state: &State) -> Option<String> {
-        Merging::false_knowledge(state).or_else(|| self.diverges(state))
+        Merging::unwritten_report(state).or_else(|| self.divergence(state))
     }
 }
 
@@ -159,7 +164,7 @@
 }
 
 #[test]
-fn all_orders_of_reports_converge() {
+fn reports_converge_in_any_order() {
     let is_deep = std::env::var("DEEP").is_ok();
     let limits = if is_deep { Limits { states: 4_000_000, ..limits(9) } } else { limits(6) };
     let explored = explore(&model(DetectionSettings::default()), limits)
@@ -173,7 +178,7 @@
     for fault in [Fault::DuplicatesAdded, Fault::OwnReportFromOthers] {
         let mut settings = DetectionSettings::default();
         settings.inject_fault(fault);
-        let found = explore(&model(settings), limits(6)).expect_err("detected");
+        let found = explore(&model(settings), limits(6)).expect_err("the fault is detected");
         println!("{fault:?}: {} events, {} states: {}", found.trace.len(), found.states, found.violation);
     }
 }
--- a/crates/fleet/outlier-detection/tests/wire_format.rs
+++ b/crates/fleet/outlier-detection/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! The bytes of a report and of the numbers that stand in it: compared both ways with bytes that are committed.
+//! Encoding of reports and of the hashes in them. Committed bytes must be encoded and decoded without a difference.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 const FIXTURES: &str = include_str!("fixtures/reports.txt");
 
-/// The committed bytes of each sample: a line each, a name and its bytes in hexadecimal.
+/// Returns the committed bytes of each sample. Each line of the file has a sample's name and its bytes in hexadecimal.
 fn fixtures() -> BTreeMap<&'static str, Vec<u8>> {
     let parse = |line: &'static str| {
         let (name, hex) = line.split_once(' ').expect("a name and its bytes");
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn each_report_has_its_committed_bytes() {
+fn report_encoding_matches_fixtures() {
     let fixtures = fixtures();
     for (name, report) in reports() {
         let bytes = report.clone().encode();
@@ -62,12 +62,12 @@
 }
 
 #[test]
-fn no_committed_bytes_are_without_a_sample() {
+fn every_fixture_has_a_sample() {
     assert_eq!(fixtures().len(), reports().len());
 }
 
 #[test]
-fn keys_of_runs_and_titles_are_the_same_on_all_fronts() {
+fn boot_hashes_and_title_keys_are_stable() {
     assert_eq!(ServerInstance::new(4, None), ServerInstance { server: 4, boot_hash: 0 });
     assert_eq!(ServerInstance::new(4, Some(0)), ServerInstance { server: 4, boot_hash: 1 });
     assert_eq!(
