--- a/crates/fleet/coordinator/src/server/bootstrap.rs
+++ b/crates/fleet/coordinator/src/server/bootstrap.rs
@@ -122,16 +122,16 @@
         Ok(())
     }
 
-    /// Declares topics that are missing from the log or have other terms there. The leader's settings take precedence.
+    /// Declares topics that are missing from the log or have another configuration there. The leader's settings take precedence.
     fn declare_topics(&mut self, now: Duration, outputs: &mut PendingOutputs) {
         if !self.is_serving() {
             return;
         }
-        let declared = |spec: &TopicSpec| self.replica.topics().topic(&spec.name).map(Topic::terms);
+        let declared = |spec: &TopicSpec| self.replica.topics().topic(&spec.name).map(Topic::config);
         let missing: Vec<TopicSpec> =
-            self.settings.topics.iter().filter(|spec| declared(spec) != Some(spec.terms)).cloned().collect();
-        for TopicSpec { name, terms } in missing {
-            self.replica.handle(now, ReplicaInput::DeclareTopic(rand::random(), name, terms), outputs);
+            self.settings.topics.iter().filter(|spec| declared(spec) != Some(spec.config)).cloned().collect();
+        for TopicSpec { name, config } in missing {
+            self.replica.handle(now, ReplicaInput::DeclareTopic(rand::random(), name, config), outputs);
         }
     }
 
--- a/crates/fleet/coordinator/src/server/reports.rs
+++ b/crates/fleet/coordinator/src/server/reports.rs
@@ -37,7 +37,7 @@
             horizon: topic.horizon().0,
             keys: topic.keys() as u64,
             bytes: topic.bytes(),
-            memory_bytes: topic.held_bytes(),
+            memory_bytes: topic.stored_bytes(),
             subscribers: self.subscriptions.count(name) as u64,
         }
     }
--- a/crates/fleet/coordinator/src/server/subscriptions.rs
+++ b/crates/fleet/coordinator/src/server/subscriptions.rs
@@ -12,7 +12,7 @@
 use beechloft_replica::Replica;
 #[cfg(feature = "planted")]
 use beechloft_topic::Fault;
-use beechloft_topic::{Feed, Offset, Position, Said, Topic};
+use beechloft_topic::{Feed, FeedItem, Offset, Position, Topic};
 use tracing::{debug, info};
 
 use crate::connections::{ConnectionId, Connections};
@@ -73,7 +73,7 @@
 struct Round {
     now: Duration,
     applied: u64,
-    silent_ms: u32,
+    staleness_ms: u32,
     fleet: u64,
 }
 
@@ -104,9 +104,9 @@
         let mut feed = Feed::open(position);
         #[cfg(feature = "planted")]
         if let Some(fault) = self.fault {
-            feed.plant(fault);
+            feed.inject(fault);
         }
-        feed.allow(credit_bytes);
+        feed.set_credit(credit_bytes);
         let subscription = Subscription { id, topic, feed, sent_at: now, missing_reported: false };
         self.all.insert(connection, subscription);
         self.deadline = Some(now);
@@ -116,7 +116,7 @@
     /// Raises the credit of a subscription to `total_bytes`, counted since the subscription began.
     pub fn set_credit(&mut self, connection: ConnectionId, id: u64, total_bytes: u64, now: Duration) {
         if let Some(subscription) = self.all.get_mut(&connection).filter(|s| s.id == id) {
-            subscription.feed.allow(total_bytes);
+            subscription.feed.set_credit(total_bytes);
             self.deadline = Some(now);
         }
     }
@@ -150,8 +150,8 @@
             return;
         }
         let applied = replica.applied_index().0;
-        let silent_ms = u32::try_from(replica.staleness().as_millis()).unwrap_or(u32::MAX);
-        let round = Round { now, applied, silent_ms, fleet };
+        let staleness_ms = u32::try_from(replica.staleness().as_millis()).unwrap_or(u32::MAX);
+        let round = Round { now, applied, staleness_ms, fleet };
         (self.served_at, self.deadline) = (now, None);
         let (mut bytes_left, mut any_pending, mut batches) = (ROUND_BYTES, false, EncodedBatches::new());
         // Each round begins after the connection at which the last one ended.
@@ -198,11 +198,11 @@
 
 impl Subscription {
     /// Returns the next item to be sent, or `None` if there is nothing to send.
-    fn next(&mut self, topic: Option<&Topic>) -> Option<Said> {
+    fn next(&mut self, topic: Option<&Topic>) -> Option<FeedItem> {
         let Some(topic) = topic else {
             // This replica may lag behind one that has applied the topic's declaration, so it reports that it is behind.
             let first = !std::mem::replace(&mut self.missing_reported, true);
-            return first.then_some(Said::Behind { head: Offset(0) });
+            return first.then_some(FeedItem::Behind { head: Offset(0) });
         };
         self.missing_reported = false;
         self.feed.next(topic)
@@ -218,11 +218,11 @@
             }
             let Some(item) = self.next(topic) else {
                 if sender.round.now >= self.sent_at + HEARTBEAT_INTERVAL {
-                    self.send(&Said::Still, sender);
+                    self.send(&FeedItem::Heartbeat, sender);
                 }
                 return progress;
             };
-            if let Said::Anew { base, .. } = &item {
+            if let FeedItem::Resync { base, .. } = &item {
                 info!(
                     connection = sender.connection.0,
                     topic = %self.topic,
@@ -236,11 +236,11 @@
     }
 
     /// Sends an item and returns the size of its frame in bytes.
-    fn send(&mut self, item: &Said, sender: &mut DeliverySender<'_>) -> usize {
+    fn send(&mut self, item: &FeedItem, sender: &mut DeliverySender<'_>) -> usize {
         let round = sender.round;
         self.sent_at = round.now;
         let shared = match item {
-            Said::Batch(b) if b.is_whole() => {
+            FeedItem::Batch(b) if b.is_contiguous() => {
                 Some(BatchKey { topic: self.topic.clone(), from: b.from, to: b.to, head: b.head })
             }
             _ => None,
@@ -251,7 +251,7 @@
             }
             None => wire::encode_delivery_item(item),
         };
-        let message = wire::encode_delivery(round.fleet, self.id, round.applied, round.silent_ms, &bytes);
+        let message = wire::encode_delivery(round.fleet, self.id, round.applied, round.staleness_ms, &bytes);
         let length = message.len();
         sender.connections.send(sender.connection, message);
         length
--- a/crates/fleet/coordinator/src/settings/topics.rs
+++ b/crates/fleet/coordinator/src/settings/topics.rs
@@ -2,7 +2,7 @@
 
 use beechloft_config_reader::Section;
 use beechloft_leases::Name;
-use beechloft_topic::{Terms, Writers};
+use beechloft_topic::{TopicConfig, Writers};
 
 use super::integer_u32;
 
@@ -22,7 +22,7 @@
     /// The topic's name.
     pub name: Name,
     /// The topic's writers, retention and maximum size.
-    pub terms: Terms,
+    pub config: TopicConfig,
 }
 
 /// Reads `topics`. Topics with an error may be left out of the result, as the file is not used then.
@@ -33,27 +33,27 @@
         section.report("topics", format!("at most {MAX_TOPICS} are allowed"));
     }
     for topic in &sections {
-        let terms = read_terms(topic);
+        let config = read_config(topic);
         match Name::try_from(topic.required_text("name")) {
             Ok(name) if all.iter().any(|other| other.name == name) => {
                 topic.report("name", format!("{name} is listed twice"));
-                all.push(TopicSpec { name, terms });
+                all.push(TopicSpec { name, config });
             }
-            Ok(name) => all.push(TopicSpec { name, terms }),
+            Ok(name) => all.push(TopicSpec { name, config }),
             Err(error) => topic.report("name", error.to_string()),
         }
     }
-    let bytes: u64 = all.iter().map(|topic| topic.terms.bytes).sum();
+    let bytes: u64 = all.iter().map(|topic| topic.config.bytes).sum();
     if bytes > MAX_BYTES {
         section.report("topics", format!("{bytes} bytes in total exceed the maximum of {MAX_BYTES}"));
     }
     all
 }
 
-fn read_terms(topic: &Section<'_>) -> Terms {
-    let default = Terms::default();
+fn read_config(topic: &Section<'_>) -> TopicConfig {
+    let default = TopicConfig::default();
     let writers = topic.choice("writers", &[("one", Writers::One), ("many", Writers::Many)]);
-    Terms {
+    TopicConfig {
         writers: writers.unwrap_or(default.writers),
         retention_ms: integer_u32(topic, "retention_ms", MIN_RETENTION_MS..=MAX_RETENTION_MS)
             .unwrap_or(default.retention_ms),
--- a/crates/fleet/coordinator/src/topics/follower.rs
+++ b/crates/fleet/coordinator/src/topics/follower.rs
@@ -9,8 +9,8 @@
 
 use beechloft_leases::Name;
 use beechloft_topic::{
-    Key, Message, Offset, ProtocolViolation, Subscriber, SubscriberInput, SubscriberOutput,
-    SubscriberSettings, Told,
+    Delivery, Key, Message, Offset, ProtocolViolation, Subscriber, SubscriberInput, SubscriberOutput,
+    SubscriberSettings,
 };
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use tracing::{info, warn};
@@ -153,7 +153,9 @@
                     self.receive(delivery)
                 }
                 // The replica rejected the subscription or closed the connection.
-                Ok(Inbound { connection, .. }) => self.handle_input(SubscriberInput::Broken(connection)),
+                Ok(Inbound { connection, .. }) => {
+                    self.handle_input(SubscriberInput::Disconnected(connection))
+                }
                 Err(RecvTimeoutError::Timeout) => self.handle_input(SubscriberInput::Tick),
                 Err(RecvTimeoutError::Disconnected) => return,
             }
@@ -163,12 +165,12 @@
         }
     }
 
-    fn receive(&mut self, delivery: Told) {
-        let staleness = Duration::from_millis(u64::from(delivery.silent_ms));
-        if self.connection.as_ref().is_some_and(|connection| connection.id == delivery.feed) {
+    fn receive(&mut self, delivery: Delivery) {
+        let staleness = Duration::from_millis(u64::from(delivery.staleness_ms));
+        if self.connection.as_ref().is_some_and(|connection| connection.id == delivery.subscription) {
             *lock(&self.shared.last_delivery) = Some(LastDelivery { at: Instant::now(), staleness });
         }
-        self.handle_input(SubscriberInput::Told(delivery));
+        self.handle_input(SubscriberInput::Delivery(delivery));
     }
 
     fn handle_input(&mut self, input: SubscriberInput) {
@@ -187,28 +189,26 @@
     /// Carries out an output of the subscriber. Returns the input that results from it, if any.
     fn handle_output(&mut self, output: SubscriberOutput) -> Option<SubscriberInput> {
         let event = match output {
-            SubscriberOutput::Subscribe { feed, topic, from, allow } => {
-                let message = wire::Message::Subscribe {
-                    subscription: feed,
-                    topic,
-                    position: from,
-                    credit_bytes: allow,
-                };
-                self.credit_bytes = allow;
-                return self.open(feed, &message).is_none().then_some(SubscriberInput::Broken(feed));
+            SubscriberOutput::Subscribe { subscription, topic, position, credit_bytes } => {
+                let message = wire::Message::Subscribe { subscription, topic, position, credit_bytes };
+                self.credit_bytes = credit_bytes;
+                return self
+                    .open(subscription, &message)
+                    .is_none()
+                    .then_some(SubscriberInput::Disconnected(subscription));
             }
-            SubscriberOutput::Allow { total, .. } => {
-                self.credit_bytes = total;
+            SubscriberOutput::Credit { total_bytes, .. } => {
+                self.credit_bytes = total_bytes;
                 self.send_credit();
                 return None;
             }
-            SubscriberOutput::Leave(feed) => {
-                info!(topic = %self.topic, subscription = feed, "follower leaves its replica");
+            SubscriberOutput::Unsubscribe(subscription) => {
+                info!(topic = %self.topic, subscription, "follower leaves its replica");
                 self.connection = None;
                 return None;
             }
-            SubscriberOutput::Changed(message) => FollowerEvent::Updated(message),
-            SubscriberOutput::Gone(key, offset) => FollowerEvent::Deleted(key, offset),
+            SubscriberOutput::Updated(message) => FollowerEvent::Updated(message),
+            SubscriberOutput::Deleted(key, offset) => FollowerEvent::Deleted(key, offset),
             SubscriberOutput::CaughtUp(offset) => {
                 info!(topic = %self.topic, offset = offset.0, "follower caught up");
                 FollowerEvent::CaughtUp(offset)
--- a/crates/fleet/coordinator/src/topics/publisher.rs
+++ b/crates/fleet/coordinator/src/topics/publisher.rs
@@ -77,8 +77,8 @@
     ) -> io::Result<Publisher> {
         let (id, seed) = (PublisherId(rand::random()), rand::random());
         let state_machine = match mode {
-            WriteMode::Shared => StateMachine::one_of_many(id, topic.clone(), settings, seed),
-            WriteMode::Exclusive(token) => StateMachine::only(id, token, topic.clone(), settings, seed),
+            WriteMode::Shared => StateMachine::shared(id, topic.clone(), settings, seed),
+            WriteMode::Exclusive(token) => StateMachine::exclusive(id, token, topic.clone(), settings, seed),
         };
         let (request_sender, requests) = bounded(REQUEST_CAPACITY);
         let (result_sender, results) = bounded(RESULT_CAPACITY);
@@ -194,7 +194,7 @@
         let input = match inbound.message {
             Some(Message::PublishResponse(response)) => {
                 self.waiting_since = None;
-                PublisherInput::Heard(response)
+                PublisherInput::Response(response)
             }
             // The message is from an abandoned connection.
             _ if self.connection.as_ref().is_none_or(|connection| connection.id != connection_id) => return,
@@ -203,20 +203,20 @@
                 let index = leader
                     .and_then(|leader| self.fleet.replicas.iter().position(|replica| *replica == leader));
                 self.switch_replica(index);
-                PublisherInput::NotNow
+                PublisherInput::NotAccepted
             }
             Some(Message::LeaseResponse(_)) => {
                 self.waiting_since = None;
-                PublisherInput::NotNow
+                PublisherInput::NotAccepted
             }
             _ => {
                 self.switch_replica(None);
-                PublisherInput::NotNow
+                PublisherInput::NotAccepted
             }
         };
         outputs.extend(self.state_machine.handle((self.clock)(), input));
         // The response timeout runs only for a replica to which a request was sent.
-        if self.connection.is_some() && self.state_machine.waiting() > 0 {
+        if self.connection.is_some() && self.state_machine.pending_messages() > 0 {
             self.waiting_since.get_or_insert_with(Instant::now);
         }
     }
--- a/crates/fleet/coordinator/src/wire/codec.rs
+++ b/crates/fleet/coordinator/src/wire/codec.rs
@@ -3,7 +3,7 @@
 use std::io::Read;
 
 use beechloft_membership::Packet;
-use beechloft_topic::{Said, Told};
+use beechloft_topic::{Delivery, FeedItem};
 
 use super::frame::{
     HEADER_BYTES, MAX_BODY_BYTES, MAX_DATAGRAM_BYTES, WireError, frame_body, read_frame, write_frame,
@@ -41,7 +41,7 @@
 }
 
 /// Encodes an item of a feed. Subscriptions that are sent the same item share one encoding.
-pub(crate) fn encode_delivery_item(item: &Said) -> Vec<u8> {
+pub(crate) fn encode_delivery_item(item: &FeedItem) -> Vec<u8> {
     // Encoding fails only for values of unknown length, and an item has none.
     postcard::to_allocvec(item).unwrap_or_default()
 }
@@ -50,11 +50,12 @@
 pub(crate) fn encode_delivery(
     fleet: u64,
     subscription: u64,
-    applied: u64,
-    silent_ms: u32,
+    applied_index: u64,
+    staleness_ms: u32,
     item: &[u8],
 ) -> Vec<u8> {
-    let template = Message::Delivery(Told { feed: subscription, applied, silent_ms, said: Said::Still });
+    let template =
+        Message::Delivery(Delivery { subscription, applied_index, staleness_ms, item: FeedItem::Heartbeat });
     let mut body = postcard::to_allocvec(&template).unwrap_or_default();
     // The item is the last field, and the template's item is encoded as one byte, the index of its variant.
     body.pop();
--- a/crates/fleet/coordinator/src/wire/message.rs
+++ b/crates/fleet/coordinator/src/wire/message.rs
@@ -4,7 +4,7 @@
 use beechloft_leases::{self as leases, Name};
 use beechloft_placement as placement;
 use beechloft_quotas as quotas;
-use beechloft_topic::{Position, Told, TopicRequest, TopicResponse};
+use beechloft_topic::{Delivery, Position, TopicRequest, TopicResponse};
 use serde::{Deserialize, Serialize};
 
 use super::reports::{LeaseChange, LeaseInfo, MemberView, ReplicaStatus};
@@ -82,7 +82,7 @@
         total_bytes: u64,
     },
     /// A delivery to a subscriber.
-    Delivery(Told),
+    Delivery(Delivery),
     /// A placement command from a front, a customer, an operator or the placement worker.
     PlacementRequest {
         /// The id by which the response is matched to the request.
--- a/crates/fleet/coordinator/src/wire/tests.rs
+++ b/crates/fleet/coordinator/src/wire/tests.rs
@@ -1,15 +1,20 @@
 use beechloft_consensus::NodeId;
 use beechloft_membership::Packet;
-use beechloft_topic::{Said, Told};
+use beechloft_topic::{Delivery, FeedItem};
 
 use super::*;
 
 #[test]
 fn delivery_from_shared_encoding_equals_encoded_message() {
     use beechloft_topic::Offset;
-    for item in [Said::Still, Said::Behind { head: Offset(9) }, Said::Anew { life: 1, base: Offset(300) }] {
+    for item in [
+        FeedItem::Heartbeat,
+        FeedItem::Behind { head: Offset(9) },
+        FeedItem::Resync { incarnation: 1, base: Offset(300) },
+    ] {
         let bytes = encode_delivery(9, 7, 300, 1_000, &encode_delivery_item(&item));
-        let message = Message::Delivery(Told { feed: 7, applied: 300, silent_ms: 1_000, said: item });
+        let message =
+            Message::Delivery(Delivery { subscription: 7, applied_index: 300, staleness_ms: 1_000, item });
         assert_eq!(Some(&bytes), encode(9, &message).as_ref());
         assert_eq!(read(9, &mut &bytes[..]).expect("a valid message"), message);
     }
--- a/crates/fleet/coordinator/tests/wire_format.rs
+++ b/crates/fleet/coordinator/tests/wire_format.rs
@@ -14,8 +14,8 @@
 use beechloft_placement as placement;
 use beechloft_quotas as quotas;
 use beechloft_topic::{
-    Batch, Epoch, Offset, Position, PublisherId, Said, Session, Told, TopicAnswer, TopicOp, TopicRequest,
-    TopicRequestId, TopicResponse,
+    Batch, Delivery, Epoch, FeedItem, Offset, Position, PublisherId, Session, TopicAnswer, TopicOp,
+    TopicRequest, TopicRequestId, TopicResponse,
 };
 
 const FLEET: u64 = 0x0102_0304_0506_0708;
@@ -176,12 +176,13 @@
     };
     let publish_response = TopicResponse {
         publisher: PublisherId(5),
-        ask: TopicRequestId::Session(Epoch(6)),
+        request_id: TopicRequestId::Session(Epoch(6)),
         answer: TopicAnswer::Began(Session(7)),
     };
-    let position = Position { life: 1, next: Offset(2), base: Offset(3), seen: Offset(4) };
+    let position = Position { incarnation: 1, next: Offset(2), base: Offset(3), min_head: Offset(4) };
     let batch = Batch { from: Offset(1), to: Offset(300), head: Offset(301), messages: Vec::new() };
-    let delivery = |said| Message::Delivery(Told { feed: 7, applied: 300, silent_ms: 1_000, said });
+    let delivery =
+        |item| Message::Delivery(Delivery { subscription: 7, applied_index: 300, staleness_ms: 1_000, item });
     vec![
         ("publish", Message::Publish(publish)),
         ("topic_heard", Message::PublishResponse(publish_response)),
@@ -195,10 +196,10 @@
             },
         ),
         ("allow", Message::Credit { subscription: 7, total_bytes: 131_072 }),
-        ("told.anew", delivery(Said::Anew { life: 1, base: Offset(300) })),
-        ("told.behind", delivery(Said::Behind { head: Offset(9) })),
-        ("told.batch", delivery(Said::Batch(batch))),
-        ("told.still", delivery(Said::Still)),
+        ("told.anew", delivery(FeedItem::Resync { incarnation: 1, base: Offset(300) })),
+        ("told.behind", delivery(FeedItem::Behind { head: Offset(9) })),
+        ("told.batch", delivery(FeedItem::Batch(batch))),
+        ("told.still", delivery(FeedItem::Heartbeat)),
     ]
 }
 
--- a/crates/fleet/replica/src/components/mod.rs
+++ b/crates/fleet/replica/src/components/mod.rs
@@ -231,7 +231,7 @@
 /// The record that a command would write to the topic of quota definitions.
 fn quota_record(command: &TopicCommand) -> Option<Record> {
     match command {
-        TopicCommand::Ask(TopicRequest { topic, op: TopicOp::Publish { record, .. }, .. })
+        TopicCommand::Request(TopicRequest { topic, op: TopicOp::Publish { record, .. }, .. })
             if topic.to_string() == quotas::TOPIC =>
         {
             Some(record.clone())
--- a/crates/fleet/replica/src/components/placement.rs
+++ b/crates/fleet/replica/src/components/placement.rs
@@ -117,7 +117,7 @@
             };
             let mut ask = |op| {
                 let request = TopicRequest { publisher: PUBLISHER, topic: topic.clone(), op };
-                topics.command(context, &TopicCommand::Ask(request), out)
+                topics.command(context, &TopicCommand::Request(request), out)
             };
             let Some((session, seq)) = self.replicated.session else {
                 let next = Epoch(self.replicated.epoch + 1);
--- a/crates/fleet/replica/src/components/topics.rs
+++ b/crates/fleet/replica/src/components/topics.rs
@@ -82,9 +82,9 @@
         self.fault = Some(fault);
         #[cfg(feature = "fault_injection")]
         {
-            self.topics.plant(fault);
+            self.topics.inject(fault);
             if let Some(retention_timer) = &mut self.retention_timer {
-                retention_timer.retention.plant(fault);
+                retention_timer.retention.inject(fault);
             }
         }
     }
@@ -100,7 +100,7 @@
         command: &TopicCommand,
         out: &mut Vec<ReplicaOutput>,
     ) -> Option<TopicAnswer> {
-        if let TopicCommand::Ask(request) = command {
+        if let TopicCommand::Request(request) = command {
             self.applied_since_cleaning += size(request);
         }
         let (answer, event) = self.topics.apply(command);
@@ -132,9 +132,10 @@
         out: &mut Vec<ReplicaOutput>,
     ) {
         let answer = self.command(context, &command, out);
-        if let (Some(PendingTopicRequest::Publish(client, publisher, ask)), Some(answer)) = (pending, answer)
+        if let (Some(PendingTopicRequest::Publish(client, publisher, request_id)), Some(answer)) =
+            (pending, answer)
         {
-            let response = TopicResponse { publisher, ask, answer };
+            let response = TopicResponse { publisher, request_id, answer };
             out.push(ReplicaOutput::TopicResponse(client, response));
         }
     }
@@ -153,7 +154,7 @@
             let mut retention = Retention::new(context.drift);
             #[cfg(feature = "fault_injection")]
             if let Some(fault) = self.fault {
-                retention.plant(fault);
+                retention.inject(fault);
             }
             retention.begin(context.now, &self.topics);
             RetentionTimer { retention, check_due: None }
@@ -172,7 +173,7 @@
         let topics = &self.topics;
         self.retention_timer.as_mut().map_or_else(Vec::new, |retention_timer| {
             retention_timer.check_due = None;
-            retention_timer.retention.look(now, topics)
+            retention_timer.retention.poll(now, topics)
         })
     }
 
--- a/crates/fleet/replica/src/input.rs
+++ b/crates/fleet/replica/src/input.rs
@@ -24,7 +24,7 @@
     /// A publisher's request.
     TopicRequest(ClientId, TopicRequest),
     /// Declares a topic or changes its terms: a random topic id, the name, the terms. It is not answered.
-    DeclareTopic(u64, Name, beechloft_topic::Terms),
+    DeclareTopic(u64, Name, beechloft_topic::TopicConfig),
     /// A placement command, with a number that identifies its response.
     PlacementCommand(ClientId, u64, Box<beechloft_placement::Command>),
     /// PendingRequest until this replica has everything that was committed before, with a number that identifies the response.
--- a/crates/fleet/replica/src/replica/requests.rs
+++ b/crates/fleet/replica/src/replica/requests.rs
@@ -32,12 +32,12 @@
                 }
             }
             ReplicaInput::TopicRequest(client, request) => {
-                let pending = PendingTopicRequest::Publish(client, request.publisher, request.ask());
-                let command = Command::Topics(TopicCommand::Ask(request));
+                let pending = PendingTopicRequest::Publish(client, request.publisher, request.id());
+                let command = Command::Topics(TopicCommand::Request(request));
                 self.propose(&command, PendingRequest::Topics(pending), out);
             }
-            ReplicaInput::DeclareTopic(life, topic, terms) => {
-                let command = Command::Topics(TopicCommand::Declare { topic, life, terms });
+            ReplicaInput::DeclareTopic(incarnation, topic, config) => {
+                let command = Command::Topics(TopicCommand::Declare { topic, incarnation, config });
                 self.propose(&command, PendingRequest::Topics(PendingTopicRequest::Internal), out);
             }
             ReplicaInput::QuotaRequest(client, request) => {
--- a/crates/fleet/replica/src/replica/tests/placement.rs
+++ b/crates/fleet/replica/src/replica/tests/placement.rs
@@ -75,7 +75,7 @@
     handle(
         &mut replica,
         2_012,
-        ReplicaInput::DeclareTopic(7, topic.clone(), beechloft_topic::Terms::default()),
+        ReplicaInput::DeclareTopic(7, topic.clone(), beechloft_topic::TopicConfig::default()),
     );
     assert_eq!(written(&replica), Some(1));
     // A retried command is applied once, and nothing more is written. A state that was read back behaves the same.
--- a/crates/fleet/replica/tests/encoding/snapshot.rs
+++ b/crates/fleet/replica/tests/encoding/snapshot.rs
@@ -72,9 +72,9 @@
             Command::Leases(beechloft_leases::Command::Request(request)) => {
                 ReplicaInput::LeaseRequest(client, request)
             }
-            Command::Topics(TopicCommand::Ask(request)) => ReplicaInput::TopicRequest(client, request),
-            Command::Topics(TopicCommand::Declare { topic, life, terms }) => {
-                ReplicaInput::DeclareTopic(life, topic, terms)
+            Command::Topics(TopicCommand::Request(request)) => ReplicaInput::TopicRequest(client, request),
+            Command::Topics(TopicCommand::Declare { topic, incarnation, config }) => {
+                ReplicaInput::DeclareTopic(incarnation, topic, config)
             }
             Command::Quotas(beechloft_quotas::Command::Request(request)) => {
                 ReplicaInput::QuotaRequest(client, request)
@@ -116,7 +116,7 @@
         publish(2, None, Expect::Anything),
         publish(3, Some(b"later"), Expect::Absent),
     ] {
-        single.apply(Command::Topics(TopicCommand::Ask(topic_request(op))));
+        single.apply(Command::Topics(TopicCommand::Request(topic_request(op))));
     }
     let open = QuotaOp::Open { ttl_ms: 9_000, tagged: true };
     single.apply(Command::Quotas(beechloft_quotas::Command::Request(quota_request(1, open))));
--- a/crates/fleet/replica/tests/encoding/values.rs
+++ b/crates/fleet/replica/tests/encoding/values.rs
@@ -14,8 +14,8 @@
 };
 use beechloft_replica::Command;
 use beechloft_topic::{
-    Epoch, Expect, Key, Offset, PublisherId, Record, Session, Terms, TopicCommand, TopicOp, TopicRequest,
-    Value, Writers,
+    Epoch, Expect, Key, Offset, PublisherId, Record, Session, TopicCommand, TopicConfig, TopicOp,
+    TopicRequest, Value, Writers,
 };
 
 pub fn name<T: TryFrom<String, Error: std::fmt::Debug>>(text: &str) -> T {
@@ -60,9 +60,9 @@
     ]
 }
 
-pub fn declare(topic: &str, life: u64) -> Command {
-    let terms = Terms { writers: Writers::Many, retention_ms: 3_600_000, keys: 1_000, bytes: 1 << 20 };
-    Command::Topics(TopicCommand::Declare { topic: name(topic), life, terms })
+pub fn declare(topic: &str, incarnation: u64) -> Command {
+    let config = TopicConfig { writers: Writers::Many, retention_ms: 3_600_000, keys: 1_000, bytes: 1 << 20 };
+    Command::Topics(TopicCommand::Declare { topic: name(topic), incarnation, config })
 }
 
 pub fn topic_request(op: TopicOp) -> TopicRequest {
@@ -76,7 +76,7 @@
 }
 
 fn topics() -> Vec<(&'static str, Command)> {
-    let ask = |op| Command::Topics(TopicCommand::Ask(topic_request(op)));
+    let ask = |op| Command::Topics(TopicCommand::Request(topic_request(op)));
     vec![
         ("topics-declare", declare("topic", 1 << 50)),
         ("topics-begin", ask(TopicOp::Begin { epoch: Epoch(5) })),
--- a/crates/fleet/replica/tests/topics/main.rs
+++ b/crates/fleet/replica/tests/topics/main.rs
@@ -141,7 +141,9 @@
 
 #[test]
 fn injected_faults_are_detected() {
-    for fault in [Fault::HorizonUnseen, Fault::HeadAfter, Fault::SessionsForgotten, Fault::DropsOldest] {
+    for fault in
+        [Fault::HorizonIgnored, Fault::BatchClaimsHead, Fault::SessionsNotInSnapshot, Fault::BacklogSkipped]
+    {
         let found =
             (0..20).find_map(|seed| run(seed, 200, Some(fault), &mut Sums::default()).map(|why| (seed, why)));
         println!("{fault:?}: {found:?}");
--- a/crates/fleet/replica/tests/topics/simulated_fleet.rs
+++ b/crates/fleet/replica/tests/topics/simulated_fleet.rs
@@ -13,9 +13,9 @@
 use beechloft_leases::{DriftBound, LeaderLocator, Name};
 use beechloft_replica::{ClientId, Command, Replica, ReplicaInput, ReplicaOutput};
 use beechloft_topic::{
-    Expect, Fault, Feed, Key, Offset, Outcome, Position, Publisher, PublisherId, PublisherInput,
-    PublisherOutput, PublisherSettings, PublisherTicket, Record, Said, Subscriber, SubscriberInput,
-    SubscriberOutput, SubscriberSettings, Terms, Told, TopicCommand, TopicEvent, TopicOp, TopicRequest,
+    Delivery, Expect, Fault, Feed, FeedItem, Key, Offset, Outcome, Position, Publisher, PublisherId,
+    PublisherInput, PublisherOutput, PublisherSettings, PublisherTicket, Record, Subscriber, SubscriberInput,
+    SubscriberOutput, SubscriberSettings, TopicCommand, TopicConfig, TopicEvent, TopicOp, TopicRequest,
     TopicResponse, Topics, Value,
 };
 use rand::{RngExt, SeedableRng};
@@ -69,7 +69,7 @@
     Answer(usize, u64, Result<TopicResponse, Option<usize>>),
     Subscribe(NodeId, usize, u64, Option<Position>, u64),
     Allow(NodeId, usize, u64, u64),
-    Told(usize, Told),
+    Told(usize, Delivery),
     Broken(usize, u64),
     SubTick(usize),
     PubTick(usize, u64),
@@ -168,10 +168,10 @@
         }
         for n in 0..subs {
             let settings = SubscriberSettings {
-                window: [20_000, 256 << 10][n % 2],
-                patience: Duration::from_millis(1_500),
-                most_silent: Duration::from_secs(2),
-                again: (Duration::from_millis(50), Duration::from_secs(1)),
+                window_bytes: [20_000, 256 << 10][n % 2],
+                unresponsive_timeout: Duration::from_millis(1_500),
+                max_staleness: Duration::from_secs(2),
+                retry_backoff: (Duration::from_millis(50), Duration::from_secs(1)),
             };
             let machine = Subscriber::new(name(), settings, seed + n as u64);
             let (last, asleep_until) = (BTreeMap::new(), Duration::ZERO);
@@ -219,12 +219,12 @@
 
     fn publisher(&mut self, n: usize, life: u64) -> Pub {
         let settings = PublisherSettings {
-            again: (Duration::from_millis(150), Duration::from_secs(1)),
-            give_up: Duration::from_secs(6),
+            retry_backoff: (Duration::from_millis(150), Duration::from_secs(1)),
+            delivery_timeout: Duration::from_secs(6),
             ..PublisherSettings::default()
         };
         let id = PublisherId(1_000 * life + n as u64);
-        let machine = Publisher::one_of_many(id, name(), settings, self.rng.random());
+        let machine = Publisher::shared(id, name(), settings, self.rng.random());
         Pub { machine, route: LeaderLocator::new(self.replicas.len(), n), life }
     }
 
@@ -303,11 +303,11 @@
                     let input = match answer {
                         Ok(heard) => {
                             self.pubs[n].route.on_response();
-                            PublisherInput::Heard(heard)
+                            PublisherInput::Response(heard)
                         }
                         Err(leader) => {
                             self.pubs[n].route.on_not_leader(leader);
-                            PublisherInput::NotNow
+                            PublisherInput::NotAccepted
                         }
                     };
                     self.input(n, input);
@@ -319,9 +319,9 @@
                     Some(host) => {
                         let mut feed = Feed::open(from);
                         if let Some(fault) = self.fault {
-                            feed.plant(fault);
+                            feed.inject(fault);
                         }
-                        feed.allow(allow);
+                        feed.set_credit(allow);
                         host.feeds.insert(n, (number, feed, Duration::ZERO));
                         self.feed(id, n);
                     }
@@ -332,7 +332,7 @@
                 if let Some((has, feed, _)) = feeds.and_then(|f| f.get_mut(&n))
                     && *has == number
                 {
-                    feed.allow(total);
+                    feed.set_credit(total);
                     self.feed(id, n);
                 }
             }
@@ -344,9 +344,9 @@
                 }
                 let bytes = postcard::to_allocvec(&told).expect("bytes");
                 let told = postcard::from_bytes(&bytes).expect("what was sent");
-                self.subscriber(n, SubscriberInput::Told(told));
+                self.subscriber(n, SubscriberInput::Delivery(told));
             }
-            ScheduledEvent::Broken(n, number) => self.subscriber(n, SubscriberInput::Broken(number)),
+            ScheduledEvent::Broken(n, number) => self.subscriber(n, SubscriberInput::Disconnected(number)),
             ScheduledEvent::SubTick(n) => self.subscriber(n, SubscriberInput::Tick),
             ScheduledEvent::PubTick(n, life) => {
                 if self.pubs[n].life == life {
@@ -356,7 +356,7 @@
             ScheduledEvent::Still(id, start) => {
                 if self.is_up(id, start) {
                     let all: Vec<usize> = self.replicas[&id].feeds.keys().copied().collect();
-                    all.into_iter().for_each(|n| self.say(id, n, Said::Still));
+                    all.into_iter().for_each(|n| self.say(id, n, FeedItem::Heartbeat));
                     self.later(Duration::from_millis(500), ScheduledEvent::Still(id, start));
                 }
             }
@@ -427,7 +427,7 @@
             let event = self.reference.apply(&command).1;
             match (&command, event) {
                 (_, Some(TopicEvent::Horizon(..))) => self.horizons += 1,
-                (TopicCommand::Ask(request), Some(TopicEvent::Appended(_, offset))) => {
+                (TopicCommand::Request(request), Some(TopicEvent::Appended(_, offset))) => {
                     self.appended(request, offset);
                 }
                 _ => {}
@@ -453,14 +453,14 @@
             let Some(host) = self.replicas.get_mut(&id).filter(|h| h.up) else { return };
             let Some(topic) = host.replica.topics().topic(&name()) else { return };
             let Some(said) = host.feeds.get_mut(&n).and_then(|(_, feed, _)| feed.next(topic)) else { return };
-            if matches!(said, Said::Anew { .. }) {
+            if matches!(said, FeedItem::Resync { .. }) {
                 self.subs[n].anew += 1;
             }
             self.say(id, n, said);
         }
     }
 
-    fn say(&mut self, id: NodeId, n: usize, said: Said) {
+    fn say(&mut self, id: NodeId, n: usize, said: FeedItem) {
         let way = self.way();
         let Some(host) = self.replicas.get_mut(&id) else { return };
         let (applied, stale) = (host.replica.applied_index().0, host.replica.staleness());
@@ -468,7 +468,12 @@
         // In order, as on a connection.
         *last = (self.now + way).max(*last);
         let (feed, at) = (*number, *last);
-        let told = Told { feed, applied, silent_ms: stale.as_millis() as u32, said };
+        let told = Delivery {
+            subscription: feed,
+            applied_index: applied,
+            staleness_ms: stale.as_millis() as u32,
+            item: said,
+        };
         self.later(at - self.now, ScheduledEvent::Told(n, told));
     }
 
@@ -479,7 +484,12 @@
         }
         for output in self.subs[n].machine.handle(self.now, input) {
             match output {
-                SubscriberOutput::Subscribe { feed, from, allow, .. } => {
+                SubscriberOutput::Subscribe {
+                    subscription: feed,
+                    position: from,
+                    credit_bytes: allow,
+                    ..
+                } => {
                     let ids = self.replica_ids();
                     self.subs[n].at += 1;
                     let id = ids[self.subs[n].at % ids.len()];
@@ -488,21 +498,21 @@
                     let way = self.way();
                     self.later(way, ScheduledEvent::Subscribe(id, n, feed, from, allow));
                 }
-                SubscriberOutput::Allow { feed, total } => {
+                SubscriberOutput::Credit { subscription: feed, total_bytes: total } => {
                     if let Some((id, _)) = self.subs[n].on.filter(|(_, number)| *number == feed) {
                         let way = self.way();
                         self.later(way, ScheduledEvent::Allow(id, n, feed, total));
                     }
                 }
-                SubscriberOutput::Leave(_) => self.hang_up(n),
-                SubscriberOutput::Changed(message) => {
+                SubscriberOutput::Unsubscribe(_) => self.hang_up(n),
+                SubscriberOutput::Updated(message) => {
                     let key = Key::new(message.key()).expect("a key");
                     let last = self.subs[n].last.insert(key, message.offset);
                     if last >= Some(message.offset) {
                         self.violation(format!("{n} hears of {message:?} after {last:?}"));
                     }
                 }
-                SubscriberOutput::Gone(key, offset) => {
+                SubscriberOutput::Deleted(key, offset) => {
                     let last = self.subs[n].last.insert(key.clone(), offset);
                     if last > Some(offset) {
                         self.violation(format!("{n}: {key:?} gone at {offset:?} after {last:?}"));
@@ -620,7 +630,7 @@
     }
 
     pub fn declare(&mut self) {
-        let terms = Terms { retention_ms: 2_000, ..Terms::default() };
+        let terms = TopicConfig { retention_ms: 2_000, ..TopicConfig::default() };
         if let Some(leader) = self.leader().filter(|_| self.reference.topic(&name()).is_none()) {
             let life = self.rng.random();
             self.replica(leader, ReplicaInput::DeclareTopic(life, name(), terms));
--- a/crates/fleet/topic/src/chunks.rs
+++ b/crates/fleet/topic/src/chunks.rs
@@ -1,5 +1,5 @@
-//! All topics as a rope of chunks: first what is not in segments, then each topic's segments, oldest first, and the one that is
-//! written. A segment that has not changed is the same chunk, by name and in memory, in the next snapshot.
+//! Encoding of all topics as a list of chunks: a manifest, followed by the segments of each topic, the oldest first and the
+//! active segment last. An unchanged segment is the same chunk, by name and in memory, in the next snapshot.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -16,20 +16,20 @@
 use crate::message::Message;
 use crate::messages::{MAX_BYTES, Offset};
 use crate::segment::Segment;
-use crate::topic::{Parts, Topic};
+use crate::topic::{Topic, TopicState};
 use crate::topics::Topics;
 
-/// A chunk's name: SHA-256 of its bytes, and how many they are.
+/// Name of a chunk: the SHA-256 hash of its bytes and their count.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ChunkName {
-    /// The hash.
+    /// SHA-256 hash of the bytes.
     pub hash: [u8; 32],
-    /// Bytes.
+    /// Number of bytes.
     pub length: u32,
 }
 
 impl ChunkName {
-    /// The name of bytes.
+    /// Computes the name of a chunk with the given bytes.
     pub fn of(bytes: &[u8]) -> ChunkName {
         ChunkName { hash: Sha256::digest(bytes).into(), length: bytes.len() as u32 }
     }
@@ -42,65 +42,68 @@
     }
 }
 
-/// A part of a snapshot.
+/// Part of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Chunk {
-    /// Its name.
+    /// Name of the chunk.
     pub name: ChunkName,
-    /// Its bytes.
+    /// Content of the chunk.
     pub bytes: Arc<[u8]>,
 }
 
 impl Chunk {
-    fn of(bytes: Arc<[u8]>) -> Chunk {
+    fn new(bytes: Arc<[u8]>) -> Chunk {
         Chunk { name: ChunkName::of(&bytes), bytes }
     }
 }
 
-/// Why chunks are no topics.
+/// Error for chunks that are not a valid encoding of topics.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ChunkError {
-    /// The first can't be read.
-    #[error("the first chunk of the topics can't be read: {0}")]
-    First(String),
-    /// One is missing.
+    /// The manifest can't be decoded or has an unknown version.
+    #[error("manifest of the topics can't be read: {0}")]
+    Manifest(String),
+    /// A chunk is missing.
     #[error("chunk {0} of the topics is missing")]
     Missing(usize),
-    /// There are more than there should be.
-    #[error("{0} chunks too many")]
+    /// There are more chunks than the manifest lists.
+    #[error("topics have {0} chunks more than the manifest lists")]
     TooMany(usize),
-    /// One is not what the first names.
-    #[error("chunk {0} of the topics is another than the first one names")]
-    Other(usize),
-    /// One is no segment.
-    #[error("chunk {0} of the topics is no segment")]
-    Segment(usize),
-    /// What they hold does not fit together.
-    #[error("topic {0}: {1}")]
-    Topic(Name, &'static str),
+    /// A chunk differs from the one that the manifest lists.
+    #[error("chunk {0} of the topics does not match its hash in the manifest")]
+    HashMismatch(usize),
+    /// A chunk is not a valid segment.
+    #[error("chunk {0} of the topics is not a valid segment")]
+    InvalidSegment(usize),
+    /// The state of a topic is inconsistent.
+    #[error("topic {0} is inconsistent: {1}")]
+    InvalidTopic(Name, &'static str),
 }
 
-/// The version that is written.
-const VERSION: u16 = 1;
-/// Bytes of a segment that is read, at most: one record beyond a segment's bound, with room for other bounds.
+/// Version of the manifest format.
+const FORMAT_VERSION: u16 = 1;
+/// Maximum size of a segment that is read. A segment exceeds its configured size by at most one record; the rest is a margin
+/// for other layouts.
 const MAX_SEGMENT_BYTES: u32 = 16 << 20;
 
+/// First chunk: the state of all topics except for their segments.
 #[derive(Debug, Serialize, Deserialize)]
-struct First {
+struct Manifest {
     version: u16,
-    topics: BTreeMap<Name, Written>,
+    topics: BTreeMap<Name, TopicManifest>,
 }
 
+/// State and segments of one topic.
 #[derive(Debug, Serialize, Deserialize)]
-struct Written {
-    parts: Parts,
+struct TopicManifest {
+    state: TopicState,
     head: Offset,
-    /// The segments, and which of their records are live; the last is the one that is written.
+    /// Names of the segments with their live bits. The last segment is the active one.
     segments: Vec<(ChunkName, BitSet)>,
 }
 
 impl Topics {
-    /// All of it as chunks.
+    /// Encodes all topics as chunks.
     pub fn write_chunks(&self) -> Vec<Chunk> {
         let mut chunks = Vec::new();
         let mut topics = BTreeMap::new();
@@ -113,101 +116,105 @@
             let (active, live) = topic.log.active();
             segments.push((active.name(), live.clone()));
             chunks.push(Chunk { name: active.name(), bytes: active.bytes().clone() });
-            if topic.planted(Fault::LiveForgotten) {
-                forget_live(topic, &mut segments);
+            if topic.has_fault(Fault::LiveBitsNotInSnapshot) {
+                recompute_live(topic, &mut segments);
             }
-            let written = Written { parts: topic.parts(), head: topic.head(), segments };
-            topics.insert(name.clone(), written);
+            let manifest = TopicManifest { state: topic.state(), head: topic.head(), segments };
+            topics.insert(name.clone(), manifest);
         }
-        // Only a value that has no length beforehand could fail, and this has none such.
-        let first = postcard::to_allocvec(&First { version: VERSION, topics }).unwrap_or_default();
-        chunks.insert(0, Chunk::of(first.into()));
+        // Serialization fails only for sequences of unknown length, which the manifest does not contain.
+        let manifest =
+            postcard::to_allocvec(&Manifest { version: FORMAT_VERSION, topics }).unwrap_or_default();
+        chunks.insert(0, Chunk::new(manifest.into()));
         chunks
     }
 
-    /// Reads what [`Topics::write_chunks`] wrote, from the bytes of the chunks in the same order. No chunks are no topics.
+    /// Decodes the content of the chunks that [`Topics::write_chunks`] returned, in the same order. An empty list decodes to
+    /// no topics.
     ///
     /// # Errors
-    /// What is wrong with them. They may be anything.
+    /// Returns an error if the chunks are not a valid encoding. The bytes may be arbitrary.
     pub fn read_chunks(chunks: &[Arc<[u8]>], layout: Layout) -> Result<Topics, ChunkError> {
-        let Some((first, rest)) = chunks.split_first() else { return Ok(Topics::new(layout)) };
-        let first: First = postcard::from_bytes(first).map_err(|e| ChunkError::First(e.to_string()))?;
-        if first.version != VERSION {
-            return Err(ChunkError::First(format!("version {}", first.version)));
+        let Some((manifest, rest)) = chunks.split_first() else { return Ok(Topics::new(layout)) };
+        let manifest: Manifest =
+            postcard::from_bytes(manifest).map_err(|e| ChunkError::Manifest(e.to_string()))?;
+        if manifest.version != FORMAT_VERSION {
+            return Err(ChunkError::Manifest(format!("version {}", manifest.version)));
         }
         let mut rest = rest.iter().enumerate().map(|(n, bytes)| (n + 1, bytes));
         let mut topics = BTreeMap::new();
-        for (name, written) in first.topics {
-            let topic = read_topic(&name, written, &mut rest, layout, chunks.len())?;
+        for (name, topic_manifest) in manifest.topics {
+            let topic = read_topic(&name, topic_manifest, &mut rest, layout, chunks.len())?;
             topics.insert(name, topic);
         }
         match rest.count() {
             0 => Ok(Topics::restored(topics, layout)),
-            more => Err(ChunkError::TooMany(more)),
+            extra => Err(ChunkError::TooMany(extra)),
         }
     }
 }
 
-/// A planted fault: what is live is told from the order of all records that are there.
-fn forget_live(topic: &Topic, segments: &mut [(ChunkName, BitSet)]) {
-    let mut last = BTreeMap::new();
-    for message in topic.log.walk(Offset(0), true) {
-        last.insert(message.key().to_vec(), message);
+/// Injected fault: derives the live bits from the order of the stored records.
+fn recompute_live(topic: &Topic, segments: &mut [(ChunkName, BitSet)]) {
+    let mut latest = BTreeMap::new();
+    for message in topic.log.messages_from(Offset(0), true) {
+        latest.insert(message.key().to_vec(), message);
     }
-    let live = |m: &Message| {
-        let latest = last.get(m.key()).is_some_and(|l| l.offset == m.offset);
-        latest && !(m.body.is_tombstone() && m.offset < topic.horizon())
+    let is_live = |m: &Message| {
+        let is_latest = latest.get(m.key()).is_some_and(|l| l.offset == m.offset);
+        is_latest && !(m.body.is_tombstone() && m.offset < topic.horizon())
     };
-    let mut all = topic.log.walk(Offset(0), true);
+    let mut messages = topic.log.messages_from(Offset(0), true);
     for (_, bits) in segments {
-        let mut fresh = BitSet::default();
-        (0..bits.len()).for_each(|_| fresh.push(all.next().is_some_and(|m| live(&m))));
-        *bits = fresh;
+        let mut recomputed = BitSet::default();
+        (0..bits.len()).for_each(|_| recomputed.push(messages.next().is_some_and(|m| is_live(&m))));
+        *bits = recomputed;
     }
 }
 
+/// Reads the segments of one topic from `rest` and restores the topic.
 fn read_topic<'a>(
     name: &Name,
-    written: Written,
+    manifest: TopicManifest,
     rest: &mut impl Iterator<Item = (usize, &'a Arc<[u8]>)>,
     layout: Layout,
-    chunks: usize,
+    chunk_count: usize,
 ) -> Result<Topic, ChunkError> {
-    let wrong = |what| ChunkError::Topic(name.clone(), what);
-    let mut read = Vec::new();
+    let invalid = |reason| ChunkError::InvalidTopic(name.clone(), reason);
+    let mut segments = Vec::new();
     let mut bytes = 0;
-    for (expected, live) in written.segments {
-        let (n, chunk) = rest.next().ok_or(ChunkError::Missing(chunks))?;
+    for (expected, live) in manifest.segments {
+        let (n, chunk) = rest.next().ok_or(ChunkError::Missing(chunk_count))?;
         if expected.length > MAX_SEGMENT_BYTES || expected != ChunkName::of(chunk) {
-            return Err(ChunkError::Other(n));
+            return Err(ChunkError::HashMismatch(n));
         }
         bytes += u64::from(expected.length);
-        let segment = Segment::read(chunk.clone()).ok_or(ChunkError::Segment(n))?;
+        let segment = Segment::read(chunk.clone()).ok_or(ChunkError::InvalidSegment(n))?;
         if !live.is_valid() || live.len() != segment.len() {
-            return Err(wrong("a segment's records are not as many as are told of"));
+            return Err(invalid("a segment has another number of records than live bits"));
         }
-        read.push((segment, live));
+        segments.push((segment, live));
     }
     if bytes > 4 * MAX_BYTES {
-        return Err(wrong("its segments have too many bytes"));
+        return Err(invalid("its segments exceed the maximum size"));
     }
-    let active = read.pop().ok_or_else(|| wrong("it has no segment"))?;
+    let active = segments.pop().ok_or_else(|| invalid("it has no active segment"))?;
     let mut end = None;
     let mut sealed = Vec::new();
-    for (segment, live) in read {
+    for (segment, live) in segments {
         let last = segment.offset(segment.len().wrapping_sub(1));
-        let slot = Slot::new(segment, live).ok_or_else(|| wrong("a segment is empty"))?;
+        let slot = Slot::new(segment, live).ok_or_else(|| invalid("a sealed segment is empty"))?;
         if end >= Some(slot.first) {
-            return Err(wrong("its segments are not in order"));
+            return Err(invalid("its segments are not in offset order"));
         }
         end = last;
         sealed.push(slot);
     }
-    let head = written.head;
-    let log =
-        Log::restored(layout, sealed, active, head).ok_or_else(|| wrong("it does not end at its head"))?;
+    let head = manifest.head;
+    let log = Log::restored(layout, sealed, active, head)
+        .ok_or_else(|| invalid("its active segment does not end at its head"))?;
     if end.is_some_and(|end| end.0 >= log.active_first().0) {
-        return Err(wrong("its segments are not in order"));
+        return Err(invalid("its segments are not in offset order"));
     }
-    Topic::restored(written.parts, log).map_err(wrong)
+    Topic::restored(manifest.state, log).map_err(invalid)
 }
--- a/crates/fleet/topic/src/fault_injection.rs
+++ b/crates/fleet/topic/src/fault_injection.rs
@@ -1,34 +1,34 @@
-//! Faults that tests plant, one at a time, to see that the checks find them.
+//! Faults that tests inject, one at a time, to verify that the checks detect them.
 
-/// A fault. Without the feature `planted` none can be planted.
+/// Deliberate defect in the topic protocol. It can be injected only with the feature `fault_injection`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Fault {
-    /// The horizon moves without a look at it: a feed goes on below it.
-    HorizonUnseen,
-    /// Deletions are let go by the cleaner before the horizon has passed them.
-    TombstoneEarly,
-    /// A batch is said to be complete to the head, whatever is in it.
-    HeadAfter,
-    /// A feed that is too far behind goes on from the newest messages.
-    DropsOldest,
-    /// What publishers were answered is not in the snapshot.
-    SessionsForgotten,
-    /// A refused message's offset is used, and that of the one before it given again.
-    OffsetTwice,
-    /// An older epoch is taken.
-    OldEpoch,
-    /// What is live is not read from the snapshot: all records of a segment count, in order.
-    LiveForgotten,
-    /// A keeper that is behind its subscriber serves at once.
-    BehindServes,
-    /// The cleaner puts its copy in place as it was when each record was copied.
-    CleanerStale,
-    /// A sequence that leaves one out is taken.
-    GapTaken,
-    /// A whole pass ends without a look at which keys were not in it.
-    VanishedKept,
-    /// Retention is counted without drift and from the message instead of a look at the head.
-    RetentionShort,
-    /// Compare-and-set looks at the key and not at its offset.
-    ExpectBlind,
+    /// A feed continues although its position is below the horizon.
+    HorizonIgnored,
+    /// The cleaner drops tombstones before the horizon has passed them.
+    TombstoneDroppedEarly,
+    /// Every batch claims to be complete up to the head.
+    BatchClaimsHead,
+    /// A feed that is too far behind continues with the newest messages.
+    BacklogSkipped,
+    /// The snapshot does not contain the publishers' sessions.
+    SessionsNotInSnapshot,
+    /// A message overwrites the previous message of the same key and gets its offset.
+    OffsetReused,
+    /// A session with a lower epoch is accepted.
+    OldEpochAccepted,
+    /// The live bits in a snapshot are derived from the order of the records.
+    LiveBitsNotInSnapshot,
+    /// A replica that is behind its subscriber serves it nevertheless.
+    LaggingReplicaServes,
+    /// The cleaner installs its copy with the live bits at the time of the copy.
+    StaleCopyInstalled,
+    /// A message is accepted although an earlier sequence number is missing.
+    SequenceGapAccepted,
+    /// A subscriber keeps keys that it did not receive during a resynchronization.
+    DeletedKeysKept,
+    /// The retention is shortened and ignores clock drift.
+    RetentionTooShort,
+    /// A conditional write checks that the key exists but not its offset.
+    ExpectedOffsetIgnored,
 }
--- a/crates/fleet/topic/src/feed.rs
+++ b/crates/fleet/topic/src/feed.rs
@@ -1,9 +1,9 @@
-//! The keeper's side of one subscription.
+//! Replica's side of one subscription.
 //!
-//! A feed is a place in the topic's order and nothing else. It goes through the messages by offset and leaves out those that are
-//! overtaken by their own key: whoever has gone through all of them to the head has the latest message of each key, as the
-//! latest one was not overtaken when its turn came. From there it leaves out nothing: the newest messages, which the cleaner
-//! leaves alone, are the queue of all subscribers at once. One that falls behind them is put back to leaving out.
+//! The state of a feed is a position in the topic. It reads messages in offset order and skips those that were superseded. A
+//! subscriber that has received everything up to the head has the latest message of each key, because the latest message was
+//! not superseded when the feed reached it. From then on the feed skips nothing: the newest messages, which the cleaner does
+//! not touch, are a queue that all subscribers share. A subscriber that falls behind them returns to catching up.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,259 +12,278 @@
 use crate::messages::Offset;
 use crate::topic::Topic;
 
-/// Messages of a batch at most.
-pub(crate) const MAX_MESSAGES: usize = 1024;
-/// Bytes of a batch, about: one more message may come on top.
-const BATCH_BYTES: usize = 64 << 10;
-/// What a message counts beside its key and value, bytes.
-pub(crate) const MESSAGE_COST: u64 = 16;
-/// Messages looked at for one batch at most.
-const MAX_SCANNED: usize = 4096;
+/// Maximum number of messages in a batch.
+pub(crate) const MAX_BATCH_MESSAGES: usize = 1024;
+/// Approximate maximum size of a batch. It can be exceeded by one message.
+const MAX_BATCH_BYTES: usize = 64 << 10;
+/// Bytes that count for a message in addition to its key and value.
+pub(crate) const MESSAGE_OVERHEAD_BYTES: u64 = 16;
+/// Maximum number of messages that are examined for one batch.
+const MAX_SCANNED_MESSAGES: usize = 4096;
 
-/// What a subscriber says of itself when it comes.
+/// Progress of a subscriber, which it reports when it subscribes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Position {
-    /// Which founding of the topic its offsets are of.
-    pub life: u64,
-    /// It has gone through everything below.
+    /// Incarnation of the topic to which the offsets belong.
+    pub incarnation: u64,
+    /// Offset of the next message. The subscriber has processed all earlier ones.
     pub next: Offset,
-    /// It began with nothing when the head stood here: it needs no deletion from before.
+    /// Head of the topic when the subscriber started empty. It needs no earlier tombstones.
     pub base: Offset,
-    /// The head that a keeper had when it last left anything out for it. A keeper that is not so far would not know what comes
-    /// instead.
-    pub seen: Offset,
+    /// Head of the replica that last skipped messages for this subscriber. A replica with a lower head may lack the messages
+    /// that superseded them.
+    pub min_head: Offset,
 }
 
 impl Position {
-    /// Below this no deletion may be missing.
-    pub(crate) fn floor(&self) -> Offset {
+    /// Returns the offset from which on no tombstone may be missing.
+    pub(crate) fn required_history(&self) -> Offset {
         self.next.max(self.base)
     }
 
-    /// A keeper must be so far to serve it.
-    pub(crate) fn needs(&self) -> Offset {
-        self.floor().max(self.seen)
+    /// Returns the lowest head at which a replica can serve this subscriber.
+    pub(crate) fn required_head(&self) -> Offset {
+        self.required_history().max(self.min_head)
     }
 }
 
-/// Messages, in the order of offsets.
+/// Messages of a range of offsets, in offset order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Batch {
-    /// The batch before this ended here.
+    /// Offset at which the previous batch ended.
     pub from: Offset,
-    /// It is complete to here, without it.
+    /// End of the range, exclusive.
     pub to: Offset,
-    /// Where the keeper's topic ended when it was made. If that is where the batch ends, the subscriber is caught up.
+    /// Head of the replica's topic when the batch was created. The subscriber is caught up if the batch ends there.
     pub head: Offset,
-    /// Those of its messages that are not overtaken; all of them, if there are as many as offsets.
+    /// Messages in the range that are not superseded.
     pub messages: Vec<Message>,
 }
 
 impl Batch {
-    /// Whether no message of its offsets is left out.
-    pub fn is_whole(&self) -> bool {
+    /// Returns whether the batch contains every message of its range.
+    pub fn is_contiguous(&self) -> bool {
         self.to.0.checked_sub(self.from.0) == Some(self.messages.len() as u64)
     }
 
-    /// Whether the subscriber has everything that this keeper had.
+    /// Returns whether the batch ends at the replica's head.
     pub fn is_caught_up(&self) -> bool {
         self.to == self.head
     }
 
-    /// What it counts against the subscriber's allowance, bytes.
-    pub fn cost(&self) -> u64 {
-        self.messages.iter().map(cost).sum()
+    /// Returns the number of bytes that the batch consumes from the subscriber's credit.
+    pub fn cost_bytes(&self) -> u64 {
+        self.messages.iter().map(cost_bytes).sum()
     }
 }
 
-fn cost(message: &Message) -> u64 {
-    message.body.size() as u64 + MESSAGE_COST
+fn cost_bytes(message: &Message) -> u64 {
+    message.body.size() as u64 + MESSAGE_OVERHEAD_BYTES
 }
 
-/// What a feed says.
+/// Item of a feed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Said {
-    /// All of it comes anew: deletions that the subscriber may have missed are not remembered, or it has nothing yet. What it
-    /// holds and has not heard of again when it is caught up is deleted.
-    Anew {
-        /// Which founding of the topic this is.
-        life: u64,
-        /// Where the head stood: deletions before it are not told.
+pub enum FeedItem {
+    /// All messages follow from the start, because the subscriber has none or tombstones that it needs were removed. When it
+    /// has caught up, it deletes the keys that it did not receive again.
+    Resync {
+        /// Incarnation of the topic.
+        incarnation: u64,
+        /// Head of the replica's topic. Earlier tombstones are not sent.
         base: Offset,
     },
-    /// This keeper is behind the subscriber. It goes on when it is not any more.
+    /// The replica is behind the subscriber. The feed continues once the replica has caught up.
     Behind {
-        /// How far it is.
+        /// Head of the replica's topic.
         head: Offset,
     },
     /// Messages.
     Batch(Batch),
-    /// Nothing new.
-    Still,
+    /// There is nothing new.
+    Heartbeat,
 }
 
-/// What a subscriber hears.
+/// Feed item as it is sent to a subscriber.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Told {
-    /// Of which subscription: a late word of one that was given up is not taken for the next one's.
-    pub feed: u64,
-    /// The last entry of the keepers' log that this keeper has applied.
-    pub applied: u64,
-    /// For how long this keeper may not have had all that was committed, milliseconds; a leader says nought.
-    pub silent_ms: u32,
-    /// What is said.
-    pub said: Said,
+pub struct Delivery {
+    /// Id of the subscription. The subscriber ignores late deliveries of earlier subscriptions.
+    pub subscription: u64,
+    /// Index of the last log entry that the replica has applied.
+    pub applied_index: u64,
+    /// Upper bound of the time since the replica had all committed entries, in milliseconds. It is 0 at a leader.
+    pub staleness_ms: u32,
+    /// Item of the feed.
+    pub item: FeedItem,
 }
 
+/// Whether a feed may skip messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Mode {
-    /// Overtaken messages are left out.
+    /// Superseded messages are skipped.
     CatchingUp,
-    /// It was caught up and has been told all since.
+    /// The subscriber was caught up and receives every message.
     Following,
 }
 
-/// One subscription.
+/// State of one subscription at a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Feed {
-    at: Option<Position>,
+    position: Option<Position>,
     mode: Mode,
-    /// Bytes that it may be told in all, and was.
-    allowed: u64,
-    told: u64,
-    /// It was told last that this keeper is behind, with this head.
-    behind: Option<Offset>,
+    /// Total number of bytes that may be sent.
+    credit_bytes: u64,
+    /// Total number of bytes that were sent.
+    sent_bytes: u64,
+    /// Head that was last reported with [`FeedItem::Behind`].
+    reported_head: Option<Offset>,
     fault: Option<Fault>,
 }
 
 impl Feed {
-    /// A subscription of one that has nothing, or is as far as it says.
-    pub fn open(from: Option<Position>) -> Feed {
-        Feed { at: from, mode: Mode::CatchingUp, allowed: 0, told: 0, behind: None, fault: None }
+    /// Creates a feed for a subscriber at the given position, or without one if it has no messages.
+    pub fn open(position: Option<Position>) -> Feed {
+        Feed {
+            position,
+            mode: Mode::CatchingUp,
+            credit_bytes: 0,
+            sent_bytes: 0,
+            reported_head: None,
+            fault: None,
+        }
     }
 
-    /// Plants a fault.
-    #[cfg(feature = "planted")]
-    pub fn plant(&mut self, fault: Fault) {
+    /// Injects a fault.
+    #[cfg(feature = "fault_injection")]
+    pub fn inject(&mut self, fault: Fault) {
         self.fault = Some(fault);
     }
 
-    fn planted(&self, fault: Fault) -> bool {
-        cfg!(feature = "planted") && self.fault == Some(fault)
+    fn has_fault(&self, fault: Fault) -> bool {
+        cfg!(feature = "fault_injection") && self.fault == Some(fault)
     }
 
-    /// So many bytes may be told in all, from the first on. Less than before changes nothing.
-    pub fn allow(&mut self, total: u64) {
-        self.allowed = self.allowed.max(total);
+    /// Sets the total number of bytes that may be sent since the start of the subscription. A lower value than before has no
+    /// effect.
+    pub fn set_credit(&mut self, total_bytes: u64) {
+        self.credit_bytes = self.credit_bytes.max(total_bytes);
     }
 
-    /// How far it has gone.
+    /// Returns the position of the next message.
     pub fn position(&self) -> Option<Position> {
-        self.at
+        self.position
     }
 
-    /// Whether it was caught up and has been told all since.
+    /// Returns whether the subscriber was caught up and has received every message since.
     pub fn is_following(&self) -> bool {
         self.mode == Mode::Following
     }
 
-    /// What is to be said next, if anything: to be asked for until there is nothing, whenever the topic has changed or more is
-    /// allowed, and there is room on the way. Each time it is a bounded piece of work.
-    pub fn next(&mut self, topic: &Topic) -> Option<Said> {
-        let known = self.at.filter(|at| at.life == topic.life());
-        let Some(at) = known else { return Some(self.anew(topic)) };
-        if topic.horizon() > at.floor() && !self.planted(Fault::HorizonUnseen) {
-            return Some(self.anew(topic));
+    /// Returns the next item, or `None` if there is nothing to send. Callers repeat the call until it returns `None`, whenever
+    /// the topic has changed or the credit has grown and the connection accepts more data. The work of each call is bounded.
+    pub fn next(&mut self, topic: &Topic) -> Option<FeedItem> {
+        let current = self.position.filter(|position| position.incarnation == topic.incarnation());
+        let Some(position) = current else { return Some(self.resync(topic)) };
+        if topic.horizon() > position.required_history() && !self.has_fault(Fault::HorizonIgnored) {
+            return Some(self.resync(topic));
         }
         let head = topic.head();
-        if head < at.needs() && !(self.planted(Fault::BehindServes) && head >= at.next) {
-            // A keeper that was restarted, or hears no leader, may be so.
-            let new = self.behind != Some(head);
-            self.behind = Some(head);
-            return new.then_some(Said::Behind { head });
+        if head < position.required_head()
+            && !(self.has_fault(Fault::LaggingReplicaServes) && head >= position.next)
+        {
+            // A replica can be behind after a restart or while it has no leader.
+            let is_new = self.reported_head != Some(head);
+            self.reported_head = Some(head);
+            return is_new.then_some(FeedItem::Behind { head });
         }
-        self.behind = None;
-        self.batch(topic, at).map(Said::Batch)
+        self.reported_head = None;
+        self.batch(topic, position).map(FeedItem::Batch)
     }
 
-    fn anew(&mut self, topic: &Topic) -> Said {
-        let (life, base) = (topic.life(), topic.head());
-        self.at = Some(Position { life, next: Offset(0), base, seen: base });
+    /// Starts over at the first message.
+    fn resync(&mut self, topic: &Topic) -> FeedItem {
+        let (incarnation, base) = (topic.incarnation(), topic.head());
+        self.position = Some(Position { incarnation, next: Offset(0), base, min_head: base });
         self.mode = Mode::CatchingUp;
-        Said::Anew { life, base }
+        FeedItem::Resync { incarnation, base }
     }
 
-    fn batch(&mut self, topic: &Topic, mut at: Position) -> Option<Batch> {
-        let (from, head) = (at.next, topic.head());
+    /// Returns the next batch, or `None` if there are no new messages or no credit is left.
+    fn batch(&mut self, topic: &Topic, mut position: Position) -> Option<Batch> {
+        let (from, head) = (position.next, topic.head());
         if from == head {
-            // Told once that it is caught up; after that only of what is new.
-            let first = self.mode == Mode::CatchingUp;
+            // A batch without messages reports once that the subscriber is caught up.
+            let is_first = self.mode == Mode::CatchingUp;
             self.mode = Mode::Following;
-            return first.then(|| Batch { from, to: from, head, messages: Vec::new() });
+            return is_first.then(|| Batch { from, to: from, head, messages: Vec::new() });
         }
-        if self.told >= self.allowed {
+        if self.sent_bytes >= self.credit_bytes {
             return None;
         }
-        let mut skipped_to = from;
+        let mut start = from;
         if self.mode == Mode::Following && !topic.log.in_tail(from) {
             self.mode = Mode::CatchingUp;
-            if self.planted(Fault::DropsOldest) {
-                (skipped_to, self.mode) = (Offset(head.0 - 1), Mode::Following);
+            if self.has_fault(Fault::BacklogSkipped) {
+                (start, self.mode) = (Offset(head.0 - 1), Mode::Following);
             }
         }
-        let room = (self.allowed - self.told).min(BATCH_BYTES as u64);
-        let mut gathered = self.gather(topic, &at, skipped_to, room);
-        if gathered.hole {
-            // A snapshot was put in place of the topic, and what it left out was not told: it is behind after all.
+        let budget = (self.credit_bytes - self.sent_bytes).min(MAX_BATCH_BYTES as u64);
+        let mut selection = self.select(topic, &position, start, budget);
+        if selection.has_gap {
+            // A snapshot replaced the topic and lacks superseded messages that were not sent yet.
             self.mode = Mode::CatchingUp;
-            gathered = self.gather(topic, &at, from, room);
+            selection = self.select(topic, &position, from, budget);
         }
-        let to = if self.planted(Fault::HeadAfter) { head } else { gathered.to.unwrap_or(head) };
-        self.told += gathered.cost;
+        let to = if self.has_fault(Fault::BatchClaimsHead) { head } else { selection.to.unwrap_or(head) };
+        self.sent_bytes += selection.cost_bytes;
         if to == head {
             self.mode = Mode::Following;
         }
-        let batch = Batch { from, to, head, messages: gathered.messages };
-        at.next = to;
-        if !batch.is_whole() {
-            at.seen = at.seen.max(head);
+        let batch = Batch { from, to, head, messages: selection.messages };
+        position.next = to;
+        if !batch.is_contiguous() {
+            position.min_head = position.min_head.max(head);
         }
-        self.at = Some(at);
+        self.position = Some(position);
         Some(batch)
     }
 
-    fn gather(&self, topic: &Topic, at: &Position, from: Offset, room: u64) -> Gathered {
+    /// Selects the messages of a batch.
+    fn select(&self, topic: &Topic, position: &Position, from: Offset, budget: u64) -> Selection {
         let following = self.mode == Mode::Following;
-        let mut got = Gathered { messages: Vec::new(), cost: 0, to: None, hole: false };
-        let mut last = from;
-        for (looks, message) in topic.log.walk(from, following).enumerate() {
-            if following && message.offset != last && !self.planted(Fault::DropsOldest) {
-                got.hole = true;
+        let mut selection = Selection { messages: Vec::new(), cost_bytes: 0, to: None, has_gap: false };
+        let mut end = from;
+        for (scanned, message) in topic.log.messages_from(from, following).enumerate() {
+            if following && message.offset != end && !self.has_fault(Fault::BacklogSkipped) {
+                selection.has_gap = true;
                 break;
             }
-            let full = got.messages.len() >= MAX_MESSAGES || got.cost >= room || looks >= MAX_SCANNED;
-            if full || (!got.messages.is_empty() && got.cost + cost(&message) > room) {
-                got.to = Some(last);
+            let is_full = selection.messages.len() >= MAX_BATCH_MESSAGES
+                || selection.cost_bytes >= budget
+                || scanned >= MAX_SCANNED_MESSAGES;
+            if is_full
+                || (!selection.messages.is_empty() && selection.cost_bytes + cost_bytes(&message) > budget)
+            {
+                selection.to = Some(end);
                 break;
             }
-            last = message.offset.next();
-            // One that began with nothing after this deletion has never heard of what it deletes.
-            if !following && message.body.is_tombstone() && message.offset < at.base {
+            end = message.offset.next();
+            // A subscriber that started empty after this tombstone has no message that it deletes.
+            if !following && message.body.is_tombstone() && message.offset < position.base {
                 continue;
             }
-            got.cost += cost(&message);
-            got.messages.push(message);
+            selection.cost_bytes += cost_bytes(&message);
+            selection.messages.push(message);
         }
-        got
+        selection
     }
 }
 
-/// What was gathered for a batch.
-struct Gathered {
+/// Messages selected for a batch.
+struct Selection {
     messages: Vec<Message>,
-    cost: u64,
-    /// Complete to here; none: to the head.
+    cost_bytes: u64,
+    /// End of the selected range, exclusive. `None` means the head.
     to: Option<Offset>,
-    /// A message is missing where none should be.
-    hole: bool,
+    /// Whether a message is missing although none may be skipped.
+    has_gap: bool,
 }
--- a/crates/fleet/topic/src/lib.rs
+++ b/crates/fleet/topic/src/lib.rs
@@ -1,16 +1,16 @@
-//! A keyed log that late joiners catch up from: the latest message of each key is kept, in the order of offsets.
+//! Keyed, compacted log from which subscribers can catch up at any time: it keeps the latest message of each key, in offset
+//! order.
 //!
-//! [`Topics`] is replicated state: commands of the keepers' log append to it, and all that an answer says follows from those
-//! commands alone. Below that each keeper lays its messages out in segments of its own, and a cleaner lets go of what is
-//! overtaken, in bounded steps (compacted logs: Kreps, Narkhede, Rao, "Kafka", NetDB 2011, and Kafka's log compaction; cleaning by
-//! segments: Rosenblum and Ousterhout, "The Design and Implementation of a Log-Structured File System", SOSP 1991). The layout
-//! may differ from keeper to keeper; what a reader is promised does not.
+//! [`Topics`] is a replicated state machine. Commands of the replicated log append to it, and its answers depend on those
+//! commands alone. Below that, each replica stores the messages in its own segments, and a cleaner removes superseded messages
+//! in bounded steps (compacted logs: Kreps, Narkhede, Rao, "Kafka", NetDB 2011, and Kafka's log compaction; segment cleaning:
+//! Rosenblum and Ousterhout, "The Design and Implementation of a Log-Structured File System", SOSP 1991). The segment layout
+//! may differ between replicas; the guarantees to readers do not depend on it.
 //!
-//! [`Feed`] serves one subscriber from any keeper's topic; [`Subscriber`] is the client's side of it. [`Publisher`] sends
-//! messages until each has one answer. [`Retention`] counts, at the leader, how long deletions are remembered. Nothing here does
-//! I/O or reads a clock; `docs/topic.md` has the promises and the arguments.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
+//! [`Feed`] serves one subscriber from the topic of any replica, and [`Subscriber`] is the client's side of a subscription.
+//! [`Publisher`] sends each message until it has an answer. [`Retention`] measures, at the leader, how long tombstones are
+//! retained. Nothing here does I/O or reads a clock. `docs/topic.md` has the guarantees and the arguments for them.
+#![allow(clippy::cast_possible_truncation, reason = "sizes and counts in a segment fit `u32`")]
 #![forbid(unsafe_code)]
 
 mod bit_set;
@@ -33,11 +33,11 @@
 pub use beechloft_leases::{DriftBound, Name};
 pub use chunks::{Chunk, ChunkError, ChunkName};
 pub use fault_injection::Fault;
-pub use feed::{Batch, Feed, Position, Said, Told};
+pub use feed::{Batch, Delivery, Feed, FeedItem, Position};
 pub use log::Layout;
 pub use message::{Body, Message};
 pub use messages::{
-    Epoch, Expect, Offset, PublisherId, Refusal, Session, Terms, TopicAnswer, TopicCommand, TopicEvent,
+    Epoch, Expect, Offset, PublisherId, Refusal, Session, TopicAnswer, TopicCommand, TopicConfig, TopicEvent,
     TopicOp, TopicRequest, TopicRequestId, TopicResponse, Writers,
 };
 pub use publisher::{
@@ -46,7 +46,7 @@
 pub use record::{Key, MAX_KEY_BYTES, MAX_VALUE_BYTES, Record, RecordError, Value};
 pub use retention::Retention;
 pub use subscriber::{
-    Held, ProtocolViolation, Subscriber, SubscriberInput, SubscriberOutput, SubscriberSettings,
+    CachedMessage, ProtocolViolation, Subscriber, SubscriberInput, SubscriberOutput, SubscriberSettings,
 };
 pub use topic::Topic;
 pub use topics::Topics;
--- a/crates/fleet/topic/src/message/mod.rs
+++ b/crates/fleet/topic/src/message/mod.rs
@@ -1,10 +1,10 @@
-//! A message, and its bytes as segments and batches have them. Numbers are little-endian.
+//! Message and its encoding in segments and batches. Numbers are little-endian.
 //!
-//! | offset | bytes | what |
+//! | offset | bytes | content |
 //! | --- | --- | --- |
-//! | 0 | 2 | length of the key; the highest bit: a tombstone |
-//! | 2 | n | the key |
-//! | 2 + n | m | the value |
+//! | 0 | 2 | length of the key; the highest bit marks a tombstone |
+//! | 2 | n | key |
+//! | 2 + n | m | value |
 
 use std::fmt;
 use std::hash::{Hash, Hasher};
@@ -16,71 +16,71 @@
 use crate::messages::Offset;
 use crate::record::{Bytes, Key, MAX_KEY_BYTES, MAX_VALUE_BYTES, Record, RecordError, Value};
 
-const TOMBSTONE: u16 = 1 << 15;
-/// Bytes before the key.
-pub(crate) const BODY_HEAD: usize = 2;
-/// Bytes of a body at most.
-pub(crate) const MAX_BODY_BYTES: usize = BODY_HEAD + MAX_KEY_BYTES + MAX_VALUE_BYTES;
+const TOMBSTONE_BIT: u16 = 1 << 15;
+/// Number of bytes before the key.
+pub(crate) const BODY_HEADER_BYTES: usize = 2;
+/// Maximum size of an encoded body.
+pub(crate) const MAX_BODY_BYTES: usize = BODY_HEADER_BYTES + MAX_KEY_BYTES + MAX_VALUE_BYTES;
 
-/// Key and value of bytes that are a body; none: they are not.
+/// Splits an encoded body into key and value. Returns `None` if the bytes are not a valid body.
 fn split(bytes: &[u8]) -> Option<(&[u8], Option<&[u8]>)> {
-    let (head, rest) = bytes.split_first_chunk::<BODY_HEAD>()?;
+    let (head, rest) = bytes.split_first_chunk::<BODY_HEADER_BYTES>()?;
     let head = u16::from_le_bytes(*head);
-    let (key, value) = rest.split_at_checked(usize::from(head & !TOMBSTONE))?;
-    let tombstone = head & TOMBSTONE != 0;
-    let most = if tombstone { 0 } else { MAX_VALUE_BYTES };
-    let sound = (1..=MAX_KEY_BYTES).contains(&key.len()) && value.len() <= most;
-    sound.then_some((key, (!tombstone).then_some(value)))
+    let (key, value) = rest.split_at_checked(usize::from(head & !TOMBSTONE_BIT))?;
+    let is_tombstone = head & TOMBSTONE_BIT != 0;
+    let max_value_bytes = if is_tombstone { 0 } else { MAX_VALUE_BYTES };
+    let is_valid = (1..=MAX_KEY_BYTES).contains(&key.len()) && value.len() <= max_value_bytes;
+    is_valid.then_some((key, (!is_tombstone).then_some(value)))
 }
 
-/// Key and value as bytes: a part of a segment that no cleaning changes, or on their own.
+/// Key and value in encoded form. The bytes are shared with the segment that contains them, or stand alone.
 #[derive(Clone)]
 pub struct Body {
-    whole: Arc<[u8]>,
-    from: u32,
-    to: u32,
+    buffer: Arc<[u8]>,
+    start: u32,
+    end: u32,
 }
 
 impl Body {
-    /// The body of a record.
-    pub(crate) fn of(record: &Record) -> Body {
+    /// Encodes a record.
+    pub(crate) fn new(record: &Record) -> Body {
         let (key, value) = (record.key.bytes(), record.value.as_ref().map(Value::bytes));
-        let mut bytes = Vec::with_capacity(BODY_HEAD + key.len() + value.map_or(0, <[u8]>::len));
-        let head = key.len() as u16 | if value.is_none() { TOMBSTONE } else { 0 };
+        let mut bytes = Vec::with_capacity(BODY_HEADER_BYTES + key.len() + value.map_or(0, <[u8]>::len));
+        let head = key.len() as u16 | if value.is_none() { TOMBSTONE_BIT } else { 0 };
         bytes.extend(head.to_le_bytes());
         bytes.extend(key);
         bytes.extend(value.unwrap_or_default());
-        let to = bytes.len() as u32;
-        Body { whole: bytes.into(), from: 0, to }
+        let end = bytes.len() as u32;
+        Body { buffer: bytes.into(), start: 0, end }
     }
 
-    /// A part of a segment; none: it is no body.
-    pub(crate) fn part(whole: &Arc<[u8]>, at: Range<usize>) -> Option<Body> {
-        split(whole.get(at.clone())?)?;
-        Some(Body { whole: whole.clone(), from: at.start as u32, to: at.end as u32 })
+    /// Returns the body in a range of a segment, or `None` if the bytes are not a valid body.
+    pub(crate) fn slice(buffer: &Arc<[u8]>, range: Range<usize>) -> Option<Body> {
+        split(buffer.get(range.clone())?)?;
+        Some(Body { buffer: buffer.clone(), start: range.start as u32, end: range.end as u32 })
     }
 
-    /// Its bytes.
+    /// Returns the encoded body.
     pub(crate) fn bytes(&self) -> &[u8] {
-        self.whole.get(self.from as usize..self.to as usize).unwrap_or_default()
+        self.buffer.get(self.start as usize..self.end as usize).unwrap_or_default()
     }
 
-    /// Bytes of key and value.
+    /// Returns the size of key and value in bytes.
     pub fn size(&self) -> usize {
-        self.bytes().len().saturating_sub(BODY_HEAD)
+        self.bytes().len().saturating_sub(BODY_HEADER_BYTES)
     }
 
-    /// Its key.
+    /// Returns the key.
     pub fn key(&self) -> &[u8] {
         split(self.bytes()).map_or(&[], |(key, _)| key)
     }
 
-    /// Its value; none: a tombstone.
+    /// Returns the value, or `None` for a tombstone.
     pub fn value(&self) -> Option<&[u8]> {
         split(self.bytes()).and_then(|(_, value)| value)
     }
 
-    /// Whether it deletes its key.
+    /// Returns whether the message deletes its key.
     pub fn is_tombstone(&self) -> bool {
         self.value().is_none()
     }
@@ -119,28 +119,28 @@
 impl<'de> Deserialize<'de> for Body {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Body, D::Error> {
         from.deserialize_bytes(Bytes(MAX_BODY_BYTES, |bytes| {
-            let whole: Arc<[u8]> = bytes.into();
-            Body::part(&whole, 0..bytes.len()).ok_or(RecordError::Record)
+            let buffer: Arc<[u8]> = bytes.into();
+            Body::slice(&buffer, 0..bytes.len()).ok_or(RecordError::Record)
         }))
     }
 }
 
-/// A message of a topic.
+/// Message of a topic.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Message {
-    /// Its place.
+    /// Offset in the topic.
     pub offset: Offset,
-    /// Its key and value.
+    /// Key and value.
     pub body: Body,
 }
 
 impl Message {
-    /// Its key.
+    /// Returns the key.
     pub fn key(&self) -> &[u8] {
         self.body.key()
     }
 
-    /// Its value; none: it deletes its key.
+    /// Returns the value, or `None` for a tombstone.
     pub fn value(&self) -> Option<&[u8]> {
         self.body.value()
     }
--- a/crates/fleet/topic/src/messages.rs
+++ b/crates/fleet/topic/src/messages.rs
@@ -5,17 +5,17 @@
 
 use crate::record::Record;
 
-/// Keys of one topic at most, deletions that are remembered counted.
+/// Maximum number of keys in a topic, including retained tombstones.
 pub const MAX_KEYS: u32 = 1 << 20;
-/// Bytes of one topic and of all topics at most: keys, latest values, and [`KEY_COST`] for each. With what is overtaken and not
-/// cleaned yet that stays within what a keeper's snapshot may have.
+/// Maximum size of a topic and of all topics: keys, latest values, and [`KEY_COST`] for each key. Including superseded
+/// messages that are not cleaned yet, this is within the maximum size of a replica's snapshot.
 pub const MAX_BYTES: u64 = 96 << 20;
-/// What each key counts beside its bytes and those of its latest value.
+/// Bytes that count for each key in addition to the key and its latest value.
 pub const KEY_COST: usize = 16;
-/// The shortest and the longest time for which deletions are remembered, milliseconds.
+/// Range of the time for which tombstones are retained, in milliseconds.
 pub const RETENTION_MS: std::ops::RangeInclusive<u32> = 1_000..=30 * 86_400_000;
 
-macro_rules! number {
+macro_rules! id_types {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {$(
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
@@ -23,110 +23,110 @@
     )*};
 }
 
-number! {
-    /// A message's place in its topic. It only rises and is never used twice. The first is 0.
+id_types! {
+    /// Offset of a message in its topic, starting at 0. Offsets increase and are never reused.
     Offset,
-    /// Which of a publisher's successive rights to write this is. Where the topic has one writer it is the fencing token of
-    /// the writer's lease.
+    /// Number of a publisher's session, by which later sessions fence earlier ones. With an exclusive writer it is the fencing
+    /// token of the writer's lease.
     Epoch,
-    /// One life of a process that publishes: drawn at its start, so that a process that starts again is another.
+    /// Identity of a publisher process, drawn at its start, so that a restarted process is a different publisher.
     PublisherId,
-    /// A publisher's right to number its messages, given by the log and never again (Ongaro's dissertation, section 6.3). One that
-    /// was let go is unknown from then on, so that a late copy of a message can't be written a second time.
+    /// Id of a publisher's session, assigned by the replicated log and never reused (Ongaro's dissertation, section 6.3). An
+    /// evicted session stays unknown, so that a late copy of a message can't be written twice.
     Session,
 }
 
 impl Offset {
-    /// The place after it.
+    /// Returns the following offset.
     pub fn next(self) -> Offset {
         Offset(self.0.saturating_add(1))
     }
 }
 
-/// What must hold of the key for a record to be written.
+/// Precondition on a key for a record to be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub enum Expect {
-    /// Nothing.
+    /// There is no precondition.
     #[default]
     Anything,
-    /// It has no value. A key that was deleted has none, whether the deletion is still remembered or not.
+    /// The key has no value. A deleted key has none, whether or not its tombstone is still retained.
     Absent,
-    /// Its value is that of this message.
+    /// The value of the key is that of the message at this offset.
     At(Offset),
 }
 
-/// Who may write a topic.
+/// Who may write to a topic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Writers {
-    /// One at a time: the one that begins with an epoch that is not under the highest so far. It ends all before it.
+    /// One publisher at a time. A session with an epoch that is at least the highest so far ends all earlier sessions.
     One,
-    /// Many at once; an epoch fences the lives of one publisher only.
+    /// Several publishers concurrently. An epoch fences only earlier sessions of the same publisher.
     Many,
 }
 
-/// What a topic is to be.
+/// Configuration of a topic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Terms {
-    /// Who may write.
+pub struct TopicConfig {
+    /// Who may write to the topic.
     pub writers: Writers,
-    /// For how long deletions are remembered at least, milliseconds.
+    /// Minimum time for which tombstones are retained, in milliseconds.
     pub retention_ms: u32,
-    /// Keys at most, deletions that are remembered counted.
+    /// Maximum number of keys, including retained tombstones.
     pub keys: u32,
-    /// Bytes of keys and latest values at most, 16 for each key added.
+    /// Maximum size of keys and latest values in bytes, plus [`KEY_COST`] for each key.
     pub bytes: u64,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms { writers: Writers::Many, retention_ms: 3_600_000, keys: 100_000, bytes: 64 << 20 }
+impl Default for TopicConfig {
+    fn default() -> TopicConfig {
+        TopicConfig { writers: Writers::Many, retention_ms: 3_600_000, keys: 100_000, bytes: 64 << 20 }
     }
 }
 
-/// What a publisher wants.
+/// Operation that a publisher requests.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TopicOp {
-    /// A session, by which its messages are numbered from 1.
+    /// Opens a session, in which messages are numbered from 1.
     Begin {
-        /// Its epoch.
+        /// Epoch of the session.
         epoch: Epoch,
     },
-    /// A record written.
+    /// Writes a record.
     Publish {
-        /// By this session.
+        /// Session of the publisher.
         session: Session,
-        /// The number of the message: one above the last one's.
+        /// Sequence number of the message, one higher than that of the previous message.
         seq: u64,
-        /// What.
+        /// Record to be written.
         record: Record,
-        /// If this holds.
+        /// Precondition on the key.
         expect: Expect,
     },
 }
 
-/// A request of a publisher's. Sent again it is the same, and is done once.
+/// Request of a publisher. A retransmission is identical and is executed once.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TopicRequest {
-    /// Who asks.
+    /// Publisher that sent the request.
     pub publisher: PublisherId,
-    /// Of which topic.
+    /// Name of the topic.
     pub topic: Name,
-    /// What.
+    /// Requested operation.
     pub op: TopicOp,
 }
 
-/// Names a request among all of its publisher's.
+/// Id of a request among all requests of its publisher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TopicRequestId {
-    /// For a session of this epoch. A late answer to one of an epoch before must not pass for it.
+    /// Request for a session of this epoch, so that a late answer for an earlier epoch is not mistaken for it.
     Session(Epoch),
-    /// For a message written, by this session and number.
+    /// Request to write the message with this session and sequence number.
     Message(Session, u64),
 }
 
 impl TopicRequest {
-    /// What its answer is matched by.
-    pub fn ask(&self) -> TopicRequestId {
+    /// Returns the id by which the answer is matched to the request.
+    pub fn id(&self) -> TopicRequestId {
         match self.op {
             TopicOp::Begin { epoch } => TopicRequestId::Session(epoch),
             TopicOp::Publish { session, seq, .. } => TopicRequestId::Message(session, seq),
@@ -134,114 +134,114 @@
     }
 }
 
-/// What the log says.
+/// Command of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TopicCommand {
-    /// There is a topic. One that is there keeps its life and its messages, and gets these terms.
+    /// Creates a topic. An existing topic keeps its incarnation and its messages and gets the new configuration.
     Declare {
-        /// Its name.
+        /// Name of the topic.
         topic: Name,
-        /// Drawn by whoever says so: offsets of a group that was founded anew are none of the one's before it.
-        life: u64,
-        /// What it is to be.
-        terms: Terms,
+        /// Random number that distinguishes this topic from one of an earlier replica group, whose offsets are unrelated.
+        incarnation: u64,
+        /// Configuration of the topic.
+        config: TopicConfig,
     },
-    /// A publisher's request.
-    Ask(TopicRequest),
-    /// Deletions below this offset need not be remembered any more.
+    /// Executes a publisher's request.
+    Request(TopicRequest),
+    /// Moves the horizon. Tombstones below it are no longer retained.
     Horizon {
-        /// Of this topic.
+        /// Name of the topic.
         topic: Name,
-        /// Up to here, without it.
+        /// New horizon. Tombstones at this offset or later are retained.
         to: Offset,
     },
 }
 
-/// Why a request is not met.
+/// Reason why a request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Refusal {
-    /// Nobody declared the topic.
-    #[error("there is no such topic; it is declared in the settings")]
+    /// The topic was not declared.
+    #[error("topic is not declared in the settings")]
     NoTopic,
-    /// There are as many topics as there may be.
+    /// The maximum number of topics is reached.
     #[error("too many topics")]
     TooManyTopics,
-    /// The terms are out of bounds.
-    #[error("the topic's terms are out of bounds")]
-    Terms,
-    /// Another began with a higher epoch, or with the same where the topic has one writer.
-    #[error("epoch {0:?} writes now")]
+    /// A value of the topic's configuration is out of range.
+    #[error("topic configuration is out of range")]
+    InvalidConfig,
+    /// A publisher has opened a session with a higher epoch, or with the same epoch in a topic with one writer.
+    #[error("fenced by a writer with {0:?}")]
     Fenced(Epoch),
-    /// The session was let go; what became of messages that were out is not known here any more.
-    #[error("the session is not known; begin another")]
+    /// The session is unknown, for example because it was evicted. The outcome of its unanswered messages is no longer known.
+    #[error("session is unknown, a new one is required")]
     NoSession,
-    /// The message's number leaves some out; this one is to come next.
-    #[error("message {0} is to come next")]
+    /// An earlier sequence number is missing. The value is the next expected one.
+    #[error("message {0} is expected next")]
     Gap(u64),
-    /// The message was done so long ago that its answer is not kept.
-    #[error("the message was done long ago")]
+    /// The message was processed, but its answer is no longer stored.
+    #[error("message was processed before, but its answer is no longer stored")]
     Overtaken,
-    /// What was expected of the key does not hold; its value is that of this message.
-    #[error("the key stands at {0:?}")]
-    Other(Option<Offset>),
-    /// A key that has no value can't be deleted.
-    #[error("the key has no value")]
+    /// The precondition does not hold. The value is the offset of the key's latest message, or `None` if key has no value.
+    #[error("precondition failed, the offset of the key is {0:?}")]
+    OffsetMismatch(Option<Offset>),
+    /// A key without a value can't be deleted.
+    #[error("key has no value")]
     NoKey,
-    /// There are as many keys or bytes as there may be. Deletions are taken.
-    #[error("the topic is full")]
+    /// The topic has its maximum number of keys or bytes. Deletions are still accepted.
+    #[error("topic is full")]
     Full,
-    /// There are as many bytes in all topics as there may be. Deletions are taken.
+    /// All topics together have their maximum number of bytes. Deletions are still accepted.
     #[error("all topics together are full")]
     AllFull,
 }
 
-/// What became of a request that was done.
+/// Result of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TopicAnswer {
-    /// A session.
+    /// The session was opened.
     Began(Session),
-    /// Written.
+    /// The record was written at this offset.
     Written(Offset),
-    /// Not done.
+    /// The request was refused.
     Refused(Refusal),
 }
 
-/// What a publisher hears. It names who asked, as several may ask over one connection.
+/// Response to a publisher. It names the publisher because several publishers may share a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TopicResponse {
-    /// Whose request.
+    /// Publisher that sent the request.
     pub publisher: PublisherId,
-    /// Which of its requests.
-    pub ask: TopicRequestId,
-    /// What became of it.
+    /// Id of the request.
+    pub request_id: TopicRequestId,
+    /// Result of the request.
     pub answer: TopicAnswer,
 }
 
 impl TopicResponse {
-    /// The answer to a request.
+    /// Creates the response to a request.
     pub fn to(request: &TopicRequest, answer: TopicAnswer) -> TopicResponse {
-        TopicResponse { publisher: request.publisher, ask: request.ask(), answer }
+        TopicResponse { publisher: request.publisher, request_id: request.id(), answer }
     }
 }
 
-/// What has changed, for whoever watches.
+/// Change of a topic, for observers.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TopicEvent {
-    /// A topic is there, or has other terms.
-    Declared(Name, Terms),
-    /// A publisher may write.
+    /// A topic was created or its configuration changed.
+    Declared(Name, TopicConfig),
+    /// A publisher opened a session.
     Began {
-        /// Where.
+        /// Name of the topic.
         topic: Name,
-        /// Who.
+        /// Publisher of the session.
         publisher: PublisherId,
-        /// Its epoch.
+        /// Epoch of the session.
         epoch: Epoch,
-        /// Its session.
+        /// Id of the session.
         session: Session,
     },
-    /// A message was written.
+    /// A message was written at this offset.
     Appended(Name, Offset),
-    /// Deletions below an offset are remembered no more.
+    /// The horizon moved to this offset.
     Horizon(Name, Offset),
 }
--- a/crates/fleet/topic/src/publisher/interface.rs
+++ b/crates/fleet/topic/src/publisher/interface.rs
@@ -1,80 +1,81 @@
-//! What a publisher hears and wants done, its times and bounds.
+//! Inputs, outputs and settings of a publisher.
 
 use std::time::Duration;
 
 use crate::messages::{Epoch, Expect, Offset, Refusal, TopicRequest, TopicResponse};
 use crate::record::Record;
 
-/// Times and bounds of a publisher.
+/// Limits and timeouts of a publisher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PublisherSettings {
-    /// Messages that wait or are out, at most.
-    pub queue: usize,
-    /// Bytes of keys and values that wait or are out, at most.
-    pub queue_bytes: usize,
-    /// From one copy of what is out to the next, at first and at most; twice as long after each.
-    pub again: (Duration, Duration),
-    /// A message that has no answer after this is given up.
-    pub give_up: Duration,
+    /// Maximum number of messages without an outcome.
+    pub max_queued_messages: usize,
+    /// Maximum size of the keys and values of messages without an outcome, in bytes.
+    pub max_queued_bytes: usize,
+    /// Initial and maximum interval between retransmissions. The interval doubles after each one.
+    pub retry_backoff: (Duration, Duration),
+    /// Time after which a message without an answer is given up.
+    pub delivery_timeout: Duration,
 }
 
 impl Default for PublisherSettings {
     fn default() -> PublisherSettings {
         PublisherSettings {
-            queue: 4096,
-            queue_bytes: 1 << 20,
-            again: (Duration::from_millis(200), Duration::from_secs(5)),
-            give_up: Duration::from_secs(30),
+            max_queued_messages: 4096,
+            max_queued_bytes: 1 << 20,
+            retry_backoff: (Duration::from_millis(200), Duration::from_secs(5)),
+            delivery_timeout: Duration::from_secs(30),
         }
     }
 }
 
-/// Names a message to whoever publishes it.
+/// Id that the caller gives a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PublisherTicket(pub u64);
 
-/// What a publisher hears.
+/// Input of a publisher.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PublisherInput {
-    /// Only time has passed.
+    /// Time has passed.
     Tick,
-    /// A message to be written.
+    /// Publishes a message.
     Publish {
-        /// Names it.
+        /// Id of the message.
         ticket: PublisherTicket,
-        /// What.
+        /// Record to be written.
         record: Record,
-        /// If this holds.
+        /// Precondition on the key.
         expect: Expect,
     },
-    /// A keeper's answer.
-    Heard(TopicResponse),
-    /// The keeper that was asked can't take it now, or does not lead: whoever carries the messages knows another.
-    NotNow,
+    /// Response of a replica.
+    Response(TopicResponse),
+    /// The replica is not the leader or can't accept requests now. The caller selects the next replica.
+    NotAccepted,
 }
 
-/// What a publisher wants done.
+/// Output of a publisher.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PublisherOutput {
-    /// For the keeper that leads.
+    /// Sends a request to the leader.
     Send(TopicRequest),
-    /// What became of a message. Each has one outcome.
+    /// Reports the outcome of a message. Each message has exactly one.
     Settled(PublisherTicket, Outcome),
-    /// Another writes now; nothing is taken any more.
+    /// Reports that another writer has a higher epoch. No further messages are accepted.
     Fenced(Epoch),
 }
 
-/// What became of a message.
+/// Outcome of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// Written here, once.
+    /// The message was written once, at this offset.
     Written(Offset),
-    /// Not written, and it never will be.
+    /// The message was refused and will never be written.
     Refused(Refusal),
-    /// The queue is full: not written.
+    /// The queue was full and the message was not written.
     QueueFull,
-    /// Given up before it was sent: not written.
+    /// The message was given up before it was sent and was not written.
     TimedOut,
-    /// Given up after it was sent: it may have been written, or may be until a later message of this publisher is.
+    /// The message was given up after it was sent. It may have been written, or may still be written until a later message of
+    /// this publisher is.
     Unsure,
 }
--- a/crates/fleet/topic/src/publisher/mod.rs
+++ b/crates/fleet/topic/src/publisher/mod.rs
@@ -1,5 +1,5 @@
-//! Who publishes: each message is sent until it has its one answer, or until it is given up, and then it is said whether it may
-//! have been written.
+//! Publisher. It sends each message until it is answered or given up. The outcome of a message that was given up tells whether
+//! it may have been written.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,142 +13,151 @@
     TopicResponse,
 };
 use crate::record::{Record, Value};
-use crate::sessions::WINDOW;
+use crate::sessions::MAX_IN_FLIGHT;
 
 mod interface;
 
 pub use interface::{Outcome, PublisherInput, PublisherOutput, PublisherSettings, PublisherTicket};
 
-/// By what right it writes.
+/// How the publisher gets its epochs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Right {
-    /// As one of many: the epoch is its own count of sessions.
-    Own(Epoch),
-    /// As the one writer, by the token of its lease.
-    Token(Epoch),
+enum WriteMode {
+    /// One of several writers. The epoch counts the publisher's own sessions.
+    Shared(Epoch),
+    /// The only writer. The epoch is the fencing token of its lease.
+    Exclusive(Epoch),
 }
 
-impl Right {
+impl WriteMode {
     fn epoch(self) -> Epoch {
         match self {
-            Right::Own(epoch) | Right::Token(epoch) => epoch,
+            WriteMode::Shared(epoch) | WriteMode::Exclusive(epoch) => epoch,
         }
     }
 }
 
 #[derive(Debug, Clone)]
-struct Pending {
+struct QueuedMessage {
     ticket: PublisherTicket,
     record: Record,
     expect: Expect,
     size: usize,
-    until: Duration,
+    deadline: Duration,
     settled: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// It has no session and needs none yet.
+    /// There is no session and none is needed yet.
     Idle,
-    /// It asks for a session.
-    Beginning,
-    /// It writes.
-    Open { session: Session, first: u64, sent: usize },
-    /// Another writes.
+    /// A session was requested.
+    Opening,
+    /// The session is open.
+    Open { session: Session, first_seq: u64, sent_count: usize },
+    /// Another writer has a higher epoch.
     Fenced,
 }
 
-/// Copies that may go out beyond first ones at once, and how much of a copy each first one pays for, in parts of ten.
-const BUDGET: u32 = 2 * WINDOW as u32 * 10;
-const PART: u32 = 2;
+/// Maximum budget for retransmissions, in tenths of a retransmission.
+const MAX_RETRANSMIT_BUDGET: u32 = 2 * MAX_IN_FLIGHT as u32 * 10;
+/// Budget that the first transmission of a message adds, in tenths of a retransmission.
+const BUDGET_PER_FIRST_SEND: u32 = 2;
 
-/// A publisher of one topic.
+/// Publisher of one topic.
 #[derive(Debug, Clone)]
 pub struct Publisher {
     id: PublisherId,
     topic: Name,
-    right: Right,
+    mode: WriteMode,
     settings: PublisherSettings,
     state: State,
-    /// In order; those that were sent come first.
-    queue: VecDeque<Pending>,
+    /// Messages in order. Those that were sent come first.
+    queue: VecDeque<QueuedMessage>,
     bytes: usize,
-    again_at: Option<Duration>,
-    tries: u32,
-    budget: u32,
+    retransmit_at: Option<Duration>,
+    attempts: u32,
+    retransmit_budget: u32,
     rng: ChaCha8Rng,
     now: Duration,
 }
 
 impl Publisher {
-    /// One of many writers. `id` is drawn anew by each process.
-    pub fn one_of_many(id: PublisherId, topic: Name, settings: PublisherSettings, seed: u64) -> Publisher {
-        Publisher::new(id, topic, Right::Own(Epoch(1)), settings, seed)
+    /// Creates a publisher for a topic with several writers. Each process draws a new random `id`.
+    pub fn shared(id: PublisherId, topic: Name, settings: PublisherSettings, seed: u64) -> Publisher {
+        Publisher::new(id, topic, WriteMode::Shared(Epoch(1)), settings, seed)
     }
 
-    /// The one writer, by the token of its lease.
-    pub fn only(
+    /// Creates the publisher of a topic with one writer, with the fencing token of its lease.
+    pub fn exclusive(
         id: PublisherId,
         token: Epoch,
         topic: Name,
         settings: PublisherSettings,
         seed: u64,
     ) -> Publisher {
-        Publisher::new(id, topic, Right::Token(token), settings, seed)
+        Publisher::new(id, topic, WriteMode::Exclusive(token), settings, seed)
     }
 
-    fn new(id: PublisherId, topic: Name, right: Right, settings: PublisherSettings, seed: u64) -> Publisher {
+    fn new(
+        id: PublisherId,
+        topic: Name,
+        mode: WriteMode,
+        settings: PublisherSettings,
+        seed: u64,
+    ) -> Publisher {
         Publisher {
             id,
             topic,
-            right,
+            mode,
             settings,
             state: State::Idle,
             queue: VecDeque::new(),
             bytes: 0,
-            again_at: None,
-            tries: 0,
-            budget: BUDGET,
+            retransmit_at: None,
+            attempts: 0,
+            retransmit_budget: MAX_RETRANSMIT_BUDGET,
             rng: ChaCha8Rng::seed_from_u64(seed ^ id.0),
             now: Duration::ZERO,
         }
     }
 
-    /// Who it is now: where it is the one writer it takes another name after messages were given up.
+    /// Returns the current id. An exclusive writer draws a new one when it gives up messages that were sent.
     pub fn id(&self) -> PublisherId {
         self.id
     }
 
-    /// Messages that wait or are out.
-    pub fn waiting(&self) -> usize {
+    /// Returns the number of messages without an outcome.
+    pub fn pending_messages(&self) -> usize {
         self.queue.iter().filter(|p| !p.settled).count()
     }
 
-    /// When it wants to hear of the time next.
+    /// Returns when the publisher needs the next tick, or `None` if it needs none.
     pub fn next_due(&self) -> Option<Duration> {
-        let first = self.queue.iter().filter(|p| !p.settled).map(|p| p.until).min();
-        [first, self.again_at.filter(|_| first.is_some())].into_iter().flatten().min()
+        let deadline = self.queue.iter().filter(|p| !p.settled).map(|p| p.deadline).min();
+        [deadline, self.retransmit_at.filter(|_| deadline.is_some())].into_iter().flatten().min()
     }
 
-    /// Takes an input. `now` is a clock that never goes back.
+    /// Handles an input. `now` is the reading of a monotonic clock.
     pub fn handle(&mut self, now: Duration, input: PublisherInput) -> Vec<PublisherOutput> {
         self.now = self.now.max(now);
         let mut out = Vec::new();
         match input {
             PublisherInput::Tick => {}
-            PublisherInput::Publish { ticket, record, expect } => self.take(ticket, record, expect, &mut out),
-            PublisherInput::Heard(heard) => self.heard(&heard, &mut out),
-            PublisherInput::NotNow => {
-                // Each copy that is turned away says so; the time of the next one stands.
+            PublisherInput::Publish { ticket, record, expect } => {
+                self.enqueue(ticket, record, expect, &mut out)
+            }
+            PublisherInput::Response(response) => self.receive(&response, &mut out),
+            PublisherInput::NotAccepted => {
+                // The rejection of a single copy does not change the time of the next retransmission.
             }
         }
-        self.give_up(&mut out);
-        self.again(&mut out);
-        self.send(&mut out);
+        self.expire(&mut out);
+        self.retransmit(&mut out);
+        self.send_new(&mut out);
         out
     }
 
-    fn take(
+    fn enqueue(
         &mut self,
         ticket: PublisherTicket,
         record: Record,
@@ -157,122 +166,129 @@
     ) {
         let size = record.key.bytes().len() + record.value.as_ref().map_or(0, |v| Value::bytes(v).len());
         let refused = if self.state == State::Fenced {
-            Some(Outcome::Refused(Refusal::Fenced(self.right.epoch())))
+            Some(Outcome::Refused(Refusal::Fenced(self.mode.epoch())))
         } else {
-            let full =
-                self.queue.len() >= self.settings.queue || self.bytes + size > self.settings.queue_bytes;
-            full.then_some(Outcome::QueueFull)
+            let is_full = self.queue.len() >= self.settings.max_queued_messages
+                || self.bytes + size > self.settings.max_queued_bytes;
+            is_full.then_some(Outcome::QueueFull)
         };
         if let Some(outcome) = refused {
             return out.push(PublisherOutput::Settled(ticket, outcome));
         }
         self.bytes += size;
-        let until = self.now + self.settings.give_up;
-        self.queue.push_back(Pending { ticket, record, expect, size, until, settled: false });
+        let deadline = self.now + self.settings.delivery_timeout;
+        self.queue.push_back(QueuedMessage { ticket, record, expect, size, deadline, settled: false });
     }
 
-    fn heard(&mut self, heard: &TopicResponse, out: &mut Vec<PublisherOutput>) {
-        if heard.publisher != self.id {
+    fn receive(&mut self, response: &TopicResponse, out: &mut Vec<PublisherOutput>) {
+        if response.publisher != self.id {
             return;
         }
-        match (self.state, heard.ask, heard.answer) {
-            // Of this epoch's and no other's: messages numbered anew under an old session would be taken for old ones.
-            (State::Beginning, TopicRequestId::Session(epoch), answer) if epoch == self.right.epoch() => {
+        match (self.state, response.request_id, response.answer) {
+            // The epoch must match. If messages were renumbered under the session of an earlier epoch, they would be taken for
+            // its messages.
+            (State::Opening, TopicRequestId::Session(epoch), answer) if epoch == self.mode.epoch() => {
                 match answer {
                     TopicAnswer::Began(session) => {
-                        self.state = State::Open { session, first: 1, sent: 0 };
-                        self.heard_of();
+                        self.state = State::Open { session, first_seq: 1, sent_count: 0 };
+                        self.reset_retry();
                     }
-                    TopicAnswer::Refused(why) => self.refused_all(why, out),
+                    TopicAnswer::Refused(refusal) => self.refuse_all(refusal, out),
                     TopicAnswer::Written(_) => {}
                 }
             }
-            (State::Open { session, first, sent }, TopicRequestId::Message(asked, seq), answer)
-                if session == asked =>
-            {
-                self.answered(first, sent, seq, answer, out);
+            (
+                State::Open { session, first_seq, sent_count },
+                TopicRequestId::Message(request_session, seq),
+                answer,
+            ) if session == request_session => {
+                self.settle(first_seq, sent_count, seq, answer, out);
             }
             _ => {}
         }
     }
 
-    /// Something came back: what goes out next starts anew with short waits.
-    fn heard_of(&mut self) {
-        self.tries = 0;
-        self.again_at = None;
+    /// Resets the backoff after a response.
+    fn reset_retry(&mut self) {
+        self.attempts = 0;
+        self.retransmit_at = None;
     }
 
-    fn answered(
+    /// Settles the message with the given sequence number.
+    fn settle(
         &mut self,
-        first: u64,
-        sent: usize,
+        first_seq: u64,
+        sent_count: usize,
         seq: u64,
         answer: TopicAnswer,
         out: &mut Vec<PublisherOutput>,
     ) {
         let outcome = match answer {
             TopicAnswer::Began(_) => return,
-            // A later one came before one that was lost on the way; the copies that are due bring both.
+            // An earlier message was lost. The next retransmission sends both.
             TopicAnswer::Refused(Refusal::Gap(_)) => return,
             TopicAnswer::Refused(Refusal::Overtaken) => Outcome::Unsure,
-            TopicAnswer::Refused(Refusal::Fenced(epoch)) if epoch > self.right.epoch() => {
-                return self.fenced(epoch, out);
+            TopicAnswer::Refused(Refusal::Fenced(epoch)) if epoch > self.mode.epoch() => {
+                return self.fence(epoch, out);
             }
             TopicAnswer::Refused(Refusal::NoSession | Refusal::Fenced(_)) => return self.abandon(out),
-            TopicAnswer::Refused(why) => Outcome::Refused(why),
+            TopicAnswer::Refused(refusal) => Outcome::Refused(refusal),
             TopicAnswer::Written(offset) => Outcome::Written(offset),
         };
-        let place = seq.checked_sub(first).and_then(|n| usize::try_from(n).ok()).filter(|n| *n < sent);
-        let Some(pending) = place.and_then(|n| self.queue.get_mut(n)).filter(|p| !p.settled) else { return };
-        pending.settled = true;
-        out.push(PublisherOutput::Settled(pending.ticket, outcome));
-        let mut gone = 0;
+        let index =
+            seq.checked_sub(first_seq).and_then(|n| usize::try_from(n).ok()).filter(|n| *n < sent_count);
+        let Some(message) = index.and_then(|n| self.queue.get_mut(n)).filter(|p| !p.settled) else { return };
+        message.settled = true;
+        out.push(PublisherOutput::Settled(message.ticket, outcome));
+        let mut removed = 0;
         while let Some(done) = self.queue.pop_front_if(|p| p.settled) {
             self.bytes -= done.size;
-            gone += 1;
+            removed += 1;
         }
-        if let State::Open { first, sent, .. } = &mut self.state {
-            *first += gone as u64;
-            *sent -= gone;
+        if let State::Open { first_seq: first, sent_count: count, .. } = &mut self.state {
+            *first += removed as u64;
+            *count -= removed;
         }
-        self.heard_of();
+        self.reset_retry();
     }
 
-    /// Settles all that may be out, and takes up what is not with a session of its own.
+    /// Settles all messages that were sent as unsure and closes the session. The rest is sent in a new session.
     fn abandon(&mut self, out: &mut Vec<PublisherOutput>) {
-        if let State::Open { sent, .. } = self.state {
-            for done in self.queue.drain(..sent.min(self.queue.len())) {
+        if let State::Open { sent_count, .. } = self.state {
+            for done in self.queue.drain(..sent_count.min(self.queue.len())) {
                 self.bytes -= done.size;
                 if !done.settled {
                     out.push(PublisherOutput::Settled(done.ticket, Outcome::Unsure));
                 }
             }
-            // What is out under the last session must not be written after what comes now: the next one ends it.
-            match &mut self.right {
-                Right::Own(epoch) => epoch.0 += 1,
-                Right::Token(_) => self.id = PublisherId(self.rng.random()),
+            // A late copy of an abandoned message must not be written after a newer message. The new session prevents this by
+            // ending the old one.
+            match &mut self.mode {
+                WriteMode::Shared(epoch) => epoch.0 += 1,
+                WriteMode::Exclusive(_) => self.id = PublisherId(self.rng.random()),
             }
         }
         self.state = State::Idle;
-        self.again_at = None;
+        self.retransmit_at = None;
     }
 
-    fn fenced(&mut self, epoch: Epoch, out: &mut Vec<PublisherOutput>) {
+    fn fence(&mut self, epoch: Epoch, out: &mut Vec<PublisherOutput>) {
         self.abandon(out);
-        self.refused_all(Refusal::Fenced(epoch), out);
+        self.refuse_all(Refusal::Fenced(epoch), out);
     }
 
-    fn refused_all(&mut self, why: Refusal, out: &mut Vec<PublisherOutput>) {
+    /// Settles all messages as refused.
+    fn refuse_all(&mut self, refusal: Refusal, out: &mut Vec<PublisherOutput>) {
         self.bytes = 0;
         for done in self.queue.drain(..) {
-            out.push(PublisherOutput::Settled(done.ticket, Outcome::Refused(why)));
+            out.push(PublisherOutput::Settled(done.ticket, Outcome::Refused(refusal)));
         }
         self.state = State::Idle;
-        if let Refusal::Fenced(epoch) = why {
-            match &mut self.right {
-                // Its own count was known to be higher: it goes on from there.
-                Right::Own(own) => *own = Epoch(epoch.0 + 1),
-                Right::Token(_) => {
+        if let Refusal::Fenced(epoch) = refusal {
+            match &mut self.mode {
+                // An earlier session of this publisher had a higher epoch.
+                WriteMode::Shared(own_epoch) => *own_epoch = Epoch(epoch.0 + 1),
+                WriteMode::Exclusive(_) => {
                     self.state = State::Fenced;
                     out.push(PublisherOutput::Fenced(epoch));
                 }
@@ -280,96 +296,105 @@
         }
     }
 
-    fn give_up(&mut self, out: &mut Vec<PublisherOutput>) {
-        let sent = if let State::Open { sent, .. } = self.state { sent } else { 0 };
+    /// Returns the number of queued messages that were sent.
+    fn sent_count(&self) -> usize {
+        match self.state {
+            State::Open { sent_count, .. } => sent_count,
+            State::Idle | State::Opening | State::Fenced => 0,
+        }
+    }
+
+    /// Gives up messages whose deadline has passed.
+    fn expire(&mut self, out: &mut Vec<PublisherOutput>) {
         let now = self.now;
-        // One that is out and can't be settled holds up all after it: they are numbered.
-        if self.queue.iter().take(sent).any(|p| !p.settled && now >= p.until) {
+        // A sent message that can't be settled blocks all later ones, because they are numbered.
+        if self.queue.iter().take(self.sent_count()).any(|p| !p.settled && now >= p.deadline) {
             self.abandon(out);
         }
-        let sent = if let State::Open { sent, .. } = self.state { sent } else { 0 };
-        let mut place = 0;
+        let sent_count = self.sent_count();
+        let mut count = 0;
         let bytes = &mut self.bytes;
         self.queue.retain(|p| {
-            place += 1;
-            let over = place > sent && now >= p.until;
-            if over {
+            count += 1;
+            let has_expired = count > sent_count && now >= p.deadline;
+            if has_expired {
                 *bytes -= p.size;
                 out.push(PublisherOutput::Settled(p.ticket, Outcome::TimedOut));
             }
-            !over
+            !has_expired
         });
     }
 
-    fn request(&self, op: TopicOp) -> PublisherOutput {
+    fn send_request(&self, op: TopicOp) -> PublisherOutput {
         PublisherOutput::Send(TopicRequest { publisher: self.id, topic: self.topic.clone(), op })
     }
 
-    fn numbered(&self, session: Session, first: u64, place: usize) -> Option<PublisherOutput> {
-        let pending = self.queue.get(place)?;
-        let (record, expect) = (pending.record.clone(), pending.expect);
-        let op = TopicOp::Publish { session, seq: first + place as u64, record, expect };
-        Some(self.request(op))
+    fn publish_request(&self, session: Session, first_seq: u64, index: usize) -> Option<PublisherOutput> {
+        let message = self.queue.get(index)?;
+        let (record, expect) = (message.record.clone(), message.expect);
+        let op = TopicOp::Publish { session, seq: first_seq + index as u64, record, expect };
+        Some(self.send_request(op))
     }
 
-    /// Copies of what is out and has no answer, when it is time.
-    fn again(&mut self, out: &mut Vec<PublisherOutput>) {
-        if self.again_at.is_none_or(|at| self.now < at) {
+    /// Sends the unanswered messages again when the retransmission is due.
+    fn retransmit(&mut self, out: &mut Vec<PublisherOutput>) {
+        if self.retransmit_at.is_none_or(|at| self.now < at) {
             return;
         }
         match self.state {
-            State::Beginning => out.push(self.begin()),
-            State::Open { session, first, sent } => {
-                let due: Vec<usize> =
-                    (0..sent).filter(|n| self.queue.get(*n).is_some_and(|p| !p.settled)).collect();
-                for (count, place) in due.into_iter().enumerate() {
-                    // The first one always: without it nothing goes on. The others only as far as the budget lasts, so that a
-                    // keeper that is slow is not sent everything over and over.
-                    if count > 0 && self.budget < 10 {
+            State::Opening => out.push(self.begin_request()),
+            State::Open { session, first_seq, sent_count } => {
+                let unsettled: Vec<usize> =
+                    (0..sent_count).filter(|n| self.queue.get(*n).is_some_and(|p| !p.settled)).collect();
+                for (count, index) in unsettled.into_iter().enumerate() {
+                    // The first message is always sent again, as nothing can proceed without it. The budget limits the others
+                    // so that a slow replica does not receive all messages repeatedly.
+                    if count > 0 && self.retransmit_budget < 10 {
                         break;
                     }
-                    self.budget = self.budget.saturating_sub(10);
-                    out.extend(self.numbered(session, first, place));
+                    self.retransmit_budget = self.retransmit_budget.saturating_sub(10);
+                    out.extend(self.publish_request(session, first_seq, index));
                 }
             }
             State::Idle | State::Fenced => {}
         }
-        self.tries = self.tries.saturating_add(1);
-        self.rearm();
+        self.attempts = self.attempts.saturating_add(1);
+        self.schedule_retransmit();
     }
 
-    fn rearm(&mut self) {
-        let (first, most) = self.settings.again;
-        let wait = (first * 2u32.saturating_pow(self.tries.min(16))).min(most);
-        let micros = wait.as_micros() as u64;
+    fn schedule_retransmit(&mut self) {
+        let (initial, max) = self.settings.retry_backoff;
+        let max_wait = (initial * 2u32.saturating_pow(self.attempts.min(16))).min(max);
+        let micros = max_wait.as_micros() as u64;
         let wait = Duration::from_micros(self.rng.random_range(micros / 2..=micros));
-        self.again_at = Some(self.now + wait);
+        self.retransmit_at = Some(self.now + wait);
     }
 
-    fn begin(&self) -> PublisherOutput {
-        self.request(TopicOp::Begin { epoch: self.right.epoch() })
+    fn begin_request(&self) -> PublisherOutput {
+        self.send_request(TopicOp::Begin { epoch: self.mode.epoch() })
     }
 
-    /// First copies, as many as may be out.
-    fn send(&mut self, out: &mut Vec<PublisherOutput>) {
+    /// Sends queued messages for the first time, up to the maximum number in flight.
+    fn send_new(&mut self, out: &mut Vec<PublisherOutput>) {
         if self.queue.is_empty() {
-            self.again_at = self.again_at.filter(|_| self.state == State::Beginning);
+            self.retransmit_at = self.retransmit_at.filter(|_| self.state == State::Opening);
             return;
         }
         if self.state == State::Idle {
-            self.state = State::Beginning;
-            out.push(self.begin());
-            self.rearm();
+            self.state = State::Opening;
+            out.push(self.begin_request());
+            self.schedule_retransmit();
         }
-        let State::Open { session, first, mut sent } = self.state else { return };
-        while sent < WINDOW.min(self.queue.len()) {
-            out.extend(self.numbered(session, first, sent));
-            self.budget = (self.budget + PART).min(BUDGET);
-            sent += 1;
+        let State::Open { session, first_seq, mut sent_count } = self.state else { return };
+        while sent_count < MAX_IN_FLIGHT.min(self.queue.len()) {
+            out.extend(self.publish_request(session, first_seq, sent_count));
+            self.retransmit_budget =
+                (self.retransmit_budget + BUDGET_PER_FIRST_SEND).min(MAX_RETRANSMIT_BUDGET);
+            sent_count += 1;
         }
-        self.state = State::Open { session, first, sent };
-        if self.again_at.is_none() {
-            self.rearm();
+        self.state = State::Open { session, first_seq, sent_count };
+        if self.retransmit_at.is_none() {
+            self.schedule_retransmit();
         }
     }
 }
--- a/crates/fleet/topic/src/record.rs
+++ b/crates/fleet/topic/src/record.rs
@@ -12,34 +12,34 @@
 /// Maximum bytes of a value.
 pub const MAX_VALUE_BYTES: usize = 64 << 10;
 
-/// What is wrong with a key, a value or a record.
+/// Error for an invalid key, value or record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// A key's length.
+    /// The length of the key is out of range.
     #[error("a key has 1 to {MAX_KEY_BYTES} bytes")]
     Key,
-    /// A value's length.
+    /// The value is too long.
     #[error("a value has at most {MAX_VALUE_BYTES} bytes")]
     Value,
-    /// It is no record.
-    #[error("not a record")]
+    /// The bytes are not a valid encoded record.
+    #[error("not a valid record")]
     Record,
 }
 
-/// A key: 1 to 256 bytes.
+/// Key of 1 to [`MAX_KEY_BYTES`] bytes.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(Arc<[u8]>);
 
 impl Key {
-    /// A key of bytes.
+    /// Creates a key.
     ///
     /// # Errors
-    /// None or too many.
+    /// Returns an error if there are no bytes or too many.
     pub fn new(bytes: &[u8]) -> Result<Key, RecordError> {
         if (1..=MAX_KEY_BYTES).contains(&bytes.len()) { Ok(Key(bytes.into())) } else { Err(RecordError::Key) }
     }
 
-    /// Its bytes.
+    /// Returns the bytes of the key.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
@@ -69,20 +69,20 @@
     }
 }
 
-/// A value: up to 64 KiB.
+/// Value of at most [`MAX_VALUE_BYTES`] bytes.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct Value(Arc<[u8]>);
 
 impl Value {
-    /// A value of bytes.
+    /// Creates a value.
     ///
     /// # Errors
-    /// Too many.
+    /// Returns an error if there are too many bytes.
     pub fn new(bytes: &[u8]) -> Result<Value, RecordError> {
         if bytes.len() <= MAX_VALUE_BYTES { Ok(Value(bytes.into())) } else { Err(RecordError::Value) }
     }
 
-    /// Its bytes.
+    /// Returns the bytes of the value.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
@@ -106,7 +106,7 @@
     }
 }
 
-/// Reads bytes of a bounded length at once.
+/// Visitor that reads bytes up to a maximum length and converts them.
 pub(crate) struct Bytes<T>(pub(crate) usize, pub(crate) fn(&[u8]) -> Result<T, RecordError>);
 
 impl<'de, T> Visitor<'de> for Bytes<T> {
@@ -132,11 +132,11 @@
     }
 }
 
-/// What is to be written: a value of a key, or none, which deletes it.
+/// Record to be written: a key with its new value.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Of this key.
+    /// Key of the record.
     pub key: Key,
-    /// Its value from now on; none: it is deleted, and the message is a tombstone.
+    /// New value, or `None` to delete the key with a tombstone.
     pub value: Option<Value>,
 }
--- a/crates/fleet/topic/src/sessions/mod.rs
+++ b/crates/fleet/topic/src/sessions/mod.rs
@@ -1,4 +1,4 @@
-//! Who may write, and what became of the messages that they numbered last.
+//! Sessions of a topic's publishers, with the answers to their latest messages for deduplication.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,130 +6,142 @@
 
 use crate::messages::{Epoch, PublisherId, Refusal, Session, TopicAnswer, Writers};
 
-/// Sessions of a topic at most. Past this the one that was heard of least lately is let go.
+/// Maximum number of sessions of a topic. Beyond it, the least recently used session is evicted.
 const MAX_SESSIONS: usize = 1024;
-/// Answers that are kept of each session, and so messages that a publisher may have out at once.
-pub(crate) const WINDOW: usize = 16;
+/// Number of answers that are stored for each session, and thus the maximum number of messages that a publisher may have in
+/// flight.
+pub(crate) const MAX_IN_FLIGHT: usize = 16;
 
-/// A session.
+/// State of an open session.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Open {
+struct OpenSession {
     session: Session,
     epoch: Epoch,
-    /// The number of the last message that was done.
-    seq: u64,
-    /// What became of the last ones, that one's last.
+    /// Sequence number of the last message.
+    last_seq: u64,
+    /// Answers to the last messages, the newest last.
     answers: VecDeque<TopicAnswer>,
-    /// Which of all that was asked of this topic it asked last.
-    asked: u64,
+    /// Value of [`Sessions::request_count`] at the last request of this session.
+    last_request: u64,
 }
 
-/// All sessions of a topic.
+/// All open sessions of a topic.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub(crate) struct Sessions {
-    open: BTreeMap<PublisherId, Open>,
-    /// The last session that was given.
-    last: u64,
-    /// The highest epoch of any publisher.
-    highest: Epoch,
-    asked: u64,
+    open: BTreeMap<PublisherId, OpenSession>,
+    /// Id of the last session that was opened.
+    last_session: u64,
+    /// Highest epoch of any session.
+    highest_epoch: Epoch,
+    /// Number of requests so far, as a logical clock for eviction.
+    request_count: u64,
 }
 
-/// A message whose number fits.
+/// Result of the check of a sequence number that is not refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Seen {
-    /// It was done; this became of it.
-    Done(TopicAnswer),
-    /// It is to be done.
+pub(crate) enum SequenceCheck {
+    /// The message was processed before, with this answer.
+    Duplicate(TopicAnswer),
+    /// The message is the next one.
     New,
 }
 
 impl Sessions {
-    /// A session for a publisher. Asked for again it is the same.
+    /// Opens a session. A repeated request returns the same session.
     pub(crate) fn begin(
         &mut self,
         publisher: PublisherId,
         epoch: Epoch,
         writers: Writers,
-        any_epoch: bool,
+        accepts_any_epoch: bool,
     ) -> Result<Session, Refusal> {
-        self.asked += 1;
+        self.request_count += 1;
         let fence = match writers {
-            Writers::One => Some(self.highest),
+            Writers::One => Some(self.highest_epoch),
             Writers::Many => self.open.get(&publisher).map(|o| o.epoch),
         };
-        if let Some(fence) = fence.filter(|f| epoch < *f && !any_epoch) {
+        if let Some(fence) = fence.filter(|f| epoch < *f && !accepts_any_epoch) {
             return Err(Refusal::Fenced(fence));
         }
-        self.highest = self.highest.max(epoch);
+        self.highest_epoch = self.highest_epoch.max(epoch);
         if let Some(own) = self.open.get_mut(&publisher).filter(|o| o.epoch == epoch) {
-            own.asked = self.asked;
+            own.last_request = self.request_count;
             return Ok(own.session);
         }
         match writers {
             Writers::One => self.open.clear(),
             Writers::Many if self.open.len() >= MAX_SESSIONS => {
-                if let Some(oldest) = self.open.iter().min_by_key(|(_, o)| o.asked).map(|(id, _)| *id) {
+                if let Some(oldest) = self.open.iter().min_by_key(|(_, o)| o.last_request).map(|(id, _)| *id)
+                {
                     self.open.remove(&oldest);
                 }
             }
             Writers::Many => {}
         }
-        self.last += 1;
-        let session = Session(self.last);
-        let open = Open { session, epoch, seq: 0, answers: VecDeque::new(), asked: self.asked };
+        self.last_session += 1;
+        let session = Session(self.last_session);
+        let open = OpenSession {
+            session,
+            epoch,
+            last_seq: 0,
+            answers: VecDeque::new(),
+            last_request: self.request_count,
+        };
         self.open.insert(publisher, open);
         Ok(session)
     }
 
-    /// Looks at a message's number.
-    pub(crate) fn look(
+    /// Checks the sequence number of a message.
+    pub(crate) fn check_sequence(
         &mut self,
         publisher: PublisherId,
         session: Session,
         seq: u64,
         writers: Writers,
-        gaps: bool,
-    ) -> Result<Seen, Refusal> {
-        self.asked += 1;
-        let other = match writers {
-            Writers::One if !self.open.is_empty() => Refusal::Fenced(self.highest),
+        accepts_gaps: bool,
+    ) -> Result<SequenceCheck, Refusal> {
+        self.request_count += 1;
+        let refusal = match writers {
+            Writers::One if !self.open.is_empty() => Refusal::Fenced(self.highest_epoch),
             _ => Refusal::NoSession,
         };
-        let own = self.open.get_mut(&publisher).filter(|o| o.session == session).ok_or(other)?;
-        own.asked = self.asked;
-        let next = own.seq + 1;
-        if seq == next || (gaps && seq > next) {
-            return Ok(Seen::New);
+        let own = self.open.get_mut(&publisher).filter(|o| o.session == session).ok_or(refusal)?;
+        own.last_request = self.request_count;
+        let next = own.last_seq + 1;
+        if seq == next || (accepts_gaps && seq > next) {
+            return Ok(SequenceCheck::New);
         }
         if seq > next {
             return Err(Refusal::Gap(next));
         }
-        let back = usize::try_from(own.seq - seq).unwrap_or(usize::MAX);
-        let kept = own.answers.len().checked_sub(back.saturating_add(1)).and_then(|n| own.answers.get(n));
-        kept.map(|answer| Seen::Done(*answer)).ok_or(Refusal::Overtaken)
+        let age = usize::try_from(own.last_seq - seq).unwrap_or(usize::MAX);
+        let kept = own.answers.len().checked_sub(age.saturating_add(1)).and_then(|n| own.answers.get(n));
+        kept.map(|answer| SequenceCheck::Duplicate(*answer)).ok_or(Refusal::Overtaken)
     }
 
-    /// Keeps what became of a message.
-    pub(crate) fn done(&mut self, publisher: PublisherId, seq: u64, answer: TopicAnswer) {
+    /// Stores the answer to a message.
+    pub(crate) fn record_answer(&mut self, publisher: PublisherId, seq: u64, answer: TopicAnswer) {
         if let Some(own) = self.open.get_mut(&publisher) {
-            own.seq = seq;
+            own.last_seq = seq;
             own.answers.push_back(answer);
-            if own.answers.len() > WINDOW {
+            if own.answers.len() > MAX_IN_FLIGHT {
                 own.answers.pop_front();
             }
         }
     }
 
-    /// The highest epoch that began.
-    pub(crate) fn highest(&self) -> Epoch {
-        self.highest
+    /// Returns the highest epoch of any session.
+    pub(crate) fn highest_epoch(&self) -> Epoch {
+        self.highest_epoch
     }
 
-    /// Whether the numbers of what a snapshot has make sense.
+    /// Returns whether sessions read from a snapshot are within their limits.
     pub(crate) fn is_valid(&self) -> bool {
         self.open.len() <= MAX_SESSIONS
-            && self.open.values().all(|o| o.answers.len() <= WINDOW && o.session.0 <= self.last)
+            && self
+                .open
+                .values()
+                .all(|o| o.answers.len() <= MAX_IN_FLIGHT && o.session.0 <= self.last_session)
     }
 }
 
--- a/crates/fleet/topic/src/subscriber/interface.rs
+++ b/crates/fleet/topic/src/subscriber/interface.rs
@@ -1,118 +1,120 @@
-//! What a subscriber hears and wants done, its times and bounds.
+//! Inputs, outputs, settings and errors of a subscriber.
 
 use std::time::Duration;
 
 use beechloft_leases::Name;
 use thiserror::Error;
 
-use crate::feed::{Position, Told};
+use crate::feed::{Delivery, Position};
 use crate::message::Message;
 use crate::messages::Offset;
 use crate::record::Key;
 
-/// Times and bounds of a subscriber.
+/// Limits and timeouts of a subscriber.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SubscriberSettings {
-    /// Bytes that may be on their way to it.
-    pub window: u64,
-    /// It asks another keeper when it has heard nothing for this, or this long that the keeper is behind.
-    pub patience: Duration,
-    /// ... or when the keeper has not heard from a leader for this.
-    pub most_silent: Duration,
-    /// From one try to the next, at first and at most; twice as long after each that brought nothing.
-    pub again: (Duration, Duration),
+    /// Maximum number of bytes in transit to the subscriber.
+    pub window_bytes: u64,
+    /// Time after which the subscriber leaves a replica from which it received nothing, or which has been behind or stale for
+    /// that long.
+    pub unresponsive_timeout: Duration,
+    /// Staleness above which a replica counts as stale.
+    pub max_staleness: Duration,
+    /// Initial and maximum delay before a new subscription. The delay doubles after each one that brought nothing.
+    pub retry_backoff: (Duration, Duration),
 }
 
 impl Default for SubscriberSettings {
     fn default() -> SubscriberSettings {
         SubscriberSettings {
-            window: 256 << 10,
-            patience: Duration::from_secs(5),
-            most_silent: Duration::from_secs(10),
-            again: (Duration::from_millis(100), Duration::from_secs(5)),
+            window_bytes: 256 << 10,
+            unresponsive_timeout: Duration::from_secs(5),
+            max_staleness: Duration::from_secs(10),
+            retry_backoff: (Duration::from_millis(100), Duration::from_secs(5)),
         }
     }
 }
 
-/// What a subscriber hears.
+/// Input of a subscriber.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SubscriberInput {
-    /// Only time has passed.
+    /// Time has passed.
     Tick,
-    /// It is wanted from now on.
+    /// Starts the subscriber.
     Start,
-    /// A keeper's word.
-    Told(Told),
-    /// The connection of a subscription is gone, or could not be made.
-    Broken(u64),
+    /// Delivery from a replica.
+    Delivery(Delivery),
+    /// The connection of the subscription with this id was closed or could not be opened.
+    Disconnected(u64),
 }
 
-/// What a subscriber wants done.
+/// Output of a subscriber.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SubscriberOutput {
-    /// For another keeper than the last one, over a new connection. Any other is to be closed.
+    /// Subscribes at another replica than before, over a new connection. An open connection is closed.
     Subscribe {
-        /// The number of this subscription.
-        feed: u64,
-        /// Of which topic.
+        /// Id of the subscription.
+        subscription: u64,
+        /// Name of the topic.
         topic: Name,
-        /// How far it is.
-        from: Option<Position>,
-        /// Bytes that it may be told.
-        allow: u64,
+        /// Progress of the subscriber, or `None` if it has no messages.
+        position: Option<Position>,
+        /// Number of bytes that the replica may send.
+        credit_bytes: u64,
     },
-    /// Bytes that it may be told in all.
-    Allow {
-        /// Of this subscription.
-        feed: u64,
-        /// From its first on.
-        total: u64,
+    /// Increases the number of bytes that the replica may send.
+    Credit {
+        /// Id of the subscription.
+        subscription: u64,
+        /// Total number of bytes since the start of the subscription.
+        total_bytes: u64,
     },
-    /// The subscription is given up; its connection is to be closed.
-    Leave(u64),
-    /// A key has a value, or another one.
-    Changed(Message),
-    /// A key has none any more: it is deleted by the message at this offset, or by one at or before it.
-    Gone(Key, Offset),
-    /// It has the latest of each key as of this offset, without it. Told again after it has fallen behind.
+    /// Ends the subscription with this id and closes its connection.
+    Unsubscribe(u64),
+    /// A key has a new value.
+    Updated(Message),
+    /// A key was deleted by the message at this offset or at an earlier one.
+    Deleted(Key, Offset),
+    /// The subscriber has the latest message of each key below this offset. It is reported again after the subscriber has
+    /// fallen behind.
     CaughtUp(Offset),
-    /// It is not known to be complete any more: messages were left out on the way, or all comes anew.
+    /// The subscriber may be incomplete, because messages were skipped or it resynchronizes.
     Behind,
-    /// A keeper said what can't be. Nothing of it was taken.
+    /// A replica sent an invalid delivery, which was discarded.
     ProtocolViolation(ProtocolViolation),
 }
 
-/// Why a keeper's word can't be.
+/// Reason why a delivery is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ProtocolViolation {
-    /// It goes on from where the last one did not end.
-    #[error("the batch begins at {from:?}, and {expected:?} is to come next")]
-    Gap {
-        /// Where it begins.
+    /// The batch does not start at the subscriber's position.
+    #[error("batch starts at {from:?}, but {expected:?} is expected")]
+    NotContiguous {
+        /// Start of the batch.
         from: Offset,
-        /// Where it should.
+        /// Expected start.
         expected: Offset,
     },
-    /// Its messages are out of order or outside its offsets, or too many.
-    #[error("the batch's messages do not fit its offsets")]
-    Order,
-    /// A key has an older message than is known.
-    #[error("a key stands at {has:?}, and {told:?} was told")]
-    Older {
-        /// What is known.
-        has: Offset,
-        /// What was told.
-        told: Offset,
+    /// The messages are not in offset order, are outside the range of the batch, or are too many.
+    #[error("messages of the batch do not match its offsets")]
+    InvalidOffsets,
+    /// The message for a key is older than the known one.
+    #[error("received an old message at {received:?} for a key whose message at {known:?} is known")]
+    StaleMessage {
+        /// Offset of the known message.
+        known: Offset,
+        /// Offset of the received message.
+        received: Offset,
     },
-    /// The keeper is behind, and served all the same.
-    #[error("the keeper is at {head:?}, and {needs:?} is needed")]
-    Behind {
-        /// Where it is.
+    /// The replica is behind the subscriber but served it.
+    #[error("replica is at {head:?}, but {required:?} is required")]
+    LaggingReplica {
+        /// Head of the replica's topic.
         head: Offset,
-        /// Where it should be.
-        needs: Offset,
+        /// Lowest head at which a replica can serve this subscriber.
+        required: Offset,
     },
-    /// Messages before all was told anew.
-    #[error("messages of nothing that was begun")]
-    NotBegun,
+    /// A batch was received before the first resynchronization.
+    #[error("batch received before the first resynchronization")]
+    BatchBeforeResync,
 }
--- a/crates/fleet/topic/src/subscriber/mod.rs
+++ b/crates/fleet/topic/src/subscriber/mod.rs
@@ -1,4 +1,5 @@
-//! The client's side of a subscription: what it knows of each key, how far it is, and where it goes when a keeper fails it.
+//! Client's side of a subscription. It keeps the latest message of each key and its position, and switches to another replica
+//! when the current one fails or lags.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -9,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::fault_injection::Fault;
-use crate::feed::{Batch, MAX_MESSAGES, Position, Said, Told};
+use crate::feed::{Batch, Delivery, FeedItem, MAX_BATCH_MESSAGES, Position};
 use crate::message::{Body, Message};
 use crate::messages::Offset;
 use crate::record::Key;
@@ -18,124 +19,134 @@
 
 pub use interface::{ProtocolViolation, SubscriberInput, SubscriberOutput, SubscriberSettings};
 
-/// What is known of a key.
+/// Latest message of a key, as known to the subscriber.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Held {
-    /// Its latest message's place.
+pub struct CachedMessage {
+    /// Offset of the message.
     pub offset: Offset,
-    /// Its latest message.
+    /// Key and value.
     pub body: Body,
-    /// In which pass it was heard of last.
-    pass: u32,
+    /// Value of [`Subscriber::generation`] when the message was last received.
+    generation: u32,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum State {
     Idle,
-    /// It asks a keeper at this time.
+    /// The next subscription starts at this time.
     Waiting(Duration),
-    /// It is with a keeper.
-    With {
-        feed: u64,
-        heard_at: Duration,
-        /// Since when the keeper has been of no use: behind, or cut off itself.
-        useless_since: Option<Duration>,
-        taken: u64,
-        allowed: u64,
+    /// A replica serves the subscription.
+    Subscribed {
+        subscription: u64,
+        last_delivery_at: Duration,
+        /// Time since which the replica has been behind or stale.
+        unusable_since: Option<Duration>,
+        received_bytes: u64,
+        credit_bytes: u64,
     },
 }
 
-/// A subscriber.
+/// Subscriber of one topic.
 #[derive(Debug, Clone)]
 pub struct Subscriber {
     topic: Name,
     settings: SubscriberSettings,
-    at: Option<Position>,
-    keys: BTreeMap<Key, Held>,
-    /// How often all came anew.
-    pass: u32,
-    /// Whether keys of an earlier pass may be there.
-    mixed: bool,
-    /// Its keys are exactly those of the topic as of this offset.
-    complete: Option<Offset>,
+    position: Option<Position>,
+    keys: BTreeMap<Key, CachedMessage>,
+    /// Number of resynchronizations.
+    generation: u32,
+    /// Whether there may be keys that were not received since the last resynchronization.
+    has_unconfirmed_keys: bool,
+    /// End of the offsets for which the keys exactly match the topic.
+    complete_to: Option<Offset>,
     state: State,
-    feeds: u64,
-    tries: u32,
+    last_subscription: u64,
+    attempts: u32,
     rng: ChaCha8Rng,
     now: Duration,
     fault: Option<Fault>,
 }
 
-/// All that decides what it does next, but for what is drawn by chance.
+/// Hashes all state that affects the next decision, except for the random number generator and the retry counter.
 impl std::hash::Hash for Subscriber {
     fn hash<H: std::hash::Hasher>(&self, into: &mut H) {
-        (self.at, &self.keys, self.pass, self.mixed, self.complete, &self.state, self.feeds).hash(into);
+        (
+            self.position,
+            &self.keys,
+            self.generation,
+            self.has_unconfirmed_keys,
+            self.complete_to,
+            &self.state,
+            self.last_subscription,
+        )
+            .hash(into);
     }
 }
 
 impl Subscriber {
-    /// One that has nothing yet.
+    /// Creates a subscriber without messages.
     pub fn new(topic: Name, settings: SubscriberSettings, seed: u64) -> Subscriber {
         Subscriber {
             topic,
             settings,
-            at: None,
+            position: None,
             keys: BTreeMap::new(),
-            pass: 0,
-            mixed: false,
-            complete: None,
+            generation: 0,
+            has_unconfirmed_keys: false,
+            complete_to: None,
             state: State::Idle,
-            feeds: 0,
-            tries: 0,
+            last_subscription: 0,
+            attempts: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: Duration::ZERO,
             fault: None,
         }
     }
 
-    /// Plants a fault.
-    #[cfg(feature = "planted")]
-    pub fn plant(&mut self, fault: Fault) {
+    /// Injects a fault.
+    #[cfg(feature = "fault_injection")]
+    pub fn inject(&mut self, fault: Fault) {
         self.fault = Some(fault);
     }
 
-    fn planted(&self, fault: Fault) -> bool {
-        cfg!(feature = "planted") && self.fault == Some(fault)
+    fn has_fault(&self, fault: Fault) -> bool {
+        cfg!(feature = "fault_injection") && self.fault == Some(fault)
     }
 
-    /// What is known of a key.
-    pub fn get(&self, key: &[u8]) -> Option<&Held> {
+    /// Returns the latest message of a key.
+    pub fn get(&self, key: &[u8]) -> Option<&CachedMessage> {
         self.keys.get(key)
     }
 
-    /// What is known of all keys.
-    pub fn keys(&self) -> impl Iterator<Item = (&Key, &Held)> {
+    /// Returns the latest messages of all keys.
+    pub fn keys(&self) -> impl Iterator<Item = (&Key, &CachedMessage)> {
         self.keys.iter()
     }
 
-    /// Its keys are exactly those of the topic as of this offset, without it. None: it is catching up, and some keys may stand
-    /// as they did earlier than others.
+    /// Returns the offset below which the keys exactly match the topic. Returns `None` while the subscriber catches up, as
+    /// some keys may then be older than others.
     pub fn complete_to(&self) -> Option<Offset> {
-        self.complete
+        self.complete_to
     }
 
-    /// How far it is.
+    /// Returns the current position, or `None` before the first resynchronization.
     pub fn position(&self) -> Option<Position> {
-        self.at
+        self.position
     }
 
-    /// When it wants to hear of the time next.
+    /// Returns when the subscriber needs the next tick, or `None` if it needs none.
     pub fn next_due(&self) -> Option<Duration> {
         match &self.state {
             State::Idle => None,
             State::Waiting(at) => Some(*at),
-            State::With { heard_at, useless_since, .. } => {
-                Some(useless_since.unwrap_or(*heard_at).min(*heard_at) + self.settings.patience)
-            }
+            State::Subscribed { last_delivery_at, unusable_since, .. } => Some(
+                unusable_since.unwrap_or(*last_delivery_at).min(*last_delivery_at)
+                    + self.settings.unresponsive_timeout,
+            ),
         }
     }
 
-    /// Takes an input. `now` is a clock that never goes back.
+    /// Handles an input. `now` is the reading of a monotonic clock.
     pub fn handle(&mut self, now: Duration, input: SubscriberInput) -> Vec<SubscriberOutput> {
         self.now = self.now.max(now);
         let mut out = Vec::new();
@@ -143,10 +154,10 @@
             SubscriberInput::Tick => self.tick(&mut out),
             SubscriberInput::Start if self.state == State::Idle => self.subscribe(&mut out),
             SubscriberInput::Start => {}
-            SubscriberInput::Told(told) => self.told(told, &mut out),
-            SubscriberInput::Broken(feed) => {
-                if matches!(self.state, State::With { feed: f, .. } if f == feed) {
-                    self.wait();
+            SubscriberInput::Delivery(delivery) => self.receive(delivery, &mut out),
+            SubscriberInput::Disconnected(subscription) => {
+                if matches!(self.state, State::Subscribed { subscription: id, .. } if id == subscription) {
+                    self.schedule_retry();
                 }
             }
         }
@@ -156,11 +167,11 @@
     fn tick(&mut self, out: &mut Vec<SubscriberOutput>) {
         match self.state {
             State::Waiting(at) if self.now >= at => self.subscribe(out),
-            State::With { feed, heard_at, useless_since, .. } => {
-                let since = useless_since.unwrap_or(heard_at).min(heard_at);
-                // It hangs, or is cut off from us or from the others: one keeper's trouble is not the subscriber's.
-                if self.now >= since + self.settings.patience {
-                    self.leave(feed, out);
+            State::Subscribed { subscription, last_delivery_at, unusable_since, .. } => {
+                let since = unusable_since.unwrap_or(last_delivery_at).min(last_delivery_at);
+                // The replica hangs or is partitioned from the subscriber or from the other replicas, which may still work.
+                if self.now >= since + self.settings.unresponsive_timeout {
+                    self.unsubscribe(subscription, out);
                 }
             }
             _ => {}
@@ -168,193 +179,221 @@
     }
 
     fn subscribe(&mut self, out: &mut Vec<SubscriberOutput>) {
-        self.feeds += 1;
-        let (feed, allowed) = (self.feeds, self.settings.window);
-        self.state = State::With { feed, heard_at: self.now, useless_since: None, taken: 0, allowed };
+        self.last_subscription += 1;
+        let (subscription, credit_bytes) = (self.last_subscription, self.settings.window_bytes);
+        self.state = State::Subscribed {
+            subscription,
+            last_delivery_at: self.now,
+            unusable_since: None,
+            received_bytes: 0,
+            credit_bytes,
+        };
         let topic = self.topic.clone();
-        out.push(SubscriberOutput::Subscribe { feed, topic, from: self.at, allow: allowed });
+        out.push(SubscriberOutput::Subscribe { subscription, topic, position: self.position, credit_bytes });
     }
 
-    fn leave(&mut self, feed: u64, out: &mut Vec<SubscriberOutput>) {
-        out.push(SubscriberOutput::Leave(feed));
-        self.wait();
+    fn unsubscribe(&mut self, subscription: u64, out: &mut Vec<SubscriberOutput>) {
+        out.push(SubscriberOutput::Unsubscribe(subscription));
+        self.schedule_retry();
     }
 
-    /// Asks again after a while: half of it by chance, so that those whom one keeper lost do not come to the next as one.
-    fn wait(&mut self) {
-        let (first, most) = self.settings.again;
-        let wait = (first * 2u32.saturating_pow(self.tries.min(16))).min(most);
-        self.tries = self.tries.saturating_add(1);
-        let micros = wait.as_micros() as u64;
+    /// Schedules the next subscription with exponential backoff. Half of the delay is random, so that the subscribers of a
+    /// failed replica do not reconnect at the same time.
+    fn schedule_retry(&mut self) {
+        let (initial, max) = self.settings.retry_backoff;
+        let max_wait = (initial * 2u32.saturating_pow(self.attempts.min(16))).min(max);
+        self.attempts = self.attempts.saturating_add(1);
+        let micros = max_wait.as_micros() as u64;
         let wait = Duration::from_micros(self.rng.random_range(micros / 2..=micros));
         self.state = State::Waiting(self.now + wait);
     }
 
-    fn told(&mut self, told: Told, out: &mut Vec<SubscriberOutput>) {
+    fn receive(&mut self, delivery: Delivery, out: &mut Vec<SubscriberOutput>) {
         let now = self.now;
-        let State::With { feed, heard_at, useless_since, .. } = &mut self.state else { return };
-        // Of a subscription that was given up.
-        if *feed != told.feed {
+        let State::Subscribed { subscription, last_delivery_at, unusable_since, .. } = &mut self.state else {
+            return;
+        };
+        // The delivery belongs to an earlier subscription.
+        if *subscription != delivery.subscription {
             return;
         }
-        let feed = *feed;
-        *heard_at = now;
-        let silent = Duration::from_millis(u64::from(told.silent_ms)) > self.settings.most_silent;
-        // Being behind is said once; a sign of life after it does not say that it is over.
-        let useless = match told.said {
-            Said::Behind { .. } => true,
-            Said::Still => silent || useless_since.is_some(),
-            Said::Anew { .. } | Said::Batch(_) => silent,
+        let subscription = *subscription;
+        *last_delivery_at = now;
+        let is_stale = Duration::from_millis(u64::from(delivery.staleness_ms)) > self.settings.max_staleness;
+        // A replica reports only once that it is behind, and a heartbeat does not mean that it has caught up.
+        let is_unusable = match delivery.item {
+            FeedItem::Behind { .. } => true,
+            FeedItem::Heartbeat => is_stale || unusable_since.is_some(),
+            FeedItem::Resync { .. } | FeedItem::Batch(_) => is_stale,
         };
-        let since = useless_since.unwrap_or(now);
-        *useless_since = useless.then_some(since);
-        let taken = match told.said {
-            Said::Anew { life, base } => self.anew(life, base, out),
-            Said::Behind { .. } | Said::Still => Ok(0),
-            Said::Batch(batch) => self.batch(batch, out),
+        let since = unusable_since.unwrap_or(now);
+        *unusable_since = is_unusable.then_some(since);
+        let result = match delivery.item {
+            FeedItem::Resync { incarnation, base } => self.resync(incarnation, base, out),
+            FeedItem::Behind { .. } | FeedItem::Heartbeat => Ok(0),
+            FeedItem::Batch(batch) => self.apply_batch(batch, out),
         };
-        match taken {
-            Err(why) => {
-                out.push(SubscriberOutput::ProtocolViolation(why));
-                self.leave(feed, out);
+        match result {
+            Err(violation) => {
+                out.push(SubscriberOutput::ProtocolViolation(violation));
+                self.unsubscribe(subscription, out);
             }
-            Ok(cost) if cost > 0 => self.allow(cost, out),
+            Ok(cost_bytes) if cost_bytes > 0 => self.replenish_credit(cost_bytes, out),
             Ok(_) => {}
         }
     }
 
-    /// Lets more come, half a window at a time.
-    fn allow(&mut self, cost: u64, out: &mut Vec<SubscriberOutput>) {
-        self.tries = 0;
-        let window = self.settings.window;
-        let State::With { feed, taken, allowed, .. } = &mut self.state else { return };
-        *taken += cost;
-        if *taken + window >= *allowed + window / 2 {
-            *allowed = *taken + window;
-            out.push(SubscriberOutput::Allow { feed: *feed, total: *allowed });
+    /// Counts received bytes, and extends the credit when half of the window is used.
+    fn replenish_credit(&mut self, cost_bytes: u64, out: &mut Vec<SubscriberOutput>) {
+        self.attempts = 0;
+        let window_bytes = self.settings.window_bytes;
+        let State::Subscribed { subscription, received_bytes, credit_bytes, .. } = &mut self.state else {
+            return;
+        };
+        *received_bytes += cost_bytes;
+        if *received_bytes + window_bytes >= *credit_bytes + window_bytes / 2 {
+            *credit_bytes = *received_bytes + window_bytes;
+            out.push(SubscriberOutput::Credit { subscription: *subscription, total_bytes: *credit_bytes });
         }
     }
 
-    fn not_complete(&mut self, out: &mut Vec<SubscriberOutput>) {
-        if self.complete.take().is_some() {
+    /// Reports that the subscriber may be incomplete, if it was complete.
+    fn mark_incomplete(&mut self, out: &mut Vec<SubscriberOutput>) {
+        if self.complete_to.take().is_some() {
             out.push(SubscriberOutput::Behind);
         }
     }
 
-    fn anew(
+    /// Starts to receive all messages again.
+    fn resync(
         &mut self,
-        life: u64,
+        incarnation: u64,
         base: Offset,
         out: &mut Vec<SubscriberOutput>,
     ) -> Result<u64, ProtocolViolation> {
-        if let Some(at) = self.at.filter(|at| at.life == life && base < at.needs()) {
-            // It would take us back to before what we know.
-            return Err(ProtocolViolation::Behind { head: base, needs: at.needs() });
+        if let Some(position) = self
+            .position
+            .filter(|position| position.incarnation == incarnation && base < position.required_head())
+        {
+            // The resynchronization would lead back to an older state.
+            return Err(ProtocolViolation::LaggingReplica { head: base, required: position.required_head() });
         }
-        if self.at.is_some_and(|at| at.life != life) {
-            // The group was founded anew: its offsets say nothing of the ones we know.
-            self.keys.values_mut().for_each(|held| held.offset = Offset(0));
+        if self.position.is_some_and(|position| position.incarnation != incarnation) {
+            // The offsets of another incarnation are unrelated to the known ones.
+            self.keys.values_mut().for_each(|cached| cached.offset = Offset(0));
         }
-        self.at = Some(Position { life, next: Offset(0), base, seen: base });
-        self.pass = self.pass.wrapping_add(1);
-        self.mixed = !self.keys.is_empty();
-        self.not_complete(out);
+        self.position = Some(Position { incarnation, next: Offset(0), base, min_head: base });
+        self.generation = self.generation.wrapping_add(1);
+        self.has_unconfirmed_keys = !self.keys.is_empty();
+        self.mark_incomplete(out);
         Ok(0)
     }
 
-    /// Looks at all of a batch before any of it is taken.
-    fn check(&self, batch: &Batch) -> Result<(), ProtocolViolation> {
-        let at = self.at.ok_or(ProtocolViolation::NotBegun)?;
-        if batch.from != at.next {
-            return Err(ProtocolViolation::Gap { from: batch.from, expected: at.next });
+    /// Validates the whole batch before any of it is applied.
+    fn validate(&self, batch: &Batch) -> Result<(), ProtocolViolation> {
+        let position = self.position.ok_or(ProtocolViolation::BatchBeforeResync)?;
+        if batch.from != position.next {
+            return Err(ProtocolViolation::NotContiguous { from: batch.from, expected: position.next });
         }
-        if batch.head < at.needs() && !self.planted(Fault::BehindServes) {
-            return Err(ProtocolViolation::Behind { head: batch.head, needs: at.needs() });
+        if batch.head < position.required_head() && !self.has_fault(Fault::LaggingReplicaServes) {
+            return Err(ProtocolViolation::LaggingReplica {
+                head: batch.head,
+                required: position.required_head(),
+            });
         }
-        if batch.to < batch.from || batch.to > batch.head || batch.messages.len() > MAX_MESSAGES {
-            return Err(ProtocolViolation::Order);
+        if batch.to < batch.from || batch.to > batch.head || batch.messages.len() > MAX_BATCH_MESSAGES {
+            return Err(ProtocolViolation::InvalidOffsets);
         }
         let mut next = batch.from;
         for message in &batch.messages {
             if message.offset < next || message.offset >= batch.to {
-                return Err(ProtocolViolation::Order);
+                return Err(ProtocolViolation::InvalidOffsets);
             }
             next = message.offset.next();
-            let held = self.keys.get(message.key());
-            if let Some(held) = held.filter(|held| held.offset > message.offset) {
-                return Err(ProtocolViolation::Older { has: held.offset, told: message.offset });
+            let cached = self.keys.get(message.key());
+            if let Some(cached) = cached.filter(|cached| cached.offset > message.offset) {
+                return Err(ProtocolViolation::StaleMessage {
+                    known: cached.offset,
+                    received: message.offset,
+                });
             }
         }
         Ok(())
     }
 
-    fn batch(&mut self, batch: Batch, out: &mut Vec<SubscriberOutput>) -> Result<u64, ProtocolViolation> {
-        self.check(&batch)?;
-        let cost = batch.cost();
-        let (whole, caught_up) = (batch.is_whole(), batch.is_caught_up());
-        if !whole {
-            self.not_complete(out);
+    /// Applies a batch. Returns the number of bytes that it consumes from the credit.
+    fn apply_batch(
+        &mut self,
+        batch: Batch,
+        out: &mut Vec<SubscriberOutput>,
+    ) -> Result<u64, ProtocolViolation> {
+        self.validate(&batch)?;
+        let cost_bytes = batch.cost_bytes();
+        let (is_contiguous, is_caught_up) = (batch.is_contiguous(), batch.is_caught_up());
+        if !is_contiguous {
+            self.mark_incomplete(out);
         }
         let Batch { to, head, messages, .. } = batch;
-        if let Some(at) = &mut self.at {
-            at.next = to;
-            if !whole {
-                at.seen = at.seen.max(head);
+        if let Some(position) = &mut self.position {
+            position.next = to;
+            if !is_contiguous {
+                position.min_head = position.min_head.max(head);
             }
         }
         for message in messages {
-            self.take(message, out);
+            self.apply_message(message, out);
         }
-        if caught_up && self.mixed {
-            self.vanish(to, out);
+        if is_caught_up && self.has_unconfirmed_keys {
+            self.delete_missing(to, out);
         }
-        let was = self.complete;
-        if caught_up || was.is_some() {
-            self.complete = Some(to);
+        let previous = self.complete_to;
+        if is_caught_up || previous.is_some() {
+            self.complete_to = Some(to);
         }
-        if caught_up && was.is_none() {
-            self.tries = 0;
+        if is_caught_up && previous.is_none() {
+            self.attempts = 0;
             out.push(SubscriberOutput::CaughtUp(to));
         }
-        Ok(cost)
+        Ok(cost_bytes)
     }
 
-    fn take(&mut self, message: Message, out: &mut Vec<SubscriberOutput>) {
+    fn apply_message(&mut self, message: Message, out: &mut Vec<SubscriberOutput>) {
         let Ok(key) = Key::new(message.key()) else { return };
-        let held = Held { offset: message.offset, body: message.body.clone(), pass: self.pass };
+        let cached =
+            CachedMessage { offset: message.offset, body: message.body.clone(), generation: self.generation };
         if message.body.is_tombstone() {
             if self.keys.remove(&key).is_some() {
-                out.push(SubscriberOutput::Gone(key, message.offset));
+                out.push(SubscriberOutput::Deleted(key, message.offset));
             }
             return;
         }
         match self.keys.entry(key) {
-            // Heard of anew, and the same as ever.
+            // The message was received again during a resynchronization and is unchanged.
             Entry::Occupied(mut known)
-                if known.get().offset == held.offset && known.get().body == held.body =>
+                if known.get().offset == cached.offset && known.get().body == cached.body =>
             {
-                known.insert(held);
+                known.insert(cached);
             }
             Entry::Occupied(mut known) => {
-                known.insert(held);
-                out.push(SubscriberOutput::Changed(message));
+                known.insert(cached);
+                out.push(SubscriberOutput::Updated(message));
             }
-            Entry::Vacant(place) => {
-                place.insert(held);
-                out.push(SubscriberOutput::Changed(message));
+            Entry::Vacant(entry) => {
+                entry.insert(cached);
+                out.push(SubscriberOutput::Updated(message));
             }
         }
     }
 
-    /// What was not heard of in the whole pass was deleted meanwhile.
-    fn vanish(&mut self, to: Offset, out: &mut Vec<SubscriberOutput>) {
-        self.mixed = false;
-        if self.planted(Fault::VanishedKept) {
+    /// Deletes the keys that were not received during the resynchronization, as they were deleted in the meantime.
+    fn delete_missing(&mut self, to: Offset, out: &mut Vec<SubscriberOutput>) {
+        self.has_unconfirmed_keys = false;
+        if self.has_fault(Fault::DeletedKeysKept) {
             return;
         }
-        let (pass, by) = (self.pass, Offset(to.0.saturating_sub(1)));
-        for (key, _) in self.keys.extract_if(.., |_, held| held.pass != pass) {
-            out.push(SubscriberOutput::Gone(key, by));
+        let (generation, offset) = (self.generation, Offset(to.0.saturating_sub(1)));
+        for (key, _) in self.keys.extract_if(.., |_, cached| cached.generation != generation) {
+            out.push(SubscriberOutput::Deleted(key, offset));
         }
     }
 }
