--- a/crates/fleet/topic/src/messages.rs
+++ b/crates/fleet/topic/src/messages.rs
@@ -180,7 +180,7 @@
     Gap(u64),
     /// The message was processed, but its answer is no longer stored.
     #[error("message was processed before, but its answer is no longer stored")]
-    Overtaken,
+    AnswerEvicted,
     /// The precondition does not hold. The value is the offset of the key's latest message, or `None` if key has no value.
     #[error("precondition failed, the offset of the key is {0:?}")]
     OffsetMismatch(Option<Offset>),
--- a/crates/fleet/topic/src/publisher/mod.rs
+++ b/crates/fleet/topic/src/publisher/mod.rs
@@ -227,7 +227,7 @@
             TopicAnswer::Began(_) => return,
             // An earlier message was lost. The next retransmission sends both.
             TopicAnswer::Refused(Refusal::Gap(_)) => return,
-            TopicAnswer::Refused(Refusal::Overtaken) => Outcome::Unsure,
+            TopicAnswer::Refused(Refusal::AnswerEvicted) => Outcome::Unsure,
             TopicAnswer::Refused(Refusal::Fenced(epoch)) if epoch > self.mode.epoch() => {
                 return self.fence(epoch, out);
             }
--- a/crates/fleet/topic/src/sessions/mod.rs
+++ b/crates/fleet/topic/src/sessions/mod.rs
@@ -116,7 +116,7 @@
         }
         let age = usize::try_from(own.last_seq - seq).unwrap_or(usize::MAX);
         let kept = own.answers.len().checked_sub(age.saturating_add(1)).and_then(|n| own.answers.get(n));
-        kept.map(|answer| SequenceCheck::Duplicate(*answer)).ok_or(Refusal::Overtaken)
+        kept.map(|answer| SequenceCheck::Duplicate(*answer)).ok_or(Refusal::AnswerEvicted)
     }
 
     /// Stores the answer to a message.
--- a/crates/fleet/topic/src/sessions/tests.rs
+++ b/crates/fleet/topic/src/sessions/tests.rs
@@ -20,7 +20,7 @@
     }
     for seq in 0..=40 {
         let kept =
-            if seq > 24 { Ok(SequenceCheck::Duplicate(written(seq))) } else { Err(Refusal::Overtaken) };
+            if seq > 24 { Ok(SequenceCheck::Duplicate(written(seq))) } else { Err(Refusal::AnswerEvicted) };
         assert_eq!(sessions.check_sequence(A, session, seq, Writers::Many, false), kept, "{seq}");
     }
     assert_eq!(sessions.check_sequence(B, session, 41, Writers::Many, false), Err(Refusal::NoSession));
--- a/crates/fleet/topic/tests/linear.rs
+++ b/crates/fleet/topic/tests/linear.rs
@@ -96,7 +96,7 @@
         (100, 100, 2, true);
     for _ in 0..300 {
         cluster.step();
-        let n = cluster.rng.random_range(0..cluster.pubs.len());
+        let n = cluster.rng.random_range(0..cluster.publishers.len());
         match cluster.rng.random_range(0..60) {
             0..20 => cluster.publish(n),
             20 => cluster.elect(),
--- a/crates/fleet/topic/tests/seeds.rs
+++ b/crates/fleet/topic/tests/seeds.rs
@@ -34,25 +34,25 @@
         }
         cluster.step();
         if cluster.rng.random_range(0..60) < publish_rate {
-            let n = cluster.rng.random_range(0..cluster.pubs.len());
+            let n = cluster.rng.random_range(0..cluster.publishers.len());
             cluster.publish(n);
         }
-        let (replica, sub) = (
+        let (replica, subscriber) = (
             cluster.rng.random_range(0..cluster.replicas.len()),
-            cluster.rng.random_range(0..cluster.subs.len()),
+            cluster.rng.random_range(0..cluster.subscribers.len()),
         );
         match cluster.rng.random_range(0..150) {
-            0 | 1 => cluster.disconnect(sub),
+            0 | 1 => cluster.disconnect(subscriber),
             2 => {
                 let span = Duration::from_millis(cluster.rng.random_range(10..8_000));
-                cluster.pause(sub, span);
+                cluster.pause(subscriber, span);
             }
             3..6 => cluster.snapshot(replica),
             6 => cluster.restart(replica),
             7 => cluster.replace(replica),
             8 => cluster.elect(),
             9 => {
-                let n = cluster.rng.random_range(0..cluster.pubs.len());
+                let n = cluster.rng.random_range(0..cluster.publishers.len());
                 cluster.replace_publisher(n);
             }
             // Nothing is written for a while, so that tombstones expire.
@@ -63,8 +63,8 @@
     cluster.settle();
     cluster.check_settled();
     sums.caught_up += cluster.caught_up;
-    sums.resyncs += cluster.subs.iter().map(|s| s.resyncs).sum::<usize>();
-    sums.fell_behind += cluster.subs.iter().map(|s| s.fell_behind).sum::<usize>();
+    sums.resyncs += cluster.subscribers.iter().map(|s| s.resyncs).sum::<usize>();
+    sums.fell_behind += cluster.subscribers.iter().map(|s| s.fell_behind).sum::<usize>();
     sums.written += cluster.reference.messages.len();
     sums.unsure += cluster.operations.values().filter(|a| a.outcome == Some(Outcome::Unsure)).count();
     sums.horizons += cluster.horizons;
--- a/crates/fleet/topic/tests/support/mod.rs
+++ b/crates/fleet/topic/tests/support/mod.rs
@@ -99,8 +99,8 @@
     pub replicas: Vec<Replica>,
     pub leader: usize,
     retention: Retention,
-    pub subs: Vec<SubscriberHost>,
-    pub pubs: Vec<PublisherHost>,
+    pub subscribers: Vec<SubscriberHost>,
+    pub publishers: Vec<PublisherHost>,
     requests: Vec<TopicRequest>,
     answers: Vec<(usize, TopicResponse)>,
     pub operations: BTreeMap<u64, Operation>,
@@ -122,7 +122,13 @@
 }
 
 impl Cluster {
-    pub fn new(replicas: usize, subs: usize, pubs: usize, seed: u64, fault: Option<Fault>) -> Cluster {
+    pub fn new(
+        replicas: usize,
+        subscribers: usize,
+        publishers: usize,
+        seed: u64,
+        fault: Option<Fault>,
+    ) -> Cluster {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let config = TopicConfig { retention_ms: RETENTION_MS, ..TopicConfig::default() };
         let layout = if seed.is_multiple_of(2) { SMALL } else { SPARSE };
@@ -140,8 +146,8 @@
             replicas: Vec::new(),
             leader: 0,
             retention,
-            subs: Vec::new(),
-            pubs: Vec::new(),
+            subscribers: Vec::new(),
+            publishers: Vec::new(),
             requests: Vec::new(),
             answers: Vec::new(),
             operations: BTreeMap::new(),
@@ -164,7 +170,7 @@
             let topics = cluster.read(&chunks);
             cluster.replicas.push(Replica { topics, applied: 0, disk: (0, chunks.clone()) });
         }
-        for n in 0..subs {
+        for n in 0..subscribers {
             let window_bytes = *[60, 400, 4_000].choose(&mut cluster.rng).expect("some");
             let settings = SubscriberSettings {
                 window_bytes,
@@ -178,7 +184,7 @@
             }
             let (in_transit, last_events) = (VecDeque::new(), BTreeMap::new());
             let paused_until = Duration::ZERO;
-            cluster.subs.push(SubscriberHost {
+            cluster.subscribers.push(SubscriberHost {
                 machine,
                 connection: None,
                 in_transit,
@@ -189,9 +195,9 @@
             });
             cluster.subscriber_input(n, SubscriberInput::Start);
         }
-        for n in 0..pubs {
+        for n in 0..publishers {
             let machine = cluster.new_publisher(n as u64);
-            cluster.pubs.push(PublisherHost { machine, incarnation: n as u64 });
+            cluster.publishers.push(PublisherHost { machine, incarnation: n as u64 });
         }
         cluster
     }
@@ -255,7 +261,7 @@
     }
 
     fn publisher_input(&mut self, n: usize, input: PublisherInput) {
-        for output in self.pubs[n].machine.handle(self.now, input) {
+        for output in self.publishers[n].machine.handle(self.now, input) {
             match output {
                 PublisherOutput::Send(request) => {
                     let copies = u32::from(!self.chance(self.loss_per_mille))
@@ -341,7 +347,7 @@
         }
         if let Some(answer) = answer {
             let response = TopicResponse::to(request, answer);
-            let publisher = self.pubs.iter().position(|p| p.machine.id() == request.publisher);
+            let publisher = self.publishers.iter().position(|p| p.machine.id() == request.publisher);
             if let Some(n) = publisher {
                 let copies = u32::from(!self.chance(self.loss_per_mille))
                     + u32::from(self.chance(self.duplicate_per_mille));
@@ -351,11 +357,11 @@
     }
 
     fn subscriber_input(&mut self, n: usize, input: SubscriberInput) {
-        let sub = &mut self.subs[n];
-        if sub.paused_until > self.now {
+        let subscriber = &mut self.subscribers[n];
+        if subscriber.paused_until > self.now {
             return;
         }
-        for output in sub.machine.handle(self.now, input) {
+        for output in subscriber.machine.handle(self.now, input) {
             match output {
                 SubscriberOutput::Subscribe { subscription, position, credit_bytes, .. } => {
                     let to = self.rng.random_range(0..self.replicas.len());
@@ -364,27 +370,27 @@
                         feed.inject(fault);
                     }
                     feed.set_credit(credit_bytes);
-                    let sub = &mut self.subs[n];
-                    sub.in_transit.clear();
-                    sub.connection = Some((to, subscription, feed));
+                    let subscriber = &mut self.subscribers[n];
+                    subscriber.in_transit.clear();
+                    subscriber.connection = Some((to, subscription, feed));
                 }
                 SubscriberOutput::Credit { subscription, total_bytes } => {
-                    if let Some((_, current, feed)) = &mut self.subs[n].connection
+                    if let Some((_, current, feed)) = &mut self.subscribers[n].connection
                         && *current == subscription
                     {
                         feed.set_credit(total_bytes);
                     }
                 }
-                SubscriberOutput::Unsubscribe(_) => self.subs[n].connection = None,
+                SubscriberOutput::Unsubscribe(_) => self.subscribers[n].connection = None,
                 SubscriberOutput::Updated(message) => {
                     let key = Key::new(message.key()).expect("valid key");
-                    let last = self.subs[n].last_events.insert(key, message.offset);
+                    let last = self.subscribers[n].last_events.insert(key, message.offset);
                     if last >= Some(message.offset) {
                         self.violation(format!("{n} receives {message:?} after {last:?}"));
                     }
                 }
                 SubscriberOutput::Deleted(key, offset) => {
-                    let last = self.subs[n].last_events.insert(key.clone(), offset);
+                    let last = self.subscribers[n].last_events.insert(key.clone(), offset);
                     if last > Some(offset) {
                         self.violation(format!(
                             "{n} receives the deletion of {key:?} at {offset:?} after {last:?}"
@@ -392,7 +398,7 @@
                     }
                 }
                 SubscriberOutput::CaughtUp(_) => self.caught_up += 1,
-                SubscriberOutput::Behind => self.subs[n].fell_behind += 1,
+                SubscriberOutput::Behind => self.subscribers[n].fell_behind += 1,
                 SubscriberOutput::ProtocolViolation(reason) => {
                     self.violation(format!("{n} reports a protocol violation: {reason}"))
                 }
@@ -402,7 +408,7 @@
     }
 
     fn check(&mut self, n: usize) {
-        let machine = &self.subs[n].machine;
+        let machine = &self.subscribers[n].machine;
         let Some(to) = machine.complete_to() else { return };
         let cached = machine.keys().map(|(key, cached)| {
             let value = cached.body.value().unwrap_or_default().to_vec();
@@ -421,15 +427,15 @@
     /// Moves up to `limit` items from the feed to the connection.
     fn run_feed(&mut self, n: usize, limit: usize) {
         for _ in 0..limit {
-            let Some((replica, subscription, feed)) = &mut self.subs[n].connection else { return };
+            let Some((replica, subscription, feed)) = &mut self.subscribers[n].connection else { return };
             let subscription = *subscription;
             let topic = self.replicas[*replica].topics.topic(&name()).expect("declared topic");
             let Some(item) = feed.next(topic) else { return };
             let applied = self.replicas[*replica].applied as u64;
             if matches!(item, FeedItem::Resync { .. }) {
-                self.subs[n].resyncs += 1;
+                self.subscribers[n].resyncs += 1;
             }
-            self.subs[n].in_transit.push_back(Delivery {
+            self.subscribers[n].in_transit.push_back(Delivery {
                 subscription,
                 applied_index: applied,
                 staleness_ms: 0,
@@ -440,10 +446,10 @@
 
     fn deliver(&mut self, n: usize, limit: usize) {
         for _ in 0..limit {
-            if self.subs[n].paused_until > self.now {
+            if self.subscribers[n].paused_until > self.now {
                 return;
             }
-            let Some(delivery) = self.subs[n].in_transit.pop_front() else { return };
+            let Some(delivery) = self.subscribers[n].in_transit.pop_front() else { return };
             // Deliveries are encoded and decoded as on a connection.
             let bytes = postcard::to_allocvec(&delivery).expect("encodable");
             let delivery = postcard::from_bytes(&bytes).expect("what was written");
@@ -452,25 +458,25 @@
     }
 
     pub fn pause(&mut self, n: usize, span: Duration) {
-        self.subs[n].paused_until = self.now + span;
+        self.subscribers[n].paused_until = self.now + span;
         self.disconnect(n);
     }
 
     /// Closes the subscriber's connection. Deliveries in transit are lost.
     pub fn disconnect(&mut self, n: usize) {
-        let sub = &mut self.subs[n];
-        sub.in_transit.clear();
-        if let Some((_, subscription, _)) = sub.connection.take() {
+        let subscriber = &mut self.subscribers[n];
+        subscriber.in_transit.clear();
+        if let Some((_, subscription, _)) = subscriber.connection.take() {
             // A paused subscriber still handles the disconnection.
-            let asleep = std::mem::take(&mut sub.paused_until);
+            let asleep = std::mem::take(&mut subscriber.paused_until);
             self.subscriber_input(n, SubscriberInput::Disconnected(subscription));
-            self.subs[n].paused_until = asleep;
+            self.subscribers[n].paused_until = asleep;
         }
     }
 
     fn disconnect_all(&mut self, replica: usize) {
-        for n in 0..self.subs.len() {
-            if self.subs[n].connection.as_ref().is_some_and(|connection| connection.0 == replica) {
+        for n in 0..self.subscribers.len() {
+            if self.subscribers[n].connection.as_ref().is_some_and(|connection| connection.0 == replica) {
                 self.disconnect(n);
             }
         }
@@ -518,9 +524,9 @@
 
     /// Replaces a publisher with a new process.
     pub fn replace_publisher(&mut self, n: usize) {
-        let incarnation = self.pubs[n].incarnation + 1_000;
+        let incarnation = self.publishers[n].incarnation + 1_000;
         let machine = self.new_publisher(incarnation);
-        self.pubs[n] = PublisherHost { machine, incarnation };
+        self.publishers[n] = PublisherHost { machine, incarnation };
         self.answers.retain(|(publisher, _)| *publisher != n);
     }
 
@@ -547,16 +553,16 @@
                 self.publisher_input(n, PublisherInput::Response(response));
             }
         }
-        for n in 0..self.subs.len() {
+        for n in 0..self.subscribers.len() {
             let (item_limit, delivery_limit) = (self.rng.random_range(0..3), self.rng.random_range(0..3));
             self.run_feed(n, item_limit);
             self.deliver(n, delivery_limit);
-            if self.subs[n].machine.next_due().is_some_and(|due| due <= self.now) {
+            if self.subscribers[n].machine.next_due().is_some_and(|due| due <= self.now) {
                 self.subscriber_input(n, SubscriberInput::Tick);
             }
         }
-        for n in 0..self.pubs.len() {
-            if self.pubs[n].machine.next_due().is_some_and(|due| due <= self.now) {
+        for n in 0..self.publishers.len() {
+            if self.publishers[n].machine.next_due().is_some_and(|due| due <= self.now) {
                 self.publisher_input(n, PublisherInput::Tick);
             }
         }
@@ -570,7 +576,7 @@
     /// Executes steps without faults until everything is delivered.
     pub fn settle(&mut self) {
         (self.loss_per_mille, self.duplicate_per_mille) = (0, 0);
-        self.subs.iter_mut().for_each(|s| s.paused_until = Duration::ZERO);
+        self.subscribers.iter_mut().for_each(|s| s.paused_until = Duration::ZERO);
         for _ in 0..600 {
             self.step();
             for n in 0..self.replicas.len() {
@@ -582,8 +588,8 @@
     /// Checks that subscribers are complete, replicas are equal, and outcomes match the written messages.
     pub fn check_settled(&mut self) {
         let head = Offset(self.reference.messages.len() as u64);
-        for n in 0..self.subs.len() {
-            let to = self.subs[n].machine.complete_to();
+        for n in 0..self.subscribers.len() {
+            let to = self.subscribers[n].machine.complete_to();
             if to != Some(head) {
                 self.violation(format!("{n} is complete to {to:?} and not to {head:?}"));
             }
--- a/crates/fleet/topic/tests/wire_format.rs
+++ b/crates/fleet/topic/tests/wire_format.rs
@@ -79,7 +79,7 @@
         ("refused-fenced", Refusal::Fenced(Epoch(301))),
         ("refused-no-session", Refusal::NoSession),
         ("refused-gap", Refusal::Gap(302)),
-        ("refused-overtaken", Refusal::Overtaken),
+        ("refused-overtaken", Refusal::AnswerEvicted),
         ("refused-other", Refusal::OffsetMismatch(Some(Offset(303)))),
         ("refused-other-absent", Refusal::OffsetMismatch(None)),
         ("refused-no-key", Refusal::NoKey),
