--- a/crates/fleet/replica/src/command/mod.rs
+++ b/crates/fleet/replica/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! Commands of the replicated state, as log entries contain them.
+//! Commands that change the replicated state, and their encoding in log entries.
 
 #[cfg(test)]
 mod tests;
@@ -8,35 +8,38 @@
 /// A command for one component of the replicated state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// For the leases.
+    /// A command for the leases.
     Leases(beechloft_leases::Command),
-    /// For the topics.
+    /// A command for the topics.
     Topics(TopicCommand),
-    /// For the placement.
+    /// A command for the placement.
     Placement(beechloft_placement::Command),
-    /// For the quotas.
+    /// A command for the quotas.
     Quotas(beechloft_quotas::Command),
 }
 
-/// The tags of components, in log entries and snapshots. A tag is never reused for another component.
+/// The tags that identify components in log entries and snapshots. A tag must never be reused for another component.
 ///
-/// Leases were the only component at first, and their commands have no tag in log entries: these start with the variant of the
-/// command, which is below [`tag::FIRST_IN_LOG`]. Commands of the other components start with a tag from there on.
+/// Commands of the leases have no tag in log entries, because the leases were the only component of early versions. Their first
+/// byte is the variant of the command, which is less than [`tag::FIRST_IN_LOG`]. Commands of all other components start with a
+/// tag that is at least that.
 pub(crate) mod tag {
-    /// The leases, in snapshots.
+    /// Tag of the leases, which is used in snapshots alone.
     pub const LEASES: u8 = 1;
-    /// The first tag that occurs in log entries.
+    /// Lowest tag that occurs in log entries.
     pub const FIRST_IN_LOG: u8 = 16;
-    /// The topics.
+    /// Tag of the topics.
     pub const TOPICS: u8 = 16;
-    /// The quotas.
+    /// Tag of the quotas.
     pub const QUOTAS: u8 = 17;
-    /// The placement.
+    /// Tag of the placement.
     pub const PLACEMENT: u8 = 18;
 }
 
 impl Command {
-    /// Encodes the command for a log entry. `None` if a value has no known length, which no command contains.
+    /// Encodes the command for a log entry.
+    ///
+    /// Returns `None` if a sequence has no known length. No command contains such a sequence.
     pub fn write(&self) -> Option<Vec<u8>> {
         match self {
             Command::Leases(command) => postcard::to_allocvec(command).ok(),
@@ -46,8 +49,10 @@
         }
     }
 
-    /// Decodes what [`Command::write`] wrote. A command that this version can not decode is ignored by all replicas of this
-    /// version, so that their states stay equal.
+    /// Decodes a command that [`Command::write`] encoded.
+    ///
+    /// Returns `None` if this version cannot decode the command. All replicas of this version then ignore the entry, so their
+    /// states stay equal.
     pub fn read(bytes: &[u8]) -> Option<Command> {
         let (first, rest) = bytes.split_first()?;
         match *first {
--- a/crates/fleet/replica/src/components/component.rs
+++ b/crates/fleet/replica/src/components/component.rs
@@ -1,4 +1,4 @@
-//! What all components of the replicated state have in common.
+//! The interface that all components of the replicated state implement.
 
 use std::time::Duration;
 
@@ -8,28 +8,28 @@
 use crate::input::ClientId;
 use crate::output::ReplicaOutput;
 
-/// The circumstances in which a component applies a command.
+/// Local facts of the replica that a component may use when it applies a command.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ApplyContext {
-    /// The time by this replica's clock.
+    /// Time by this replica's clock.
     pub now: Duration,
-    /// How far the rates of clocks may differ.
+    /// Bound of the difference between the rates of clocks.
     pub drift: DriftBound,
-    /// Whether this replica is the leader, as far as it knows.
+    /// Whether this replica believes that it is the leader.
     pub is_leader: bool,
 }
 
-/// A component: a piece of the replicated state, what the leader does about time for it, and which clients are informed.
+/// A part of the replicated state, with the commands that the leader proposes by its clock and the notifications of clients.
 ///
-/// The state that `apply` produces must be the same at each replica, whatever the context: time enters the state through log
-/// entries alone, which the leader proposes when they are due by its clock.
+/// The state that `apply` produces must be the same at each replica and must not depend on the context. Time changes the state
+/// only through log entries, which the leader proposes when they are due by its clock.
 pub(crate) trait Component {
-    /// Its commands in the log.
+    /// Command of this component in the log.
     type Command;
-    /// A client that waits for the outcome of a command or a read.
+    /// Client request that waits for the outcome of a command or a read.
     type Pending;
 
-    /// Applies a committed command, and informs the client that waits for it here and those that watch.
+    /// Applies a committed command, answers the client that waits for it at this replica, and notifies watchers.
     fn apply(
         &mut self,
         context: ApplyContext,
@@ -37,18 +37,19 @@
         pending: Option<Self::Pending>,
         out: &mut Vec<ReplicaOutput>,
     );
-    /// Answers a read: the state has everything that was committed before it arrived.
+    /// Answers a read. The state includes everything that was committed before the read arrived.
     fn complete_read(&mut self, pending: Self::Pending, out: &mut Vec<ReplicaOutput>);
-    /// A command or a read was rejected.
+    /// Informs the client that its command or read was rejected.
     fn reject(&mut self, pending: Self::Pending, error: RequestError, out: &mut Vec<ReplicaOutput>);
-    /// This replica became the leader of a new term, or is no longer the leader (`context.is_leader`).
+    /// Handles that this replica became the leader of a new term, or lost the leadership. `context.is_leader` tells which.
     fn leadership_changed(&mut self, context: ApplyContext);
-    /// When a command may be due next, while this replica is the leader.
+    /// Returns the earliest time at which a command may be due while this replica is the leader, or `None` if there is no such
+    /// time.
     fn next_due(&self) -> Option<Duration>;
-    /// The commands that are due, to be proposed.
+    /// Returns the commands that are due, which the leader proposes.
     fn due_commands(&mut self, now: Duration) -> Vec<Self::Command>;
-    /// Adds notifications that are independent of the log.
+    /// Moves notifications that do not result from log entries to `out`.
     fn drain_notifications(&mut self, out: &mut Vec<ReplicaOutput>);
-    /// The client's connection was closed.
+    /// Removes what is kept for a client whose connection was closed.
     fn client_disconnected(&mut self, client: ClientId);
 }
--- a/crates/fleet/replica/src/components/leases.rs
+++ b/crates/fleet/replica/src/components/leases.rs
@@ -1,4 +1,5 @@
-//! Leases: the table of grants, their deadlines while this replica is the leader, and the clients that watch them.
+//! The leases as a component, with the table of grants, the deadlines of grants while this replica is the leader, and the clients
+//! that watch grants.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -13,60 +14,60 @@
 use crate::input::ClientId;
 use crate::output::ReplicaOutput;
 
-/// Maximum number of clients that watch.
+/// Maximum number of clients that watch grants.
 pub(crate) const MAX_WATCHERS: usize = 512;
-/// An expiry is proposed again after this, because the proposal may be lost.
+/// Time after which the expiry of a grant is proposed again, because the proposal may be lost.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A client that waits, or the leader itself.
+/// The origin of a lease command or read, which is a client that waits or the leader itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum PendingLeaseRequest {
-    /// Waits for the answer to a holder's request, by its sequence number.
+    /// A client that waits for the answer to a holder's request with this sequence number.
     Request(ClientId, HolderId, u64),
-    /// Waits for all grants.
+    /// A client that waits for all grants.
     List(ClientId),
-    /// Waits for all grants, then watches.
+    /// A client that waits for all grants, then watches.
     Watch(ClientId),
-    /// No client: the leader proposed an expiry.
+    /// The leader itself, which proposed an expiry.
     Internal,
 }
 
-/// When a grant expires by the leader's clock, unless it is renewed.
+/// The time at which a grant expires by the leader's clock unless it is renewed.
 #[derive(Debug, Clone, Copy, Hash)]
 struct Deadline {
     at: Duration,
     renewals: u64,
-    /// The expiry was proposed, and is proposed again at this time.
-    proposed_until: Option<Duration>,
+    /// Time at which the expiry is proposed again, or `None` if it was not proposed yet.
+    repeat_at: Option<Duration>,
 }
 
 impl Deadline {
     fn next_proposal(&self) -> Duration {
-        self.proposed_until.unwrap_or(self.at)
+        self.repeat_at.unwrap_or(self.at)
     }
 }
 
-/// A client that watches.
+/// A client that watches grants.
 #[derive(Debug, Clone, Hash)]
 struct Watcher {
-    /// The task that is watched, or all.
+    /// Task whose grants are watched, or `None` for all tasks.
     name: Option<Name>,
-    /// It has received all grants, so that it now receives changes.
+    /// Whether the client has received all grants and now receives changes.
     active: bool,
 }
 
-/// The leases at a replica.
+/// The leases at this replica.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct LeasesComponent {
     table: Table,
     deadlines: BTreeMap<Token, Deadline>,
     watchers: BTreeMap<ClientId, Watcher>,
-    /// Clients whose subscription ended with the leadership, to be informed with the next outputs.
+    /// Clients whose watch ended with the leadership. They are notified with the next outputs.
     ended_watches: Vec<ClientId>,
     fault: Option<Fault>,
 }
 
-/// Everything that determines its next outputs.
+/// Hashes everything that determines the component's next outputs.
 impl Hash for LeasesComponent {
     fn hash<H: Hasher>(&self, into: &mut H) {
         (&self.table, &self.deadlines, &self.watchers).hash(into);
@@ -93,30 +94,32 @@
         &self.table
     }
 
-    /// Whether a grant expires by then.
+    /// Returns whether the expiry of a grant is due for a proposal by `now`.
     pub fn expires_by(&self, now: Duration) -> bool {
-        self.deadlines.values().any(|d| now >= d.next_proposal())
+        self.deadlines.values().any(|deadline| now >= deadline.next_proposal())
     }
 
-    /// Adds a watcher, which is active once it has received all grants. Returns false above the bound.
+    /// Adds a watcher, which becomes active once it has received all grants.
+    ///
+    /// Returns false if there are [`MAX_WATCHERS`] others.
     pub fn watch(&mut self, client: ClientId, name: Option<Name>) -> bool {
-        let has_room = self.watchers.len() < MAX_WATCHERS || self.watchers.contains_key(&client);
-        if has_room {
+        let is_admitted = self.watchers.len() < MAX_WATCHERS || self.watchers.contains_key(&client);
+        if is_admitted {
             self.watchers.insert(client, Watcher { name, active: false });
         }
-        has_room
+        is_admitted
     }
 
-    /// Starts the time of a grant, if this replica is the leader.
+    /// Starts the TTL of a grant if this replica is the leader.
     fn start_ttl(&mut self, context: ApplyContext, token: Token) {
         let Some(grant) = self.table.grant(token).filter(|_| context.is_leader) else { return };
         let ttl = Duration::from_millis(u64::from(grant.ttl_ms));
-        let time = if self.has_fault(Fault::DriftIgnored) { ttl } else { context.drift.longer(ttl) };
-        let deadline = Deadline { at: context.now + time, renewals: grant.renewals, proposed_until: None };
+        let timeout = if self.has_fault(Fault::DriftIgnored) { ttl } else { context.drift.longer(ttl) };
+        let deadline = Deadline { at: context.now + timeout, renewals: grant.renewals, repeat_at: None };
         self.deadlines.insert(token, deadline);
     }
 
-    /// Informs the watchers of a change. Renewals are of no interest to them.
+    /// Notifies the watchers of a change. Renewals are not reported.
     fn notify_watchers(&self, event: &Event, out: &mut Vec<ReplicaOutput>) {
         let name = match event {
             Event::Renewed(..) => return,
@@ -126,7 +129,7 @@
             | Event::HandedOff(name, _) => name,
         };
         let is_interested =
-            |watcher: &Watcher| watcher.active && watcher.name.as_ref().is_none_or(|of| of == name);
+            |watcher: &Watcher| watcher.active && watcher.name.as_ref().is_none_or(|watched| watched == name);
         let watchers = self.watchers.iter().filter(|(_, watcher)| is_interested(watcher));
         out.extend(watchers.map(|(client, _)| ReplicaOutput::WatchEvent(*client, event.clone())));
     }
@@ -145,8 +148,8 @@
     ) {
         let Applied { answer, event } = self.table.apply(&command);
         match &event {
-            Some(Event::Granted { token, previous: before, .. }) => {
-                self.deadlines.retain(|t, _| Some(*t) != *before);
+            Some(Event::Granted { token, previous, .. }) => {
+                self.deadlines.retain(|token, _| Some(*token) != *previous);
                 self.start_ttl(context, *token);
             }
             Some(Event::Renewed(_, token) | Event::HandedOff(_, token)) => self.start_ttl(context, *token),
@@ -168,7 +171,7 @@
         match pending {
             PendingLeaseRequest::List(client) => out.push(ReplicaOutput::Leases(client, self.table.clone())),
             PendingLeaseRequest::Watch(client) => {
-                // It receives every change that is applied from here on.
+                // The client receives every change that is applied after this state.
                 if let Some(watcher) = self.watchers.get_mut(&client) {
                     watcher.active = true;
                     out.push(ReplicaOutput::Leases(client, self.table.clone()));
@@ -180,7 +183,7 @@
 
     fn reject(&mut self, pending: PendingLeaseRequest, error: RequestError, out: &mut Vec<ReplicaOutput>) {
         let response = match error {
-            RequestError::NotLeader(leader) => Response::NotLeader(leader.map(|l| ReplicaId(l.0))),
+            RequestError::NotLeader(leader) => Response::NotLeader(leader.map(|id| ReplicaId(id.0))),
             _ => Response::Busy,
         };
         match pending {
@@ -195,18 +198,18 @@
         }
     }
 
-    /// A new leader restarts the time of all grants, because it does not know when its predecessor did.
+    /// Restarts the TTL of all grants on a new leader, which does not know when its predecessor started them. Ends all watches.
     fn leadership_changed(&mut self, context: ApplyContext) {
         self.deadlines.clear();
-        // Inactive watchers are answered with an error instead, because their reads fail.
-        let active = self.watchers.iter().filter(|(_, w)| w.active).map(|(client, _)| *client);
+        // Inactive watchers receive an error instead, because their reads fail.
+        let active = self.watchers.iter().filter(|(_, watcher)| watcher.active).map(|(client, _)| *client);
         self.ended_watches.extend(active);
         self.watchers.clear();
         if context.is_leader {
-            let all: Vec<Token> = self.table.grants().map(|entry| entry.token).collect();
-            all.into_iter().for_each(|token| self.start_ttl(context, token));
+            let tokens: Vec<Token> = self.table.grants().map(|entry| entry.token).collect();
+            tokens.into_iter().for_each(|token| self.start_ttl(context, token));
             if self.has_fault(Fault::TtlNotRestartedOnElection) {
-                self.deadlines.values_mut().for_each(|d| d.at = context.now);
+                self.deadlines.values_mut().for_each(|deadline| deadline.at = context.now);
             }
         }
     }
@@ -215,11 +218,14 @@
         self.deadlines.values().map(Deadline::next_proposal).min()
     }
 
-    /// The expiries that are due. An expiry has no effect if the grant was renewed before it in the log.
+    /// Returns the expiries that are due. An expiry has no effect if a renewal of the grant precedes it in the log.
     fn due_commands(&mut self, now: Duration) -> Vec<Command> {
         let mut expiries = Vec::new();
-        for (token, deadline) in self.deadlines.iter_mut().filter(|(_, d)| now >= d.next_proposal()) {
-            deadline.proposed_until = Some(now + RETRY_INTERVAL);
+        for (token, deadline) in &mut self.deadlines {
+            if now < deadline.next_proposal() {
+                continue;
+            }
+            deadline.repeat_at = Some(now + RETRY_INTERVAL);
             expiries.push(Command::Expire { token: *token, renewals: deadline.renewals });
         }
         expiries
--- a/crates/fleet/replica/src/components/mod.rs
+++ b/crates/fleet/replica/src/components/mod.rs
@@ -1,4 +1,4 @@
-//! The components of the replicated state.
+//! The components of the replicated state, and the state that consists of them.
 
 mod component;
 mod leases;
@@ -25,10 +25,10 @@
 use crate::output::ReplicaOutput;
 use crate::snapshot::{self, StateError};
 
-/// The tags of all components in a snapshot.
+/// Tags of all components that this version can read from a snapshot.
 const KNOWN_TAGS: [u8; 4] = [tag::LEASES, tag::TOPICS, tag::QUOTAS, tag::PLACEMENT];
 
-/// A client that waits for the outcome of a command or a read, by component.
+/// A client request that waits for the outcome of a command or a read, by component.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum PendingRequest {
     Leases(PendingLeaseRequest),
@@ -55,7 +55,7 @@
     }
 }
 
-/// All components at this replica.
+/// The state of all components at this replica.
 #[derive(Debug, Clone, Hash, Default)]
 pub(crate) struct ReplicatedState {
     pub leases: LeasesComponent,
@@ -65,14 +65,14 @@
 }
 
 impl ReplicatedState {
-    /// The state of a snapshot. Without chunks it is the empty state.
+    /// Decodes the state of a snapshot. A snapshot without chunks is the empty state.
     pub fn read(data: &SnapshotData) -> Result<ReplicatedState, StateError> {
         let mut state = ReplicatedState::default();
         state.restore(data, None)?;
         Ok(state)
     }
 
-    /// The replicated content, without what this replica alone remembers.
+    /// Encodes the replicated content, without the timers and watchers that exist at this replica alone.
     pub fn write(&self) -> SnapshotData {
         let leases = vec![Chunk::new(self.leases.table().write())];
         snapshot::write([
@@ -83,7 +83,7 @@
         ])
     }
 
-    /// Replaces the replicated content by that of a snapshot. Subscriptions of clients are kept.
+    /// Replaces the replicated content by that of a snapshot. Keeps the subscriptions of clients.
     pub fn restore(&mut self, data: &SnapshotData, fault: Option<Fault>) -> Result<(), StateError> {
         let sections = snapshot::read(data, tag::LEASES)?;
         if let Some(unknown) = sections.iter().find(|section| !KNOWN_TAGS.contains(&section.tag)) {
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    /// Injects a fault. Without the feature `fault_injection` it has no effect.
+    /// Injects a fault, which has no effect without the feature `fault_injection`.
     pub fn inject_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Leases(fault) => self.leases.inject_fault(fault),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Applies a committed command. `pending` is the client that waits for it here.
+    /// Applies a committed command. `pending` is the request of this replica's client that waits for it.
     pub fn apply(
         &mut self,
         context: ApplyContext,
@@ -129,7 +129,7 @@
                 let outputs_before = out.len();
                 self.topics.apply(context, command, pending.and_then(PendingRequest::into_topics), out);
                 self.apply_quota_record(context, record, outputs_before, out);
-                // The topic of placement records may exist now, or have room.
+                // The topic of placement records may exist now, or have free space again.
                 self.placement.publish(&mut self.topics, context, out);
             }
             Command::Placement(command) => {
@@ -143,8 +143,9 @@
         }
     }
 
-    /// Applies a record that was written to the topic of quota definitions to the ledger, in the same entry: each replica has
-    /// both or neither.
+    /// Applies a record that was written to the topic of quota definitions to the ledger.
+    ///
+    /// The same log entry changes the topic and the ledger, so each replica has both changes or neither.
     fn apply_quota_record(
         &mut self,
         context: ApplyContext,
@@ -153,11 +154,12 @@
         out: &mut Vec<ReplicaOutput>,
     ) {
         let Some(record) = record else { return };
-        let written = out.get(outputs_before..).into_iter().flatten().find_map(|output| match output {
-            ReplicaOutput::TopicEvent(TopicEvent::Appended(_, offset)) => Some(offset.0),
-            _ => None,
-        });
-        if let Some(offset) = written {
+        let written_offset =
+            out.get(outputs_before..).into_iter().flatten().find_map(|output| match output {
+                ReplicaOutput::TopicEvent(TopicEvent::Appended(_, offset)) => Some(offset.0),
+                _ => None,
+            });
+        if let Some(offset) = written_offset {
             let value = record.value.as_ref().map(|value| value.bytes());
             self.quotas.record(context, record.key.bytes(), value, offset, out);
         }
@@ -198,18 +200,18 @@
         due_times.into_iter().flatten().min()
     }
 
-    /// The commands that are due, to be proposed by the leader.
+    /// Returns the commands that are due, which the leader proposes.
     pub fn due_commands(&mut self, now: Duration) -> Vec<(Command, PendingRequest)> {
         let leases = self.leases.due_commands(now).into_iter().map(Command::Leases);
         let topics = self.topics.due_commands(now).into_iter().map(Command::Topics);
         let quotas = self.quotas.due_commands(now).into_iter().map(Command::Quotas);
         let placement = self.placement.due_commands(now).into_iter().map(Command::Placement);
-        let no_client = |pending| move |command| (command, pending);
+        let with_pending = |pending| move |command| (command, pending);
         leases
-            .map(no_client(PendingRequest::Leases(PendingLeaseRequest::Internal)))
-            .chain(topics.map(no_client(PendingRequest::Topics(PendingTopicRequest::Internal))))
-            .chain(quotas.map(no_client(PendingRequest::Quotas(PendingQuotaRequest::Internal))))
-            .chain(placement.map(no_client(PendingRequest::Placement(PendingPlacementRequest::Internal))))
+            .map(with_pending(PendingRequest::Leases(PendingLeaseRequest::Internal)))
+            .chain(topics.map(with_pending(PendingRequest::Topics(PendingTopicRequest::Internal))))
+            .chain(quotas.map(with_pending(PendingRequest::Quotas(PendingQuotaRequest::Internal))))
+            .chain(placement.map(with_pending(PendingRequest::Placement(PendingPlacementRequest::Internal))))
             .collect()
     }
 
@@ -228,7 +230,7 @@
     }
 }
 
-/// The record that a command would write to the topic of quota definitions.
+/// Returns the record that a command would write to the topic of quota definitions, or `None` if it writes none.
 fn quota_record(command: &TopicCommand) -> Option<Record> {
     match command {
         TopicCommand::Ask(TopicRequest { topic, op: TopicOp::Publish { record, .. }, .. })
--- a/crates/fleet/replica/src/components/placement.rs
+++ b/crates/fleet/replica/src/components/placement.rs
@@ -1,9 +1,9 @@
-//! Placement: the replicated state, the expiry of front nodes' rights while this replica is the leader, and the topic of its
-//! records.
+//! The placement as a component, with its replicated state, the expiry of front nodes' rights while this replica is the leader,
+//! and the topic of placement records.
 //!
-//! Records are written to the topic by the same log entry that creates them, in the order of their revisions. While the topic does
-//! not exist or is full, they wait in the replicated state. That is safe: a narrowing has no effect before the front nodes have its
-//! record.
+//! The log entry that creates a record also writes it to the topic, in the order of revisions. Records wait in the replicated state
+//! while the topic does not exist or is full. The delay is safe, because a change that narrows a placement has no effect before the
+//! front nodes have its record.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -24,23 +24,23 @@
 use crate::input::ClientId;
 use crate::output::ReplicaOutput;
 
-/// The topic of records. Keys are `CUSTOMER/SHARD`, values a revision and a [`Record`], or a tombstone for a removed shard.
+/// Name of the topic of placement records. Keys are `CUSTOMER/SHARD`, values a revision and a [`Record`], or a tombstone for a removed shard.
 pub(crate) const TOPIC: &str = "fleet/placement";
-/// The publisher of the records, which is the log itself.
+/// Publisher id under which the replicated state itself writes the records.
 const PUBLISHER: PublisherId = PublisherId(18);
 
-/// A client that waits, or the leader itself.
+/// The origin of a placement command or read, which is a client that waits or the replica itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum PendingPlacementRequest {
-    /// Waits for the outcome of a command, by the client's number.
+    /// A client that waits for the outcome of a command, with the client's number for it.
     Command(ClientId, u64),
-    /// Waits until the state has everything that was committed, by the client's number.
+    /// A client that waits until the state has everything that was committed, with the client's number for the read.
     Read(ClientId, u64),
-    /// No client: the replica proposed the command itself.
+    /// The replica itself, which proposed the command.
     Internal,
 }
 
-/// A record that is to be written to the topic.
+/// A record that is not written to the topic yet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct PendingRecord {
     shard: ShardId,
@@ -48,39 +48,43 @@
     record: Option<Record>,
 }
 
-/// The replicated content. It is encoded with postcard in snapshots: the order of fields is part of the format.
+/// The replicated content.
+///
+/// Snapshots contain it in the encoding of postcard, so the order of fields is part of the format.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 struct Replicated {
     placements: Placements,
-    /// The publisher session of the log, and the sequence number of its next message.
+    /// Publisher session of the replicated state, and the sequence number of its next message.
     session: Option<(Session, u64)>,
     epoch: u64,
     pending_records: VecDeque<PendingRecord>,
 }
 
-/// The placement at a replica.
+/// The placement at this replica.
 #[derive(Debug, Clone, Hash, Default)]
 pub(crate) struct PlacementComponent {
     replicated: Replicated,
-    /// Present while this replica is the leader.
+    /// Expiry of the front nodes' rights, or `None` while this replica is not the leader.
     rights: Option<Rights>,
     fault: Option<Fault>,
 }
 
 impl PlacementComponent {
     pub fn write(&self) -> Vec<Chunk> {
-        // Without placement commands the state is the same as before this component existed.
+        // A state without placement commands is encoded as in versions without this component.
         if self.replicated == Replicated::default() {
             return Vec::new();
         }
-        // Only values of unknown length fail to be encoded, and this is none.
+        // Encoding fails only for sequences of unknown length, which the state does not contain.
         vec![Chunk::new(postcard::to_allocvec(&self.replicated).unwrap_or_default())]
     }
 
     pub fn restore(&mut self, chunks: &[Chunk]) -> Result<(), StateError> {
         self.replicated = match chunks.first() {
             None => Replicated::default(),
-            Some(chunk) => postcard::from_bytes(chunk.bytes()).map_err(|e| StateError::of(e.to_string()))?,
+            Some(chunk) => {
+                postcard::from_bytes(chunk.bytes()).map_err(|error| StateError::of(error.to_string()))?
+            }
         };
         Ok(())
     }
@@ -100,14 +104,14 @@
         &self.replicated.placements
     }
 
-    /// Writes the pending records, as far as the topic accepts them.
+    /// Writes pending records to the topic until none is left or the topic accepts no more.
     pub fn publish(
         &mut self,
         topics: &mut TopicsComponent,
         context: ApplyContext,
         out: &mut Vec<ReplicaOutput>,
     ) {
-        // The session may have been dropped, or fenced by another publisher. It is replaced once per entry at most.
+        // The topic may have dropped the session, or another publisher fenced it. It is replaced at most once per log entry.
         let mut may_replace_session = true;
         while let Some(pending) = self.replicated.pending_records.front() {
             let (Ok(key), Ok(topic)) =
@@ -115,13 +119,13 @@
             else {
                 return;
             };
-            let mut ask = |op| {
+            let mut apply_request = |op| {
                 let request = TopicRequest { publisher: PUBLISHER, topic: topic.clone(), op };
                 topics.command(context, &TopicCommand::Ask(request), out)
             };
             let Some((session, seq)) = self.replicated.session else {
                 let next = Epoch(self.replicated.epoch + 1);
-                match ask(TopicOp::Begin { epoch: next }) {
+                match apply_request(TopicOp::Begin { epoch: next }) {
                     Some(TopicAnswer::Began(session)) => self.replicated.session = Some((session, 1)),
                     Some(TopicAnswer::Refused(Refusal::Fenced(epoch))) if may_replace_session => {
                         (self.replicated.epoch, may_replace_session) = (epoch.0, false);
@@ -139,11 +143,11 @@
             let value = match value {
                 None => None,
                 Some(Ok(value)) => Some(value),
-                // Does not happen: the bounds of a request are below those of a value.
+                // Unreachable, because the size limits of a request are below those of a value.
                 Some(Err(_)) => return,
             };
             let record = beechloft_topic::Record { key, value };
-            match ask(TopicOp::Publish { session, seq, record, expect: Expect::Anything }) {
+            match apply_request(TopicOp::Publish { session, seq, record, expect: Expect::Anything }) {
                 Some(TopicAnswer::Written(_)) => {}
                 // A key that was never written needs no tombstone.
                 Some(TopicAnswer::Refused(Refusal::NoKey)) => {}
@@ -208,7 +212,7 @@
         }
     }
 
-    /// A new leader restarts the time of all rights, because it does not know when they were renewed.
+    /// Restarts the timers of all rights on a new leader, which does not know when they were renewed.
     fn leadership_changed(&mut self, context: ApplyContext) {
         self.rights = context.is_leader.then(|| {
             let mut rights = Rights::new(context.drift);
--- a/crates/fleet/replica/src/components/quotas.rs
+++ b/crates/fleet/replica/src/components/quotas.rs
@@ -1,10 +1,11 @@
-//! Quotas: the ledger, and the deadlines of accounts and of lost front nodes while this replica is the leader.
+//! The quotas as a component, with the ledger, and the deadlines of accounts and of lost front nodes while this replica is the
+//! leader.
 
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
 use beechloft_consensus::{Chunk, RequestError};
-use beechloft_leases::ReplicaId;
+use beechloft_leases::{Name, ReplicaId};
 use beechloft_quotas::{
     Command, ExpiryTimers, Fault, FrontId, Ledger, LedgerError, LimitDefinition, Response,
 };
@@ -13,42 +14,42 @@
 use crate::input::ClientId;
 use crate::output::ReplicaOutput;
 
-/// The topic whose records define limits. Keys are their names.
+/// Name of the topic whose records define limits. Keys are the names of the limits.
 pub(crate) const TOPIC: &str = "fleet/limits";
 
-/// A client that waits, or the leader itself.
+/// The origin of a quota command, which is a client that waits or the replica itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum PendingQuotaRequest {
-    /// Waits for the answer to a front node's request, by its sequence number.
+    /// A client that waits for the answer to a front node's request with this sequence number.
     Request(ClientId, FrontId, u64),
-    /// No client: the replica proposed the command itself.
+    /// The replica itself, which proposed the command.
     Internal,
 }
 
-/// The quotas at a replica.
+/// The quotas at this replica.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct QuotasComponent {
     ledger: Ledger,
-    /// Present while this replica is the leader.
-    times: Option<ExpiryTimers>,
+    /// Deadlines of accounts and orphans, or `None` while this replica is not the leader.
+    timers: Option<ExpiryTimers>,
     fault: Option<Fault>,
 }
 
-/// Everything that determines its next outputs.
+/// Hashes everything that determines the component's next outputs.
 impl Hash for QuotasComponent {
     fn hash<H: Hasher>(&self, into: &mut H) {
-        (&self.ledger, &self.times).hash(into);
+        (&self.ledger, &self.timers).hash(into);
     }
 }
 
 impl QuotasComponent {
     pub fn restore(&mut self, chunks: &[Chunk]) -> Result<(), LedgerError> {
-        self.ledger = Ledger::read(chunks.first().map_or(&[][..], |c| c.bytes()))?;
+        self.ledger = Ledger::read(chunks.first().map_or(&[][..], |chunk| chunk.bytes()))?;
         Ok(())
     }
 
     pub fn write(&self) -> Vec<Chunk> {
-        // Without limits the state is the same as before this component existed.
+        // A state without limits is encoded as in versions without this component.
         if self.ledger == Ledger::default() { Vec::new() } else { vec![Chunk::new(self.ledger.write())] }
     }
 
@@ -62,8 +63,10 @@
         &self.ledger
     }
 
-    /// Applies a record of the topic, which defines or removes a limit. A record that is no valid definition of its key has no
-    /// effect. The version is derived from the message's offset, so that an older definition never returns.
+    /// Applies a record of the topic [`TOPIC`], which defines or removes a limit.
+    ///
+    /// A record that is not a valid definition of the limit in its key has no effect. The version of the definition derives from the
+    /// offset of the record, so an older definition never replaces a newer one.
     pub fn record(
         &mut self,
         context: ApplyContext,
@@ -72,13 +75,15 @@
         offset: u64,
         out: &mut Vec<ReplicaOutput>,
     ) {
-        let text = std::str::from_utf8(key).map(str::to_owned);
-        let Some(name) = text.ok().and_then(|t| beechloft_leases::Name::try_from(t).ok()) else { return };
+        let Ok(text) = std::str::from_utf8(key) else { return };
+        let Ok(name) = Name::try_from(text.to_owned()) else { return };
         let version = offset.saturating_add(1);
         let command = match value {
             None => Command::Undefine(name, version),
             Some(bytes) => match serde_json::from_slice::<LimitDefinition>(bytes) {
-                Ok(d) if d.name == name => Command::Define(LimitDefinition { version, ..d }),
+                Ok(definition) if definition.name == name => {
+                    Command::Define(LimitDefinition { version, ..definition })
+                }
                 _ => return,
             },
         };
@@ -99,8 +104,8 @@
     ) {
         let (answer, events) = self.ledger.apply(&command);
         for event in events {
-            if let Some(times) = &mut self.times {
-                times.applied(context.now, &self.ledger, &event);
+            if let Some(timers) = &mut self.timers {
+                timers.applied(context.now, &self.ledger, &event);
             }
             out.push(ReplicaOutput::QuotaEvent(event));
         }
@@ -115,32 +120,32 @@
         let PendingQuotaRequest::Request(client, ..) = pending else { return };
         let response = match error {
             RequestError::NotLeader(leader) => {
-                beechloft_leases::Response::NotLeader(leader.map(|l| ReplicaId(l.0)))
+                beechloft_leases::Response::NotLeader(leader.map(|id| ReplicaId(id.0)))
             }
             _ => beechloft_leases::Response::Busy,
         };
         out.push(ReplicaOutput::LeaseResponse(client, response));
     }
 
-    /// A new leader restarts the time of all accounts, because it does not know when its predecessor did.
+    /// Restarts the deadlines of all accounts on a new leader, which does not know when its predecessor started them.
     fn leadership_changed(&mut self, context: ApplyContext) {
-        self.times = context.is_leader.then(|| {
-            let mut times = ExpiryTimers::new(context.drift);
+        self.timers = context.is_leader.then(|| {
+            let mut timers = ExpiryTimers::new(context.drift);
             #[cfg(feature = "fault_injection")]
             if let Some(fault) = self.fault {
-                times.inject(fault);
+                timers.inject(fault);
             }
-            times.begin(context.now, &self.ledger);
-            times
+            timers.begin(context.now, &self.ledger);
+            timers
         });
     }
 
     fn next_due(&self) -> Option<Duration> {
-        self.times.as_ref().and_then(ExpiryTimers::next_due)
+        self.timers.as_ref().and_then(ExpiryTimers::next_due)
     }
 
     fn due_commands(&mut self, now: Duration) -> Vec<Command> {
-        self.times.as_mut().map(|t| t.due(now)).unwrap_or_default()
+        self.timers.as_mut().map(|timers| timers.due(now)).unwrap_or_default()
     }
 
     fn drain_notifications(&mut self, _: &mut Vec<ReplicaOutput>) {}
--- a/crates/fleet/replica/src/components/topics.rs
+++ b/crates/fleet/replica/src/components/topics.rs
@@ -1,4 +1,4 @@
-//! Topics: the replicated logs, and the retention of tombstones while this replica is the leader.
+//! The topics as a component, with the replicated logs, and the retention of tombstones while this replica is the leader.
 
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
@@ -13,49 +13,52 @@
 use crate::input::ClientId;
 use crate::output::ReplicaOutput;
 
-/// A client that waits, or the leader itself.
+/// The origin of a topic command, which is a client that waits or the replica itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum PendingTopicRequest {
-    /// Waits for the answer to a publisher's request, by what identifies that answer.
+    /// A client that waits for the answer to this request of a publisher.
     Publish(ClientId, PublisherId, TopicRequestId),
-    /// No client: the replica proposed the command itself.
+    /// The replica itself, which proposed the command.
     Internal,
 }
 
-/// The ages of tombstones, and when they are checked next because something changed.
+/// The ages of tombstones, and the time of their next check.
 #[derive(Debug, Clone, Hash)]
 struct RetentionTimer {
     retention: Retention,
+    /// Time of the check that follows a change, or `None` if nothing changed since the last check.
     check_due: Option<Duration>,
 }
 
-/// The topics at a replica.
+/// The topics at this replica.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct TopicsComponent {
     topics: Topics,
-    /// Present while this replica is the leader.
+    /// Retention of tombstones, or `None` while this replica is not the leader.
     retention_timer: Option<RetentionTimer>,
-    /// Bytes applied since the log cleaners last ran.
-    applied_since_cleaning: usize,
+    /// Number of bytes that were applied since the log cleaners last ran.
+    uncleaned_bytes: usize,
     fault: Option<Fault>,
 }
 
-/// Everything that determines its next outputs. The layout of the logs, which each replica cleans by itself, does not.
+/// Hashes everything that determines the component's next outputs. Excludes the layout of the logs, because each replica cleans
+/// them by itself.
 impl Hash for TopicsComponent {
     fn hash<H: Hasher>(&self, into: &mut H) {
         (&self.topics, &self.retention_timer).hash(into);
     }
 }
 
-/// Bytes that the log cleaners may process for each applied byte, so that they keep up, and at least in each run.
+/// Number of bytes that the log cleaners may process for each applied byte, so that they keep up with the writes.
 const CLEAN_BYTES_PER_APPLIED_BYTE: usize = 4;
+/// Number of bytes that the log cleaners may process in each run in addition.
 const MIN_CLEAN_BYTES: usize = 64 << 10;
-/// Tombstones are checked this long after a change: they are retained for seconds at least, and a check visits each topic.
+/// Delay between a change and the check of tombstones, which visits each topic. Tombstones are retained for seconds at least.
 const RETENTION_CHECK_DELAY: Duration = Duration::from_millis(100);
 
 impl TopicsComponent {
     pub fn read(chunks: &[Chunk]) -> Result<TopicsComponent, ChunkError> {
-        let bytes: Vec<_> = chunks.iter().map(|c| c.bytes().clone()).collect();
+        let bytes: Vec<_> = chunks.iter().map(|chunk| chunk.bytes().clone()).collect();
         Ok(TopicsComponent {
             topics: Topics::read_chunks(&bytes, Layout::default())?,
             ..TopicsComponent::default()
@@ -63,14 +66,14 @@
     }
 
     pub fn write(&self) -> Vec<Chunk> {
-        // Without topics the state is the same as before this component existed.
+        // A state without topics is encoded as in versions without this component.
         if self.topics.all().next().is_none() {
             return Vec::new();
         }
-        let chunk = |c: beechloft_topic::Chunk| {
-            Chunk::with_id(ChunkId { hash: c.name.hash, length: c.name.length }, c.bytes)
+        let with_id = |chunk: beechloft_topic::Chunk| {
+            Chunk::with_id(ChunkId { hash: chunk.name.hash, length: chunk.name.length }, chunk.bytes)
         };
-        self.topics.write_chunks().into_iter().map(chunk).collect()
+        self.topics.write_chunks().into_iter().map(with_id).collect()
     }
 
     pub fn restore(&mut self, chunks: &[Chunk]) -> Result<(), ChunkError> {
@@ -93,7 +96,7 @@
         &self.topics
     }
 
-    /// Applies a command of the log, or of another component that writes to a topic.
+    /// Applies a command that comes from the log or from another component that writes to a topic.
     pub fn command(
         &mut self,
         context: ApplyContext,
@@ -101,7 +104,7 @@
         out: &mut Vec<ReplicaOutput>,
     ) -> Option<TopicAnswer> {
         if let TopicCommand::Ask(request) = command {
-            self.applied_since_cleaning += size(request);
+            self.uncleaned_bytes += record_bytes(request);
         }
         let (answer, event) = self.topics.apply(command);
         if let Some(event) = event {
@@ -113,10 +116,10 @@
         answer
     }
 
-    /// Runs the log cleaners for a bounded step. Returns whether there is more to clean.
+    /// Runs the log cleaners for a bounded step, and returns whether there is more to clean.
     pub fn clean(&mut self) -> bool {
-        let bytes = std::mem::take(&mut self.applied_since_cleaning);
-        self.topics.clean(MIN_CLEAN_BYTES + CLEAN_BYTES_PER_APPLIED_BYTE * bytes)
+        let applied_bytes = std::mem::take(&mut self.uncleaned_bytes);
+        self.topics.clean(MIN_CLEAN_BYTES + CLEAN_BYTES_PER_APPLIED_BYTE * applied_bytes)
     }
 }
 
@@ -132,9 +135,10 @@
         out: &mut Vec<ReplicaOutput>,
     ) {
         let answer = self.command(context, &command, out);
-        if let (Some(PendingTopicRequest::Publish(client, publisher, ask)), Some(answer)) = (pending, answer)
+        if let (Some(PendingTopicRequest::Publish(client, publisher, request_id)), Some(answer)) =
+            (pending, answer)
         {
-            let response = TopicResponse { publisher, ask, answer };
+            let response = TopicResponse { publisher, ask: request_id, answer };
             out.push(ReplicaOutput::TopicResponse(client, response));
         }
     }
@@ -147,7 +151,7 @@
         }
     }
 
-    /// A new leader restarts the retention of all tombstones, because it does not know when they were written.
+    /// Restarts the retention of all tombstones on a new leader, which does not know when they were written.
     fn leadership_changed(&mut self, context: ApplyContext) {
         self.retention_timer = context.is_leader.then(|| {
             let mut retention = Retention::new(context.drift);
@@ -181,11 +185,11 @@
     fn client_disconnected(&mut self, _: ClientId) {}
 }
 
-/// The size of a request's record, in bytes.
-fn size(request: &beechloft_topic::TopicRequest) -> usize {
+/// Returns the size, in bytes, of the key and value that a request publishes.
+fn record_bytes(request: &beechloft_topic::TopicRequest) -> usize {
     match &request.op {
         beechloft_topic::TopicOp::Publish { record, .. } => {
-            record.key.bytes().len() + record.value.as_ref().map_or(0, |v| v.bytes().len())
+            record.key.bytes().len() + record.value.as_ref().map_or(0, |value| value.bytes().len())
         }
         beechloft_topic::TopicOp::Begin { .. } => 0,
     }
--- a/crates/fleet/replica/src/fault_injection.rs
+++ b/crates/fleet/replica/src/fault_injection.rs
@@ -1,15 +1,15 @@
 //! Faults that tests inject, one at a time, to verify that the checks detect them.
 
-/// A fault of one component. Without the feature `fault_injection` none can be injected.
+/// A fault of one component. It can be injected only with the feature `fault_injection`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Fault {
-    /// Of the leases.
+    /// A fault of the leases.
     Leases(beechloft_leases::Fault),
-    /// Of the topics.
+    /// A fault of the topics.
     Topics(beechloft_topic::Fault),
-    /// Of the placement.
+    /// A fault of the placement.
     Placement(beechloft_placement::Fault),
-    /// Of the quotas.
+    /// A fault of the quotas.
     Quotas(beechloft_quotas::Fault),
 }
 
--- a/crates/fleet/replica/src/input.rs
+++ b/crates/fleet/replica/src/input.rs
@@ -1,38 +1,39 @@
-//! The inputs of a replica.
+//! Inputs of a replica.
 
 use beechloft_consensus::{Input, Message};
 use beechloft_leases::{Name, Request};
 use beechloft_topic::TopicRequest;
 
-/// A client connection, as the caller identifies it.
+/// Identifies a client connection. The caller assigns the number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
 /// An input of a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReplicaInput {
-    /// Time has passed.
+    /// Lets the replica check its timers.
     Tick,
-    /// A consensus message of another replica.
+    /// A consensus message from another replica.
     Peer(Message),
-    /// A lease holder's request.
+    /// A request of a lease holder.
     LeaseRequest(ClientId, Request),
     /// Reads all grants.
     ListLeases(ClientId),
-    /// Reads all grants, and subscribes to changes of one task's grants or of all.
+    /// Reads all grants, then watches the changes of one task's grants, or of all grants without a name.
     WatchLeases(ClientId, Option<Name>),
-    /// A publisher's request.
+    /// A request of a publisher.
     TopicRequest(ClientId, TopicRequest),
-    /// Declares a topic or changes its terms: a random topic id, the name, the terms. It is not answered.
+    /// Declares a topic or changes its terms, by a random topic id, the topic's name and the terms. There is no response.
     DeclareTopic(u64, Name, beechloft_topic::Terms),
-    /// A placement command, with a number that identifies its response.
+    /// A placement command, with a number of the client that identifies the response.
     PlacementCommand(ClientId, u64, Box<beechloft_placement::Command>),
-    /// PendingRequest until this replica has everything that was committed before, with a number that identifies the response.
+    /// Waits until this replica has applied everything that was committed before, with a number of the client that identifies
+    /// the response.
     ReadPlacement(ClientId, u64),
-    /// A front node's request to the quota ledger.
+    /// A request of a front node to the quota ledger.
     QuotaRequest(ClientId, beechloft_quotas::Request),
-    /// The client's connection was closed.
+    /// The connection of the client was closed.
     ClientDisconnected(ClientId),
-    /// Any other input of the consensus node: membership changes and leadership transfer.
+    /// An input for the consensus node, such as a membership change or a leadership transfer.
     Raft(Input),
 }
--- a/crates/fleet/replica/src/output.rs
+++ b/crates/fleet/replica/src/output.rs
@@ -1,4 +1,4 @@
-//! The outputs of a replica.
+//! Outputs of a replica.
 
 use beechloft_consensus::{LogPosition, Message, RequestError, RequestId};
 use beechloft_leases::{Event, Response, Table};
@@ -11,15 +11,15 @@
 pub enum ReplicaOutput {
     /// A consensus message to another replica.
     Peer(Message),
-    /// The response to a lease holder. It is also sent to a front node whose quota request was rejected.
+    /// The response to a lease holder, or to a front node whose quota request was rejected.
     LeaseResponse(ClientId, Response),
-    /// All grants as of now, for a client that lists or watches them.
+    /// The current grants, for a client that lists or watches them.
     Leases(ClientId, Table),
-    /// A change of the grants, for the log of this process.
+    /// A change of the grants, for the log file of this process.
     LeaseEvent(Event),
     /// A change of the grants, for a client that watches.
     WatchEvent(ClientId, Event),
-    /// The subscription of a client ended, because this replica is no longer the leader and may be cut off.
+    /// The watch of a client ended because this replica is no longer the leader and may be partitioned from the others.
     WatchEnded(ClientId),
     /// The response to a publisher.
     TopicResponse(ClientId, TopicResponse),
@@ -27,9 +27,9 @@
     TopicRequestRejected(ClientId, PublisherId, RequestError),
     /// A change of a topic.
     TopicEvent(TopicEvent),
-    /// The outcome of a placement command or read, by its number.
+    /// The outcome of a placement command or read, with the number of the request.
     PlacementResponse(ClientId, u64, beechloft_placement::Answer),
-    /// A placement command or read was rejected, by its number.
+    /// A placement command or read was rejected. The number is that of the request.
     PlacementRejected(ClientId, u64, RequestError),
     /// A change of the placement.
     PlacementEvent(beechloft_placement::Event),
--- a/crates/fleet/replica/src/replica/mod.rs
+++ b/crates/fleet/replica/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! A replica: a consensus node, the replicated state, and the clients that wait for it.
+//! A replica, which consists of a consensus node, the replicated state, and the client requests that wait for them.
 
 mod requests;
 #[cfg(test)]
@@ -22,11 +22,13 @@
 use crate::pending_requests::PendingRequests;
 use crate::snapshot::StateError;
 
-/// A snapshot is taken when the log after the last one is as large as that snapshot (dissertation, section 5.1.2): each byte is
-/// written about twice, and a start reads about twice the state. These bounds, in bytes, limit the rule: a small state is not
-/// written every few entries, and a start never replays more of the log than this.
+/// Bounds, in bytes, of the log size at which a snapshot is taken.
+///
+/// Within them, a snapshot is taken when the log since the last snapshot is as large as that snapshot (Ongaro's dissertation,
+/// section 5.1.2). Each byte is then written about twice, and a restart reads about twice the size of the state. The lower bound
+/// avoids a snapshot every few entries while the state is small. The upper bound limits how much of the log a restart replays.
 const SNAPSHOT_LOG_BYTES: RangeInclusive<usize> = 256 << 10..=16 << 20;
-/// A snapshot is also taken after this many entries, because a start applies each of them, however short it is.
+/// Number of log entries after which a snapshot is taken whatever their size, because a restart applies each of them.
 const SNAPSHOT_LOG_ENTRIES: u64 = 16_384;
 
 /// A replica of the coordinator.
@@ -38,15 +40,15 @@
     applied_index: Index,
     snapshot_index: Index,
     pending: PendingRequests,
-    /// Requests that were rejected without asking the consensus node, to be answered with the next outputs.
+    /// Requests that were rejected before they reached the consensus node. They are answered with the next outputs.
     rejected: Vec<PendingRequest>,
-    /// The term in which this replica is the leader.
+    /// Term in which this replica is the leader, or `None` if it is not the leader.
     leader_term: Option<Term>,
     now: Duration,
     fault: Option<Fault>,
 }
 
-/// Everything that determines the replica's next outputs, except for its random numbers.
+/// Hashes everything that determines the replica's next outputs, except for its random numbers.
 impl Hash for Replica {
     fn hash<H: Hasher>(&self, into: &mut H) {
         (&self.raft, &self.state, self.applied_index, self.leader_term, self.now, &self.pending).hash(into);
@@ -54,10 +56,10 @@
 }
 
 impl Replica {
-    /// A replica that starts with this persistent state. `now` is any monotonic clock, with any origin.
+    /// Starts a replica from its persistent state. `now` is the time of a monotonic clock of any origin.
     ///
     /// # Errors
-    /// The snapshot can not be read.
+    /// Returns an error if the snapshot cannot be read.
     pub fn new(
         id: NodeId,
         settings: Settings,
@@ -85,7 +87,7 @@
         })
     }
 
-    /// Injects a fault.
+    /// Injects a fault, in place of an earlier one.
     #[cfg(feature = "fault_injection")]
     pub fn inject_fault(&mut self, fault: impl Into<Fault>) {
         let fault = fault.into();
@@ -93,68 +95,69 @@
         self.state.inject_fault(fault);
     }
 
-    /// The status of the consensus node.
+    /// Returns the status of the consensus node.
     pub fn status(&self) -> Status {
         self.raft.status()
     }
 
-    /// The consensus node.
+    /// Returns the consensus node.
     pub fn raft(&self) -> &Raft {
         &self.raft
     }
 
-    /// The leases as of the last applied entry.
+    /// Returns the leases as of the last applied entry.
     pub fn leases(&self) -> &Table {
         self.state.leases.table()
     }
 
-    /// The topics as of the last applied entry.
+    /// Returns the topics as of the last applied entry.
     pub fn topics(&self) -> &Topics {
         self.state.topics.topics()
     }
 
-    /// The quota ledger as of the last applied entry.
+    /// Returns the quota ledger as of the last applied entry.
     pub fn quotas(&self) -> &beechloft_quotas::Ledger {
         self.state.quotas.ledger()
     }
 
-    /// The placement as of the last applied entry.
+    /// Returns the placement as of the last applied entry.
     pub fn placements(&self) -> &beechloft_placement::Placements {
         self.state.placement.placements()
     }
 
-    /// The index of the last applied entry.
+    /// Returns the index of the last applied entry.
     pub fn applied_index(&self) -> Index {
         self.applied_index
     }
 
-    /// The maximum age of the state: the time since this replica last had everything that was committed.
+    /// Returns the time since this replica last had everything that was committed, which is the maximum age of its state.
     pub fn staleness(&self) -> Duration {
         self.raft.staleness()
     }
 
-    /// Runs the topics' log cleaners for a bounded step. Returns whether there is more to clean. Each replica cleans
-    /// independently of the log: the content of topics does not change.
+    /// Runs the log cleaners of the topics for a bounded step, and returns whether there is more to clean.
+    ///
+    /// Each replica cleans at its own times, because cleaning does not change the content of topics.
     pub fn clean_topics(&mut self) -> bool {
         self.state.topics.clean()
     }
 
-    /// Whether this replica is the leader and a grant expires by then.
+    /// Returns whether this replica is the leader and a grant expires by `now`.
     pub fn expires_by(&self, now: Duration) -> bool {
         self.leader_term.is_some() && self.state.leases.expires_by(now)
     }
 
-    /// When [`ReplicaInput::Tick`](crate::ReplicaInput::Tick) is due next.
+    /// Returns the time at which [`ReplicaInput::Tick`](crate::ReplicaInput::Tick) is due next.
     pub fn next_due(&self) -> Duration {
-        let of_components = self.state.next_due().filter(|_| self.leader_term.is_some());
-        self.raft.next_due().min(of_components.unwrap_or(Duration::MAX))
+        let components_due = self.state.next_due().filter(|_| self.leader_term.is_some());
+        self.raft.next_due().min(components_due.unwrap_or(Duration::MAX))
     }
 
     fn context(&self) -> ApplyContext {
         ApplyContext { now: self.now, drift: self.drift, is_leader: self.leader_term.is_some() }
     }
 
-    /// Detects whether this replica became the leader, or is no longer the leader.
+    /// Detects that this replica became the leader of a new term or lost the leadership, and informs the components.
     fn observe_leadership(&mut self) {
         let term = self.raft.is_leader().then(|| self.raft.status().term);
         if term == self.leader_term {
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Takes a snapshot if the log has grown enough since the last one.
+    /// Takes a snapshot if the log since the last one is long or large enough.
     fn compact(&mut self, out: &mut PendingOutputs) {
         let snapshot_bytes = self.raft.snapshot().map_or(0, |snapshot| snapshot.state.size());
         let min_log_bytes = snapshot_bytes.clamp(*SNAPSHOT_LOG_BYTES.start(), *SNAPSHOT_LOG_BYTES.end());
@@ -189,10 +192,11 @@
         }
     }
 
-    /// Handles outputs whose preconditions are durable: applies committed entries and answers clients.
+    /// Handles the outputs of the consensus node once their preconditions are durable. Applies committed entries and answers
+    /// clients.
     ///
     /// # Errors
-    /// A snapshot of the leader can not be read. The replica must stop.
+    /// Returns an error if a snapshot from the leader cannot be read. The replica must stop then.
     pub fn process_ready(&mut self, now: Duration, ready: Ready) -> Result<Vec<ReplicaOutput>, StateError> {
         self.now = self.now.max(now);
         let Ready { messages, installed_snapshot, committed_entries, proposals, reads, membership: _ } =
--- a/crates/fleet/replica/src/replica/requests.rs
+++ b/crates/fleet/replica/src/replica/requests.rs
@@ -1,4 +1,4 @@
-//! How a replica handles inputs: as proposals or reads of the consensus node.
+//! Handling of a replica's inputs, which become proposals to the consensus node or reads from it.
 
 use std::time::Duration;
 
@@ -13,7 +13,9 @@
 use crate::input::{ClientId, ReplicaInput};
 
 impl Replica {
-    /// Handles an input. Once the storage has made `out` durable, the rest of it is for [`Replica::process_ready`].
+    /// Handles an input and adds the effects to `out`.
+    ///
+    /// After the storage has made `out` durable, the caller passes the remaining outputs to [`Replica::process_ready`].
     pub fn handle(&mut self, now: Duration, input: ReplicaInput, out: &mut PendingOutputs) {
         self.now = self.now.max(now);
         match input {
@@ -36,8 +38,8 @@
                 let command = Command::Topics(TopicCommand::Ask(request));
                 self.propose(&command, PendingRequest::Topics(pending), out);
             }
-            ReplicaInput::DeclareTopic(life, topic, terms) => {
-                let command = Command::Topics(TopicCommand::Declare { topic, life, terms });
+            ReplicaInput::DeclareTopic(topic_id, topic, terms) => {
+                let command = Command::Topics(TopicCommand::Declare { topic, life: topic_id, terms });
                 self.propose(&command, PendingRequest::Topics(PendingTopicRequest::Internal), out);
             }
             ReplicaInput::QuotaRequest(client, request) => {
@@ -77,7 +79,7 @@
         self.raft.handle(self.now, Input::Read(request), out);
     }
 
-    /// Proposes a command. Above the bound of pending requests it is rejected without asking the consensus node.
+    /// Proposes a command. Rejects it without asking the consensus node if too many requests are pending.
     pub(super) fn propose(&mut self, command: &Command, pending: PendingRequest, out: &mut PendingOutputs) {
         if self.pending.is_full() {
             return self.rejected.push(pending);
--- a/crates/fleet/replica/src/snapshot/mod.rs
+++ b/crates/fleet/replica/src/snapshot/mod.rs
@@ -1,4 +1,6 @@
-//! The encoding of the replicated state in a snapshot: a first chunk with a table of contents, then the chunks of all components.
+//! The encoding of the replicated state in a snapshot.
+//!
+//! The first chunk contains a table of contents. The chunks of all components follow in its order.
 
 #[cfg(test)]
 mod tests;
@@ -9,44 +11,46 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A snapshot can not be read. The replica must stop.
+/// The reason why a snapshot cannot be read. The replica must stop.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum StateError {
-    /// The leases can not be read.
+    /// The leases cannot be read.
     #[error(transparent)]
     Leases(#[from] TableError),
-    /// The topics can not be read.
+    /// The topics cannot be read.
     #[error(transparent)]
     Topics(#[from] ChunkError),
-    /// The placement can not be read.
+    /// The placement cannot be read.
     #[error(transparent)]
     Placement(#[from] beechloft_placement::state::StateError),
-    /// The quotas can not be read.
+    /// The quotas cannot be read.
     #[error(transparent)]
     Quotas(#[from] beechloft_quotas::LedgerError),
-    /// The chunks do not fit the table of contents.
-    #[error("a snapshot whose pieces do not fit together")]
+    /// The chunks do not match the table of contents, or the table of contents is invalid.
+    #[error("the chunks of the snapshot do not match its table of contents")]
     Malformed,
-    /// A component that this version does not know, and whose state it would lose.
-    #[error("a snapshot with part {0}, which this version does not know")]
+    /// The snapshot contains a component that this version does not know and whose state it would lose.
+    #[error("the snapshot contains component {0}, which this version does not support")]
     UnknownComponent(u8),
 }
 
-/// The start of the first chunk. A state that does not start with it is a table of leases, which was the only component at first.
+/// First bytes of the first chunk.
+///
+/// A snapshot that does not start with them is a table of leases, because early versions had no other component.
 const MAGIC: &[u8] = b"beechloft parts 1\n";
 
-/// The tags of the components, in order, and the number of chunks of each.
+/// The tags of the components in order, each with its number of chunks.
 #[derive(Debug, Serialize, Deserialize)]
 struct TableOfContents(Vec<(u8, u32)>);
 
-/// The chunks of a component.
+/// The chunks of one component.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Section<'a> {
     pub tag: u8,
     pub chunks: &'a [Chunk],
 }
 
-/// Encodes the chunks of components, by tag. A component without chunks is left out.
+/// Encodes the chunks of components, by tag. Omits components without chunks.
 #[expect(clippy::cast_possible_truncation, reason = "a state has at most MAX_CHUNKS chunks")]
 pub(crate) fn write(components: impl IntoIterator<Item = (u8, Vec<Chunk>)>) -> SnapshotData {
     let mut contents = TableOfContents(Vec::new());
@@ -57,17 +61,20 @@
             all_chunks.extend(chunks);
         }
     }
-    // Only values of unknown length fail to be encoded, and this is none.
+    // Encoding fails only for sequences of unknown length, which the table of contents does not contain.
     let encoded_contents = postcard::to_allocvec(&contents).unwrap_or_default();
     all_chunks.insert(0, Chunk::new([MAGIC, &encoded_contents].concat()));
     SnapshotData::new(all_chunks)
 }
 
-/// The sections of a state. A state in the old format is one section with the tag `leases`.
-pub(crate) fn read(state: &SnapshotData, leases: u8) -> Result<Vec<Section<'_>>, StateError> {
+/// Splits a snapshot into its sections. A snapshot of the old format is one section with the tag `leases_tag`.
+///
+/// # Errors
+/// Returns [`StateError::Malformed`] if the chunks do not match the table of contents.
+pub(crate) fn read(state: &SnapshotData, leases_tag: u8) -> Result<Vec<Section<'_>>, StateError> {
     let Some((first, mut rest)) = state.chunks().split_first() else { return Ok(Vec::new()) };
     let Some(encoded_contents) = first.bytes().strip_prefix(MAGIC) else {
-        let table = Section { tag: leases, chunks: state.chunks() };
+        let table = Section { tag: leases_tag, chunks: state.chunks() };
         return if rest.is_empty() { Ok(vec![table]) } else { Err(StateError::Malformed) };
     };
     let contents: TableOfContents =
