--- a/crates/fleet/replica/src/command/tests.rs
+++ b/crates/fleet/replica/src/command/tests.rs
@@ -6,19 +6,19 @@
 use super::{Command, tag};
 
 #[test]
-fn commands_round_trip_and_unknown_tags_are_ignored() {
-    let of_leases = Command::Leases(beechloft_leases::Command::Expire { token: Token(300), renewals: 2 });
-    let bytes = of_leases.write().expect("bytes");
-    // As logs have it from before there were other parts.
+fn commands_round_trip_and_undecodable_bytes_are_rejected() {
+    let lease_command = Command::Leases(beechloft_leases::Command::Expire { token: Token(300), renewals: 2 });
+    let bytes = lease_command.write().expect("every command has an encoding");
+    // Commands of the leases have no tag, as in logs of versions without other components.
     assert_eq!(bytes, [1, 0xac, 2, 2]);
-    assert_eq!(Command::read(&bytes), Some(of_leases));
+    assert_eq!(Command::read(&bytes), Some(lease_command));
     let topic = Name::try_from("limits".to_owned()).expect("a name");
-    let of_topics = Command::Topics(TopicCommand::Horizon { topic, to: Offset(300) });
-    let topic_bytes = of_topics.write().expect("bytes");
-    assert_eq!((topic_bytes[0], Command::read(&topic_bytes)), (16, Some(of_topics)));
-    for rubbish in
+    let topic_command = Command::Topics(TopicCommand::Horizon { topic, to: Offset(300) });
+    let topic_bytes = topic_command.write().expect("every command has an encoding");
+    assert_eq!((topic_bytes[0], Command::read(&topic_bytes)), (16, Some(topic_command)));
+    for undecodable in
         [&[][..], &[2], &[tag::FIRST_IN_LOG + 100, 1], &[255; 9], &topic_bytes[..topic_bytes.len() - 1]]
     {
-        assert_eq!(Command::read(rubbish), None);
+        assert_eq!(Command::read(undecodable), None);
     }
 }
--- a/crates/fleet/replica/src/components/leases.rs
+++ b/crates/fleet/replica/src/components/leases.rs
@@ -149,7 +149,7 @@
         let Applied { answer, event } = self.table.apply(&command);
         match &event {
             Some(Event::Granted { token, previous, .. }) => {
-                self.deadlines.retain(|token, _| Some(*token) != *previous);
+                self.deadlines.retain(|known, _| Some(*known) != *previous);
                 self.start_ttl(context, *token);
             }
             Some(Event::Renewed(_, token) | Event::HandedOff(_, token)) => self.start_ttl(context, *token),
--- a/crates/fleet/replica/src/components/placement.rs
+++ b/crates/fleet/replica/src/components/placement.rs
@@ -24,7 +24,8 @@
 use crate::input::ClientId;
 use crate::output::ReplicaOutput;
 
-/// Name of the topic of placement records. Keys are `CUSTOMER/SHARD`, values a revision and a [`Record`], or a tombstone for a removed shard.
+/// Name of the topic of placement records. Keys are `CUSTOMER/SHARD`, values a revision and a [`Record`], or a tombstone for a
+/// removed shard.
 pub(crate) const TOPIC: &str = "fleet/placement";
 /// Publisher id under which the replicated state itself writes the records.
 const PUBLISHER: PublisherId = PublisherId(18);
--- a/crates/fleet/replica/src/components/quotas.rs
+++ b/crates/fleet/replica/src/components/quotas.rs
@@ -65,8 +65,8 @@
 
     /// Applies a record of the topic [`TOPIC`], which defines or removes a limit.
     ///
-    /// A record that is not a valid definition of the limit in its key has no effect. The version of the definition derives from the
-    /// offset of the record, so an older definition never replaces a newer one.
+    /// A record that is not a valid definition of the limit in its key has no effect. The version of the definition derives from
+    /// the offset of the record, so an older definition never replaces a newer one.
     pub fn record(
         &mut self,
         context: ApplyContext,
--- a/crates/fleet/replica/src/replica/tests/mod.rs
+++ b/crates/fleet/replica/src/replica/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of a single replica: bounds, subscriptions, and the placement component.
+//! Tests of a replica that is alone in its cluster.
 
 mod placement;
 
@@ -16,7 +16,7 @@
 use crate::output::ReplicaOutput;
 use crate::pending_requests::MAX_PENDING;
 
-/// A storage that keeps nothing.
+/// A storage that discards everything.
 struct NullStorage;
 
 impl Storage for NullStorage {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn requests_above_the_bound_are_rejected_at_once_and_all_are_answered() {
+fn rejects_requests_above_limit_and_answers_all_others() {
     let mut replica = single_replica();
     let (now, mut out) = (Duration::from_secs(2), PendingOutputs::default());
     replica.handle(now, ReplicaInput::Tick, &mut out);
@@ -43,77 +43,84 @@
             &mut out,
         );
     }
-    let Ok(released) = out.persist(&mut NullStorage);
-    let notified = replica.process_ready(now, released).expect("a table");
-    let busy =
-        notified.iter().filter(|o| matches!(o, ReplicaOutput::LeaseResponse(_, Response::Busy))).count();
-    let answered = notified
+    let Ok(ready) = out.persist(&mut NullStorage);
+    let outputs = replica.process_ready(now, ready).expect("a readable snapshot");
+    let busy_count = outputs
         .iter()
-        .filter(|o| matches!(o, ReplicaOutput::LeaseResponse(_, Response::Answer { .. })))
+        .filter(|output| matches!(output, ReplicaOutput::LeaseResponse(_, Response::Busy)))
         .count();
-    assert_eq!((busy as u64, answered), (excess, MAX_PENDING));
+    let answered = outputs
+        .iter()
+        .filter(|output| matches!(output, ReplicaOutput::LeaseResponse(_, Response::Answer { .. })))
+        .count();
+    assert_eq!((busy_count as u64, answered), (excess, MAX_PENDING));
 }
 
-/// A replica that is the only one of its cluster.
+/// Returns a replica that is the only member of its cluster.
 fn single_replica() -> Replica {
     let stored = PersistentState::first(Membership::of([(NodeId(1), "a".into())]));
     let drift = DriftBound::ppm(100).expect("within bounds");
-    Replica::new(NodeId(1), Settings::default(), stored, drift, 1, Duration::ZERO).expect("a table")
+    Replica::new(NodeId(1), Settings::default(), stored, drift, 1, Duration::ZERO)
+        .expect("a readable snapshot")
 }
 
-fn handle(replica: &mut Replica, at_ms: u64, asked: ReplicaInput) -> Vec<ReplicaOutput> {
+fn handle(replica: &mut Replica, at_ms: u64, input: ReplicaInput) -> Vec<ReplicaOutput> {
     let (now, mut out) = (Duration::from_millis(at_ms), PendingOutputs::default());
-    replica.handle(now, asked, &mut out);
-    let Ok(released) = out.persist(&mut NullStorage);
-    replica.process_ready(now, released).expect("a table")
+    replica.handle(now, input, &mut out);
+    let Ok(ready) = out.persist(&mut NullStorage);
+    replica.process_ready(now, ready).expect("a readable snapshot")
 }
 
 #[test]
-fn a_watcher_receives_the_current_grants_and_then_each_change_once() {
+fn watcher_receives_current_grants_and_each_change_once() {
     let mut replica = single_replica();
     let name = |text: &str| Name::try_from(text.to_owned()).expect("a name");
-    let ask = |holder: u64, seq, of: &str| {
-        let op = Op::Acquire { name: name(of), slots: 1, ttl_ms: 1_000 };
+    let acquire = |holder: u64, seq, task: &str| {
+        let op = Op::Acquire { name: name(task), slots: 1, ttl_ms: 1_000 };
         ReplicaInput::LeaseRequest(ClientId(9), Request { holder: HolderId(holder), seq, op })
     };
     handle(&mut replica, 2_000, ReplicaInput::Tick);
-    handle(&mut replica, 2_001, ask(1, 1, "a"));
+    handle(&mut replica, 2_001, acquire(1, 1, "a"));
     let out = handle(&mut replica, 2_002, ReplicaInput::WatchLeases(ClientId(1), Some(name("a"))));
-    let listed =
-        |o: &ReplicaOutput| matches!(o, ReplicaOutput::Leases(ClientId(1), t) if t.grants().count() == 1);
-    assert_eq!(out.iter().filter(|o| listed(o)).count(), 1, "{out:?}");
+    let is_listing = |output: &ReplicaOutput| match output {
+        ReplicaOutput::Leases(ClientId(1), table) => table.grants().count() == 1,
+        _ => false,
+    };
+    assert_eq!(out.iter().filter(|output| is_listing(output)).count(), 1, "{out:?}");
     handle(&mut replica, 2_003, ReplicaInput::WatchLeases(ClientId(2), None));
     let notified = |outputs: &[ReplicaOutput]| -> Vec<(u64, Event)> {
-        let one = |o: &ReplicaOutput| match o {
+        let watch_event = |output: &ReplicaOutput| match output {
             ReplicaOutput::WatchEvent(client, event) => Some((client.0, event.clone())),
             _ => None,
         };
-        outputs.iter().filter_map(one).collect()
+        outputs.iter().filter_map(watch_event).collect()
     };
-    // A grant of another task is reported only to the watcher of all tasks. A retried request is reported once.
-    assert_eq!(
-        notified(&handle(&mut replica, 2_004, ask(1, 2, "b"))).iter().map(|t| t.0).collect::<Vec<_>>(),
-        [2]
-    );
-    assert_eq!(notified(&handle(&mut replica, 2_005, ask(1, 2, "b"))), []);
+    // A grant of another task is reported only to the watcher of all tasks. A retried request is not reported again.
+    let notifications = notified(&handle(&mut replica, 2_004, acquire(1, 2, "b")));
+    let clients: Vec<u64> = notifications.iter().map(|(client, _)| *client).collect();
+    assert_eq!(clients, [2]);
+    assert_eq!(notified(&handle(&mut replica, 2_005, acquire(1, 2, "b"))), []);
     // Renewals are not reported.
-    let renew = Op::Renew { name: name("b"), token: Token(2) };
-    let renew = ReplicaInput::LeaseRequest(ClientId(9), Request { holder: HolderId(1), seq: 3, op: renew });
+    let op = Op::Renew { name: name("b"), token: Token(2) };
+    let renew = ReplicaInput::LeaseRequest(ClientId(9), Request { holder: HolderId(1), seq: 3, op });
     assert_eq!(notified(&handle(&mut replica, 2_006, renew)), []);
     handle(&mut replica, 2_007, ReplicaInput::ClientDisconnected(ClientId(2)));
-    // The first grant expires: the entry is proposed and applied.
+    // The first grant expires. The replica proposes the expiry and applies it.
     let expired = notified(&handle(&mut replica, 3_500, ReplicaInput::Tick));
     assert_eq!(expired, [(1, Event::Expired(name("a"), Token(1)))]);
 }
 
 #[test]
-fn watch_requests_above_the_bound_are_rejected() {
+fn rejects_watch_requests_above_limit() {
     let mut replica = single_replica();
     handle(&mut replica, 2_000, ReplicaInput::Tick);
-    let mut busy = 0;
+    let mut busy_count = 0;
     for n in 0..MAX_WATCHERS as u64 + 5 {
         let out = handle(&mut replica, 2_001, ReplicaInput::WatchLeases(ClientId(n), None));
-        busy += out.iter().filter(|o| matches!(o, ReplicaOutput::LeaseResponse(_, Response::Busy))).count();
+        busy_count += out
+            .iter()
+            .filter(|output| matches!(output, ReplicaOutput::LeaseResponse(_, Response::Busy)))
+            .count();
     }
-    assert_eq!(busy, 5);
+    assert_eq!(busy_count, 5);
 }
--- a/crates/fleet/replica/src/replica/tests/placement.rs
+++ b/crates/fleet/replica/src/replica/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The placement as a component of the replicated state.
+//! Tests of the placement as a component of a replica.
 
 use std::sync::Arc;
 
@@ -21,9 +21,9 @@
     T::try_from(text.to_owned()).expect("a name")
 }
 
-fn place(replica: &mut Replica, at_ms: u64, command: Command) -> Vec<Answer> {
+fn run_command(replica: &mut Replica, at_ms: u64, command: Command) -> Vec<Answer> {
     let out = handle(replica, at_ms, ReplicaInput::PlacementCommand(ClientId(1), at_ms, Box::new(command)));
-    let answer = |o| match o {
+    let answer = |output| match output {
         ReplicaOutput::PlacementResponse(ClientId(1), number, answer) if number == at_ms => Some(answer),
         _ => None,
     };
@@ -47,46 +47,47 @@
 }
 
 #[test]
-fn records_are_written_to_their_topic_by_the_log_itself_and_rights_expire() {
+fn writes_records_to_topic_once_and_expires_rights() {
     let mut replica = single_replica();
     handle(&mut replica, 2_000, ReplicaInput::Tick);
-    let room = Room { bytes: 100, streams: 10, kb_s: 10 };
-    let line = BoxLine { zone: name("z"), rack: RackId(1), has: room, held: Room::default() };
+    let capacity = Room { bytes: 100, streams: 10, kb_s: 10 };
+    let media_server = BoxLine { zone: name("z"), rack: RackId(1), has: capacity, held: Room::default() };
     let quota = Quota { bytes: 100, regions: [name("south")].into(), changes_an_hour: 9, shards: 9 };
-    let words = [
+    let operations = [
         Operate::Region(name("south"), [name("z")].into()),
         Operate::Rack(RackId(1), RackLine { uplink_kb_s: 10, held_kb_s: 0 }),
-        Operate::Box(BoxId(1), line),
+        Operate::Box(BoxId(1), media_server),
         Operate::Quota(name("ann"), quota),
     ];
-    for (at_ms, operate) in (2_001..).zip(words) {
-        assert_eq!(place(&mut replica, at_ms, Command::Operate(operate)), [Answer::Done]);
+    for (at_ms, operate) in (2_001..).zip(operations) {
+        assert_eq!(run_command(&mut replica, at_ms, Command::Operate(operate)), [Answer::Done]);
     }
-    let met = Step::Met { id: BoxId(1), life: Life(1), disk: DiskId(1), told: Order(0) };
-    assert_eq!(place(&mut replica, 2_010, Command::Step(Token(1), met)), [Answer::Done]);
+    let media_server_found = Step::Met { id: BoxId(1), life: Life(1), disk: DiskId(1), told: Order(0) };
+    assert_eq!(run_command(&mut replica, 2_010, Command::Step(Token(1), media_server_found)), [Answer::Done]);
     let admitted = Answer::Asked(AskId(1), Outcome::Admitted(Version(1)));
-    assert_eq!(place(&mut replica, 2_011, put()), std::slice::from_ref(&admitted));
-    // There is no topic yet: the record pending, in the state that a snapshot has.
-    let mut read = ReplicatedState::read(&replica.state.write()).expect("it reads back");
-    assert_eq!(read.write(), replica.state.write());
+    assert_eq!(run_command(&mut replica, 2_011, put()), std::slice::from_ref(&admitted));
+    // The record waits in the replicated state, also in a snapshot, because the topic does not exist yet.
+    let mut restored = ReplicatedState::read(&replica.state.write()).expect("a readable snapshot");
+    assert_eq!(restored.write(), replica.state.write());
     let topic: Name = name("fleet/placement");
-    let written = |of: &Replica| of.topics().all().find(|(n, _)| **n == topic).map(|(_, t)| t.head().0);
-    assert_eq!(written(&replica), None);
+    let record_count =
+        |of: &Replica| of.topics().all().find(|(name, _)| **name == topic).map(|(_, topic)| topic.head().0);
+    assert_eq!(record_count(&replica), None);
     handle(
         &mut replica,
         2_012,
         ReplicaInput::DeclareTopic(7, topic.clone(), beechloft_topic::Terms::default()),
     );
-    assert_eq!(written(&replica), Some(1));
-    // A retried command is applied once, and nothing more is written. A state that was read back behaves the same.
-    assert_eq!(place(&mut replica, 2_013, put()), [admitted]);
-    assert_eq!(written(&replica), Some(1));
-    read.restore(&replica.state.write(), None).expect("it reads back");
-    assert_eq!(read.write(), replica.state.write());
-    // A front node's right expires by the leader's clock, some time after its own.
+    assert_eq!(record_count(&replica), Some(1));
+    // A retried command is applied once and writes no further record. A restored state has the same encoding.
+    assert_eq!(run_command(&mut replica, 2_013, put()), [admitted]);
+    assert_eq!(record_count(&replica), Some(1));
+    restored.restore(&replica.state.write(), None).expect("a readable snapshot");
+    assert_eq!(restored.write(), replica.state.write());
+    // A front node's right expires by the leader's clock, later than by the front node's own.
     let renew = Renew { front: FrontId(5), seq: 1, has: Some(Revision(1)), ttl_ms: 1_000 };
-    let right = Answer::Front { front: FrontId(5), seq: 1, renewed: Renewed::Right };
-    assert_eq!(place(&mut replica, 2_020, Command::Renew(renew)), [right]);
+    let granted = Answer::Front { front: FrontId(5), seq: 1, renewed: Renewed::Right };
+    assert_eq!(run_command(&mut replica, 2_020, Command::Renew(renew)), [granted]);
     handle(&mut replica, 3_000, ReplicaInput::Tick);
     assert_eq!(replica.placements().fronts().len(), 1);
     handle(&mut replica, 3_040, ReplicaInput::Tick);
--- a/crates/fleet/replica/tests/encoding/main.rs
+++ b/crates/fleet/replica/tests/encoding/main.rs
@@ -1,7 +1,7 @@
-//! The encodings of what replicas store: commands in the log and the replicated state in a snapshot, byte for byte, in both
-//! directions. Replicas of different versions run side by side during an update, and a disk outlives the version that wrote
-//! it: a failure here means that the change would break both. `fixtures/*.txt` has one line for each value: its name and its
-//! bytes as hexadecimal digits.
+//! Encodings of commands in the log and of the replicated state in a snapshot, compared with fixtures in both directions.
+//!
+//! Replicas of different versions run side by side during an update, and replicas read what earlier versions stored, so a changed
+//! encoding breaks updates. Each line of `fixtures/*.txt` has the name of a value and its bytes as hexadecimal digits.
 #![allow(missing_docs)]
 
 mod commands;
@@ -17,7 +17,7 @@
     (0..digits.len()).step_by(2).map(pair).collect()
 }
 
-/// The bytes of a fixture's line.
+/// Returns the bytes of the fixture with this name.
 fn fixture(file: &str, name: &str) -> Vec<u8> {
     let line = file.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     from_hex(line.unwrap_or_else(|| panic!("no fixture {name}")))
--- a/crates/fleet/replica/tests/encoding/values.rs
+++ b/crates/fleet/replica/tests/encoding/values.rs
@@ -1,4 +1,4 @@
-//! Commands of each part with every field set.
+//! Commands of each component, with every field set.
 
 use std::sync::Arc;
 
@@ -43,16 +43,16 @@
     }
 }
 
-fn leases() -> Vec<(&'static str, Command)> {
+fn lease_commands() -> Vec<(&'static str, Command)> {
     use beechloft_leases::Op;
-    let task = || -> Name { name("task") };
+    let task_name = || -> Name { name("task") };
     let handoff = Handoff { slot_count: 7, remaining_ms: 1_500, newest_token: Token(300), reserve_ms: 9_000 };
     vec![
         ("leases-acquire", lease(1, acquire())),
-        ("leases-renew", lease(2, Op::Renew { name: task(), token: Token(300) })),
-        ("leases-release", lease(3, Op::Release { name: task(), token: Token(300) })),
+        ("leases-renew", lease(2, Op::Renew { name: task_name(), token: Token(300) })),
+        ("leases-release", lease(3, Op::Release { name: task_name(), token: Token(300) })),
         ("leases-acquire-as", lease(4, acquire_as())),
-        ("leases-leave", lease(5, Op::HandOff { name: task(), token: Token(300), handoff })),
+        ("leases-leave", lease(5, Op::HandOff { name: task_name(), token: Token(300), handoff })),
         (
             "leases-expire",
             Command::Leases(beechloft_leases::Command::Expire { token: Token(300), renewals: 2 }),
@@ -75,14 +75,14 @@
     TopicOp::Publish { session: Session(1), seq, record: Record { key, value }, expect }
 }
 
-fn topics() -> Vec<(&'static str, Command)> {
-    let ask = |op| Command::Topics(TopicCommand::Ask(topic_request(op)));
+fn topic_commands() -> Vec<(&'static str, Command)> {
+    let request = |op| Command::Topics(TopicCommand::Ask(topic_request(op)));
     vec![
         ("topics-declare", declare("topic", 1 << 50)),
-        ("topics-begin", ask(TopicOp::Begin { epoch: Epoch(5) })),
-        ("topics-publish", ask(publish(1, Some(b"value\xff"), Expect::Anything))),
-        ("topics-publish-absent", ask(publish(2, Some(b""), Expect::Absent))),
-        ("topics-delete", ask(publish(3, None, Expect::At(Offset(300))))),
+        ("topics-begin", request(TopicOp::Begin { epoch: Epoch(5) })),
+        ("topics-publish", request(publish(1, Some(b"value\xff"), Expect::Anything))),
+        ("topics-publish-absent", request(publish(2, Some(b""), Expect::Absent))),
+        ("topics-delete", request(publish(3, None, Expect::At(Offset(300))))),
         ("topics-horizon", Command::Topics(TopicCommand::Horizon { topic: name("topic"), to: Offset(300) })),
     ]
 }
@@ -110,7 +110,7 @@
     beechloft_quotas::Request { front: beechloft_quotas::FrontId(1 << 62), seq, op }
 }
 
-fn limits() -> Vec<(&'static str, Command)> {
+fn quota_commands() -> Vec<(&'static str, Command)> {
     use beechloft_quotas::{Command as QuotaCommand, Op};
     let (account, orphan) = (AccountId(300), OrphanId(301));
     let claim =
@@ -138,17 +138,17 @@
     ShardId { customer: name("ann"), name: name("a") }
 }
 
-/// What operators set up before a shard can be pinned.
+/// Returns the operator commands that must precede the placement of a shard.
 pub fn operate() -> Vec<(&'static str, Operate)> {
-    let room = Room { bytes: 1_000, streams: 100, kb_s: 500 };
-    let line = BoxLine { zone: name("z"), rack: RackId(1), has: room, held: Room::default() };
+    let capacity = Room { bytes: 1_000, streams: 100, kb_s: 500 };
+    let media_server = BoxLine { zone: name("z"), rack: RackId(1), has: capacity, held: Room::default() };
     let quota =
         Quota { bytes: 300, regions: [name("north"), name("south")].into(), changes_an_hour: 9, shards: 9 };
     vec![
         ("region", Operate::Region(name("south"), [name("z")].into())),
         ("region-north", Operate::Region(name("north"), [name("y")].into())),
         ("rack", Operate::Rack(RackId(1), RackLine { uplink_kb_s: 500, held_kb_s: 1 })),
-        ("box", Operate::Box(BoxId(1), line)),
+        ("box", Operate::Box(BoxId(1), media_server)),
         ("quota", Operate::Quota(name("ann"), quota)),
     ]
 }
@@ -173,11 +173,11 @@
     }
 }
 
-fn placement() -> Vec<(&'static str, Command)> {
+fn placement_commands() -> Vec<(&'static str, Command)> {
     use beechloft_placement::Command as PlacementCommand;
     let step = |step| PlacementCommand::Step(Token(300), step);
     let (id, order) = (BoxId(1), Order(300));
-    let met = Step::Met { id, life: Life(1 << 40), disk: DiskId(2), told: order };
+    let media_server_found = Step::Met { id, life: Life(1 << 40), disk: DiskId(2), told: order };
     let remove = beechloft_placement::Change { if_match: Some(Version(3)), what: What::Remove, ..put() };
     let renew = Renew { front: FrontId(5), seq: 300, has: Some(Revision(6)), ttl_ms: 1_000 };
     let others = [
@@ -186,7 +186,7 @@
         ("put", PlacementCommand::Change(put())),
         ("remove", PlacementCommand::Change(remove)),
         ("step-clock", step(Step::Clock(300))),
-        ("step-met", step(met)),
+        ("step-met", step(media_server_found)),
         ("step-lost", step(Step::Lost { id, life: Life(1 << 40) })),
         ("step-read", step(Step::Read { shard: shard(), at: id, order, digest: Digest([2; 32]) })),
         ("step-over", step(Step::Over(shard()))),
@@ -197,9 +197,10 @@
     operate.chain(others).map(|(text, command)| (text, Command::Placement(command))).collect()
 }
 
-/// Commands by the name of their fixture.
+/// Returns all commands with the names of their fixtures.
 pub fn commands() -> Vec<(String, Command)> {
-    let placement = placement().into_iter().map(|(text, command)| (format!("placement-{text}"), command));
-    let others = leases().into_iter().chain(topics()).chain(limits());
+    let placement =
+        placement_commands().into_iter().map(|(text, command)| (format!("placement-{text}"), command));
+    let others = lease_commands().into_iter().chain(topic_commands()).chain(quota_commands());
     others.map(|(text, command)| (text.to_owned(), command)).chain(placement).collect()
 }
--- a/crates/fleet/replica/tests/explored.rs
+++ b/crates/fleet/replica/tests/explored.rs
@@ -1,10 +1,11 @@
-//! Explores every order of deliveries, duplicates, losses, crashes, elections, steps of time, requests and responses of three replicas
-//! and two candidates for a lease, up to a depth, with the production code. What is never delivered is lost.
+//! Model checking of the production code with three replicas and two candidates for a lease, in all event orders up to a depth.
 //!
-//! Any replica may start an election at any moment (all timeouts are zero), as in the model of `crates/fleet/consensus`. True time
-//! advances by a part of a lease's TTL per step, and each process's clock by that at its own rate: the fastest and the slowest that
-//! the drift bound permits, in each combination for replicas and candidates.
-// Not reworked yet, see docs/ROADMAP.md.
+//! The events are deliveries, duplicates, crashes, elections, losses of storage, membership changes, requests, responses and
+//! steps of time. A message that is never delivered counts as lost.
+//!
+//! Any replica may start an election at any time, because all timeouts are zero, as in the model of `crates/fleet/consensus`.
+//! True time advances by a fraction of the lease's TTL per step. The clocks of replicas and those of candidates run at the
+//! fastest and the slowest rate that the drift bound permits, or at the true rate.
 #![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod support;
@@ -28,38 +29,38 @@
 use support::MemoryStorage;
 
 const TTL: Duration = Duration::from_millis(1_000);
-/// In parts of a million; the bound that `DriftBound` has.
-const PPM: u32 = 90_000;
+/// Drift bound of the clocks, in parts per million.
+const DRIFT_PPM: u32 = 90_000;
 
-/// How often each kind of event may still happen.
+/// Remaining number of events of each kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct EventBudget {
     elections: u8,
     crashes: u8,
     duplicates: u8,
     steps: u8,
-    /// Ticks of candidates.
+    /// Ticks of candidates that are due.
     ticks: u8,
     releases: u8,
     kills: u8,
-    /// Replicas that are lost with their storage.
+    /// Permanent losses of a replica with its storage.
     losses: u8,
     /// Membership changes that replace a lost replica.
     changes: u8,
-    /// Storages that are erased under their old ids, which must never be done.
+    /// Restarts under the old id after the storage was erased, which operators must never do.
     erasures: u8,
 }
 
 #[derive(Debug, Clone)]
 struct FleetState {
-    /// True time, in steps.
+    /// True time, in steps since the start.
     steps: u32,
     replicas: BTreeMap<NodeId, Arc<(Replica, MemoryStorage)>>,
     holders: Vec<Arc<Holder>>,
     in_flight: Vec<Arc<Message>>,
     requests: Vec<Arc<(usize, Request)>>,
     responses: Vec<Arc<(usize, Response)>>,
-    highest: Token,
+    highest_token: Token,
     violation: Option<String>,
     budget: EventBudget,
 }
@@ -68,7 +69,7 @@
 enum Event {
     Deliver(Arc<Message>),
     Duplicate(Arc<Message>),
-    /// The receiver crashes after it has handled the message and before anything is saved, and restarts.
+    /// The receiver crashes after it has handled the message and before it saves the result, and restarts.
     DeliverCrash(Arc<Message>),
     Crash(NodeId),
     StartElection(NodeId),
@@ -79,29 +80,30 @@
     DeliverRequest(NodeId, Arc<(usize, Request)>),
     DuplicateRequest(NodeId, Arc<(usize, Request)>),
     DeliverResponse(Arc<(usize, Response)>),
-    Want(usize),
+    AcquireLease(usize),
     /// A candidate checks its deadlines.
     Tick(usize),
     Release(usize),
     /// A candidate's process is killed, and another one replaces it.
     Kill(usize),
-    /// A replica is lost with its storage. Another one starts in its place, with its own id and an empty storage.
+    /// A replica is lost with its storage, and a replacement with a new id and empty storage starts.
     Lose(NodeId),
-    /// The next step of an operator at the leader: the lost replica is removed, the new one is added as a learner, then promoted.
+    /// An operator takes the next step of a replacement at the leader. The steps remove the lost replica, add the new one as a
+    /// learner, and promote it.
     Change(NodeId, MembershipChange),
-    /// What must never be done: the storage is erased, and the replica restarts under its old id.
+    /// The storage is erased and the replica restarts under its old id, which operators must never do.
     EraseStorage(NodeId),
 }
 
 struct LeaseModel {
     budget: EventBudget,
     fault: Option<Fault>,
-    /// How fast the clocks of all replicas, and of all candidates, are, as a factor of the drift bound.
+    /// Deviations of the clock rates of all replicas and of all candidates, in multiples of the drift bound.
     rates: (f64, f64),
-    /// How far true time advances per step.
-    span: Duration,
-    /// The initial states.
-    before: Vec<Start>,
+    /// True time that passes per step.
+    step_duration: Duration,
+    /// Initial states.
+    starts: Vec<Start>,
 }
 
 /// An initial state.
@@ -109,18 +111,18 @@
 enum Start {
     /// The first replica is the leader.
     LeaderElected,
-    /// Also, the first candidate holds the lease, and the second was rejected and retries.
-    Held,
-    /// Also, the second replica is the leader after it.
-    HeldAndReelected,
-    /// Also, the first candidate has renewed, and the response is in flight.
+    /// The first replica is the leader, the first candidate holds the lease, and the second was rejected and retries.
+    Granted,
+    /// As in `Granted`, and the second replica was elected since.
+    GrantedThenReelected,
+    /// As in `Granted`, and the first candidate has requested a renewal, whose response is in flight.
     Renewed,
-    /// The first candidate holds the lease, and the leader is lost with its storage. The second replica leads.
-    HeldAndLost,
-    /// Also, the lost replica is replaced by a new voter.
-    HeldAndReplaced,
-    /// The first candidate holds the lease, and the third replica has no entry of it.
-    HeldByTwo,
+    /// As in `Granted`, and the leader was lost with its storage. The second replica is the leader.
+    GrantedThenLeaderLost,
+    /// As in `GrantedThenLeaderLost`, and a new voter has replaced the lost replica.
+    GrantedThenLeaderReplaced,
+    /// The first candidate holds the lease, and the third replica does not have the log entry of the grant.
+    GrantedWithoutThirdReplica,
 }
 
 /// The replica that replaces a lost one.
@@ -136,35 +138,37 @@
 
 impl LeaseModel {
     fn drift(&self) -> DriftBound {
-        DriftBound::ppm(PPM).expect("within bounds")
+        DriftBound::ppm(DRIFT_PPM).expect("within bounds")
     }
 
     fn clock(&self, rate: f64, steps: u32) -> Duration {
-        let by = 1.0 + rate * f64::from(PPM) / 1e6;
-        Duration::from_secs(1) + self.span.mul_f64(by) * steps
+        let rate_factor = 1.0 + rate * f64::from(DRIFT_PPM) / 1e6;
+        Duration::from_secs(1) + self.step_duration.mul_f64(rate_factor) * steps
     }
 
-    fn start_replica(&self, id: NodeId, disk: &MemoryStorage, now: Duration) -> Replica {
+    fn start_replica(&self, id: NodeId, storage: &MemoryStorage, now: Duration) -> Replica {
         let zero = Duration::ZERO;
-        let set = Settings {
+        let settings = Settings {
             election_timeout: zero,
             heartbeat_interval: zero,
             max_message_bytes: 1,
             ..Settings::default()
         };
         #[allow(unused_mut)]
-        let mut replica = Replica::new(id, set, disk.0.clone(), self.drift(), 0, now).expect("a table");
+        let mut replica =
+            Replica::new(id, settings, storage.0.clone(), self.drift(), 0, now).expect("a readable snapshot");
         if let Some(fault) = self.fault {
             replica.inject_fault(fault);
         }
         replica
     }
 
-    fn holder(&self, n: usize, life: u64) -> Holder {
+    fn holder(&self, candidate: usize, incarnation: u64) -> Holder {
         let name = Name::try_from("task".to_owned()).expect("a name");
-        let terms = LeaseSpec { name, slots: 1, ttl_ms: TTL.as_millis() as u32 };
+        let spec = LeaseSpec { name, slots: 1, ttl_ms: TTL.as_millis() as u32 };
         #[allow(unused_mut)]
-        let mut holder = Holder::new(HolderId(10 * (n as u64 + 1) + life), terms, self.drift(), 7);
+        let mut holder =
+            Holder::new(HolderId(10 * (candidate as u64 + 1) + incarnation), spec, self.drift(), 7);
         if let Some(fault) = self.fault {
             holder.inject(fault);
         }
@@ -172,57 +176,59 @@
     }
 
     fn new_state(&self) -> FleetState {
-        let disk = MemoryStorage(PersistentState::first(members()));
+        let storage = MemoryStorage(PersistentState::first(members()));
         let now = self.clock(self.rates.0, 0);
         FleetState {
             steps: 0,
             replicas: replicas()
-                .map(|id| (id, Arc::new((self.start_replica(id, &disk, now), disk.clone()))))
+                .map(|id| (id, Arc::new((self.start_replica(id, &storage, now), storage.clone()))))
                 .collect(),
-            holders: (0..2).map(|n| Arc::new(self.holder(n, 0))).collect(),
+            holders: (0..2).map(|candidate| Arc::new(self.holder(candidate, 0))).collect(),
             in_flight: Vec::new(),
             requests: Vec::new(),
             responses: Vec::new(),
-            highest: Token::default(),
+            highest_token: Token::default(),
             violation: None,
             budget: self.budget,
         }
     }
 
-    fn handle(&self, state: &mut FleetState, id: NodeId, requests: ReplicaInput, crash: bool) {
+    fn handle(&self, state: &mut FleetState, id: NodeId, input: ReplicaInput, crash: bool) {
         let now = self.clock(self.rates.0, state.steps);
-        let Some(host) = state.replicas.get_mut(&id) else { return };
-        let (replica, disk) = Arc::make_mut(host);
+        let Some(process) = state.replicas.get_mut(&id) else { return };
+        let (replica, storage) = Arc::make_mut(process);
         let mut out = PendingOutputs::default();
-        replica.handle(now, requests, &mut out);
+        replica.handle(now, input, &mut out);
         if crash {
-            // Nothing has budget that was not saved.
+            // Outputs are lost with the state that was not saved.
             drop(out);
-            *replica = self.start_replica(id, &disk.clone(), now);
+            *replica = self.start_replica(id, &storage.clone(), now);
             return;
         }
-        let Ok(released) = out.persist(disk);
-        for output in replica.process_ready(now, released).expect("a table") {
+        let Ok(ready) = out.persist(storage);
+        for output in replica.process_ready(now, ready).expect("a readable snapshot") {
             match output {
                 ReplicaOutput::Peer(message) => insert_unique(&mut state.in_flight, message),
-                ReplicaOutput::LeaseResponse(client, heard @ Response::Answer { .. }) => {
-                    insert_unique(&mut state.responses, (client.0 as usize, heard));
+                ReplicaOutput::LeaseResponse(client, response @ Response::Answer { .. }) => {
+                    insert_unique(&mut state.responses, (client.0 as usize, response));
                 }
                 _ => {}
             }
         }
     }
 
-    fn handle_at_candidate(&self, state: &mut FleetState, n: usize, input: HolderInput) {
+    fn handle_at_candidate(&self, state: &mut FleetState, candidate: usize, input: HolderInput) {
         let now = self.clock(self.rates.1, state.steps);
-        for output in Arc::make_mut(&mut state.holders[n]).handle(now, input) {
+        for output in Arc::make_mut(&mut state.holders[candidate]).handle(now, input) {
             match output {
-                HolderOutput::Send(request) => insert_unique(&mut state.requests, (n, request)),
+                HolderOutput::Send(request) => insert_unique(&mut state.requests, (candidate, request)),
                 HolderOutput::Acquired(token) => {
-                    if token <= state.highest {
-                        state.violation.get_or_insert(format!("{token:?} is held after {:?}", state.highest));
+                    if token <= state.highest_token {
+                        state
+                            .violation
+                            .get_or_insert(format!("{token:?} is granted after {:?}", state.highest_token));
                     }
-                    state.highest = state.highest.max(token);
+                    state.highest_token = state.highest_token.max(token);
                 }
                 HolderOutput::Lost(_) | HolderOutput::Rejected(_) => {}
             }
@@ -230,18 +236,18 @@
     }
 
     fn start_election(&self, state: &mut FleetState, id: NodeId) {
-        if state.replicas.get(&id).is_some_and(|h| h.0.raft().is_leader()) {
-            // With a timeout of zero it has no quorum and steps down.
+        if state.replicas.get(&id).is_some_and(|process| process.0.raft().is_leader()) {
+            // With timeouts of zero, a tick makes the leader step down.
             self.handle(state, id, ReplicaInput::Tick, false);
         }
-        let before = state.in_flight.clone();
+        let in_flight_before = state.in_flight.clone();
         self.handle(state, id, ReplicaInput::Tick, false);
-        // Pre-votes are always granted, so their messages need not be explored.
-        state.in_flight = before;
-        let Some(host) = state.replicas.get(&id) else { return };
-        let status = host.0.status();
+        // Pre-votes are always granted, so their messages are not explored.
+        state.in_flight = in_flight_before;
+        let Some(process) = state.replicas.get(&id) else { return };
+        let status = process.0.status();
         let term = Term(status.term.0 + 1);
-        for from in status.members.voters().filter(|v| *v != id) {
+        for from in status.members.voters().filter(|voter| *voter != id) {
             let message = Message { from, to: id, term, body: MessageBody::PreVoteResponse(true) };
             self.handle(state, id, ReplicaInput::Peer(message), false);
         }
@@ -249,18 +255,21 @@
 
     fn lose(&self, state: &mut FleetState, id: NodeId) {
         state.replicas.remove(&id);
-        let disk = MemoryStorage(PersistentState::default());
+        let storage = MemoryStorage(PersistentState::default());
         let now = self.clock(self.rates.0, state.steps);
-        state.replicas.insert(REPLACEMENT, Arc::new((self.start_replica(REPLACEMENT, &disk, now), disk)));
+        state
+            .replicas
+            .insert(REPLACEMENT, Arc::new((self.start_replica(REPLACEMENT, &storage, now), storage)));
     }
 
-    /// The next change at this replica, if it is the leader, to replace a lost one.
+    /// Returns the next membership change that replaces a lost replica, or `None` if this replica is not the leader or none is
+    /// left.
     fn next_change(&self, state: &FleetState, id: NodeId) -> Option<MembershipChange> {
-        let host = state
+        let process = state
             .replicas
             .get(&id)
-            .filter(|h| h.0.raft().is_leader() && state.replicas.contains_key(&REPLACEMENT))?;
-        let members = host.0.status().members;
+            .filter(|process| process.0.raft().is_leader() && state.replicas.contains_key(&REPLACEMENT))?;
+        let members = process.0.status().members;
         if let Some((lost, _)) = members.iter().find(|(id, _)| !state.replicas.contains_key(id)) {
             return Some(MembershipChange::Remove(lost));
         }
@@ -281,37 +290,36 @@
     }
 
     /// Delivers all messages between replicas in the order in which they were sent, until none is in flight.
-    fn settle(&self, state: &mut FleetState) {
+    fn deliver_all_messages(&self, state: &mut FleetState) {
         while !state.in_flight.is_empty() {
             let message = state.in_flight.remove(0);
             self.handle(state, message.to, ReplicaInput::Peer((*message).clone()), false);
         }
     }
 
-    fn before(&self, before: Start) -> FleetState {
+    fn start_state(&self, start: Start) -> FleetState {
         let mut state = self.new_state();
         let (first, second) = (NodeId(1), NodeId(2));
         self.start_election(&mut state, first);
-        self.settle(&mut state);
+        self.deliver_all_messages(&mut state);
         assert!(state.replicas[&first].0.raft().is_leader());
-        if before == Start::LeaderElected {
+        if start == Start::LeaderElected {
             return state;
         }
-        for n in 0..2 {
-            self.handle_at_candidate(&mut state, n, HolderInput::Acquire);
-            self.delivered(&mut state, first);
+        for candidate in 0..2 {
+            self.handle_at_candidate(&mut state, candidate, HolderInput::Acquire);
+            self.complete_requests(&mut state, first);
         }
-        if before == Start::HeldByTwo {
-            let mut without = self.new_state();
-            std::mem::swap(&mut state, &mut without);
+        if start == Start::GrantedWithoutThirdReplica {
+            state = self.new_state();
             self.start_election(&mut state, first);
-            self.settle(&mut state);
+            self.deliver_all_messages(&mut state);
             self.handle_at_candidate(&mut state, 0, HolderInput::Acquire);
-            while let Some(requests) = state.requests.pop() {
+            while let Some(request) = state.requests.pop() {
                 self.handle(
                     &mut state,
                     first,
-                    ReplicaInput::LeaseRequest(ClientId(0), requests.1.clone()),
+                    ReplicaInput::LeaseRequest(ClientId(0), request.1.clone()),
                     false,
                 );
             }
@@ -321,8 +329,8 @@
                     self.handle(&mut state, message.to, ReplicaInput::Peer((*message).clone()), false);
                 }
             }
-            while let Some(responses) = state.responses.pop() {
-                self.handle_at_candidate(&mut state, responses.0, HolderInput::Response(responses.1.clone()));
+            while let Some(response) = state.responses.pop() {
+                self.handle_at_candidate(&mut state, response.0, HolderInput::Response(response.1.clone()));
             }
             self.handle_at_candidate(&mut state, 1, HolderInput::Acquire);
             assert!(state.holders[0].permit(self.clock(self.rates.1, 0)).is_some());
@@ -330,36 +338,36 @@
         }
         let now = self.clock(self.rates.1, 0);
         assert!(state.holders[0].permit(now).is_some() && state.holders[1].permit(now).is_none());
-        match before {
-            Start::HeldAndReelected => {
+        match start {
+            Start::GrantedThenReelected => {
                 self.start_election(&mut state, second);
-                self.settle(&mut state);
+                self.deliver_all_messages(&mut state);
                 assert!(state.replicas[&second].0.raft().is_leader());
             }
-            Start::HeldAndLost | Start::HeldAndReplaced => {
+            Start::GrantedThenLeaderLost | Start::GrantedThenLeaderReplaced => {
                 self.lose(&mut state, first);
                 self.start_election(&mut state, second);
-                self.settle(&mut state);
+                self.deliver_all_messages(&mut state);
                 assert!(state.replicas[&second].0.raft().is_leader());
                 while let Some(change) =
-                    self.next_change(&state, second).filter(|_| before == Start::HeldAndReplaced)
+                    self.next_change(&state, second).filter(|_| start == Start::GrantedThenLeaderReplaced)
                 {
                     self.change(&mut state, second, &change);
-                    self.settle(&mut state);
+                    self.deliver_all_messages(&mut state);
                 }
             }
             Start::Renewed => {
                 state.steps += 1;
                 self.handle_at_candidate(&mut state, 0, HolderInput::Tick);
-                while let Some(requests) = state.requests.pop() {
+                while let Some(request) = state.requests.pop() {
                     self.handle(
                         &mut state,
                         first,
-                        ReplicaInput::LeaseRequest(ClientId(0), requests.1.clone()),
+                        ReplicaInput::LeaseRequest(ClientId(0), request.1.clone()),
                         false,
                     );
                 }
-                self.settle(&mut state);
+                self.deliver_all_messages(&mut state);
                 assert!(!state.responses.is_empty());
             }
             _ => {}
@@ -368,15 +376,15 @@
         state
     }
 
-    /// Delivers all requests and responses of candidates.
-    fn delivered(&self, state: &mut FleetState, leader: NodeId) {
-        while let Some(requests) = state.requests.pop() {
-            let request = ReplicaInput::LeaseRequest(ClientId(requests.0 as u64), requests.1.clone());
-            self.handle(state, leader, request, false);
+    /// Delivers all requests of candidates to the leader and all responses to the candidates.
+    fn complete_requests(&self, state: &mut FleetState, leader: NodeId) {
+        while let Some(request) = state.requests.pop() {
+            let input = ReplicaInput::LeaseRequest(ClientId(request.0 as u64), request.1.clone());
+            self.handle(state, leader, input, false);
         }
-        self.settle(state);
-        while let Some(responses) = state.responses.pop() {
-            self.handle_at_candidate(state, responses.0, HolderInput::Response(responses.1.clone()));
+        self.deliver_all_messages(state);
+        while let Some(response) = state.responses.pop() {
+            self.handle_at_candidate(state, response.0, HolderInput::Response(response.1.clone()));
         }
     }
 }
@@ -386,7 +394,10 @@
     type Action = Event;
 
     fn initial_states(&self) -> Vec<FleetState> {
-        self.before.iter().map(|before| FleetState { budget: self.budget, ..self.before(*before) }).collect()
+        self.starts
+            .iter()
+            .map(|start| FleetState { budget: self.budget, ..self.start_state(*start) })
+            .collect()
     }
 
     fn actions(&self, state: &FleetState) -> Vec<Event> {
@@ -409,63 +420,67 @@
         if state.budget.erasures > 0 {
             all.extend(state.replicas.keys().map(|id| Event::EraseStorage(*id)));
         }
-        for (id, host) in &state.replicas {
+        for (id, process) in &state.replicas {
             if state.budget.changes > 0 {
                 all.extend(self.next_change(state, *id).map(|change| Event::Change(*id, change)));
             }
             if state.budget.elections > 0 {
                 all.push(Event::StartElection(*id));
             }
-            // At other replicas a request has no effect.
-            if host.0.raft().is_leader() {
-                all.extend(state.requests.iter().cloned().map(|a| Event::DeliverRequest(*id, a)));
+            // Requests to other replicas have no effect.
+            if process.0.raft().is_leader() {
+                all.extend(state.requests.iter().cloned().map(|request| Event::DeliverRequest(*id, request)));
                 if state.budget.duplicates > 0 {
-                    all.extend(state.requests.iter().cloned().map(|a| Event::DuplicateRequest(*id, a)));
+                    all.extend(
+                        state.requests.iter().cloned().map(|request| Event::DuplicateRequest(*id, request)),
+                    );
                 }
-                if host.0.expires_by(clock) {
+                if process.0.expires_by(clock) {
                     all.push(Event::CheckClock(*id));
                 }
             }
         }
         let now = self.clock(self.rates.1, state.steps);
-        for (n, holder) in state.holders.iter().enumerate() {
+        for (candidate, holder) in state.holders.iter().enumerate() {
             if holder.is_idle() {
-                all.push(Event::Want(n));
+                all.push(Event::AcquireLease(candidate));
             } else if state.budget.ticks > 0 && holder.next_due().is_some_and(|due| due <= now) {
-                all.push(Event::Tick(n));
+                all.push(Event::Tick(candidate));
             }
             if state.budget.releases > 0 && holder.permit(now).is_some() {
-                all.push(Event::Release(n));
+                all.push(Event::Release(candidate));
             }
             if state.budget.kills > 0 {
-                all.push(Event::Kill(n));
+                all.push(Event::Kill(candidate));
             }
         }
         all
     }
 
     fn step(&self, state: &mut FleetState, event: &Event) {
-        let request = |a: &(usize, Request)| ReplicaInput::LeaseRequest(ClientId(a.0 as u64), a.1.clone());
+        let to_input = |request: &(usize, Request)| {
+            ReplicaInput::LeaseRequest(ClientId(request.0 as u64), request.1.clone())
+        };
         match event {
-            Event::Deliver(m) => {
-                state.in_flight.retain(|x| x != m);
-                self.handle(state, m.to, ReplicaInput::Peer((**m).clone()), false);
+            Event::Deliver(message) => {
+                state.in_flight.retain(|other| other != message);
+                self.handle(state, message.to, ReplicaInput::Peer((**message).clone()), false);
             }
-            Event::Duplicate(m) => {
+            Event::Duplicate(message) => {
                 state.budget.duplicates -= 1;
-                self.handle(state, m.to, ReplicaInput::Peer((**m).clone()), false);
+                self.handle(state, message.to, ReplicaInput::Peer((**message).clone()), false);
             }
-            Event::DeliverCrash(m) => {
+            Event::DeliverCrash(message) => {
                 state.budget.crashes -= 1;
-                state.in_flight.retain(|x| x != m);
-                self.handle(state, m.to, ReplicaInput::Peer((**m).clone()), true);
+                state.in_flight.retain(|other| other != message);
+                self.handle(state, message.to, ReplicaInput::Peer((**message).clone()), true);
             }
             Event::Crash(id) => {
                 state.budget.crashes -= 1;
                 let now = self.clock(self.rates.0, state.steps);
-                if let Some(host) = state.replicas.get_mut(id) {
-                    let disk = host.1.clone();
-                    *host = Arc::new((self.start_replica(*id, &disk, now), disk));
+                if let Some(process) = state.replicas.get_mut(id) {
+                    let storage = process.1.clone();
+                    *process = Arc::new((self.start_replica(*id, &storage, now), storage));
                 }
             }
             Event::StartElection(id) => {
@@ -476,30 +491,32 @@
                 state.budget.steps -= 1;
                 state.steps += 1;
             }
-            // Any input but a tick of the consensus node, with which the leader would step down.
+            // A tick would make the leader step down, so this is another input.
             Event::CheckClock(id) => {
                 self.handle(state, *id, ReplicaInput::ClientDisconnected(ClientId(9)), false)
             }
-            Event::DeliverRequest(id, a) => {
-                state.requests.retain(|x| x != a);
-                self.handle(state, *id, request(a), false);
+            Event::DeliverRequest(id, request) => {
+                state.requests.retain(|other| other != request);
+                self.handle(state, *id, to_input(request), false);
             }
-            Event::DuplicateRequest(id, a) => {
+            Event::DuplicateRequest(id, request) => {
                 state.budget.duplicates -= 1;
-                self.handle(state, *id, request(a), false);
+                self.handle(state, *id, to_input(request), false);
+            }
+            Event::DeliverResponse(response) => {
+                state.responses.retain(|other| other != response);
+                self.handle_at_candidate(state, response.0, HolderInput::Response(response.1.clone()));
             }
-            Event::DeliverResponse(t) => {
-                state.responses.retain(|x| x != t);
-                self.handle_at_candidate(state, t.0, HolderInput::Response(t.1.clone()));
+            Event::AcquireLease(candidate) => {
+                self.handle_at_candidate(state, *candidate, HolderInput::Acquire)
             }
-            Event::Want(n) => self.handle_at_candidate(state, *n, HolderInput::Acquire),
-            Event::Tick(n) => {
+            Event::Tick(candidate) => {
                 state.budget.ticks -= 1;
-                self.handle_at_candidate(state, *n, HolderInput::Tick);
+                self.handle_at_candidate(state, *candidate, HolderInput::Tick);
             }
-            Event::Release(n) => {
+            Event::Release(candidate) => {
                 state.budget.releases -= 1;
-                self.handle_at_candidate(state, *n, HolderInput::Release);
+                self.handle_at_candidate(state, *candidate, HolderInput::Release);
             }
             Event::Lose(id) => {
                 state.budget.losses -= 1;
@@ -511,24 +528,25 @@
             }
             Event::EraseStorage(id) => {
                 state.budget.erasures -= 1;
-                let disk = MemoryStorage(PersistentState::first(members()));
-                let replica = self.start_replica(*id, &disk, self.clock(self.rates.0, state.steps));
-                state.replicas.insert(*id, Arc::new((replica, disk)));
+                let storage = MemoryStorage(PersistentState::first(members()));
+                let replica = self.start_replica(*id, &storage, self.clock(self.rates.0, state.steps));
+                state.replicas.insert(*id, Arc::new((replica, storage)));
             }
-            Event::Kill(n) => {
+            Event::Kill(candidate) => {
                 state.budget.kills -= 1;
-                state.holders[*n] = Arc::new(self.holder(*n, u64::from(state.budget.kills) + 1));
-                // Its requests are still in flight. Responses to it are lost.
-                state.responses.retain(|t| t.0 != *n);
+                state.holders[*candidate] =
+                    Arc::new(self.holder(*candidate, u64::from(state.budget.kills) + 1));
+                // Requests of the killed process are still in flight. Responses to it are lost.
+                state.responses.retain(|response| response.0 != *candidate);
             }
         }
     }
 
     fn fingerprint(&self, state: &FleetState, into: &mut FingerprintHasher) {
-        (state.budget, state.steps, state.highest, &state.holders).hash(into);
-        for (id, host) in &state.replicas {
-            let (replica, disk) = &**host;
-            (id, replica, disk.0.hard_state, &disk.0.entries).hash(into);
+        (state.budget, state.steps, state.highest_token, &state.holders).hash(into);
+        for (id, process) in &state.replicas {
+            let (replica, storage) = &**process;
+            (id, replica, storage.0.hard_state, &storage.0.entries).hash(into);
         }
         hash_unordered(&state.in_flight, into);
         hash_unordered(&state.requests, into);
@@ -538,9 +556,9 @@
     fn violation(&self, state: &FleetState) -> Option<String> {
         let now = self.clock(self.rates.1, state.steps);
         let valid: Vec<HolderId> =
-            state.holders.iter().filter_map(|h| h.permit(now).map(|_| h.id())).collect();
-        let two = (valid.len() > 1).then(|| format!("{valid:?} may act at once"));
-        state.violation.clone().or(two)
+            state.holders.iter().filter_map(|holder| holder.permit(now).map(|_| holder.id())).collect();
+        let conflict = (valid.len() > 1).then(|| format!("{valid:?} hold valid permits at the same time"));
+        state.violation.clone().or(conflict)
     }
 }
 
@@ -566,19 +584,23 @@
     kills: 1,
     ..NO_EVENTS
 };
-const STARTS: [Start; 4] = [Start::LeaderElected, Start::Held, Start::HeldAndReelected, Start::Renewed];
-/// Fast replicas and slow candidates, the other way round, and equal clocks.
+const STARTS: [Start; 4] =
+    [Start::LeaderElected, Start::Granted, Start::GrantedThenReelected, Start::Renewed];
+/// Clock rates with fast replicas and slow candidates, with the reverse, and with equal clocks.
 const RATES: [(f64, f64); 3] = [(1.0, -1.0), (-1.0, 1.0), (0.0, 0.0)];
 
 fn run(
     budget: EventBudget,
     rates: (f64, f64),
-    parts: u32,
+    step_tenths: u32,
     fault: Option<Fault>,
-    before: &[Start],
+    starts: &[Start],
     limits: Limits,
 ) -> Result<Exploration, Counterexample<Event>> {
-    explore(&LeaseModel { budget, fault, rates, span: TTL / 10 * parts, before: before.to_vec() }, limits)
+    explore(
+        &LeaseModel { budget, fault, rates, step_duration: TTL / 10 * step_tenths, starts: starts.to_vec() },
+        limits,
+    )
 }
 
 fn limits(depth: usize, states: usize) -> Limits {
@@ -586,54 +608,66 @@
 }
 
 #[test]
-fn at_most_one_permit_is_valid_in_every_order_of_events() {
-    for (rates, parts) in RATES.into_iter().flat_map(|r| [(r, 5), (r, 4)]) {
-        let seen = run(DEFAULT_BUDGET, rates, parts, None, &STARTS, limits(5, 2_000_000))
-            .unwrap_or_else(|f| panic!("{f:#?}"));
-        println!("{rates:?} {parts}: {seen:?}");
-        assert!(seen.complete && seen.states > 10_000, "{seen:?}");
+fn permits_are_exclusive_in_all_event_orders() {
+    for (rates, step_tenths) in RATES.into_iter().flat_map(|r| [(r, 5), (r, 4)]) {
+        let exploration = run(DEFAULT_BUDGET, rates, step_tenths, None, &STARTS, limits(5, 2_000_000))
+            .unwrap_or_else(|counterexample| panic!("{counterexample:#?}"));
+        println!("{rates:?} {step_tenths}: {exploration:?}");
+        assert!(exploration.complete && exploration.states > 10_000, "{exploration:?}");
     }
 }
 
-/// Replicas that lose their storage and are replaced, from a leader on and from after a loss.
-fn with_losses(limits: Limits, budget: EventBudget) {
-    let starts = [Start::LeaderElected, Start::Held, Start::HeldAndLost, Start::HeldAndReplaced];
+/// Checks that permits are exclusive while replicas lose their storage and are replaced.
+fn check_storage_losses(limits: Limits, budget: EventBudget) {
+    let starts = [
+        Start::LeaderElected,
+        Start::Granted,
+        Start::GrantedThenLeaderLost,
+        Start::GrantedThenLeaderReplaced,
+    ];
     for rates in RATES {
-        let seen = run(budget, rates, 5, None, &starts, limits).unwrap_or_else(|f| panic!("{f:#?}"));
-        println!("losses, {rates:?}: {seen:?}");
-        assert!(seen.states > 10_000, "{seen:?}");
+        let exploration = run(budget, rates, 5, None, &starts, limits)
+            .unwrap_or_else(|counterexample| panic!("{counterexample:#?}"));
+        println!("losses, {rates:?}: {exploration:?}");
+        assert!(exploration.states > 10_000, "{exploration:?}");
     }
 }
 
-const LOSSES: EventBudget =
+const STORAGE_LOSSES: EventBudget =
     EventBudget { elections: 1, steps: 3, ticks: 1, kills: 1, losses: 1, changes: 3, ..NO_EVENTS };
 
 #[test]
-fn at_most_one_permit_is_valid_when_replicas_lose_their_storage() {
-    with_losses(limits(5, 2_000_000), LOSSES);
+fn permits_are_exclusive_after_storage_losses() {
+    check_storage_losses(limits(5, 2_000_000), STORAGE_LOSSES);
 }
 
-/// Outside CI.
+/// Does not run in CI.
 #[test]
-#[ignore = "millions of states, minutes"]
-fn at_most_one_permit_is_valid_when_replicas_lose_their_storage_deeper() {
-    let wide = EventBudget { elections: 2, crashes: 1, releases: 1, ..LOSSES };
-    with_losses(Limits { depth: 9, states: 1_500_000, threads: 2 }, wide);
+#[ignore = "explores millions of states, takes minutes"]
+fn permits_are_exclusive_after_storage_losses_at_larger_depth() {
+    let budget = EventBudget { elections: 2, crashes: 1, releases: 1, ..STORAGE_LOSSES };
+    check_storage_losses(Limits { depth: 9, states: 1_500_000, threads: 2 }, budget);
 }
 
 #[test]
-fn an_erased_storage_under_the_old_id_is_detected() {
+fn detects_restart_under_old_id_with_erased_storage() {
     let budget = EventBudget { elections: 1, erasures: 1, ..NO_EVENTS };
-    let found = run(budget, (0.0, 0.0), 5, None, &[Start::HeldByTwo], limits(12, 400_000));
-    let found = found.expect_err("two votes of one replica are found");
-    println!("{} in {} events, {} states", found.violation, found.trace.len(), found.states);
+    let exploration =
+        run(budget, (0.0, 0.0), 5, None, &[Start::GrantedWithoutThirdReplica], limits(12, 400_000));
+    let counterexample = exploration.expect_err("two votes of one replica must be detected");
+    println!(
+        "{} in {} events, {} states",
+        counterexample.violation,
+        counterexample.trace.len(),
+        counterexample.states
+    );
 }
 
-/// Outside CI: `cargo test --release -p beechloft-replica --test explored -- --ignored --nocapture`.
+/// Does not run in CI. Run it with `cargo test --release -p beechloft-replica --test explored -- --ignored --nocapture`.
 #[test]
-#[ignore = "millions of states, minutes"]
-fn at_most_one_permit_is_valid_in_every_order_of_events_deeper() {
-    let wide = EventBudget {
+#[ignore = "explores millions of states, takes minutes"]
+fn permits_are_exclusive_in_all_event_orders_at_larger_depth() {
+    let budget = EventBudget {
         elections: 2,
         crashes: 2,
         duplicates: 1,
@@ -645,52 +679,41 @@
     };
     for rates in RATES {
         let limits = Limits { depth: 8, states: 1_500_000, threads: 8 };
-        let seen = run(wide, rates, 5, None, &STARTS, limits).unwrap_or_else(|f| panic!("{f:#?}"));
-        println!("{rates:?}: {seen:?}");
+        let exploration = run(budget, rates, 5, None, &STARTS, limits)
+            .unwrap_or_else(|counterexample| panic!("{counterexample:#?}"));
+        println!("{rates:?}: {exploration:?}");
     }
-    // Without crashes, duplicates and kills it goes deeper.
-    let plain = EventBudget {
-        elections: 1,
-        crashes: 0,
-        duplicates: 0,
-        steps: 3,
-        ticks: 2,
-        releases: 0,
-        kills: 0,
-        ..NO_EVENTS
-    };
+    // Without crashes, duplicates and kills, the exploration reaches a larger depth.
+    let without_crashes = EventBudget { elections: 1, steps: 3, ticks: 2, ..NO_EVENTS };
     for rates in RATES {
         let limits = Limits { depth: 14, states: 1_500_000, threads: 8 };
-        let seen = run(plain, rates, 4, None, &STARTS, limits).unwrap_or_else(|f| panic!("{f:#?}"));
-        println!("plain {rates:?}: {seen:?}");
+        let exploration = run(without_crashes, rates, 4, None, &STARTS, limits)
+            .unwrap_or_else(|counterexample| panic!("{counterexample:#?}"));
+        println!("without_crashes {rates:?}: {exploration:?}");
     }
 }
 
 #[test]
 fn injected_faults_are_detected() {
-    let plain = EventBudget {
-        elections: 0,
-        crashes: 0,
-        duplicates: 0,
-        steps: 3,
-        ticks: 2,
-        releases: 0,
-        kills: 0,
-        ..NO_EVENTS
-    };
-    let looks = EventBudget { steps: 1, ..plain };
-    let all: [(Fault, EventBudget, u32, &[Start]); 4] = [
-        (Fault::DriftIgnored, plain, 5, &[Start::Held]),
-        (Fault::TtlFromArrival, EventBudget { steps: 3, ticks: 1, ..plain }, 4, &[Start::Renewed]),
-        (Fault::TokenReused, EventBudget { releases: 1, ..plain }, 5, &[Start::Held]),
-        (Fault::TtlNotRestartedOnElection, looks, 5, &[Start::HeldAndReelected]),
+    let time_only = EventBudget { steps: 3, ticks: 2, ..NO_EVENTS };
+    let single_step = EventBudget { steps: 1, ..time_only };
+    let cases: [(Fault, EventBudget, u32, &[Start]); 4] = [
+        (Fault::DriftIgnored, time_only, 5, &[Start::Granted]),
+        (Fault::TtlFromArrival, EventBudget { steps: 3, ticks: 1, ..time_only }, 4, &[Start::Renewed]),
+        (Fault::TokenReused, EventBudget { releases: 1, ..time_only }, 5, &[Start::Granted]),
+        (Fault::TtlNotRestartedOnElection, single_step, 5, &[Start::GrantedThenReelected]),
     ];
-    for (fault, budget, parts, before) in all {
-        let found = run(budget, (1.0, -1.0), parts, Some(fault), before, limits(12, 150_000));
-        match &found {
-            Err(f) => println!("{fault:?}: {} in {} events, {} states", f.violation, f.trace.len(), f.states),
-            Ok(seen) => println!("{fault:?}: {seen:?}"),
+    for (fault, budget, step_tenths, starts) in cases {
+        let result = run(budget, (1.0, -1.0), step_tenths, Some(fault), starts, limits(12, 150_000));
+        match &result {
+            Err(counterexample) => println!(
+                "{fault:?}: {} in {} events, {} states",
+                counterexample.violation,
+                counterexample.trace.len(),
+                counterexample.states
+            ),
+            Ok(exploration) => println!("{fault:?}: {exploration:?}"),
         }
-        assert!(found.is_err(), "{fault:?} is not detected");
+        assert!(result.is_err(), "{fault:?} is not detected");
     }
 }
--- a/crates/fleet/replica/tests/support/mod.rs
+++ b/crates/fleet/replica/tests/support/mod.rs
@@ -1,5 +1,7 @@
-//! Keepers and candidates in one process under one true clock, each with a clock of its own rate; a network that loses,
-//! delays and doubles; crashes, pauses, cuts. Whoever holds a permit at any true moment is known here, and nowhere else.
+//! Simulation of replicas and of candidates for a lease in one process, with faults.
+//!
+//! Each process has a clock of its own rate. The network loses, delays and duplicates messages, and links are cut. Processes
+//! crash and pause. The simulation knows true time, so it detects two valid permits at the same time.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,122 +26,125 @@
 impl Storage for MemoryStorage {
     type Error = Infallible;
 
-    fn save(&mut self, save: &StateUpdate) -> Result<(), Infallible> {
-        self.0.apply(save);
+    fn save(&mut self, update: &StateUpdate) -> Result<(), Infallible> {
+        self.0.apply(update);
         Ok(())
     }
 }
 
 struct ReplicaProcess {
     replica: Replica,
-    disk: MemoryStorage,
+    storage: MemoryStorage,
     rate: f64,
-    up: bool,
-    start: u32,
-    /// It stands still until then, as a stopped process does, with all that comes for it waiting.
-    stopped_until: Duration,
+    running: bool,
+    incarnation: u32,
+    /// True time until which the process is paused. Events for it are delayed until then.
+    paused_until: Duration,
 }
 
-/// A candidate, and how it fares.
+/// A process that wants the lease.
 pub struct Candidate {
     pub holder: Holder,
     pub id: HolderId,
     rate: f64,
-    stopped_until: Duration,
-    route: LeaderLocator,
-    start: u32,
-    /// The entry that has it look at its clock next, and when; what was put in before is none any more.
+    paused_until: Duration,
+    locator: LeaderLocator,
+    incarnation: u32,
+    /// Id and true time of the scheduled event with the next tick. Earlier scheduled ticks have no effect.
     next_tick: (u64, Duration),
-    wants: bool,
+    wants_lease: bool,
     last_token: Option<Token>,
 }
 
 enum ScheduledEvent {
     Peer(Message),
-    Ask(NodeId, usize, Request),
-    Tell(usize, u32, Response),
+    LeaseRequest(NodeId, usize, Request),
+    LeaseResponse(usize, u32, Response),
     ReplicaTick(NodeId, u32),
     CandidateTick(usize, u64),
     Restart(NodeId),
 }
 
-/// A renewal or grant that a holder heard of.
+/// A grant or renewal whose response the holder received.
 #[derive(Debug, Clone, Copy)]
-struct Lived {
+struct AnsweredRequest {
     token: Token,
-    /// When the request was made that was answered, by true time.
-    asked: Duration,
+    /// True time at which the holder sent the request.
+    requested_at: Duration,
 }
 
 pub struct SimulatedFleet {
     replicas: BTreeMap<NodeId, ReplicaProcess>,
     pub candidates: Vec<Candidate>,
     pub now: Duration,
-    pub lost: u32,
-    pub duplicated: u32,
-    pub late: u32,
-    pub crash: u32,
-    pub cut: BTreeSet<(NodeId, NodeId)>,
-    pub deaf: BTreeSet<(usize, NodeId)>,
+    pub loss_per_mille: u32,
+    pub duplicate_per_mille: u32,
+    pub delay_per_mille: u32,
+    pub crash_per_mille: u32,
+    pub cut_links: BTreeSet<(NodeId, NodeId)>,
+    pub cut_client_links: BTreeSet<(usize, NodeId)>,
     pub rng: ChaCha8Rng,
     drift: DriftBound,
-    off_by: f64,
-    places: u16,
+    max_rate_deviation: f64,
+    slots: u16,
     ttl_ms: u32,
-    set: Settings,
+    settings: Settings,
     fault: Option<Fault>,
     scheduled: BTreeMap<(Duration, u64), ScheduledEvent>,
     last_event_id: u64,
-    /// When each request was made, by true time.
-    made: BTreeMap<(HolderId, u64), Duration>,
-    /// Of each holder, by true time: until when its permit lasts.
+    /// True times at which requests were first sent.
+    request_times: BTreeMap<(HolderId, u64), Duration>,
+    /// First violation of an invariant.
     pub violation: Option<String>,
-    highest: Token,
-    first_heard: BTreeMap<Token, Duration>,
+    highest_token: Token,
+    /// True times at which the response with a grant was first received.
+    grant_received_at: BTreeMap<Token, Duration>,
     pub granted: usize,
     pub renewed: usize,
-    pub lives: usize,
-    /// Since when nobody holds, and the longest that ever was.
-    none_since: Option<Duration>,
-    pub longest_none: Duration,
-    pub messages: u64,
-    rogue: Option<usize>,
-    /// Candidates that had a permit when they were looked at last: all others have none, as a permit comes of an input alone.
-    may_hold: BTreeSet<usize>,
-    /// Each two candidates, one after the other, sit in one seat.
-    pub seats: bool,
-    /// A replica that was lost with its disk, and the one that is to take its place.
-    replacing: Option<(NodeId, NodeId)>,
-    next_id: u64,
-    pub replaced: usize,
+    pub responses_checked: usize,
+    /// True time since which no candidate has had a permit.
+    unheld_since: Option<Duration>,
+    /// Longest time without a permit since the last reset.
+    pub max_unheld_time: Duration,
+    pub messages_sent: u64,
+    /// Candidate that sent a renewal of a lease that it had lost.
+    stale_renewer: Option<usize>,
+    /// Candidates that had a permit after their last input. All others have none, because only an input creates a permit.
+    possible_holders: BTreeSet<usize>,
+    /// Whether candidates request leases as instances. Each pair of candidates has the same instance name.
+    pub use_instances: bool,
+    /// Replica that was lost with its storage, and the new replica that replaces it.
+    replacement: Option<(NodeId, NodeId)>,
+    next_node_id: u64,
+    pub replaced_count: usize,
 }
 
 impl SimulatedFleet {
     pub fn new(
         replicas: u64,
         candidates: usize,
-        places: u16,
+        slots: u16,
         seed: u64,
         fault: Option<Fault>,
     ) -> SimulatedFleet {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let ppm = 50_000;
-        let members = Membership::of((1..=replicas).map(|i| (NodeId(i), format!("k{i}"))));
-        let mut world = SimulatedFleet {
+        let members = Membership::of((1..=replicas).map(|id| (NodeId(id), format!("k{id}"))));
+        let mut fleet = SimulatedFleet {
             replicas: BTreeMap::new(),
             candidates: Vec::new(),
             now: Duration::from_secs(1),
-            lost: 0,
-            duplicated: 0,
-            late: 0,
-            crash: 0,
-            cut: BTreeSet::new(),
-            deaf: BTreeSet::new(),
+            loss_per_mille: 0,
+            duplicate_per_mille: 0,
+            delay_per_mille: 0,
+            crash_per_mille: 0,
+            cut_links: BTreeSet::new(),
+            cut_client_links: BTreeSet::new(),
             drift: DriftBound::ppm(ppm).expect("within bounds"),
-            off_by: f64::from(ppm) / 1e6,
-            places,
+            max_rate_deviation: f64::from(ppm) / 1e6,
+            slots,
             ttl_ms: 1_000,
-            set: Settings {
+            settings: Settings {
                 election_timeout: Duration::from_millis(200),
                 heartbeat_interval: Duration::from_millis(50),
                 ..Settings::default()
@@ -147,66 +152,73 @@
             fault,
             scheduled: BTreeMap::new(),
             last_event_id: 0,
-            made: BTreeMap::new(),
+            request_times: BTreeMap::new(),
             violation: None,
-            highest: Token(0),
-            first_heard: BTreeMap::new(),
+            highest_token: Token(0),
+            grant_received_at: BTreeMap::new(),
             granted: 0,
             renewed: 0,
-            lives: 0,
-            none_since: None,
-            longest_none: Duration::ZERO,
-            messages: 0,
-            rogue: None,
-            may_hold: BTreeSet::new(),
-            seats: false,
-            replacing: None,
-            next_id: replicas + 1,
-            replaced: 0,
+            responses_checked: 0,
+            unheld_since: None,
+            max_unheld_time: Duration::ZERO,
+            messages_sent: 0,
+            stale_renewer: None,
+            possible_holders: BTreeSet::new(),
+            use_instances: false,
+            replacement: None,
+            next_node_id: replicas + 1,
+            replaced_count: 0,
             rng: ChaCha8Rng::seed_from_u64(rng.random()),
         };
         for id in members.voters() {
-            let disk = MemoryStorage(PersistentState::first(members.clone()));
-            let rate = world.rate();
-            let replica = world.start_replica(id, &disk, rate);
-            let host =
-                ReplicaProcess { replica, disk, rate, up: true, start: 0, stopped_until: Duration::ZERO };
-            world.replicas.insert(id, host);
-            world.wake_keeper(id);
+            let storage = MemoryStorage(PersistentState::first(members.clone()));
+            let rate = fleet.rate();
+            let replica = fleet.start_replica(id, &storage, rate);
+            let process = ReplicaProcess {
+                replica,
+                storage,
+                rate,
+                running: true,
+                incarnation: 0,
+                paused_until: Duration::ZERO,
+            };
+            fleet.replicas.insert(id, process);
+            fleet.schedule_replica_tick(id);
         }
-        for n in 0..candidates {
-            let rate = world.rate();
-            let id = HolderId(1_000 + n as u64);
-            let holder = world.holder(id);
-            world.candidates.push(Candidate {
+        for index in 0..candidates {
+            let rate = fleet.rate();
+            let id = HolderId(1_000 + index as u64);
+            let holder = fleet.holder(id);
+            fleet.candidates.push(Candidate {
                 holder,
                 id,
                 rate,
-                stopped_until: Duration::ZERO,
-                route: LeaderLocator::new(replicas as usize, n),
-                start: 0,
+                paused_until: Duration::ZERO,
+                locator: LeaderLocator::new(replicas as usize, index),
+                incarnation: 0,
                 next_tick: (0, Duration::MAX),
-                wants: false,
+                wants_lease: false,
                 last_token: None,
             });
         }
-        world
+        fleet
     }
 
-    /// Clocks are as far apart as the bound allows, or anywhere between.
+    /// Returns a random clock rate, which is often the slowest or the fastest that the drift bound permits.
     fn rate(&mut self) -> f64 {
         match self.rng.random_range(0..4) {
-            0 => 1.0 - self.off_by,
-            1 => 1.0 + self.off_by,
-            _ => self.rng.random_range(1.0 - self.off_by..1.0 + self.off_by),
+            0 => 1.0 - self.max_rate_deviation,
+            1 => 1.0 + self.max_rate_deviation,
+            _ => self.rng.random_range(1.0 - self.max_rate_deviation..1.0 + self.max_rate_deviation),
         }
     }
 
-    fn start_replica(&mut self, id: NodeId, disk: &MemoryStorage, rate: f64) -> Replica {
+    fn start_replica(&mut self, id: NodeId, storage: &MemoryStorage, rate: f64) -> Replica {
         let (now, seed) = (self.now.mul_f64(rate), self.rng.random());
-        let stored = disk.0.clone();
+        let stored = storage.0.clone();
         #[allow(unused_mut)]
-        let mut replica = Replica::new(id, self.set, stored, self.drift, seed, now).expect("a table");
+        let mut replica =
+            Replica::new(id, self.settings, stored, self.drift, seed, now).expect("a readable snapshot");
         if let Some(fault) = self.fault {
             replica.inject_fault(fault);
         }
@@ -215,12 +227,12 @@
 
     fn holder(&mut self, id: HolderId) -> Holder {
         let name = Name::try_from("task".to_owned()).expect("a name");
-        let terms = LeaseSpec { name, slots: self.places, ttl_ms: self.ttl_ms };
+        let spec = LeaseSpec { name, slots: self.slots, ttl_ms: self.ttl_ms };
         #[allow(unused_mut)]
-        let mut holder = Holder::new(id, terms, self.drift, self.rng.random());
-        if self.seats {
-            let seat = Name::try_from(format!("seat-{}", id.0 % 1_000 / 2)).expect("a name");
-            holder = holder.with_instance(seat);
+        let mut holder = Holder::new(id, spec, self.drift, self.rng.random());
+        if self.use_instances {
+            let instance = Name::try_from(format!("instance-{}", id.0 % 1_000 / 2)).expect("a name");
+            holder = holder.with_instance(instance);
         }
         if let Some(fault) = self.fault {
             holder.inject(fault);
@@ -228,86 +240,96 @@
         holder
     }
 
-    fn schedule(&mut self, after: Duration, what: ScheduledEvent) {
+    fn schedule(&mut self, after: Duration, event: ScheduledEvent) {
         self.last_event_id += 1;
-        self.scheduled.insert((self.now + after, self.last_event_id), what);
+        self.scheduled.insert((self.now + after, self.last_event_id), event);
     }
 
-    fn chance(&mut self, in_thousand: u32) -> bool {
-        self.rng.random_range(0..1000) < in_thousand
+    fn chance(&mut self, per_mille: u32) -> bool {
+        self.rng.random_range(0..1000) < per_mille
     }
 
-    fn way(&mut self) -> Duration {
-        let most = if self.chance(self.late) { 3_000 } else { 10 };
-        Duration::from_micros(self.rng.random_range(200..most * 1000))
+    fn network_delay(&mut self) -> Duration {
+        let max_ms = if self.chance(self.delay_per_mille) { 3_000 } else { 10 };
+        Duration::from_micros(self.rng.random_range(200..max_ms * 1000))
     }
 
-    fn wake_keeper(&mut self, id: NodeId) {
-        let host = &self.replicas[&id];
-        let due = host.replica.next_due().div_f64(host.rate).saturating_sub(self.now);
-        let start = host.start;
-        self.schedule(due + Duration::from_micros(50), ScheduledEvent::ReplicaTick(id, start));
+    fn schedule_replica_tick(&mut self, id: NodeId) {
+        let process = &self.replicas[&id];
+        let due = process.replica.next_due().div_f64(process.rate).saturating_sub(self.now);
+        let incarnation = process.incarnation;
+        self.schedule(due + Duration::from_micros(50), ScheduledEvent::ReplicaTick(id, incarnation));
     }
 
-    /// One entry at a time has a candidate look at its clock: an entry that is due earlier stands for a later one as well.
-    /// Guards against entries that each put in another for ever, which grew with all that a candidate heard.
-    fn wake_candidate(&mut self, n: usize) {
-        let c = &self.candidates[n];
-        let Some(due) = c.holder.next_due() else { return };
-        let at = self.now.max(due.div_f64(c.rate)) + Duration::from_micros(50);
-        if at < c.next_tick.1 {
+    /// Schedules the next tick of a candidate unless an earlier one is scheduled.
+    ///
+    /// At most one tick per candidate is valid. Otherwise each tick would schedule another forever, and their number would grow
+    /// with each input.
+    fn schedule_candidate_tick(&mut self, index: usize) {
+        let candidate = &self.candidates[index];
+        let Some(due) = candidate.holder.next_due() else { return };
+        let at = self.now.max(due.div_f64(candidate.rate)) + Duration::from_micros(50);
+        if at < candidate.next_tick.1 {
             let after = at - self.now;
-            self.schedule(after, ScheduledEvent::CandidateTick(n, self.last_event_id + 1));
-            self.candidates[n].next_tick = (self.last_event_id, at);
+            self.schedule(after, ScheduledEvent::CandidateTick(index, self.last_event_id + 1));
+            self.candidates[index].next_tick = (self.last_event_id, at);
         }
     }
 
-    /// Lets true time pass.
+    /// Advances true time and handles the events that are due.
     pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
-        while let Some(entry) = self.scheduled.first_entry().filter(|e| e.key().0 <= end) {
-            let ((at, _), what) = entry.remove_entry();
+        while let Some(entry) = self.scheduled.first_entry().filter(|entry| entry.key().0 <= end) {
+            let ((at, _), event) = entry.remove_entry();
             self.now = at;
-            // A stopped process hears it when it goes on.
-            let still = match &what {
-                ScheduledEvent::Peer(m) => self.replicas.get(&m.to).map(|h| h.stopped_until),
-                ScheduledEvent::Ask(id, ..) | ScheduledEvent::ReplicaTick(id, _) => {
-                    self.replicas.get(id).map(|h| h.stopped_until)
+            // A paused process handles the event when it resumes.
+            let paused_until = match &event {
+                ScheduledEvent::Peer(message) => {
+                    self.replicas.get(&message.to).map(|process| process.paused_until)
+                }
+                ScheduledEvent::LeaseRequest(id, ..) | ScheduledEvent::ReplicaTick(id, _) => {
+                    self.replicas.get(id).map(|process| process.paused_until)
                 }
-                ScheduledEvent::Tell(n, ..) | ScheduledEvent::CandidateTick(n, _) => {
-                    Some(self.candidates[*n].stopped_until)
+                ScheduledEvent::LeaseResponse(index, ..) | ScheduledEvent::CandidateTick(index, _) => {
+                    Some(self.candidates[*index].paused_until)
                 }
                 ScheduledEvent::Restart(_) => None,
             };
-            if let Some(until) = still.filter(|u| *u > self.now) {
-                self.schedule(until - self.now, what);
+            if let Some(until) = paused_until.filter(|until| *until > self.now) {
+                self.schedule(until - self.now, event);
                 continue;
             }
-            match what {
-                ScheduledEvent::Peer(message) => self.replica(message.to, ReplicaInput::Peer(message)),
-                ScheduledEvent::Ask(id, n, request) => {
-                    self.replica(id, ReplicaInput::LeaseRequest(ClientId(n as u64), request))
+            match event {
+                ScheduledEvent::Peer(message) => {
+                    self.handle_at_replica(message.to, ReplicaInput::Peer(message))
                 }
-                ScheduledEvent::ReplicaTick(id, start) => {
-                    if self.replicas.get(&id).is_some_and(|h| h.start == start && h.up) {
-                        self.replica(id, ReplicaInput::Tick);
-                        self.wake_keeper(id);
+                ScheduledEvent::LeaseRequest(id, index, request) => {
+                    self.handle_at_replica(id, ReplicaInput::LeaseRequest(ClientId(index as u64), request))
+                }
+                ScheduledEvent::ReplicaTick(id, incarnation) => {
+                    if self
+                        .replicas
+                        .get(&id)
+                        .is_some_and(|process| process.incarnation == incarnation && process.running)
+                    {
+                        self.handle_at_replica(id, ReplicaInput::Tick);
+                        self.schedule_replica_tick(id);
                     }
                 }
-                ScheduledEvent::Tell(n, start, heard) => {
-                    if self.candidates[n].start == start {
-                        self.told(n, heard);
+                ScheduledEvent::LeaseResponse(index, incarnation, response) => {
+                    if self.candidates[index].incarnation == incarnation {
+                        self.receive_response(index, response);
                     }
                 }
-                ScheduledEvent::CandidateTick(n, entry) => {
-                    if self.candidates[n].next_tick.0 == entry {
-                        self.candidates[n].next_tick.1 = Duration::MAX;
-                        self.candidate(n, HolderInput::Tick);
+                ScheduledEvent::CandidateTick(index, entry) => {
+                    if self.candidates[index].next_tick.0 == entry {
+                        self.candidates[index].next_tick.1 = Duration::MAX;
+                        self.handle_at_candidate(index, HolderInput::Tick);
                     }
                 }
-                ScheduledEvent::Restart(id) => self.restart(id),
+                ScheduledEvent::Restart(id) => self.restart_replica(id),
             }
-            self.watch();
+            self.track_unheld_time();
             if self.violation.is_some() {
                 return;
             }
@@ -315,38 +337,40 @@
         self.now = end;
     }
 
-    fn replica(&mut self, id: NodeId, asked: ReplicaInput) {
-        let crash = self.chance(self.crash);
-        let Some(host) = self.replicas.get_mut(&id).filter(|h| h.up) else { return };
-        let local = self.now.mul_f64(host.rate);
+    fn handle_at_replica(&mut self, id: NodeId, input: ReplicaInput) {
+        let crash = self.chance(self.crash_per_mille);
+        let Some(process) = self.replicas.get_mut(&id).filter(|process| process.running) else { return };
+        let local = self.now.mul_f64(process.rate);
         let mut out = PendingOutputs::default();
-        host.replica.handle(local, asked, &mut out);
+        process.replica.handle(local, input, &mut out);
         if crash {
-            self.stop(id);
+            self.stop_replica(id);
             let after = Duration::from_millis(self.rng.random_range(1..1_500));
             return self.schedule(after, ScheduledEvent::Restart(id));
         }
-        let Ok(released) = out.persist(&mut host.disk);
-        let outputs = host.replica.process_ready(local, released).expect("a table");
+        let Ok(ready) = out.persist(&mut process.storage);
+        let outputs = process.replica.process_ready(local, ready).expect("a readable snapshot");
         for output in outputs {
             match output {
                 ReplicaOutput::Peer(message) => {
-                    self.messages += 1;
-                    if self.cut.contains(&(message.from, message.to)) || self.chance(self.lost) {
+                    self.messages_sent += 1;
+                    if self.cut_links.contains(&(message.from, message.to))
+                        || self.chance(self.loss_per_mille)
+                    {
                         continue;
                     }
-                    for _ in 0..1 + u32::from(self.chance(self.duplicated)) {
-                        let way = self.way();
-                        self.schedule(way, ScheduledEvent::Peer(message.clone()));
+                    for _ in 0..1 + u32::from(self.chance(self.duplicate_per_mille)) {
+                        let delay = self.network_delay();
+                        self.schedule(delay, ScheduledEvent::Peer(message.clone()));
                     }
                 }
-                ReplicaOutput::LeaseResponse(client, heard) => {
-                    let n = client.0 as usize;
-                    if self.deaf.contains(&(n, id)) || self.chance(self.lost) {
+                ReplicaOutput::LeaseResponse(client, response) => {
+                    let index = client.0 as usize;
+                    if self.cut_client_links.contains(&(index, id)) || self.chance(self.loss_per_mille) {
                         continue;
                     }
-                    let (way, start) = (self.way(), self.candidates[n].start);
-                    self.schedule(way, ScheduledEvent::Tell(n, start, heard));
+                    let (delay, incarnation) = (self.network_delay(), self.candidates[index].incarnation);
+                    self.schedule(delay, ScheduledEvent::LeaseResponse(index, incarnation, response));
                 }
                 ReplicaOutput::Leases(..)
                 | ReplicaOutput::LeaseEvent(_)
@@ -365,45 +389,56 @@
         }
     }
 
-    pub fn stop(&mut self, id: NodeId) {
-        if let Some(host) = self.replicas.get_mut(&id) {
-            host.up = false;
-            host.start += 1;
+    pub fn stop_replica(&mut self, id: NodeId) {
+        if let Some(process) = self.replicas.get_mut(&id) {
+            process.running = false;
+            process.incarnation += 1;
         }
     }
 
-    pub fn restart(&mut self, id: NodeId) {
-        let Some(host) = self.replicas.get(&id).filter(|h| !h.up) else { return };
-        let (disk, rate) = (host.disk.clone(), host.rate);
-        let replica = self.start_replica(id, &disk, rate);
-        let host = self.replicas.get_mut(&id).expect("it is there");
-        (host.replica, host.up) = (replica, true);
-        self.wake_keeper(id);
+    pub fn restart_replica(&mut self, id: NodeId) {
+        let Some(process) = self.replicas.get(&id).filter(|process| !process.running) else { return };
+        let (storage, rate) = (process.storage.clone(), process.rate);
+        let replica = self.start_replica(id, &storage, rate);
+        let process = self.replicas.get_mut(&id).expect("the replica exists");
+        (process.replica, process.running) = (replica, true);
+        self.schedule_replica_tick(id);
     }
 
-    /// A replica's process is stopped for a while, and goes on.
-    /// A replica is lost with its disk, and another comes up in its place with an empty one. One at a time: a second loss while
-    /// the group is being mended could leave it without a majority, which is no fault of anybody's.
-    pub fn lose(&mut self, id: NodeId) {
-        if self.replacing.is_some() || self.replicas.remove(&id).is_none() {
+    /// Loses a replica with its storage, and starts a new one with empty storage.
+    ///
+    /// Has no effect during another replacement, because a second loss could leave the cluster without a quorum.
+    pub fn lose_replica(&mut self, id: NodeId) {
+        if self.replacement.is_some() || self.replicas.remove(&id).is_none() {
             return;
         }
-        let new = NodeId(self.next_id);
-        self.next_id += 1;
-        let (disk, rate) = (MemoryStorage::default(), self.rate());
-        let replica = self.start_replica(new, &disk, rate);
-        let host = ReplicaProcess { replica, disk, rate, up: true, start: 0, stopped_until: Duration::ZERO };
-        self.replicas.insert(new, host);
-        self.wake_keeper(new);
-        self.replacing = Some((id, new));
-    }
-
-    /// What an operator does after that, one step at a time, at whichever replica leads: the lost one is let go, the new one
-    /// learns, then votes.
-    pub fn mend_group(&mut self) {
-        let (Some((old, new)), Some(leader)) = (self.replacing, self.leader()) else { return };
-        let Some(host) = self.replicas.get(&leader).filter(|h| h.stopped_until <= self.now) else { return };
-        let members = host.replica.status().members;
+        let new = NodeId(self.next_node_id);
+        self.next_node_id += 1;
+        let (storage, rate) = (MemoryStorage::default(), self.rate());
+        let replica = self.start_replica(new, &storage, rate);
+        let process = ReplicaProcess {
+            replica,
+            storage,
+            rate,
+            running: true,
+            incarnation: 0,
+            paused_until: Duration::ZERO,
+        };
+        self.replicas.insert(new, process);
+        self.schedule_replica_tick(new);
+        self.replacement = Some((id, new));
+    }
+
+    /// Takes the operator's next step of a replacement at the leader.
+    ///
+    /// The steps remove the lost replica, add the new one as a learner, and promote it to a voter.
+    pub fn continue_replacement(&mut self) {
+        let (Some((old, new)), Some(leader)) = (self.replacement, self.leader()) else { return };
+        let Some(process) = self.replicas.get(&leader).filter(|process| process.paused_until <= self.now)
+        else {
+            return;
+        };
+        let members = process.replica.status().members;
         let change = if members.get(old).is_some() {
             MembershipChange::Remove(old)
         } else {
@@ -411,236 +446,259 @@
                 None => MembershipChange::AddLearner(new, format!("k{}", new.0)),
                 Some(member) if !member.voter => MembershipChange::Promote(new),
                 Some(_) => {
-                    self.replaced += 1;
-                    self.replacing = None;
+                    self.replaced_count += 1;
+                    self.replacement = None;
                     return;
                 }
             }
         };
-        self.replica(
+        self.handle_at_replica(
             leader,
             ReplicaInput::Raft(Input::ChangeMembership(RequestId(self.last_event_id), change)),
         );
     }
 
+    /// Pauses a replica's process.
     pub fn pause_replica(&mut self, id: NodeId, span: Duration) {
         let until = self.now + span;
-        self.replicas.entry(id).and_modify(|h| h.stopped_until = until);
+        self.replicas.entry(id).and_modify(|process| process.paused_until = until);
     }
 
-    /// A candidate's process is stopped for a while, and goes on.
-    pub fn pause(&mut self, n: usize, span: Duration) {
-        self.candidates[n].stopped_until = self.now + span;
+    /// Pauses a candidate's process.
+    pub fn pause(&mut self, index: usize, span: Duration) {
+        self.candidates[index].paused_until = self.now + span;
     }
 
-    /// The clock of a candidate; none while it is stopped.
-    pub fn clock(&self, n: usize) -> Option<Duration> {
-        let c = &self.candidates[n];
-        (c.stopped_until <= self.now).then(|| self.now.mul_f64(c.rate))
+    /// Returns the time of a candidate's clock, or `None` while the candidate is paused.
+    pub fn clock(&self, index: usize) -> Option<Duration> {
+        let candidate = &self.candidates[index];
+        (candidate.paused_until <= self.now).then(|| self.now.mul_f64(candidate.rate))
     }
 
-    /// A candidate's process is killed, and another starts in its place.
-    pub fn kill(&mut self, n: usize) {
-        let id = HolderId(self.candidates[n].id.0 + 1_000);
+    /// Kills a candidate's process and starts another in its place.
+    pub fn kill(&mut self, index: usize) {
+        let id = HolderId(self.candidates[index].id.0 + 1_000);
         let holder = self.holder(id);
-        self.may_hold.remove(&n);
-        let c = &mut self.candidates[n];
-        (c.holder, c.id, c.last_token) = (holder, id, None);
-        c.start += 1;
-        if c.wants {
-            self.want(n);
+        self.possible_holders.remove(&index);
+        let candidate = &mut self.candidates[index];
+        (candidate.holder, candidate.id, candidate.last_token) = (holder, id, None);
+        candidate.incarnation += 1;
+        if candidate.wants_lease {
+            self.acquire(index);
         }
     }
 
-    /// A candidate that holds nothing renews what it had once, as its own machine never would. It is killed before the next
-    /// one does.
-    pub fn rogue(&mut self, n: usize) {
-        self.kill_rogue();
-        if self.holding().contains(&n) {
+    /// Sends a renewal of a lease that the candidate has lost, which a correct holder never does.
+    ///
+    /// Kills the previous candidate that did so.
+    pub fn renew_lost_lease(&mut self, index: usize) {
+        self.kill_stale_renewer();
+        if self.holders().contains(&index) {
             return;
         }
-        if let Some(token) = self.candidates[n].last_token.take() {
+        if let Some(token) = self.candidates[index].last_token.take() {
             let name = Name::try_from("task".to_owned()).expect("a name");
-            let holder = self.candidates[n].id;
-            self.rogue = Some(n);
-            self.send(n, Request { holder, seq: u64::MAX / 2, op: Op::Renew { name, token } });
+            let holder = self.candidates[index].id;
+            self.stale_renewer = Some(index);
+            self.send(index, Request { holder, seq: u64::MAX / 2, op: Op::Renew { name, token } });
         }
     }
 
-    fn kill_rogue(&mut self) {
-        if let Some(n) = self.rogue.take() {
-            self.kill(n);
+    fn kill_stale_renewer(&mut self) {
+        if let Some(index) = self.stale_renewer.take() {
+            self.kill(index);
         }
     }
 
-    pub fn want(&mut self, n: usize) {
-        self.candidates[n].wants = true;
-        self.candidate(n, HolderInput::Acquire);
+    pub fn acquire(&mut self, index: usize) {
+        self.candidates[index].wants_lease = true;
+        self.handle_at_candidate(index, HolderInput::Acquire);
     }
 
-    /// All candidates have seats from now on; none has asked for anything yet.
-    pub fn seat_all(&mut self) {
-        self.seats = true;
-        for n in 0..self.candidates.len() {
-            let holder = self.holder(self.candidates[n].id);
-            self.candidates[n].holder = holder;
+    /// Gives all candidates instance names. None may have sent a request yet.
+    pub fn assign_instances(&mut self) {
+        self.use_instances = true;
+        for index in 0..self.candidates.len() {
+            let holder = self.holder(self.candidates[index].id);
+            self.candidates[index].holder = holder;
         }
     }
 
-    /// Its place is left to the next one of its seat.
-    pub fn leave(&mut self, n: usize, farewell: HandoffOffer) {
-        self.candidates[n].wants = false;
-        self.candidate(n, HolderInput::HandOff(farewell));
+    /// Hands the slot of a candidate off to the next process of the same instance.
+    pub fn hand_off(&mut self, index: usize, handoff: HandoffOffer) {
+        self.candidates[index].wants_lease = false;
+        self.handle_at_candidate(index, HolderInput::HandOff(handoff));
     }
 
-    /// A candidate's process is killed, and another starts that wants the lease.
-    pub fn start_again(&mut self, n: usize) {
-        self.candidates[n].wants = true;
-        self.kill(n);
+    /// Kills a candidate's process and starts another that requests the lease.
+    pub fn restart_candidate(&mut self, index: usize) {
+        self.candidates[index].wants_lease = true;
+        self.kill(index);
     }
 
-    pub fn give_back(&mut self, n: usize) {
-        self.candidates[n].wants = false;
-        self.candidate(n, HolderInput::Release);
+    pub fn release(&mut self, index: usize) {
+        self.candidates[index].wants_lease = false;
+        self.handle_at_candidate(index, HolderInput::Release);
     }
 
     pub fn leader(&self) -> Option<NodeId> {
-        let leads = |h: &&ReplicaProcess| h.up && h.replica.raft().is_leader();
-        self.replicas.values().filter(leads).map(|h| h.replica.status()).max_by_key(|s| s.term).map(|s| s.id)
+        let leads = |process: &&ReplicaProcess| process.running && process.replica.raft().is_leader();
+        self.replicas
+            .values()
+            .filter(leads)
+            .map(|process| process.replica.status())
+            .max_by_key(|status| status.term)
+            .map(|status| status.id)
     }
 
     pub fn replica_ids(&self) -> Vec<NodeId> {
         self.replicas.keys().copied().collect()
     }
 
-    fn told(&mut self, n: usize, heard: Response) {
-        if let Response::NotLeader(leader) = &heard {
+    fn receive_response(&mut self, index: usize, response: Response) {
+        if let Response::NotLeader(leader) = &response {
             let ids = self.replica_ids();
-            let at = leader.and_then(|l| ids.iter().position(|i| i.0 == l.0));
-            self.candidates[n].route.on_not_leader(at);
+            let at = leader.and_then(|leader| ids.iter().position(|id| id.0 == leader.0));
+            self.candidates[index].locator.on_not_leader(at);
         } else {
-            self.candidates[n].route.on_response();
+            self.candidates[index].locator.on_response();
         }
-        if let Response::Answer { holder, seq, answer } = heard {
-            // A process that was killed in between hears nothing of what was asked before.
-            let asked = self.made.get(&(holder, seq)).copied().unwrap_or_default();
+        if let Response::Answer { holder, seq, answer } = response {
+            // Responses to requests of a process that was killed since are ignored.
+            let requested_at = self.request_times.get(&(holder, seq)).copied().unwrap_or_default();
             match answer {
-                _ if holder != self.candidates[n].id => {}
-                Answer::Granted(token, _) => self.lives(Lived { token, asked }, true),
-                Answer::HeldByInstance(token, ..) => self.lives(Lived { token, asked }, false),
-                Answer::Renewed(token, _) => self.lives(Lived { token, asked }, false),
+                _ if holder != self.candidates[index].id => {}
+                Answer::Granted(token, _) => {
+                    self.check_history(AnsweredRequest { token, requested_at }, true)
+                }
+                Answer::HeldByInstance(token, ..) => {
+                    self.check_history(AnsweredRequest { token, requested_at }, false)
+                }
+                Answer::Renewed(token, _) => {
+                    self.check_history(AnsweredRequest { token, requested_at }, false)
+                }
                 _ => {}
             }
         }
-        self.candidate(n, HolderInput::Response(heard));
-    }
-
-    /// The history as holders saw it. For one place: a grant or renewal that was asked for after a higher token's grant had
-    /// been heard of can't be: its lease had ended by then. And no token is anybody's twice.
-    fn lives(&mut self, lived: Lived, granted: bool) {
-        self.lives += 1;
-        if self.places == 1
-            && let Some((token, heard)) =
-                self.first_heard.range(Token(lived.token.0 + 1)..).find(|(_, heard)| **heard < lived.asked)
+        self.handle_at_candidate(index, HolderInput::Response(response));
+    }
+
+    /// Checks a response against the history that holders observed, for a task with one slot.
+    ///
+    /// A request that was sent after a holder received a grant with a higher token must not be granted or renewed, because its
+    /// lease had ended by then.
+    fn check_history(&mut self, request: AnsweredRequest, granted: bool) {
+        self.responses_checked += 1;
+        if self.slots == 1
+            && let Some((token, received_at)) = self
+                .grant_received_at
+                .range(Token(request.token.0 + 1)..)
+                .find(|(_, received_at)| **received_at < request.requested_at)
         {
-            let what = if granted { "granted" } else { "renewed" };
+            let action = if granted { "granted" } else { "renewed" };
             let why = format!(
-                "{:?} is {what} on a request of {:?}, after {token:?} was heard of at {heard:?}",
-                lived.token, lived.asked
+                "{:?} is {action} on a request of {:?}, after the grant of {token:?} was received at {received_at:?}",
+                request.token, request.requested_at
             );
             self.violation.get_or_insert(why);
         }
         if granted {
-            self.first_heard.entry(lived.token).or_insert(self.now);
+            self.grant_received_at.entry(request.token).or_insert(self.now);
         }
     }
 
-    fn candidate(&mut self, n: usize, input: HolderInput) {
-        if self.candidates[n].stopped_until > self.now {
+    fn handle_at_candidate(&mut self, index: usize, input: HolderInput) {
+        if self.candidates[index].paused_until > self.now {
             return;
         }
-        let local = self.now.mul_f64(self.candidates[n].rate);
-        let outputs = self.candidates[n].holder.handle(local, input);
-        if self.candidates[n].holder.permit(local).is_some() {
-            self.may_hold.insert(n);
+        let local = self.now.mul_f64(self.candidates[index].rate);
+        let outputs = self.candidates[index].holder.handle(local, input);
+        if self.candidates[index].holder.permit(local).is_some() {
+            self.possible_holders.insert(index);
         } else {
-            self.may_hold.remove(&n);
+            self.possible_holders.remove(&index);
         }
         for output in outputs {
             match output {
-                HolderOutput::Send(request) => self.send(n, request),
+                HolderOutput::Send(request) => self.send(index, request),
                 HolderOutput::Acquired(token) => {
                     self.granted += 1;
-                    self.candidates[n].last_token = Some(token);
-                    if token <= self.highest && self.places == 1 {
-                        let why = format!("{token:?} is held after {:?}", self.highest);
+                    self.candidates[index].last_token = Some(token);
+                    if token <= self.highest_token && self.slots == 1 {
+                        let why = format!("{token:?} is granted after {:?}", self.highest_token);
                         self.violation.get_or_insert(why);
                     }
-                    self.highest = self.highest.max(token);
-                    self.overlap(n);
+                    self.highest_token = self.highest_token.max(token);
+                    self.check_exclusivity(index);
                 }
                 HolderOutput::Lost(_) => {}
-                HolderOutput::Rejected(why) => panic!("never: {why}"),
+                HolderOutput::Rejected(why) => panic!("unexpected rejection: {why}"),
             }
         }
-        self.wake_candidate(n);
+        self.schedule_candidate_tick(index);
     }
 
-    fn send(&mut self, n: usize, request: Request) {
+    fn send(&mut self, index: usize, request: Request) {
         let ids = self.replica_ids();
-        let id = self.candidates[n].id;
-        self.made.entry((id, request.seq)).or_insert(self.now);
+        let id = self.candidates[index].id;
+        self.request_times.entry((id, request.seq)).or_insert(self.now);
         if matches!(request.op, Op::Renew { .. }) {
             self.renewed += 1;
         }
-        let to = ids[self.candidates[n].route.next_target()];
-        if self.deaf.contains(&(n, to)) || self.chance(self.lost) {
+        let to = ids[self.candidates[index].locator.next_target()];
+        if self.cut_client_links.contains(&(index, to)) || self.chance(self.loss_per_mille) {
             return;
         }
-        for _ in 0..1 + u32::from(self.chance(self.duplicated)) {
-            let way = self.way();
-            self.schedule(way, ScheduledEvent::Ask(to, n, request.clone()));
+        for _ in 0..1 + u32::from(self.chance(self.duplicate_per_mille)) {
+            let delay = self.network_delay();
+            self.schedule(delay, ScheduledEvent::LeaseRequest(to, index, request.clone()));
         }
     }
 
-    /// Who may act at this true moment, a stopped process included: it might go on at any moment.
-    pub fn holding(&self) -> Vec<usize> {
-        self.may_hold.iter().copied().filter(|n| self.holds(*n)).collect()
+    /// Returns the candidates with a valid permit. Includes paused candidates, because they may resume at any moment.
+    pub fn holders(&self) -> Vec<usize> {
+        self.possible_holders.iter().copied().filter(|index| self.has_permit(*index)).collect()
     }
 
-    fn holds(&self, n: usize) -> bool {
-        let c = &self.candidates[n];
-        c.holder.permit(self.now.mul_f64(c.rate)).is_some()
+    fn has_permit(&self, index: usize) -> bool {
+        let candidate = &self.candidates[index];
+        candidate.holder.permit(self.now.mul_f64(candidate.rate)).is_some()
     }
 
-    fn overlap(&mut self, newest: usize) {
-        let all = self.holding();
-        if all.len() > usize::from(self.places) {
-            self.violation
-                .get_or_insert(format!("{all:?} hold at once at {:?}, {newest} the newest", self.now));
+    /// Records a violation if more candidates than slots have a valid permit.
+    fn check_exclusivity(&mut self, newest: usize) {
+        let holders = self.holders();
+        if holders.len() > usize::from(self.slots) {
+            self.violation.get_or_insert(format!(
+                "{holders:?} hold permits at once at {:?}, {newest} the newest",
+                self.now
+            ));
         }
     }
 
-    fn watch(&mut self) {
-        if !self.may_hold.iter().any(|n| self.holds(*n)) {
-            let since = *self.none_since.get_or_insert(self.now);
-            self.longest_none = self.longest_none.max(self.now - since);
+    fn track_unheld_time(&mut self) {
+        if !self.possible_holders.iter().any(|index| self.has_permit(*index)) {
+            let since = *self.unheld_since.get_or_insert(self.now);
+            self.max_unheld_time = self.max_unheld_time.max(self.now - since);
         } else {
-            self.none_since = None;
+            self.unheld_since = None;
         }
     }
 
-    pub fn forget_longest(&mut self) {
-        self.longest_none = Duration::ZERO;
-        self.none_since = None;
+    pub fn reset_max_unheld_time(&mut self) {
+        self.max_unheld_time = Duration::ZERO;
+        self.unheld_since = None;
     }
 
+    /// Ends all faults and restarts all replicas.
     pub fn heal(&mut self) {
-        self.kill_rogue();
-        (self.lost, self.duplicated, self.late, self.crash) = (0, 0, 0, 0);
-        self.cut.clear();
-        self.deaf.clear();
-        let down: Vec<NodeId> = self.replicas.iter().filter(|(_, h)| !h.up).map(|(id, _)| *id).collect();
-        down.into_iter().for_each(|id| self.restart(id));
+        self.kill_stale_renewer();
+        (self.loss_per_mille, self.duplicate_per_mille, self.delay_per_mille, self.crash_per_mille) =
+            (0, 0, 0, 0);
+        self.cut_links.clear();
+        self.cut_client_links.clear();
+        let down: Vec<NodeId> =
+            self.replicas.iter().filter(|(_, process)| !process.running).map(|(id, _)| *id).collect();
+        down.into_iter().for_each(|id| self.restart_replica(id));
     }
 }
--- a/crates/fleet/replica/tests/topics/main.rs
+++ b/crates/fleet/replica/tests/topics/main.rs
@@ -1,7 +1,8 @@
-//! Five replicas with their real machines, twenty subscribers and twenty publishers under random faults: crashes, lost disks and replicas
-//! that take the place of lost ones, cuts, pauses, messages lost, duplicated and late, clocks 5% apart. What a subscriber that is
-//! complete has is what the log says; no key comes back, none is missing; what was acknowledged is there.
-// Not reworked yet, see docs/ROADMAP.md.
+//! Simulation of a topic with five replicas, twenty subscribers and twenty publishers under random faults.
+//!
+//! The faults are crashes, pauses, losses of storage with replacement of the replica, cut links, clock rates that deviate by 5%,
+//! and messages that are lost, duplicated or late. A subscriber that is complete has the content of the log, without missing or
+//! deleted keys, and the log contains each acknowledged publication.
 #![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
 mod simulated_fleet;
@@ -14,67 +15,67 @@
 use simulated_fleet::SimulatedFleet;
 
 const STEP: Duration = Duration::from_millis(80);
-/// Runs in CI.
+/// Number of simulated runs in CI.
 const RUNS: u64 = 16;
 
 #[derive(Default, Debug)]
-struct Sums {
+struct Totals {
     written: usize,
     acknowledged: usize,
     unsure: usize,
     caught_up: usize,
-    anew: usize,
+    feed_restarts: usize,
     behind: usize,
     horizons: usize,
     replaced: usize,
     restored: usize,
 }
 
-fn run(seed: u64, steps: usize, fault: Option<Fault>, sums: &mut Sums) -> Option<String> {
+fn run(seed: u64, steps: usize, fault: Option<Fault>, totals: &mut Totals) -> Option<String> {
     let mut fleet = SimulatedFleet::new(5, 20, 20, seed, fault);
-    fleet.lost = fleet.rng.random_range(0..100);
-    fleet.duplicated = fleet.rng.random_range(0..100);
-    fleet.late = fleet.rng.random_range(0..40);
-    fleet.crash = fleet.rng.random_range(0..4);
-    let busy = fleet.rng.random_range(2..6);
+    fleet.loss_per_mille = fleet.rng.random_range(0..100);
+    fleet.duplicate_per_mille = fleet.rng.random_range(0..100);
+    fleet.delay_per_mille = fleet.rng.random_range(0..40);
+    fleet.crash_per_mille = fleet.rng.random_range(0..4);
+    let publications_per_step = fleet.rng.random_range(2..6);
     for _ in 0..steps {
         fleet.advance(STEP);
-        fleet.mend_group();
+        fleet.continue_replacement();
         fleet.declare();
         if fleet.violation.is_some() {
             return fleet.violation;
         }
-        for _ in 0..busy {
-            let n = fleet.rng.random_range(0..fleet.pubs.len());
-            fleet.publish(n);
+        for _ in 0..publications_per_step {
+            let publisher = fleet.rng.random_range(0..fleet.publishers.len());
+            fleet.publish(publisher);
         }
         let replicas = fleet.replica_ids();
-        let any = *replicas.choose(&mut fleet.rng).expect("replicas");
-        let leader = fleet.leader().unwrap_or(any);
-        let sub = fleet.rng.random_range(0..fleet.subs.len());
+        let random_replica = *replicas.choose(&mut fleet.rng).expect("replicas");
+        let leader = fleet.leader().unwrap_or(random_replica);
+        let subscriber = fleet.rng.random_range(0..fleet.subscribers.len());
         let span = Duration::from_millis(fleet.rng.random_range(100..3_000));
         match fleet.rng.random_range(0..30) {
-            0 => fleet.break_off(sub, Duration::ZERO),
-            1 => fleet.break_off(sub, span * 3),
+            0 => fleet.disconnect_subscriber(subscriber, Duration::ZERO),
+            1 => fleet.disconnect_subscriber(subscriber, span * 3),
             2 => fleet.pause_replica(leader, span),
-            3 => fleet.pause_replica(any, span),
+            3 => fleet.pause_replica(random_replica, span),
             4 => {
                 for id in &replicas {
-                    fleet.cut.extend([(leader, *id), (*id, leader)]);
+                    fleet.cut_links.extend([(leader, *id), (*id, leader)]);
                 }
             }
             5 => {
-                let other = *replicas.choose(&mut fleet.rng).expect("replicas");
-                fleet.cut.insert((any, other));
+                let peer = *replicas.choose(&mut fleet.rng).expect("replicas");
+                fleet.cut_links.insert((random_replica, peer));
             }
-            6..10 => fleet.cut.clear(),
-            10 => fleet.stop(leader),
-            11 => fleet.stop(any),
-            12..15 => replicas.iter().for_each(|id| fleet.restart(*id)),
-            15 | 16 => fleet.lose(any),
+            6..10 => fleet.cut_links.clear(),
+            10 => fleet.stop_replica(leader),
+            11 => fleet.stop_replica(random_replica),
+            12..15 => replicas.iter().for_each(|id| fleet.restart_replica(*id)),
+            15 | 16 => fleet.lose_replica(random_replica),
             17 => {
-                let n = fleet.rng.random_range(0..fleet.pubs.len());
-                fleet.kill_publisher(n);
+                let publisher = fleet.rng.random_range(0..fleet.publishers.len());
+                fleet.kill_publisher(publisher);
             }
             _ => {}
         }
@@ -82,69 +83,74 @@
     fleet.heal();
     for _ in 0..150 {
         fleet.advance(STEP);
-        fleet.mend_group();
+        fleet.continue_replacement();
         fleet.declare();
     }
     fleet.advance(Duration::from_secs(10));
-    fleet.is_well();
-    let outcome = |f: fn(&Outcome) -> bool| fleet.outcomes.values().flatten().filter(|o| f(&o.2)).count();
-    sums.written += fleet.messages.len();
-    sums.acknowledged += outcome(|o| matches!(o, Outcome::Written(_)));
-    sums.unsure += outcome(|o| matches!(o, Outcome::Unsure));
-    sums.caught_up += fleet.caught_up;
-    sums.anew += fleet.subs.iter().map(|s| s.anew).sum::<usize>();
-    sums.behind += fleet.subs.iter().map(|s| s.behind).sum::<usize>();
-    sums.horizons += fleet.horizons;
-    sums.replaced += fleet.replaced;
-    sums.restored += fleet.restored;
+    fleet.check_final_state();
+    let count_outcomes = |matches: fn(&Outcome) -> bool| {
+        fleet.outcomes.values().flatten().filter(|outcome| matches(&outcome.2)).count()
+    };
+    totals.written += fleet.appended_records.len();
+    totals.acknowledged += count_outcomes(|outcome| matches!(outcome, Outcome::Written(_)));
+    totals.unsure += count_outcomes(|outcome| matches!(outcome, Outcome::Unsure));
+    totals.caught_up += fleet.caught_up_count;
+    totals.feed_restarts += fleet.subscribers.iter().map(|subscriber| subscriber.restarts).sum::<usize>();
+    totals.behind += fleet.subscribers.iter().map(|subscriber| subscriber.behind_count).sum::<usize>();
+    totals.horizons += fleet.horizon_count;
+    totals.replaced += fleet.replaced_count;
+    totals.restored += fleet.restored_count;
     fleet.violation
 }
 
 #[test]
-fn no_gap_nothing_revived_nothing_lost_with_real_keepers() {
-    let mut sums = Sums::default();
+fn subscribers_and_publishers_agree_with_log_under_faults() {
+    let mut totals = Totals::default();
     for seed in 0..RUNS {
-        assert_eq!(run(seed, 200, None, &mut sums), None, "seed {seed}");
+        assert_eq!(run(seed, 200, None, &mut totals), None, "seed {seed}");
     }
-    println!("{sums:?}");
-    // It is worth nothing if nothing happens.
+    println!("{totals:?}");
+    // Guards against a simulation in which nothing happens.
     assert!(
-        sums.acknowledged > RUNS as usize * 50
-            && sums.anew > RUNS as usize * 20
-            && sums.horizons > RUNS as usize,
-        "{sums:?}"
+        totals.acknowledged > RUNS as usize * 50
+            && totals.feed_restarts > RUNS as usize * 20
+            && totals.horizons > RUNS as usize,
+        "{totals:?}"
+    );
+    assert!(
+        totals.replaced > RUNS as usize && totals.restored > 0 && totals.behind > RUNS as usize,
+        "{totals:?}"
     );
-    assert!(sums.replaced > RUNS as usize && sums.restored > 0 && sums.behind > RUNS as usize, "{sums:?}");
 }
 
-/// Outside CI: `cargo test --release -p beechloft-replica --test topics -- --ignored --nocapture`.
+/// Does not run in CI. Run it with `cargo test --release -p beechloft-replica --test topics -- --ignored --nocapture`.
 #[test]
-#[ignore = "a thousand runs, minutes"]
-fn a_thousand_runs() {
-    let began = std::time::Instant::now();
-    let all: Vec<Sums> = std::thread::scope(|scope| {
-        let parts: Vec<_> = (0..4)
-            .map(|part| {
+#[ignore = "a thousand runs, takes minutes"]
+fn subscribers_and_publishers_agree_with_log_in_a_thousand_runs() {
+    let started_at = std::time::Instant::now();
+    let all_totals: Vec<Totals> = std::thread::scope(|scope| {
+        let threads: Vec<_> = (0..4)
+            .map(|offset| {
                 scope.spawn(move || {
-                    let mut sums = Sums::default();
-                    for seed in (10_000 + part..11_000).step_by(4) {
-                        assert_eq!(run(seed, 200, None, &mut sums), None, "seed {seed}");
+                    let mut totals = Totals::default();
+                    for seed in (10_000 + offset..11_000).step_by(4) {
+                        assert_eq!(run(seed, 200, None, &mut totals), None, "seed {seed}");
                     }
-                    sums
+                    totals
                 })
             })
             .collect();
-        parts.into_iter().map(|p| p.join().expect("no violation")).collect()
+        threads.into_iter().map(|thread| thread.join().expect("no violation")).collect()
     });
-    println!("1,000 runs, {:?}: {all:?}", began.elapsed());
+    println!("1,000 runs, {:?}: {all_totals:?}", started_at.elapsed());
 }
 
 #[test]
 fn injected_faults_are_detected() {
     for fault in [Fault::HorizonUnseen, Fault::HeadAfter, Fault::SessionsForgotten, Fault::DropsOldest] {
-        let found =
-            (0..20).find_map(|seed| run(seed, 200, Some(fault), &mut Sums::default()).map(|why| (seed, why)));
-        println!("{fault:?}: {found:?}");
-        assert!(found.is_some(), "{fault:?} is not detected");
+        let detected = (0..20)
+            .find_map(|seed| run(seed, 200, Some(fault), &mut Totals::default()).map(|why| (seed, why)));
+        println!("{fault:?}: {detected:?}");
+        assert!(detected.is_some(), "{fault:?} is not detected");
     }
 }
--- a/crates/fleet/replica/tests/topics/simulated_fleet.rs
+++ b/crates/fleet/replica/tests/topics/simulated_fleet.rs
@@ -1,6 +1,8 @@
-//! Keepers with their real machines, subscribers and publishers, in one process under one true clock, each with a clock of its own
-//! rate; a network that loses, delays and doubles between replicas and from publishers, and connections of subscribers that break.
-//! What the log says is known here from what replicas commit, and applied beside, plainly.
+//! Simulation of replicas, subscribers and publishers of a topic in one process, with faults.
+//!
+//! Replicas have clocks of different rates. The network between replicas and publishers loses, delays and duplicates messages,
+//! links are cut, and connections of subscribers break. The simulation applies the committed entries to topics of its own, with
+//! which it compares what replicas, subscribers and publishers observe.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::convert::Infallible;
@@ -27,169 +29,188 @@
 impl Storage for MemoryStorage {
     type Error = Infallible;
 
-    fn save(&mut self, save: &StateUpdate) -> Result<(), Infallible> {
-        self.0.apply(save);
+    fn save(&mut self, update: &StateUpdate) -> Result<(), Infallible> {
+        self.0.apply(update);
         Ok(())
     }
 }
 
 struct ReplicaProcess {
     replica: Replica,
-    disk: MemoryStorage,
+    storage: MemoryStorage,
     rate: f64,
-    up: bool,
-    start: u32,
-    stopped_until: Duration,
-    /// By subscriber: the number of its subscription, the feed, and when the last word of it arrives.
+    running: bool,
+    incarnation: u32,
+    paused_until: Duration,
+    /// Feeds by the index of the subscriber, each with the id of the subscription and the true time at which its last message
+    /// arrives.
     feeds: BTreeMap<usize, (u64, Feed, Duration)>,
 }
 
-pub struct Sub {
+/// A subscriber, its connection, and what it has reported.
+pub struct SimulatedSubscriber {
     pub machine: Subscriber,
-    on: Option<(NodeId, u64)>,
-    last: BTreeMap<Key, Offset>,
-    asleep_until: Duration,
-    at: usize,
-    checked: Option<Offset>,
-    pub anew: usize,
-    pub behind: usize,
+    /// Replica and subscription id of the current connection.
+    connection: Option<(NodeId, u64)>,
+    /// Offset of the last change that was reported, by key.
+    last_offsets: BTreeMap<Key, Offset>,
+    paused_until: Duration,
+    next_replica: usize,
+    /// Offset to which the content was last checked.
+    checked_to: Option<Offset>,
+    /// Number of feeds that had to restart from the whole content.
+    pub restarts: usize,
+    pub behind_count: usize,
 }
 
-pub struct Pub {
+/// A publisher, which is one process of several that replace each other.
+pub struct SimulatedPublisher {
     machine: Publisher,
-    route: LeaderLocator,
-    life: u64,
+    locator: LeaderLocator,
+    incarnation: u64,
 }
 
 enum ScheduledEvent {
     Peer(Message),
     ReplicaTick(NodeId, u32),
     Restart(NodeId),
-    Ask(NodeId, usize, TopicRequest),
-    Answer(usize, u64, Result<TopicResponse, Option<usize>>),
+    TopicRequest(NodeId, usize, TopicRequest),
+    TopicResponse(usize, u64, Result<TopicResponse, Option<usize>>),
     Subscribe(NodeId, usize, u64, Option<Position>, u64),
-    Allow(NodeId, usize, u64, u64),
-    Told(usize, Told),
-    Broken(usize, u64),
-    SubTick(usize),
-    PubTick(usize, u64),
-    Still(NodeId, u32),
+    GrantCredit(NodeId, usize, u64, u64),
+    FeedMessage(usize, Told),
+    Disconnected(usize, u64),
+    SubscriberTick(usize),
+    PublisherTick(usize, u64),
+    FeedHeartbeat(NodeId, u32),
 }
 
 pub struct SimulatedFleet {
     replicas: BTreeMap<NodeId, ReplicaProcess>,
-    pub subs: Vec<Sub>,
-    pub pubs: Vec<Pub>,
+    pub subscribers: Vec<SimulatedSubscriber>,
+    pub publishers: Vec<SimulatedPublisher>,
     pub now: Duration,
-    pub lost: u32,
-    pub duplicated: u32,
-    pub late: u32,
-    pub crash: u32,
-    pub cut: BTreeSet<(NodeId, NodeId)>,
+    pub loss_per_mille: u32,
+    pub duplicate_per_mille: u32,
+    pub delay_per_mille: u32,
+    pub crash_per_mille: u32,
+    pub cut_links: BTreeSet<(NodeId, NodeId)>,
     pub rng: ChaCha8Rng,
     drift: DriftBound,
-    set: Settings,
+    settings: Settings,
     fault: Option<Fault>,
     scheduled: BTreeMap<(Duration, u64), ScheduledEvent>,
     last_event_id: u64,
-    /// What the log says, by place, and how far it was applied here.
+    /// Committed entries by index.
     log: BTreeMap<u64, Payload>,
-    reference: Topics,
-    applied: u64,
-    pub messages: Vec<(Key, Option<Vec<u8>>)>,
-    tags: BTreeMap<u64, Offset>,
+    /// Topics that result from the committed entries up to `expected_applied`.
+    expected_topics: Topics,
+    expected_applied: u64,
+    /// Keys and values in the order of their offsets.
+    pub appended_records: Vec<(Key, Option<Vec<u8>>)>,
+    offsets_by_ticket: BTreeMap<u64, Offset>,
+    /// Outcomes by ticket, each with the key and whether the publication is a deletion.
     pub outcomes: BTreeMap<u64, Option<(Key, bool, Outcome)>>,
-    wanted: BTreeMap<u64, (Key, bool)>,
-    tickets: u64,
+    /// Publications by ticket, each with the key and whether it is a deletion.
+    publications: BTreeMap<u64, (Key, bool)>,
+    last_ticket: u64,
     pub violation: Option<String>,
-    replacing: Option<(NodeId, NodeId)>,
-    next_id: u64,
-    pub replaced: usize,
-    pub caught_up: usize,
-    pub horizons: usize,
-    pub restored: usize,
+    /// Replica that was lost with its storage, and the new replica that replaces it.
+    replacement: Option<(NodeId, NodeId)>,
+    next_node_id: u64,
+    pub replaced_count: usize,
+    pub caught_up_count: usize,
+    pub horizon_count: usize,
+    pub restored_count: usize,
 }
 
-pub fn name() -> Name {
+pub fn topic_name() -> Name {
     Name::try_from("fleet/test".to_owned()).expect("a name")
 }
 
-fn key(n: usize) -> Key {
-    Key::new(format!("k{n}").as_bytes()).expect("a key")
+fn key(index: usize) -> Key {
+    Key::new(format!("k{index}").as_bytes()).expect("a key")
 }
 
-fn tag(value: &[u8]) -> Option<u64> {
-    let end = value.iter().position(|b| *b == b':')?;
+/// Returns the ticket with which a value starts.
+fn ticket_of(value: &[u8]) -> Option<u64> {
+    let end = value.iter().position(|byte| *byte == b':')?;
     std::str::from_utf8(&value[..end]).ok()?.parse().ok()
 }
 
 impl SimulatedFleet {
-    pub fn new(replicas: u64, subs: usize, pubs: usize, seed: u64, fault: Option<Fault>) -> SimulatedFleet {
-        let members = Membership::of((1..=replicas).map(|i| (NodeId(i), format!("k{i}"))));
-        let set = Settings {
+    pub fn new(
+        replicas: u64,
+        subscribers: usize,
+        publishers: usize,
+        seed: u64,
+        fault: Option<Fault>,
+    ) -> SimulatedFleet {
+        let members = Membership::of((1..=replicas).map(|id| (NodeId(id), format!("k{id}"))));
+        let settings = Settings {
             election_timeout: Duration::from_millis(200),
             heartbeat_interval: Duration::from_millis(50),
             ..Settings::default()
         };
         let mut fleet = SimulatedFleet {
             replicas: BTreeMap::new(),
-            subs: Vec::new(),
-            pubs: Vec::new(),
+            subscribers: Vec::new(),
+            publishers: Vec::new(),
             now: Duration::from_secs(1),
-            lost: 0,
-            duplicated: 0,
-            late: 0,
-            crash: 0,
-            cut: BTreeSet::new(),
+            loss_per_mille: 0,
+            duplicate_per_mille: 0,
+            delay_per_mille: 0,
+            crash_per_mille: 0,
+            cut_links: BTreeSet::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             drift: DriftBound::ppm(50_000).expect("within bounds"),
-            set,
+            settings,
             fault,
             scheduled: BTreeMap::new(),
             last_event_id: 0,
             log: BTreeMap::new(),
-            reference: Topics::default(),
-            applied: 0,
-            messages: Vec::new(),
-            tags: BTreeMap::new(),
+            expected_topics: Topics::default(),
+            expected_applied: 0,
+            appended_records: Vec::new(),
+            offsets_by_ticket: BTreeMap::new(),
             outcomes: BTreeMap::new(),
-            wanted: BTreeMap::new(),
-            tickets: 0,
+            publications: BTreeMap::new(),
+            last_ticket: 0,
             violation: None,
-            replacing: None,
-            next_id: replicas + 1,
-            replaced: 0,
-            caught_up: 0,
-            horizons: 0,
-            restored: 0,
+            replacement: None,
+            next_node_id: replicas + 1,
+            replaced_count: 0,
+            caught_up_count: 0,
+            horizon_count: 0,
+            restored_count: 0,
         };
         for id in members.voters() {
-            fleet.add(id, MemoryStorage(PersistentState::first(members.clone())));
+            fleet.add_replica(id, MemoryStorage(PersistentState::first(members.clone())));
         }
-        for n in 0..subs {
+        for index in 0..subscribers {
             let settings = SubscriberSettings {
-                window: [20_000, 256 << 10][n % 2],
+                window: [20_000, 256 << 10][index % 2],
                 patience: Duration::from_millis(1_500),
                 most_silent: Duration::from_secs(2),
                 again: (Duration::from_millis(50), Duration::from_secs(1)),
             };
-            let machine = Subscriber::new(name(), settings, seed + n as u64);
-            let (last, asleep_until) = (BTreeMap::new(), Duration::ZERO);
-            fleet.subs.push(Sub {
+            let machine = Subscriber::new(topic_name(), settings, seed + index as u64);
+            let (last_offsets, paused_until) = (BTreeMap::new(), Duration::ZERO);
+            fleet.subscribers.push(SimulatedSubscriber {
                 machine,
-                on: None,
-                last,
-                asleep_until,
-                at: n,
-                checked: None,
-                anew: 0,
-                behind: 0,
+                connection: None,
+                last_offsets,
+                paused_until,
+                next_replica: index,
+                checked_to: None,
+                restarts: 0,
+                behind_count: 0,
             });
-            fleet.subscriber(n, SubscriberInput::Start);
+            fleet.handle_at_subscriber(index, SubscriberInput::Start);
         }
-        for n in 0..pubs {
-            let pubs = fleet.publisher(n, 0);
-            fleet.pubs.push(pubs);
+        for index in 0..publishers {
+            let publisher = fleet.new_publisher(index, 0);
+            fleet.publishers.push(publisher);
         }
         fleet
     }
@@ -198,82 +219,87 @@
         [0.95, 1.0, 1.05][self.rng.random_range(0..3)]
     }
 
-    fn add(&mut self, id: NodeId, disk: MemoryStorage) {
+    fn add_replica(&mut self, id: NodeId, storage: MemoryStorage) {
         let rate = self.rate();
-        let replica = self.start_replica(id, &disk, rate);
-        let (stopped_until, feeds) = (Duration::ZERO, BTreeMap::new());
-        self.replicas
-            .insert(id, ReplicaProcess { replica, disk, rate, up: true, start: 0, stopped_until, feeds });
-        self.wake_keeper(id);
-        self.later(Duration::from_millis(500), ScheduledEvent::Still(id, 0));
+        let replica = self.start_replica(id, &storage, rate);
+        let (paused_until, feeds) = (Duration::ZERO, BTreeMap::new());
+        self.replicas.insert(
+            id,
+            ReplicaProcess { replica, storage, rate, running: true, incarnation: 0, paused_until, feeds },
+        );
+        self.schedule_replica_tick(id);
+        self.schedule(Duration::from_millis(500), ScheduledEvent::FeedHeartbeat(id, 0));
     }
 
-    fn start_replica(&mut self, id: NodeId, disk: &MemoryStorage, rate: f64) -> Replica {
+    fn start_replica(&mut self, id: NodeId, storage: &MemoryStorage, rate: f64) -> Replica {
         let (now, seed) = (self.now.mul_f64(rate), self.rng.random());
-        let mut replica = Replica::new(id, self.set, disk.0.clone(), self.drift, seed, now).expect("a state");
+        let mut replica = Replica::new(id, self.settings, storage.0.clone(), self.drift, seed, now)
+            .expect("a readable snapshot");
         if let Some(fault) = self.fault {
             replica.inject_fault(fault);
         }
         replica
     }
 
-    fn publisher(&mut self, n: usize, life: u64) -> Pub {
+    fn new_publisher(&mut self, index: usize, incarnation: u64) -> SimulatedPublisher {
         let settings = PublisherSettings {
             again: (Duration::from_millis(150), Duration::from_secs(1)),
             give_up: Duration::from_secs(6),
             ..PublisherSettings::default()
         };
-        let id = PublisherId(1_000 * life + n as u64);
-        let machine = Publisher::one_of_many(id, name(), settings, self.rng.random());
-        Pub { machine, route: LeaderLocator::new(self.replicas.len(), n), life }
+        let id = PublisherId(1_000 * incarnation + index as u64);
+        let machine = Publisher::one_of_many(id, topic_name(), settings, self.rng.random());
+        SimulatedPublisher { machine, locator: LeaderLocator::new(self.replicas.len(), index), incarnation }
     }
 
-    fn later(&mut self, after: Duration, what: ScheduledEvent) {
+    fn schedule(&mut self, after: Duration, event: ScheduledEvent) {
         self.last_event_id += 1;
-        self.scheduled.insert((self.now + after, self.last_event_id), what);
+        self.scheduled.insert((self.now + after, self.last_event_id), event);
     }
 
-    fn chance(&mut self, in_thousand: u32) -> bool {
-        self.rng.random_range(0..1000) < in_thousand
+    fn chance(&mut self, per_mille: u32) -> bool {
+        self.rng.random_range(0..1000) < per_mille
     }
 
-    fn way(&mut self) -> Duration {
-        let most = if self.chance(self.late) { 2_000 } else { 10 };
-        Duration::from_micros(self.rng.random_range(200..most * 1000))
+    fn network_delay(&mut self) -> Duration {
+        let max_ms = if self.chance(self.delay_per_mille) { 2_000 } else { 10 };
+        Duration::from_micros(self.rng.random_range(200..max_ms * 1000))
     }
 
-    fn violation(&mut self, why: String) {
+    fn record_violation(&mut self, why: String) {
         let now = self.now;
         self.violation.get_or_insert_with(|| format!("{now:?}: {why}"));
     }
 
-    fn wake_keeper(&mut self, id: NodeId) {
-        let Some(host) = self.replicas.get(&id) else { return };
-        let due = host.replica.next_due().div_f64(host.rate).saturating_sub(self.now);
-        let start = host.start;
-        self.later(due + Duration::from_micros(50), ScheduledEvent::ReplicaTick(id, start));
+    fn schedule_replica_tick(&mut self, id: NodeId) {
+        let Some(process) = self.replicas.get(&id) else { return };
+        let due = process.replica.next_due().div_f64(process.rate).saturating_sub(self.now);
+        let incarnation = process.incarnation;
+        self.schedule(due + Duration::from_micros(50), ScheduledEvent::ReplicaTick(id, incarnation));
     }
 
+    /// Advances true time and handles the events that are due.
     pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
-        while let Some(entry) = self.scheduled.first_entry().filter(|e| e.key().0 <= end) {
-            let ((at, _), what) = entry.remove_entry();
+        while let Some(entry) = self.scheduled.first_entry().filter(|entry| entry.key().0 <= end) {
+            let ((at, _), event) = entry.remove_entry();
             self.now = at;
-            // A stopped replica hears it when it goes on.
-            let to = match &what {
-                ScheduledEvent::Peer(m) => Some(m.to),
+            // A paused replica handles the event when it resumes.
+            let receiver = match &event {
+                ScheduledEvent::Peer(message) => Some(message.to),
                 ScheduledEvent::ReplicaTick(id, _)
-                | ScheduledEvent::Ask(id, ..)
+                | ScheduledEvent::TopicRequest(id, ..)
                 | ScheduledEvent::Subscribe(id, ..) => Some(*id),
-                ScheduledEvent::Allow(id, ..) | ScheduledEvent::Still(id, _) => Some(*id),
+                ScheduledEvent::GrantCredit(id, ..) | ScheduledEvent::FeedHeartbeat(id, _) => Some(*id),
                 _ => None,
             };
-            let still = to.and_then(|id| self.replicas.get(&id)).map(|h| h.stopped_until);
-            if let Some(until) = still.filter(|u| *u > self.now) {
-                self.later(until - self.now, what);
+            let paused_until =
+                receiver.and_then(|id| self.replicas.get(&id)).map(|process| process.paused_until);
+            if let Some(until) = paused_until.filter(|until| *until > self.now) {
+                self.schedule(until - self.now, event);
                 continue;
             }
-            self.happen(what);
+            self.handle_event(event);
             if self.violation.is_some() {
                 return;
             }
@@ -281,407 +307,471 @@
         self.now = end;
     }
 
-    fn is_up(&self, id: NodeId, start: u32) -> bool {
-        self.replicas.get(&id).is_some_and(|h| h.up && h.start == start)
+    fn is_running(&self, id: NodeId, incarnation: u32) -> bool {
+        self.replicas.get(&id).is_some_and(|process| process.running && process.incarnation == incarnation)
     }
 
-    fn happen(&mut self, what: ScheduledEvent) {
-        match what {
-            ScheduledEvent::Peer(message) => self.replica(message.to, ReplicaInput::Peer(message)),
-            ScheduledEvent::ReplicaTick(id, start) => {
-                if self.is_up(id, start) {
-                    self.replica(id, ReplicaInput::Tick);
-                    self.wake_keeper(id);
+    fn handle_event(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Peer(message) => self.handle_at_replica(message.to, ReplicaInput::Peer(message)),
+            ScheduledEvent::ReplicaTick(id, incarnation) => {
+                if self.is_running(id, incarnation) {
+                    self.handle_at_replica(id, ReplicaInput::Tick);
+                    self.schedule_replica_tick(id);
                 }
             }
-            ScheduledEvent::Restart(id) => self.restart(id),
-            ScheduledEvent::Ask(id, n, request) => {
-                self.replica(id, ReplicaInput::TopicRequest(ClientId(n as u64), request))
+            ScheduledEvent::Restart(id) => self.restart_replica(id),
+            ScheduledEvent::TopicRequest(id, index, request) => {
+                self.handle_at_replica(id, ReplicaInput::TopicRequest(ClientId(index as u64), request))
             }
-            ScheduledEvent::Answer(n, life, answer) => {
-                if self.pubs[n].life == life {
-                    let input = match answer {
-                        Ok(heard) => {
-                            self.pubs[n].route.on_response();
-                            PublisherInput::Heard(heard)
+            ScheduledEvent::TopicResponse(index, incarnation, response) => {
+                if self.publishers[index].incarnation == incarnation {
+                    let input = match response {
+                        Ok(response) => {
+                            self.publishers[index].locator.on_response();
+                            PublisherInput::Heard(response)
                         }
                         Err(leader) => {
-                            self.pubs[n].route.on_not_leader(leader);
+                            self.publishers[index].locator.on_not_leader(leader);
                             PublisherInput::NotNow
                         }
                     };
-                    self.input(n, input);
+                    self.handle_at_publisher(index, input);
                 }
             }
-            ScheduledEvent::Subscribe(id, n, number, from, allow) => {
-                match self.replicas.get_mut(&id).filter(|h| h.up) {
-                    None => self.later(Duration::from_millis(5), ScheduledEvent::Broken(n, number)),
-                    Some(host) => {
+            ScheduledEvent::Subscribe(id, index, subscription, from, credit) => {
+                match self.replicas.get_mut(&id).filter(|process| process.running) {
+                    None => self.schedule(
+                        Duration::from_millis(5),
+                        ScheduledEvent::Disconnected(index, subscription),
+                    ),
+                    Some(process) => {
                         let mut feed = Feed::open(from);
                         if let Some(fault) = self.fault {
                             feed.plant(fault);
                         }
-                        feed.allow(allow);
-                        host.feeds.insert(n, (number, feed, Duration::ZERO));
-                        self.feed(id, n);
+                        feed.allow(credit);
+                        process.feeds.insert(index, (subscription, feed, Duration::ZERO));
+                        self.send_feed_messages(id, index);
                     }
                 }
             }
-            ScheduledEvent::Allow(id, n, number, total) => {
-                let feeds = self.replicas.get_mut(&id).map(|h| &mut h.feeds);
-                if let Some((has, feed, _)) = feeds.and_then(|f| f.get_mut(&n))
-                    && *has == number
+            ScheduledEvent::GrantCredit(id, index, subscription, total) => {
+                let feeds = self.replicas.get_mut(&id).map(|process| &mut process.feeds);
+                if let Some((current, feed, _)) = feeds.and_then(|feeds| feeds.get_mut(&index))
+                    && *current == subscription
                 {
                     feed.allow(total);
-                    self.feed(id, n);
+                    self.send_feed_messages(id, index);
                 }
             }
-            ScheduledEvent::Told(n, told) => {
-                // A connection's words wait for a sleeper until it wakes or the connection breaks.
-                if self.subs[n].asleep_until > self.now {
-                    let after = self.subs[n].asleep_until - self.now;
-                    return self.later(after, ScheduledEvent::Told(n, told));
+            ScheduledEvent::FeedMessage(index, message) => {
+                // Messages wait in the connection of a paused subscriber until it resumes or the connection breaks.
+                if self.subscribers[index].paused_until > self.now {
+                    let after = self.subscribers[index].paused_until - self.now;
+                    return self.schedule(after, ScheduledEvent::FeedMessage(index, message));
                 }
-                let bytes = postcard::to_allocvec(&told).expect("bytes");
-                let told = postcard::from_bytes(&bytes).expect("what was sent");
-                self.subscriber(n, SubscriberInput::Told(told));
+                let bytes = postcard::to_allocvec(&message).expect("a message has an encoding");
+                let message = postcard::from_bytes(&bytes).expect("an encoded message");
+                self.handle_at_subscriber(index, SubscriberInput::Told(message));
+            }
+            ScheduledEvent::Disconnected(index, subscription) => {
+                self.handle_at_subscriber(index, SubscriberInput::Broken(subscription));
             }
-            ScheduledEvent::Broken(n, number) => self.subscriber(n, SubscriberInput::Broken(number)),
-            ScheduledEvent::SubTick(n) => self.subscriber(n, SubscriberInput::Tick),
-            ScheduledEvent::PubTick(n, life) => {
-                if self.pubs[n].life == life {
-                    self.input(n, PublisherInput::Tick);
+            ScheduledEvent::SubscriberTick(index) => self.handle_at_subscriber(index, SubscriberInput::Tick),
+            ScheduledEvent::PublisherTick(index, incarnation) => {
+                if self.publishers[index].incarnation == incarnation {
+                    self.handle_at_publisher(index, PublisherInput::Tick);
                 }
             }
-            ScheduledEvent::Still(id, start) => {
-                if self.is_up(id, start) {
-                    let all: Vec<usize> = self.replicas[&id].feeds.keys().copied().collect();
-                    all.into_iter().for_each(|n| self.say(id, n, Said::Still));
-                    self.later(Duration::from_millis(500), ScheduledEvent::Still(id, start));
+            ScheduledEvent::FeedHeartbeat(id, incarnation) => {
+                if self.is_running(id, incarnation) {
+                    let subscribers: Vec<usize> = self.replicas[&id].feeds.keys().copied().collect();
+                    subscribers.into_iter().for_each(|index| self.send_feed_message(id, index, Said::Still));
+                    self.schedule(Duration::from_millis(500), ScheduledEvent::FeedHeartbeat(id, incarnation));
                 }
             }
         }
     }
 
-    fn replica(&mut self, id: NodeId, asked: ReplicaInput) {
-        let crash = self.chance(self.crash);
-        let Some(host) = self.replicas.get_mut(&id).filter(|h| h.up) else { return };
-        let local = self.now.mul_f64(host.rate);
+    fn handle_at_replica(&mut self, id: NodeId, input: ReplicaInput) {
+        let crash = self.chance(self.crash_per_mille);
+        let Some(process) = self.replicas.get_mut(&id).filter(|process| process.running) else { return };
+        let local_time = self.now.mul_f64(process.rate);
         let mut out = PendingOutputs::default();
-        host.replica.handle(local, asked, &mut out);
+        process.replica.handle(local_time, input, &mut out);
         if crash {
-            self.stop(id);
+            self.stop_replica(id);
             let after = Duration::from_millis(self.rng.random_range(1..1_500));
-            return self.later(after, ScheduledEvent::Restart(id));
+            return self.schedule(after, ScheduledEvent::Restart(id));
         }
-        let Ok(released) = out.persist(&mut host.disk);
+        let Ok(ready) = out.persist(&mut process.storage);
         let committed: Vec<_> =
-            released.committed_entries.iter().map(|e| (e.at.index.0, e.payload.clone())).collect();
-        self.restored += usize::from(released.installed_snapshot.is_some());
-        let outputs = host.replica.process_ready(local, released).expect("a state");
-        host.replica.clean_topics();
+            ready.committed_entries.iter().map(|entry| (entry.at.index.0, entry.payload.clone())).collect();
+        self.restored_count += usize::from(ready.installed_snapshot.is_some());
+        let outputs = process.replica.process_ready(local_time, ready).expect("a readable snapshot");
+        process.replica.clean_topics();
         let ids = self.replica_ids();
-        committed.into_iter().for_each(|(index, payload)| self.committed(index, payload));
+        committed.into_iter().for_each(|(index, payload)| self.record_committed(index, payload));
         for output in outputs {
             match output {
                 ReplicaOutput::Peer(message) => {
-                    if self.cut.contains(&(message.from, message.to)) || self.chance(self.lost) {
+                    if self.cut_links.contains(&(message.from, message.to))
+                        || self.chance(self.loss_per_mille)
+                    {
                         continue;
                     }
-                    for _ in 0..1 + u32::from(self.chance(self.duplicated)) {
-                        let way = self.way();
-                        self.later(way, ScheduledEvent::Peer(message.clone()));
+                    for _ in 0..1 + u32::from(self.chance(self.duplicate_per_mille)) {
+                        let delay = self.network_delay();
+                        self.schedule(delay, ScheduledEvent::Peer(message.clone()));
                     }
                 }
-                ReplicaOutput::TopicResponse(client, heard) => self.answer(client, Ok(heard)),
+                ReplicaOutput::TopicResponse(client, response) => self.send_response(client, Ok(response)),
                 ReplicaOutput::TopicRequestRejected(client, _, why) => {
-                    let leader = if let RequestError::NotLeader(Some(l)) = why { Some(l) } else { None };
-                    self.answer(client, Err(leader.and_then(|l| ids.iter().position(|i| *i == l))));
+                    let leader = if let RequestError::NotLeader(Some(id)) = why { Some(id) } else { None };
+                    self.send_response(
+                        client,
+                        Err(leader.and_then(|leader| ids.iter().position(|id| *id == leader))),
+                    );
                 }
                 _ => {}
             }
         }
-        let all: Vec<usize> = self.replicas[&id].feeds.keys().copied().collect();
-        all.into_iter().for_each(|n| self.feed(id, n));
+        let subscribers: Vec<usize> = self.replicas[&id].feeds.keys().copied().collect();
+        subscribers.into_iter().for_each(|index| self.send_feed_messages(id, index));
     }
 
-    fn answer(&mut self, client: ClientId, answer: Result<TopicResponse, Option<usize>>) {
-        if self.chance(self.lost) {
+    fn send_response(&mut self, client: ClientId, response: Result<TopicResponse, Option<usize>>) {
+        if self.chance(self.loss_per_mille) {
             return;
         }
-        let n = client.0 as usize;
-        let (way, life) = (self.way(), self.pubs[n].life);
-        self.later(way, ScheduledEvent::Answer(n, life, answer));
+        let index = client.0 as usize;
+        let (delay, incarnation) = (self.network_delay(), self.publishers[index].incarnation);
+        self.schedule(delay, ScheduledEvent::TopicResponse(index, incarnation, response));
     }
 
-    /// An entry is committed: all replicas say the same of its place, and it is done here in order.
-    fn committed(&mut self, index: u64, payload: Payload) {
-        if self.log.get(&index).is_some_and(|p| *p != payload) {
-            return self.violation(format!("two entries at {index}"));
+    /// Checks that all replicas commit the same entry at an index, and applies entries in their order to the expected topics.
+    fn record_committed(&mut self, index: u64, payload: Payload) {
+        if self.log.get(&index).is_some_and(|known| *known != payload) {
+            return self.record_violation(format!("replicas committed different entries at {index}"));
         }
         self.log.insert(index, payload);
-        while let Some(payload) = self.log.get(&(self.applied + 1)).cloned() {
-            self.applied += 1;
+        while let Some(payload) = self.log.get(&(self.expected_applied + 1)).cloned() {
+            self.expected_applied += 1;
             let Payload::Command(bytes) = payload else { continue };
             let Some(Command::Topics(command)) = Command::read(&bytes) else { continue };
-            let event = self.reference.apply(&command).1;
+            let event = self.expected_topics.apply(&command).1;
             match (&command, event) {
-                (_, Some(TopicEvent::Horizon(..))) => self.horizons += 1,
+                (_, Some(TopicEvent::Horizon(..))) => self.horizon_count += 1,
                 (TopicCommand::Ask(request), Some(TopicEvent::Appended(_, offset))) => {
-                    self.appended(request, offset);
+                    self.record_appended(request, offset);
                 }
                 _ => {}
             }
         }
     }
 
-    fn appended(&mut self, request: &TopicRequest, offset: Offset) {
+    /// Checks the offset of an appended record, and that no publication is appended twice.
+    fn record_appended(&mut self, request: &TopicRequest, offset: Offset) {
         let TopicOp::Publish { record, .. } = &request.op else { return };
-        if offset.0 != self.messages.len() as u64 {
-            return self.violation(format!("{offset:?} is given, {} is to come next", self.messages.len()));
-        }
-        let value = record.value.as_ref().map(|v| v.bytes().to_vec());
-        if let Some(before) = value.as_ref().and_then(|v| self.tags.insert(tag(v)?, offset)) {
-            self.violation(format!("written twice, at {before:?} and {offset:?}"));
+        if offset.0 != self.appended_records.len() as u64 {
+            return self.record_violation(format!(
+                "{offset:?} was assigned instead of offset {}",
+                self.appended_records.len()
+            ));
+        }
+        let value = record.value.as_ref().map(|value| value.bytes().to_vec());
+        if let Some(previous) =
+            value.as_ref().and_then(|value| self.offsets_by_ticket.insert(ticket_of(value)?, offset))
+        {
+            self.record_violation(format!(
+                "one publication was appended twice, at {previous:?} and {offset:?}"
+            ));
         }
-        self.messages.push((record.key.clone(), value));
+        self.appended_records.push((record.key.clone(), value));
     }
 
-    /// A feed says all that it may.
-    fn feed(&mut self, id: NodeId, n: usize) {
+    /// Sends all messages for which the feed has credit.
+    fn send_feed_messages(&mut self, id: NodeId, index: usize) {
         loop {
-            let Some(host) = self.replicas.get_mut(&id).filter(|h| h.up) else { return };
-            let Some(topic) = host.replica.topics().topic(&name()) else { return };
-            let Some(said) = host.feeds.get_mut(&n).and_then(|(_, feed, _)| feed.next(topic)) else { return };
-            if matches!(said, Said::Anew { .. }) {
-                self.subs[n].anew += 1;
+            let Some(process) = self.replicas.get_mut(&id).filter(|process| process.running) else { return };
+            let Some(topic) = process.replica.topics().topic(&topic_name()) else { return };
+            let Some(message) = process.feeds.get_mut(&index).and_then(|(_, feed, _)| feed.next(topic))
+            else {
+                return;
+            };
+            if matches!(message, Said::Anew { .. }) {
+                self.subscribers[index].restarts += 1;
             }
-            self.say(id, n, said);
+            self.send_feed_message(id, index, message);
         }
     }
 
-    fn say(&mut self, id: NodeId, n: usize, said: Said) {
-        let way = self.way();
-        let Some(host) = self.replicas.get_mut(&id) else { return };
-        let (applied, stale) = (host.replica.applied_index().0, host.replica.staleness());
-        let Some((number, _, last)) = host.feeds.get_mut(&n) else { return };
-        // In order, as on a connection.
-        *last = (self.now + way).max(*last);
-        let (feed, at) = (*number, *last);
-        let told = Told { feed, applied, silent_ms: stale.as_millis() as u32, said };
-        self.later(at - self.now, ScheduledEvent::Told(n, told));
+    fn send_feed_message(&mut self, id: NodeId, index: usize, said: Said) {
+        let delay = self.network_delay();
+        let Some(process) = self.replicas.get_mut(&id) else { return };
+        let (applied, staleness) = (process.replica.applied_index().0, process.replica.staleness());
+        let Some((subscription, _, last_arrival)) = process.feeds.get_mut(&index) else { return };
+        // A connection delivers messages in their order.
+        *last_arrival = (self.now + delay).max(*last_arrival);
+        let (feed, at) = (*subscription, *last_arrival);
+        let message = Told { feed, applied, silent_ms: staleness.as_millis() as u32, said };
+        self.schedule(at - self.now, ScheduledEvent::FeedMessage(index, message));
     }
 
-    fn subscriber(&mut self, n: usize, input: SubscriberInput) {
-        if self.subs[n].asleep_until > self.now {
-            let after = self.subs[n].asleep_until - self.now;
-            return self.later(after, ScheduledEvent::SubTick(n));
+    fn handle_at_subscriber(&mut self, index: usize, input: SubscriberInput) {
+        if self.subscribers[index].paused_until > self.now {
+            let after = self.subscribers[index].paused_until - self.now;
+            return self.schedule(after, ScheduledEvent::SubscriberTick(index));
         }
-        for output in self.subs[n].machine.handle(self.now, input) {
+        for output in self.subscribers[index].machine.handle(self.now, input) {
             match output {
                 SubscriberOutput::Subscribe { feed, from, allow, .. } => {
                     let ids = self.replica_ids();
-                    self.subs[n].at += 1;
-                    let id = ids[self.subs[n].at % ids.len()];
-                    self.hang_up(n);
-                    self.subs[n].on = Some((id, feed));
-                    let way = self.way();
-                    self.later(way, ScheduledEvent::Subscribe(id, n, feed, from, allow));
+                    self.subscribers[index].next_replica += 1;
+                    let id = ids[self.subscribers[index].next_replica % ids.len()];
+                    self.unsubscribe(index);
+                    self.subscribers[index].connection = Some((id, feed));
+                    let delay = self.network_delay();
+                    self.schedule(delay, ScheduledEvent::Subscribe(id, index, feed, from, allow));
                 }
                 SubscriberOutput::Allow { feed, total } => {
-                    if let Some((id, _)) = self.subs[n].on.filter(|(_, number)| *number == feed) {
-                        let way = self.way();
-                        self.later(way, ScheduledEvent::Allow(id, n, feed, total));
+                    if let Some((id, _)) =
+                        self.subscribers[index].connection.filter(|(_, subscription)| *subscription == feed)
+                    {
+                        let delay = self.network_delay();
+                        self.schedule(delay, ScheduledEvent::GrantCredit(id, index, feed, total));
                     }
                 }
-                SubscriberOutput::Leave(_) => self.hang_up(n),
+                SubscriberOutput::Leave(_) => self.unsubscribe(index),
                 SubscriberOutput::Changed(message) => {
                     let key = Key::new(message.key()).expect("a key");
-                    let last = self.subs[n].last.insert(key, message.offset);
-                    if last >= Some(message.offset) {
-                        self.violation(format!("{n} hears of {message:?} after {last:?}"));
+                    let previous = self.subscribers[index].last_offsets.insert(key, message.offset);
+                    if previous >= Some(message.offset) {
+                        self.record_violation(format!(
+                            "subscriber {index} received {message:?} after {previous:?}"
+                        ));
                     }
                 }
                 SubscriberOutput::Gone(key, offset) => {
-                    let last = self.subs[n].last.insert(key.clone(), offset);
-                    if last > Some(offset) {
-                        self.violation(format!("{n}: {key:?} gone at {offset:?} after {last:?}"));
+                    let previous = self.subscribers[index].last_offsets.insert(key.clone(), offset);
+                    if previous > Some(offset) {
+                        self.record_violation(format!(
+                            "subscriber {index} received the deletion of {key:?} at {offset:?} after {previous:?}"
+                        ));
                     }
                 }
-                SubscriberOutput::CaughtUp(_) => self.caught_up += 1,
-                SubscriberOutput::Behind => self.subs[n].behind += 1,
-                SubscriberOutput::ProtocolViolation(why) => self.violation(format!("{n} distrusts: {why}")),
+                SubscriberOutput::CaughtUp(_) => self.caught_up_count += 1,
+                SubscriberOutput::Behind => self.subscribers[index].behind_count += 1,
+                SubscriberOutput::ProtocolViolation(why) => {
+                    self.record_violation(format!("subscriber {index} detected a protocol violation: {why}"))
+                }
             }
         }
-        self.check(n);
-        if let Some(due) = self.subs[n].machine.next_due() {
-            self.later(due.saturating_sub(self.now) + Duration::from_micros(10), ScheduledEvent::SubTick(n));
+        self.check_subscriber(index);
+        if let Some(due) = self.subscribers[index].machine.next_due() {
+            self.schedule(
+                due.saturating_sub(self.now) + Duration::from_micros(10),
+                ScheduledEvent::SubscriberTick(index),
+            );
         }
     }
 
-    fn hang_up(&mut self, n: usize) {
-        if let Some((id, number)) = self.subs[n].on.take()
-            && let Some(host) = self.replicas.get_mut(&id)
-            && host.feeds.get(&n).is_some_and(|f| f.0 == number)
+    fn unsubscribe(&mut self, index: usize) {
+        if let Some((id, subscription)) = self.subscribers[index].connection.take()
+            && let Some(process) = self.replicas.get_mut(&id)
+            && process.feeds.get(&index).is_some_and(|feed| feed.0 == subscription)
         {
-            host.feeds.remove(&n);
+            process.feeds.remove(&index);
         }
     }
 
-    fn check(&mut self, n: usize) {
-        let Some(to) = self.subs[n].machine.complete_to() else { return };
-        // Looked at once for each offset: what it knows changes with that alone.
-        if self.subs[n].checked.replace(to) == Some(to) {
+    /// Checks that a subscriber's content is that of the log up to the offset to which the subscriber claims to be complete.
+    fn check_subscriber(&mut self, index: usize) {
+        let Some(complete_to) = self.subscribers[index].machine.complete_to() else { return };
+        // The content changes only with the offset, so each offset is checked once.
+        if self.subscribers[index].checked_to.replace(complete_to) == Some(complete_to) {
             return;
         }
-        let machine = &self.subs[n].machine;
+        let machine = &self.subscribers[index].machine;
         let mut expected: BTreeMap<&Key, (Offset, &[u8])> = BTreeMap::new();
-        for (offset, (key, value)) in self.messages.iter().enumerate().take(to.0 as usize) {
+        for (offset, (key, value)) in self.appended_records.iter().enumerate().take(complete_to.0 as usize) {
             match value {
                 Some(value) => drop(expected.insert(key, (Offset(offset as u64), value))),
                 None => drop(expected.remove(key)),
             }
         }
-        let has: BTreeMap<&Key, (Offset, &[u8])> =
-            machine.keys().map(|(k, h)| (k, (h.offset, h.body.value().unwrap_or_default()))).collect();
-        if has != expected {
-            let short = |m: &BTreeMap<&Key, (Offset, &[u8])>| -> Vec<(Key, Offset)> {
-                m.iter().map(|(k, v)| ((*k).clone(), v.0)).collect()
+        let actual: BTreeMap<&Key, (Offset, &[u8])> = machine
+            .keys()
+            .map(|(key, entry)| (key, (entry.offset, entry.body.value().unwrap_or_default())))
+            .collect();
+        if actual != expected {
+            let offsets = |content: &BTreeMap<&Key, (Offset, &[u8])>| -> Vec<(Key, Offset)> {
+                content.iter().map(|(key, entry)| ((*key).clone(), entry.0)).collect()
             };
-            let (has, expected) = (short(&has), short(&expected));
-            self.violation(format!("{n} is complete to {to:?}: has {has:?}, and not {expected:?}"));
+            let (actual, expected) = (offsets(&actual), offsets(&expected));
+            self.record_violation(format!(
+                "subscriber {index} is complete to {complete_to:?} with {actual:?} instead of {expected:?}"
+            ));
         }
     }
 
-    pub fn publish(&mut self, n: usize) {
-        self.tickets += 1;
-        let ticket = self.tickets;
+    /// Publishes a random record, or deletes a random key.
+    pub fn publish(&mut self, index: usize) {
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
         let key = key(self.rng.random_range(0..12));
         let kind = self.rng.random_range(0..10);
-        let stands = self.reference.topic(&name()).and_then(|t| t.offset_of(key.bytes()));
+        let current_offset =
+            self.expected_topics.topic(&topic_name()).and_then(|topic| topic.offset_of(key.bytes()));
         let expect = match kind {
             0..7 => Expect::Anything,
-            _ => stands.map_or(Expect::Absent, Expect::At),
+            _ => current_offset.map_or(Expect::Absent, Expect::At),
         };
         let delete = matches!(kind, 0 | 1 | 9);
         let value = (!delete).then(|| {
             let mut value = format!("{ticket}:").into_bytes();
-            // Large ones, so that segments are sealed and snapshots taken within a run.
+            // Large values, so that segments are sealed and snapshots are taken within a run.
             value.resize(self.rng.random_range(20..24_000), b'.');
             Value::new(&value).expect("a value")
         });
-        self.wanted.insert(ticket, (key.clone(), delete));
+        self.publications.insert(ticket, (key.clone(), delete));
         let record = Record { key, value };
-        self.input(n, PublisherInput::Publish { ticket: PublisherTicket(ticket), record, expect });
+        self.handle_at_publisher(
+            index,
+            PublisherInput::Publish { ticket: PublisherTicket(ticket), record, expect },
+        );
     }
 
-    fn input(&mut self, n: usize, input: PublisherInput) {
-        for output in self.pubs[n].machine.handle(self.now, input) {
+    fn handle_at_publisher(&mut self, index: usize, input: PublisherInput) {
+        for output in self.publishers[index].machine.handle(self.now, input) {
             match output {
                 PublisherOutput::Send(request) => {
                     let ids = self.replica_ids();
-                    let to = ids[self.pubs[n].route.next_target() % ids.len()];
-                    let copies = u32::from(!self.chance(self.lost)) + u32::from(self.chance(self.duplicated));
+                    let to = ids[self.publishers[index].locator.next_target() % ids.len()];
+                    let copies = u32::from(!self.chance(self.loss_per_mille))
+                        + u32::from(self.chance(self.duplicate_per_mille));
                     for _ in 0..copies {
-                        let way = self.way();
-                        self.later(way, ScheduledEvent::Ask(to, n, request.clone()));
+                        let delay = self.network_delay();
+                        self.schedule(delay, ScheduledEvent::TopicRequest(to, index, request.clone()));
                     }
                 }
-                PublisherOutput::Settled(PublisherTicket(ticket), outcome) => self.settled(ticket, outcome),
-                PublisherOutput::Fenced(epoch) => {
-                    self.violation(format!("one of many is fenced by {epoch:?}"))
+                PublisherOutput::Settled(PublisherTicket(ticket), outcome) => {
+                    self.record_outcome(ticket, outcome)
                 }
+                PublisherOutput::Fenced(epoch) => self.record_violation(format!(
+                    "a publisher of a topic with many writers was fenced by {epoch:?}"
+                )),
             }
         }
-        let (due, life) = (self.pubs[n].machine.next_due(), self.pubs[n].life);
+        let (due, incarnation) =
+            (self.publishers[index].machine.next_due(), self.publishers[index].incarnation);
         if let Some(due) = due {
-            self.later(
+            self.schedule(
                 due.saturating_sub(self.now) + Duration::from_micros(10),
-                ScheduledEvent::PubTick(n, life),
+                ScheduledEvent::PublisherTick(index, incarnation),
             );
         }
     }
 
-    fn settled(&mut self, ticket: u64, outcome: Outcome) {
-        let Some((key, delete)) = self.wanted.get(&ticket).cloned() else { return };
+    /// Checks that a publication has one outcome, and that a written one is in the log at its offset.
+    fn record_outcome(&mut self, ticket: u64, outcome: Outcome) {
+        let Some((key, delete)) = self.publications.get(&ticket).cloned() else { return };
         if self.outcomes.insert(ticket, Some((key.clone(), delete, outcome))).is_some() {
-            return self.violation(format!("{ticket} has two outcomes"));
+            return self.record_violation(format!("publication {ticket} has two outcomes"));
         }
         if let Outcome::Written(offset) = outcome {
-            let is = self.messages.get(offset.0 as usize);
-            let own = is.is_some_and(|(k, value)| {
-                *k == key && value.as_ref().map_or(delete, |v| !delete && tag(v) == Some(ticket))
+            let appended = self.appended_records.get(offset.0 as usize);
+            let matches = appended.is_some_and(|(appended_key, value)| {
+                *appended_key == key
+                    && value.as_ref().map_or(delete, |value| !delete && ticket_of(value) == Some(ticket))
             });
-            if !own {
-                let is = is.map(|(k, v)| (k, v.as_ref().map(|v| tag(v))));
-                self.violation(format!("{ticket} is told to be at {offset:?}, where {is:?} is"));
+            if !matches {
+                let appended =
+                    appended.map(|(key, value)| (key, value.as_ref().map(|value| ticket_of(value))));
+                self.record_violation(format!(
+                    "publication {ticket} has the outcome written at {offset:?}, where the log has {appended:?}"
+                ));
             }
         }
     }
 
+    /// Declares the topic at the leader until it exists.
     pub fn declare(&mut self) {
         let terms = Terms { retention_ms: 2_000, ..Terms::default() };
-        if let Some(leader) = self.leader().filter(|_| self.reference.topic(&name()).is_none()) {
-            let life = self.rng.random();
-            self.replica(leader, ReplicaInput::DeclareTopic(life, name(), terms));
+        if let Some(leader) = self.leader().filter(|_| self.expected_topics.topic(&topic_name()).is_none()) {
+            let topic_id = self.rng.random();
+            self.handle_at_replica(leader, ReplicaInput::DeclareTopic(topic_id, topic_name(), terms));
         }
     }
 
     pub fn leader(&self) -> Option<NodeId> {
-        let leads = |h: &&ReplicaProcess| h.up && h.replica.raft().is_leader();
-        self.replicas.values().filter(leads).map(|h| h.replica.status()).max_by_key(|s| s.term).map(|s| s.id)
+        let leads = |process: &&ReplicaProcess| process.running && process.replica.raft().is_leader();
+        self.replicas
+            .values()
+            .filter(leads)
+            .map(|process| process.replica.status())
+            .max_by_key(|status| status.term)
+            .map(|status| status.id)
     }
 
     pub fn replica_ids(&self) -> Vec<NodeId> {
         self.replicas.keys().copied().collect()
     }
 
-    /// Its connections break; whoever was on them hears of it.
-    fn drop_feeds(&mut self, id: NodeId) {
-        let feeds = self.replicas.get_mut(&id).map(|h| std::mem::take(&mut h.feeds)).unwrap_or_default();
-        for (n, (number, ..)) in feeds {
-            self.later(Duration::from_millis(3), ScheduledEvent::Broken(n, number));
+    /// Breaks all connections of a replica. The subscribers detect it.
+    fn disconnect_subscribers(&mut self, id: NodeId) {
+        let feeds =
+            self.replicas.get_mut(&id).map(|process| std::mem::take(&mut process.feeds)).unwrap_or_default();
+        for (index, (subscription, ..)) in feeds {
+            self.schedule(Duration::from_millis(3), ScheduledEvent::Disconnected(index, subscription));
         }
     }
 
-    pub fn stop(&mut self, id: NodeId) {
-        self.drop_feeds(id);
-        if let Some(host) = self.replicas.get_mut(&id) {
-            host.up = false;
-            host.start += 1;
+    pub fn stop_replica(&mut self, id: NodeId) {
+        self.disconnect_subscribers(id);
+        if let Some(process) = self.replicas.get_mut(&id) {
+            process.running = false;
+            process.incarnation += 1;
         }
     }
 
-    pub fn restart(&mut self, id: NodeId) {
-        let Some(host) = self.replicas.get(&id).filter(|h| !h.up) else { return };
-        let (disk, rate, start) = (host.disk.clone(), host.rate, host.start);
-        let replica = self.start_replica(id, &disk, rate);
-        if let Some(host) = self.replicas.get_mut(&id) {
-            (host.replica, host.up) = (replica, true);
+    pub fn restart_replica(&mut self, id: NodeId) {
+        let Some(process) = self.replicas.get(&id).filter(|process| !process.running) else { return };
+        let (storage, rate, incarnation) = (process.storage.clone(), process.rate, process.incarnation);
+        let replica = self.start_replica(id, &storage, rate);
+        if let Some(process) = self.replicas.get_mut(&id) {
+            (process.replica, process.running) = (replica, true);
         }
-        self.wake_keeper(id);
-        self.later(Duration::from_millis(500), ScheduledEvent::Still(id, start));
+        self.schedule_replica_tick(id);
+        self.schedule(Duration::from_millis(500), ScheduledEvent::FeedHeartbeat(id, incarnation));
     }
 
-    /// A replica is lost with its disk, and another comes in its place with an empty one. One at a time: a second loss while the
-    /// group is being mended could leave it without a majority, which is no fault of anybody's.
-    pub fn lose(&mut self, id: NodeId) {
-        if self.replacing.is_some() || !self.replicas.contains_key(&id) {
+    /// Loses a replica with its storage, and starts a new one with empty storage.
+    ///
+    /// Has no effect during another replacement, because a second loss could leave the cluster without a quorum.
+    pub fn lose_replica(&mut self, id: NodeId) {
+        if self.replacement.is_some() || !self.replicas.contains_key(&id) {
             return;
         }
-        self.drop_feeds(id);
+        self.disconnect_subscribers(id);
         self.replicas.remove(&id);
-        let new = NodeId(self.next_id);
-        self.next_id += 1;
-        self.add(new, MemoryStorage::default());
-        self.replacing = Some((id, new));
-    }
-
-    /// What an operator does after that, one step at a time, at whichever replica leads.
-    pub fn mend_group(&mut self) {
-        let (Some((old, new)), Some(leader)) = (self.replacing, self.leader()) else { return };
-        let Some(host) = self.replicas.get(&leader).filter(|h| h.stopped_until <= self.now) else { return };
-        let members = host.replica.status().members;
+        let new = NodeId(self.next_node_id);
+        self.next_node_id += 1;
+        self.add_replica(new, MemoryStorage::default());
+        self.replacement = Some((id, new));
+    }
+
+    /// Takes the operator's next step of a replacement at the leader.
+    ///
+    /// The steps remove the lost replica, add the new one as a learner, and promote it to a voter.
+    pub fn continue_replacement(&mut self) {
+        let (Some((old, new)), Some(leader)) = (self.replacement, self.leader()) else { return };
+        let Some(process) = self.replicas.get(&leader).filter(|process| process.paused_until <= self.now)
+        else {
+            return;
+        };
+        let members = process.replica.status().members;
         let change = if members.get(old).is_some() {
             MembershipChange::Remove(old)
         } else {
@@ -689,13 +779,13 @@
                 None => MembershipChange::AddLearner(new, format!("k{}", new.0)),
                 Some(member) if !member.voter => MembershipChange::Promote(new),
                 Some(_) => {
-                    self.replaced += 1;
-                    self.replacing = None;
+                    self.replaced_count += 1;
+                    self.replacement = None;
                     return;
                 }
             }
         };
-        self.replica(
+        self.handle_at_replica(
             leader,
             ReplicaInput::Raft(Input::ChangeMembership(RequestId(self.last_event_id), change)),
         );
@@ -703,59 +793,70 @@
 
     pub fn pause_replica(&mut self, id: NodeId, span: Duration) {
         let until = self.now + span;
-        self.replicas.entry(id).and_modify(|h| h.stopped_until = until);
-    }
-
-    /// A subscriber's connection breaks. Asleep, it finds out when it wakes.
-    pub fn break_off(&mut self, n: usize, asleep: Duration) {
-        let on = self.subs[n].on;
-        self.hang_up(n);
-        self.subs[n].asleep_until = self.now + asleep;
-        if let Some((_, number)) = on {
-            self.later(asleep + Duration::from_millis(1), ScheduledEvent::Broken(n, number));
+        self.replicas.entry(id).and_modify(|process| process.paused_until = until);
+    }
+
+    /// Breaks a subscriber's connection and pauses the subscriber, which detects the break when it resumes.
+    pub fn disconnect_subscriber(&mut self, index: usize, pause: Duration) {
+        let connection = self.subscribers[index].connection;
+        self.unsubscribe(index);
+        self.subscribers[index].paused_until = self.now + pause;
+        if let Some((_, subscription)) = connection {
+            self.schedule(
+                pause + Duration::from_millis(1),
+                ScheduledEvent::Disconnected(index, subscription),
+            );
         }
     }
 
-    pub fn kill_publisher(&mut self, n: usize) {
-        let life = self.pubs[n].life + 1;
-        self.pubs[n] = self.publisher(n, life);
+    /// Kills a publisher's process and starts another in its place.
+    pub fn kill_publisher(&mut self, index: usize) {
+        let incarnation = self.publishers[index].incarnation + 1;
+        self.publishers[index] = self.new_publisher(index, incarnation);
     }
 
+    /// Ends all faults and restarts all replicas.
     pub fn heal(&mut self) {
-        (self.lost, self.duplicated, self.late, self.crash) = (0, 0, 0, 0);
-        self.cut.clear();
-        self.replica_ids().into_iter().for_each(|id| self.restart(id));
-    }
-
-    /// What must hold once all is well.
-    pub fn is_well(&mut self) {
-        let head = Offset(self.messages.len() as u64);
-        for n in 0..self.subs.len() {
-            let to = self.subs[n].machine.complete_to();
-            if to != Some(head) {
-                self.violation(format!("{n} is complete to {to:?} and not to {head:?}"));
+        (self.loss_per_mille, self.duplicate_per_mille, self.delay_per_mille, self.crash_per_mille) =
+            (0, 0, 0, 0);
+        self.cut_links.clear();
+        self.replica_ids().into_iter().for_each(|id| self.restart_replica(id));
+    }
+
+    /// Checks the state that must be reached some time after all faults have ended.
+    pub fn check_final_state(&mut self) {
+        let head = Offset(self.appended_records.len() as u64);
+        for index in 0..self.subscribers.len() {
+            let complete_to = self.subscribers[index].machine.complete_to();
+            if complete_to != Some(head) {
+                self.record_violation(format!(
+                    "subscriber {index} is complete to {complete_to:?} instead of {head:?}"
+                ));
             }
         }
-        let reference = self.reference.clone();
-        let other: Vec<NodeId> = self
+        let expected_topics = self.expected_topics.clone();
+        let differing: Vec<NodeId> = self
             .replicas
             .iter()
-            .filter(|(_, h)| *h.replica.topics() != reference)
+            .filter(|(_, process)| *process.replica.topics() != expected_topics)
             .map(|(id, _)| *id)
             .collect();
-        if !other.is_empty() {
-            self.violation(format!("{other:?} are not what the log says"));
+        if !differing.is_empty() {
+            self.record_violation(format!("the topics of {differing:?} differ from the log"));
         }
-        let outcomes: Vec<_> = self.outcomes.iter().filter_map(|(t, o)| Some((*t, o.clone()?))).collect();
+        let outcomes: Vec<_> =
+            self.outcomes.iter().filter_map(|(ticket, outcome)| Some((*ticket, outcome.clone()?))).collect();
         for (ticket, (_, delete, outcome)) in outcomes {
-            let is = self.tags.contains_key(&ticket);
-            let wrong = match outcome {
-                Outcome::Written(_) => !delete && !is,
-                Outcome::Refused(_) | Outcome::QueueFull | Outcome::TimedOut => is,
+            let is_appended = self.offsets_by_ticket.contains_key(&ticket);
+            let is_wrong = match outcome {
+                Outcome::Written(_) => !delete && !is_appended,
+                Outcome::Refused(_) | Outcome::QueueFull | Outcome::TimedOut => is_appended,
                 Outcome::Unsure => false,
             };
-            if wrong {
-                self.violation(format!("{ticket} is written: {is}, and its outcome {outcome:?}"));
+            if is_wrong {
+                self.record_violation(format!(
+                    "publication {ticket} has outcome {outcome:?}, but is_appended is {is_appended}"
+                ));
             }
         }
     }
