--- a/crates/fleet/replica/tests/support/mod.rs
+++ b/crates/fleet/replica/tests/support/mod.rs
@@ -20,6 +20,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+/// A storage in memory, which survives restarts of the replica.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryStorage(pub PersistentState);
 
@@ -73,15 +74,19 @@
     requested_at: Duration,
 }
 
+/// A simulation of replicas and candidates under true time.
 pub struct SimulatedFleet {
     replicas: BTreeMap<NodeId, ReplicaProcess>,
     pub candidates: Vec<Candidate>,
     pub now: Duration,
+    /// Probabilities of a message's loss, duplication and long delay, and of a replica's crash per input, in thousandths.
     pub loss_per_mille: u32,
     pub duplicate_per_mille: u32,
     pub delay_per_mille: u32,
     pub crash_per_mille: u32,
+    /// Senders and receivers between which consensus messages are lost.
     pub cut_links: BTreeSet<(NodeId, NodeId)>,
+    /// Candidates and replicas between which requests and responses are lost.
     pub cut_client_links: BTreeSet<(usize, NodeId)>,
     pub rng: ChaCha8Rng,
     drift: DriftBound,
--- a/crates/fleet/replica/tests/topics/simulated_fleet.rs
+++ b/crates/fleet/replica/tests/topics/simulated_fleet.rs
@@ -23,6 +23,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+/// A storage in memory, which survives restarts of the replica.
 #[derive(Debug, Clone, Default)]
 struct MemoryStorage(PersistentState);
 
@@ -63,7 +64,7 @@
     pub behind_count: usize,
 }
 
-/// A publisher, which is one process of several that replace each other.
+/// A publisher's process. A killed process is replaced by one with the next incarnation.
 pub struct SimulatedPublisher {
     machine: Publisher,
     locator: LeaderLocator,
@@ -85,15 +86,18 @@
     FeedHeartbeat(NodeId, u32),
 }
 
+/// A simulation of replicas, subscribers and publishers under true time.
 pub struct SimulatedFleet {
     replicas: BTreeMap<NodeId, ReplicaProcess>,
     pub subscribers: Vec<SimulatedSubscriber>,
     pub publishers: Vec<SimulatedPublisher>,
     pub now: Duration,
+    /// Probabilities of a message's loss, duplication and long delay, and of a replica's crash per input, in thousandths.
     pub loss_per_mille: u32,
     pub duplicate_per_mille: u32,
     pub delay_per_mille: u32,
     pub crash_per_mille: u32,
+    /// Senders and receivers between which consensus messages are lost.
     pub cut_links: BTreeSet<(NodeId, NodeId)>,
     pub rng: ChaCha8Rng,
     drift: DriftBound,
