--- a/crates/fleet/replica/tests/encoding/snapshot.rs
+++ b/crates/fleet/replica/tests/encoding/snapshot.rs
@@ -10,7 +10,9 @@
     SnapshotData, StateUpdate, Storage,
 };
 use beechloft_leases::DriftBound;
-use beechloft_placement::names::{AskId, BoxId, DiskId, Life, Order, Revision, Version};
+use beechloft_placement::names::{
+    CustomerRequestId, DiskId, Incarnation, OrderId, Revision, ServerId, Version,
+};
 use beechloft_placement::{Answer, Command as PlacementCommand, Outcome, Renew, Step};
 use beechloft_quotas::{Claim, Enforcement, Key, LimitDefinition, Op as QuotaOp, Scope, ShareReport};
 use beechloft_replica::{ClientId, Command, Replica, ReplicaInput, ReplicaOutput};
@@ -130,15 +132,20 @@
     let settle = QuotaOp::Settle { account, lines };
     single.apply(Command::Quotas(beechloft_quotas::Command::Request(quota_request(3, settle))));
     for (_, operate) in operate() {
-        single.apply(Command::Placement(PlacementCommand::Operate(operate)));
+        single.apply(Command::Placement(PlacementCommand::Operator(operate)));
     }
-    let met = Step::Met { id: BoxId(1), life: Life(1), disk: DiskId(1), told: Order(0) };
+    let met = Step::ServerUp {
+        id: ServerId(1),
+        incarnation: Incarnation(1),
+        disk: DiskId(1),
+        presence: OrderId(0),
+    };
     single.apply(Command::Placement(PlacementCommand::Step(beechloft_leases::Token(1), met)));
-    let admitted = Answer::Asked(AskId(1), Outcome::Admitted(Version(1)));
+    let admitted = Answer::Request(CustomerRequestId(1), Outcome::Admitted(Version(1)));
     let outputs = single.apply(Command::Placement(PlacementCommand::Change(put())));
     assert!(outputs.contains(&ReplicaOutput::PlacementResponse(ClientId(1), 1, admitted)), "{outputs:?}");
     let front = beechloft_placement::names::FrontId(5);
-    let renew = Renew { front, seq: 1, has: Some(Revision(1)), ttl_ms: 1_000 };
+    let renew = Renew { front, seq: 1, revision: Some(Revision(1)), ttl_ms: 1_000 };
     single.apply(Command::Placement(PlacementCommand::Renew(renew)));
     single
 }
--- a/crates/fleet/replica/tests/encoding/values.rs
+++ b/crates/fleet/replica/tests/encoding/values.rs
@@ -4,11 +4,11 @@
 
 use beechloft_leases::{Handoff, HolderId, Name, Token};
 use beechloft_placement::names::{
-    BoxId, Digest, DiskId, FrontId, Life, Order, RackId, Revision, ShardId, Version,
+    Digest, DiskId, FrontId, Incarnation, OrderId, RackId, Revision, ServerId, ShardId, Version,
 };
-use beechloft_placement::plan::inventory::{BoxLine, RackLine};
-use beechloft_placement::words::request::{First, OnLoss, WhenFull};
-use beechloft_placement::{Operate, Quota, Renew, Room, Rules, Step, Titles, What};
+use beechloft_placement::plan::inventory::{RackInfo, ServerInfo};
+use beechloft_placement::protocol::request::{First, OnLoss, WhenFull};
+use beechloft_placement::{ChangeKind, OperatorCommand, Quota, Renew, Resources, Rules, Step, Titles};
 use beechloft_quotas::{
     AccountId, Claim, Enforcement, LimitDefinition, OrphanId, Resource, Scope, ShareReport,
 };
@@ -139,17 +139,18 @@
 }
 
 /// What operators set up before a shard can be pinned.
-pub fn operate() -> Vec<(&'static str, Operate)> {
-    let room = Room { bytes: 1_000, streams: 100, kb_s: 500 };
-    let line = BoxLine { zone: name("z"), rack: RackId(1), has: room, held: Room::default() };
+pub fn operate() -> Vec<(&'static str, OperatorCommand)> {
+    let resources = Resources { bytes: 1_000, streams: 100, kb_s: 500 };
+    let line =
+        ServerInfo { zone: name("z"), rack: RackId(1), total: resources, reserved: Resources::default() };
     let quota =
         Quota { bytes: 300, regions: [name("north"), name("south")].into(), changes_an_hour: 9, shards: 9 };
     vec![
-        ("region", Operate::Region(name("south"), [name("z")].into())),
-        ("region-north", Operate::Region(name("north"), [name("y")].into())),
-        ("rack", Operate::Rack(RackId(1), RackLine { uplink_kb_s: 500, held_kb_s: 1 })),
-        ("box", Operate::Box(BoxId(1), line)),
-        ("quota", Operate::Quota(name("ann"), quota)),
+        ("region", OperatorCommand::Region(name("south"), [name("z")].into())),
+        ("region-north", OperatorCommand::Region(name("north"), [name("y")].into())),
+        ("rack", OperatorCommand::Rack(RackId(1), RackInfo { uplink_kb_s: 500, reserved_kb_s: 1 })),
+        ("box", OperatorCommand::Server(ServerId(1), line)),
+        ("quota", OperatorCommand::Quota(name("ann"), quota)),
     ]
 }
 
@@ -162,38 +163,39 @@
         kb_s: 1,
         regions: [(name("south"), 1)].into(),
         first: First::Nearest,
-        on_loss: OnLoss::Lend { to: vec![name("north")], for_ms: 60_000 },
+        on_loss: OnLoss::FailOver { to: vec![name("north")], max_duration_ms: 60_000 },
         when_full: WhenFull::Wait,
     };
     beechloft_placement::Change {
         shard: shard(),
         key: name("k"),
         if_match: None,
-        what: What::Put(Arc::new(request)),
+        kind: ChangeKind::Put(Arc::new(request)),
     }
 }
 
 fn placement() -> Vec<(&'static str, Command)> {
     use beechloft_placement::Command as PlacementCommand;
     let step = |step| PlacementCommand::Step(Token(300), step);
-    let (id, order) = (BoxId(1), Order(300));
-    let met = Step::Met { id, life: Life(1 << 40), disk: DiskId(2), told: order };
-    let remove = beechloft_placement::Change { if_match: Some(Version(3)), what: What::Remove, ..put() };
-    let renew = Renew { front: FrontId(5), seq: 300, has: Some(Revision(6)), ttl_ms: 1_000 };
+    let (id, order) = (ServerId(1), OrderId(300));
+    let met = Step::ServerUp { id, incarnation: Incarnation(1 << 40), disk: DiskId(2), presence: order };
+    let remove =
+        beechloft_placement::Change { if_match: Some(Version(3)), kind: ChangeKind::Remove, ..put() };
+    let renew = Renew { front: FrontId(5), seq: 300, revision: Some(Revision(6)), ttl_ms: 1_000 };
     let others = [
-        ("scrap", PlacementCommand::Operate(Operate::Scrap(id))),
-        ("rules", PlacementCommand::Operate(Operate::Rules(Rules::default()))),
+        ("scrap", PlacementCommand::Operator(OperatorCommand::Decommission(id))),
+        ("rules", PlacementCommand::Operator(OperatorCommand::Rules(Rules::default()))),
         ("put", PlacementCommand::Change(put())),
         ("remove", PlacementCommand::Change(remove)),
         ("step-clock", step(Step::Clock(300))),
         ("step-met", step(met)),
-        ("step-lost", step(Step::Lost { id, life: Life(1 << 40) })),
-        ("step-read", step(Step::Read { shard: shard(), at: id, order, digest: Digest([2; 32]) })),
-        ("step-over", step(Step::Over(shard()))),
+        ("step-lost", step(Step::ServerLost { id, incarnation: Incarnation(1 << 40) })),
+        ("step-read", step(Step::CopyRead { shard: shard(), at: id, order, digest: Digest([2; 32]) })),
+        ("step-over", step(Step::RetireVersions(shard()))),
         ("renew", PlacementCommand::Renew(renew)),
         ("expire", PlacementCommand::Expire { front: FrontId(5), renewals: 300 }),
     ];
-    let operate = operate().into_iter().map(|(text, operate)| (text, PlacementCommand::Operate(operate)));
+    let operate = operate().into_iter().map(|(text, operate)| (text, PlacementCommand::Operator(operate)));
     operate.chain(others).map(|(text, command)| (text, Command::Placement(command))).collect()
 }
 
