--- a/crates/fleet/replica/src/components/placement.rs
+++ b/crates/fleet/replica/src/components/placement.rs
@@ -1,4 +1,4 @@
-//! The placement as a component, with its replicated state, the expiry of front nodes' rights while this replica is the leader,
+//! The placement as a component, with its replicated state, the expiry of front nodes' placement leases while this replica is the leader,
 //! and the topic of placement records.
 //!
 //! The log entry that creates a record also writes it to the topic, in the order of revisions. Records wait in the replicated state
@@ -12,7 +12,7 @@
 use beechloft_leases::Name;
 use beechloft_placement::names::{Revision, ShardId};
 use beechloft_placement::state::StateError;
-use beechloft_placement::{Answer, Command, Event, Fault, Placements, Record, Rights};
+use beechloft_placement::{Answer, Command, Event, Fault, LeaseDeadlines, Placements, Record};
 use beechloft_topic::{
     Epoch, Expect, Key, PublisherId, Refusal, Session, TopicAnswer, TopicCommand, TopicOp, TopicRequest,
     Value,
@@ -65,8 +65,8 @@
 #[derive(Debug, Clone, Hash, Default)]
 pub(crate) struct PlacementComponent {
     replicated: Replicated,
-    /// Expiry of the front nodes' rights, or `None` while this replica is not the leader.
-    rights: Option<Rights>,
+    /// Expiry of the front nodes' placement leases, or `None` while this replica is not the leader.
+    lease_deadlines: Option<LeaseDeadlines>,
     fault: Option<Fault>,
 }
 
@@ -84,7 +84,7 @@
         self.replicated = match chunks.first() {
             None => Replicated::default(),
             Some(chunk) => {
-                postcard::from_bytes(chunk.bytes()).map_err(|error| StateError::of(error.to_string()))?
+                postcard::from_bytes(chunk.bytes()).map_err(|error| StateError::new(error.to_string()))?
             }
         };
         Ok(())
@@ -94,9 +94,9 @@
         self.fault = Some(fault);
         #[cfg(feature = "fault_injection")]
         {
-            self.replicated.placements.plant(fault);
-            if let Some(rights) = &mut self.rights {
-                rights.plant(fault);
+            self.replicated.placements.inject_fault(fault);
+            if let Some(lease_deadlines) = &mut self.lease_deadlines {
+                lease_deadlines.inject_fault(fault);
             }
         }
     }
@@ -179,8 +179,8 @@
     ) {
         let (answer, events) = self.replicated.placements.apply(&command);
         for event in events {
-            if let Some(rights) = &mut self.rights {
-                rights.applied(context.now, &event, &self.replicated.placements);
+            if let Some(lease_deadlines) = &mut self.lease_deadlines {
+                lease_deadlines.applied(context.now, &event, &self.replicated.placements);
             }
             if let Event::Published { shard, revision, record } = &event {
                 let pending_record =
@@ -213,25 +213,25 @@
         }
     }
 
-    /// Restarts the timers of all rights on a new leader, which does not know when they were renewed.
+    /// Restarts the timers of all placement leases on a new leader, which does not know when they were renewed.
     fn leadership_changed(&mut self, context: ApplyContext) {
-        self.rights = context.is_leader.then(|| {
-            let mut rights = Rights::new(context.drift);
+        self.lease_deadlines = context.is_leader.then(|| {
+            let mut lease_deadlines = LeaseDeadlines::new(context.drift);
             #[cfg(feature = "fault_injection")]
             if let Some(fault) = self.fault {
-                rights.plant(fault);
+                lease_deadlines.inject_fault(fault);
             }
-            rights.begin(context.now, &self.replicated.placements);
-            rights
+            lease_deadlines.begin(context.now, &self.replicated.placements);
+            lease_deadlines
         });
     }
 
     fn next_due(&self) -> Option<Duration> {
-        self.rights.as_ref()?.next_due()
+        self.lease_deadlines.as_ref()?.next_due()
     }
 
     fn due_commands(&mut self, now: Duration) -> Vec<Command> {
-        self.rights.as_mut().map_or_else(Vec::new, |rights| rights.due(now))
+        self.lease_deadlines.as_mut().map_or_else(Vec::new, |lease_deadlines| lease_deadlines.due(now))
     }
 
     fn drain_notifications(&mut self, _: &mut Vec<ReplicaOutput>) {}
--- a/crates/fleet/replica/tests/encoding/snapshot.rs
+++ b/crates/fleet/replica/tests/encoding/snapshot.rs
@@ -11,7 +11,9 @@
     SnapshotData, StateUpdate, Storage,
 };
 use beechloft_leases::DriftBound;
-use beechloft_placement::names::{AskId, BoxId, DiskId, Life, Order, Revision, Version};
+use beechloft_placement::names::{
+    CustomerRequestId, DiskId, Incarnation, OrderId, Revision, ServerId, Version,
+};
 use beechloft_placement::{Answer, Command as PlacementCommand, Outcome, Renew, Step};
 use beechloft_quotas::{Claim, Enforcement, Key, LimitDefinition, Op as QuotaOp, Scope, ShareReport};
 use beechloft_replica::{ClientId, Command, Replica, ReplicaInput, ReplicaOutput};
@@ -136,15 +138,20 @@
     let report = QuotaOp::Report { account, reports };
     node.apply(Command::Quotas(beechloft_quotas::Command::Request(quota_request(3, report))));
     for (_, operate) in operate() {
-        node.apply(Command::Placement(PlacementCommand::Operate(operate)));
+        node.apply(Command::Placement(PlacementCommand::Operator(operate)));
     }
-    let media_server_found = Step::Met { id: BoxId(1), life: Life(1), disk: DiskId(1), told: Order(0) };
-    node.apply(Command::Placement(PlacementCommand::Step(beechloft_leases::Token(1), media_server_found)));
-    let admitted = Answer::Asked(AskId(1), Outcome::Admitted(Version(1)));
+    let server_up = Step::ServerUp {
+        id: ServerId(1),
+        incarnation: Incarnation(1),
+        disk: DiskId(1),
+        presence: OrderId(0),
+    };
+    node.apply(Command::Placement(PlacementCommand::Step(beechloft_leases::Token(1), server_up)));
+    let admitted = Answer::Request(CustomerRequestId(1), Outcome::Admitted(Version(1)));
     let outputs = node.apply(Command::Placement(PlacementCommand::Change(put())));
     assert!(outputs.contains(&ReplicaOutput::PlacementResponse(ClientId(1), 1, admitted)), "{outputs:?}");
     let front = beechloft_placement::names::FrontId(5);
-    let renew = Renew { front, seq: 1, has: Some(Revision(1)), ttl_ms: 1_000 };
+    let renew = Renew { front, seq: 1, revision: Some(Revision(1)), ttl_ms: 1_000 };
     node.apply(Command::Placement(PlacementCommand::Renew(renew)));
     node
 }
