--- a/crates/base/store/src/directory.rs
+++ b/crates/base/store/src/directory.rs
@@ -1,4 +1,6 @@
-//! The operations of the file system that a store needs, as traits, so that tests can replace them.
+//! File-system operations that a store needs, as traits with an implementation for disks.
+//!
+//! Tests implement the traits to inject write errors and power failures.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -6,91 +8,91 @@
 
 use rustix::fs::FlockOperation;
 
-/// A directory with files.
+/// A directory that contains the files of a store.
 pub trait Directory {
-    /// A file that is written at its end.
+    /// Handle of a file that is open for appending.
     type File: AppendFile;
-    /// A guard that keeps other processes out while it lives.
+    /// Guard that holds the directory's lock until it is dropped.
     type Lock;
 
-    /// Takes the directory's lock.
+    /// Acquires the exclusive lock of the directory without waiting.
     ///
     /// # Errors
-    /// `WouldBlock`, if another process holds it; other errors of the file system.
+    /// Returns `WouldBlock` if another process holds the lock, and any other error of the file system.
     fn lock(&self) -> io::Result<Self::Lock>;
 
-    /// The names of all files.
+    /// Returns the names of all files in the directory.
     ///
     /// # Errors
-    /// Errors of the file system.
+    /// Returns an error of the file system.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// All bytes of a file.
+    /// Reads a whole file.
     ///
     /// # Errors
-    /// Errors of the file system.
+    /// Returns an error of the file system.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Creates a file, or empties an existing one.
+    /// Creates a file, or truncates an existing one to zero length.
     ///
     /// # Errors
-    /// Errors of the file system.
+    /// Returns an error of the file system.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Truncates a file to a length and opens it for appending.
+    /// Truncates a file to `length` bytes and opens it for appending.
     ///
     /// # Errors
-    /// Errors of the file system.
+    /// Returns an error of the file system.
     fn resume(&self, name: &str, length: u64) -> io::Result<Self::File>;
 
-    /// Renames a file, replacing an existing one. Durable after [`Directory::sync`].
+    /// Renames a file and replaces an existing one. The change is durable after [`Directory::sync`].
     ///
     /// # Errors
-    /// Errors of the file system.
+    /// Returns an error of the file system.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Removes a file. Durable after [`Directory::sync`].
+    /// Removes a file. The change is durable after [`Directory::sync`].
     ///
     /// # Errors
-    /// Errors of the file system.
+    /// Returns an error of the file system.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Makes changes of names durable.
+    /// Makes all creations, renames and removals durable.
     ///
     /// # Errors
-    /// Errors of the file system.
+    /// Returns an error of the file system.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// A file that is written at its end.
+/// A file that is open for appending.
 pub trait AppendFile {
-    /// Writes all bytes. On an error a part of them may have been written.
+    /// Appends all bytes. After an error a part of them may have been written.
     ///
     /// # Errors
-    /// Errors of the file system.
+    /// Returns an error of the file system.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes what was written durable.
+    /// Makes all appended bytes durable.
     ///
     /// # Errors
-    /// Errors of the file system.
+    /// Returns an error of the file system.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// A directory of the operating system.
+/// A directory on a disk.
 #[derive(Debug, Clone)]
 pub struct DiskDirectory {
     path: PathBuf,
 }
 
-/// The name of the lock file.
-const LOCK_FILE: &str = "lock";
+/// Name of the lock file.
+const LOCK_FILE_NAME: &str = "lock";
 
 impl DiskDirectory {
     /// Opens a directory, and creates it if it does not exist.
     ///
     /// # Errors
-    /// Errors of the file system.
+    /// Returns an error of the file system.
     pub fn open(path: impl Into<PathBuf>) -> io::Result<DiskDirectory> {
         let path = path.into();
         fs::create_dir_all(&path)?;
@@ -103,8 +105,11 @@
     type Lock = File;
 
     fn lock(&self) -> io::Result<File> {
-        let file =
-            OpenOptions::new().create(true).truncate(false).write(true).open(self.path.join(LOCK_FILE))?;
+        let file = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(self.path.join(LOCK_FILE_NAME))?;
         rustix::fs::flock(&file, FlockOperation::NonBlockingLockExclusive)?;
         Ok(file)
     }
@@ -112,7 +117,7 @@
     fn list(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
-            // A name that is not valid Unicode is of no file of the store.
+            // Names of the store's files are valid Unicode, so any other name is skipped.
             names.extend(entry?.file_name().into_string());
         }
         names.sort();
--- a/crates/base/store/src/frame.rs
+++ b/crates/base/store/src/frame.rs
@@ -1,4 +1,6 @@
-//! The encoding of a generation, without I/O. All numbers are little-endian.
+//! Encoding of a generation's header and frames, without I/O. All numbers are little-endian.
+//!
+//! A generation begins with a header:
 //!
 //! | offset | bytes | content |
 //! | --- | --- | --- |
@@ -7,14 +9,14 @@
 //! | 10 | 8 | number of the generation |
 //! | 18 | 4 | CRC-32 of the bytes before |
 //!
-//! Frames follow:
+//! One or more frames follow the header:
 //!
 //! | offset | bytes | content |
 //! | --- | --- | --- |
 //! | 0 | 4 | length of the payload |
 //! | 4 | 1 | 1: a snapshot of the whole state, the first frame of a generation and no other; 2: a batch |
-//! | 5 | 8 | number of the batch; a snapshot has that of the last batch in it |
-//! | 13 | 8 | number of the last batch that was synced when this was written |
+//! | 5 | 8 | number of the batch; for a snapshot, the number of the last batch that it contains |
+//! | 13 | 8 | number of the last batch that was synced when the frame was written |
 //! | 21 | 4 | CRC-32 of the generation's number, the 21 bytes before, and the payload |
 //! | 25 | n | operations (postcard) |
 
@@ -25,7 +27,7 @@
 
 /// The first bytes of a generation.
 pub const MAGIC: [u8; 8] = *b"BLSTORE\0";
-/// The version of the format that is written.
+/// Version of the format.
 pub const VERSION: u16 = 1;
 /// Length of a generation's header, bytes.
 pub const HEADER_LEN: usize = 22;
@@ -34,11 +36,11 @@
 /// Maximum length of a payload, bytes.
 pub const MAX_PAYLOAD_LEN: usize = 256 << 20;
 /// Offset of the checksum in a generation's header.
-const HEADER_CHECKSUM_AT: usize = 18;
+const HEADER_CHECKSUM_OFFSET: usize = 18;
 /// Offset of the checksum in a frame's header.
-const FRAME_CHECKSUM_AT: usize = 21;
+const FRAME_CHECKSUM_OFFSET: usize = 21;
 
-/// The number of a table.
+/// Number of a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Table(pub u8);
 
@@ -49,7 +51,7 @@
     pub table: Table,
     /// The key.
     pub key: Vec<u8>,
-    /// The new value, or `None` to remove the entry. Shared with the state that it goes into.
+    /// The new value, or `None` to remove the entry. It is shared with the state that the operation is applied to.
     pub value: Option<Arc<[u8]>>,
 }
 
@@ -58,7 +60,7 @@
 pub enum FrameKind {
     /// A snapshot of the whole state.
     Snapshot,
-    /// A batch.
+    /// A batch of changes.
     Batch,
 }
 
@@ -79,74 +81,75 @@
     }
 }
 
-/// A frame.
+/// A decoded frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Frame {
-    /// Its kind.
+    /// Kind of the frame.
     pub kind: FrameKind,
-    /// The number of the batch.
+    /// Number of the batch. For a snapshot, the number of the last batch that it contains.
     pub seq: u64,
-    /// The number of the last batch that was synced before it was written.
+    /// Number of the last batch that was synced when the frame was written.
     pub synced: u64,
-    /// Its changes.
+    /// Changes of the batch, or the operations that build the state of the snapshot from an empty one.
     pub ops: Vec<Op>,
 }
 
-/// A frame that was read, with its length.
+/// A decoded frame and its encoded length.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DecodedFrame {
     /// The frame.
     pub frame: Frame,
-    /// Its length, bytes.
-    pub length: usize,
+    /// Length of the encoded frame, bytes.
+    pub len: usize,
 }
 
-/// A frame that is too long to be written.
+/// Error of encoding a frame whose payload exceeds [`MAX_PAYLOAD_LEN`].
 #[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
-#[error("more than {MAX_PAYLOAD_LEN} bytes in one frame")]
+#[error("frame payload is longer than {MAX_PAYLOAD_LEN} bytes")]
 pub struct FrameTooLong;
 
-/// Why bytes are no valid frame.
+/// Error of decoding a frame.
 #[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
 pub enum FrameError {
-    /// There are fewer bytes than the frame has.
-    #[error("cut short")]
+    /// The input ends before the frame does.
+    #[error("frame is truncated")]
     Truncated,
-    /// Its checksum does not match, or its header is invalid.
-    #[error("its checksum does not fit")]
+    /// The checksum does not match, or the frame's header is invalid.
+    #[error("frame checksum does not match")]
     Checksum,
-    /// The checksum matches and yet the payload can't be decoded: another program wrote it.
-    #[error("its operations make no sense")]
+    /// The checksum matches, but the payload can't be decoded or the frame is of an unexpected kind. An incompatible program
+    /// wrote it.
+    #[error("frame payload is invalid")]
     Payload,
 }
 
-/// Why bytes are no valid header of a generation.
+/// Error of decoding a generation's header.
 #[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
 pub enum HeaderError {
-    /// There are fewer bytes than a header has.
-    #[error("cut short")]
+    /// The input is shorter than a header.
+    #[error("header is truncated")]
     Truncated,
-    /// Not a store's file.
-    #[error("not a store's file")]
+    /// The first bytes are not [`MAGIC`].
+    #[error("not a file of a store")]
     Magic,
-    /// Its checksum does not match.
-    #[error("its checksum does not fit")]
+    /// The checksum does not match.
+    #[error("header checksum does not match")]
     Checksum,
-    /// A later program wrote it.
-    #[error("its format is of version {0}, and this program reads up to {VERSION}")]
+    /// The format has a version that this program does not support.
+    #[error("unsupported format version {0}; the supported version is {VERSION}")]
     Version(u16),
 }
 
-fn u64_at(bytes: &[u8], at: usize) -> Option<u64> {
-    Some(u64::from_le_bytes(bytes.get(at..at + 8)?.try_into().ok()?))
+fn u64_at(bytes: &[u8], offset: usize) -> Option<u64> {
+    Some(u64::from_le_bytes(bytes.get(offset..offset + 8)?.try_into().ok()?))
 }
 
-fn u32_at(bytes: &[u8], at: usize) -> Option<u32> {
-    Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?))
+fn u32_at(bytes: &[u8], offset: usize) -> Option<u32> {
+    Some(u32::from_le_bytes(bytes.get(offset..offset + 4)?.try_into().ok()?))
 }
 
-/// The header of a generation.
-pub fn header(generation: u64) -> Vec<u8> {
+/// Encodes the header of a generation.
+pub fn encode_header(generation: u64) -> Vec<u8> {
     let mut out = Vec::with_capacity(HEADER_LEN);
     out.extend(MAGIC);
     out.extend(VERSION.to_le_bytes());
@@ -155,17 +158,17 @@
     out
 }
 
-/// Reads a header; the number of its generation.
+/// Decodes a header and returns the number of the generation.
 ///
 /// # Errors
-/// The bytes are no valid header.
-pub fn read_header(bytes: &[u8]) -> Result<u64, HeaderError> {
+/// Returns an error if the input does not begin with a valid header.
+pub fn decode_header(bytes: &[u8]) -> Result<u64, HeaderError> {
     let header = bytes.get(..HEADER_LEN).ok_or(HeaderError::Truncated)?;
     if header[..MAGIC.len()] != MAGIC {
         return Err(HeaderError::Magic);
     }
-    let checksum = crc32fast::hash(&header[..HEADER_CHECKSUM_AT]);
-    if u32_at(header, HEADER_CHECKSUM_AT) != Some(checksum) {
+    let checksum = crc32fast::hash(&header[..HEADER_CHECKSUM_OFFSET]);
+    if u32_at(header, HEADER_CHECKSUM_OFFSET) != Some(checksum) {
         return Err(HeaderError::Checksum);
     }
     let version = u16::from_le_bytes([header[8], header[9]]);
@@ -175,7 +178,9 @@
     u64_at(header, 10).ok_or(HeaderError::Truncated)
 }
 
-/// The generation is part of the checksum, so that a frame that a disk brings back from an older file does not match.
+/// Computes the checksum of a frame.
+///
+/// The checksum covers the generation's number, so that a frame of an older file does not match if its disk block is reused.
 fn checksum(generation: u64, header: &[u8], payload: &[u8]) -> u32 {
     let mut crc = crc32fast::Hasher::new();
     crc.update(&generation.to_le_bytes());
@@ -184,11 +189,11 @@
     crc.finalize()
 }
 
-/// Appends a frame.
+/// Encodes a frame and appends it to `out`.
 ///
 /// # Errors
-/// The payload would be longer than [`MAX_PAYLOAD_LEN`]; nothing is appended then.
-pub fn write(
+/// Returns an error, with `out` unchanged, if the payload would exceed [`MAX_PAYLOAD_LEN`].
+pub fn encode(
     generation: u64,
     kind: FrameKind,
     seq: u64,
@@ -200,43 +205,44 @@
     if payload.len() > MAX_PAYLOAD_LEN {
         return Err(FrameTooLong);
     }
-    let length = u32::try_from(payload.len()).map_err(|_| FrameTooLong)?;
-    let begin = out.len();
-    out.extend(length.to_le_bytes());
+    let payload_len = u32::try_from(payload.len()).map_err(|_| FrameTooLong)?;
+    let start = out.len();
+    out.extend(payload_len.to_le_bytes());
     out.push(kind.to_byte());
     out.extend(seq.to_le_bytes());
     out.extend(synced.to_le_bytes());
-    let crc = checksum(generation, &out[begin..], &payload);
+    let crc = checksum(generation, &out[start..], &payload);
     out.extend(crc.to_le_bytes());
     out.extend(payload);
     Ok(())
 }
 
-/// Reads the frame at the beginning of the bytes.
+/// Decodes the frame at the beginning of the input.
 ///
 /// # Errors
-/// The bytes do not begin with a valid frame of the generation.
-pub fn read(generation: u64, bytes: &[u8]) -> Result<DecodedFrame, FrameError> {
+/// Returns an error if the input does not begin with a valid frame of the generation.
+pub fn decode(generation: u64, bytes: &[u8]) -> Result<DecodedFrame, FrameError> {
     let header = bytes.get(..FRAME_HEADER_LEN).ok_or(FrameError::Truncated)?;
-    let length = u32_at(header, 0).ok_or(FrameError::Truncated)? as usize;
+    let payload_len = u32_at(header, 0).ok_or(FrameError::Truncated)? as usize;
     let kind = FrameKind::from_byte(header[4]).ok_or(FrameError::Checksum)?;
-    if length > MAX_PAYLOAD_LEN {
+    if payload_len > MAX_PAYLOAD_LEN {
         return Err(FrameError::Checksum);
     }
-    let end = FRAME_HEADER_LEN + length;
+    let end = FRAME_HEADER_LEN + payload_len;
     let payload = bytes.get(FRAME_HEADER_LEN..end).ok_or(FrameError::Truncated)?;
-    let expected = checksum(generation, &header[..FRAME_CHECKSUM_AT], payload);
-    if u32_at(header, FRAME_CHECKSUM_AT) != Some(expected) {
+    let expected = checksum(generation, &header[..FRAME_CHECKSUM_OFFSET], payload);
+    if u32_at(header, FRAME_CHECKSUM_OFFSET) != Some(expected) {
         return Err(FrameError::Checksum);
     }
     let seq = u64_at(header, 5).ok_or(FrameError::Truncated)?;
     let synced = u64_at(header, 13).ok_or(FrameError::Truncated)?;
     let ops = postcard::from_bytes(payload).map_err(|_| FrameError::Payload)?;
-    Ok(DecodedFrame { frame: Frame { kind, seq, synced, ops }, length: end })
+    Ok(DecodedFrame { frame: Frame { kind, seq, synced, ops }, len: end })
 }
 
-/// Whether the bytes at an offset look like a batch whose number is in the range. Most offsets fail here, before any checksum.
-pub(crate) fn may_be_batch(bytes: &[u8], at: usize, numbers: std::ops::RangeInclusive<u64>) -> bool {
-    bytes.get(at + 4).copied() == Some(FrameKind::Batch.to_byte())
-        && u64_at(bytes, at + 5).is_some_and(|seq| numbers.contains(&seq))
+/// Returns whether the bytes at `offset` may be a batch whose number is in the range. The test rejects most offsets without the
+/// cost of a checksum.
+pub(crate) fn may_be_batch(bytes: &[u8], offset: usize, numbers: std::ops::RangeInclusive<u64>) -> bool {
+    bytes.get(offset + 4).copied() == Some(FrameKind::Batch.to_byte())
+        && u64_at(bytes, offset + 5).is_some_and(|seq| numbers.contains(&seq))
 }
--- a/crates/base/store/src/lib.rs
+++ b/crates/base/store/src/lib.rs
@@ -1,13 +1,12 @@
 //! An embedded log-structured store for state that must survive a restart.
 //!
-//! A directory holds generations of one log. Each begins with a snapshot of the whole state and continues with batches, each in
-//! one checksummed frame, so that a batch is present completely or not at all ([`frame`]). The state is an ordered map in
-//! memory; readers hold a [`View`] of it that later writes do not change. Compaction writes the next generation and keeps the
-//! previous one beside it, so that a generation truncated anywhere falls back to a committed state.
+//! A directory contains generations of one log. A generation begins with a snapshot of the whole state, and batches follow. Each
+//! batch is one frame with a checksum, so that it is present completely or not at all ([`frame`]). The state is an ordered map
+//! in memory, and readers hold a [`View`] of it that later writes do not change. Compaction writes the next generation and
+//! retains the previous one, so that recovery falls back to a committed state if the newest generation is truncated anywhere.
 //!
-//! The store is written against a small file-system trait ([`directory`]), so that tests can truncate, lose and reorder writes
-//! under the real code. After a failed write or sync the store accepts no further writes: what the disk then holds is known only
-//! to the next start.
+//! The store accesses files through a small trait ([`directory`]), so that tests can truncate, lose and reorder its writes. After
+//! a failed write or sync the store accepts no further writes, because only the next start can determine what the disk contains.
 #![forbid(unsafe_code)]
 
 pub mod directory;
--- a/crates/base/store/src/recovery/error.rs
+++ b/crates/base/store/src/recovery/error.rs
@@ -1,4 +1,4 @@
-//! Why a generation can't be used, and what recovery did.
+//! Corruption of a generation, and notes about the repairs that recovery made.
 
 use std::fmt;
 
@@ -6,84 +6,89 @@
 
 use crate::frame::{FrameError, HeaderError};
 
-/// Why a generation can't be used.
+/// Corruption because of which a generation can't be used.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum Corruption {
-    /// Its header is invalid.
-    #[error("head: {0}")]
+    /// The header is invalid.
+    #[error("invalid header: {0}")]
     Header(#[from] HeaderError),
-    /// The name of the file has the number of another generation.
-    #[error("its name says generation {name}, its head says {head}")]
-    Name {
-        /// The number in the name.
-        name: u64,
-        /// The number in the header.
-        head: u64,
+    /// The file name contains the number of another generation than the header.
+    #[error("file name is of generation {file_name}, header is of generation {header}")]
+    GenerationMismatch {
+        /// Number in the file name.
+        file_name: u64,
+        /// Number in the header.
+        header: u64,
     },
-    /// Its first frame, the snapshot that the batches are based on, is invalid.
-    #[error("offset {at}: the state that the generation begins with: {error}")]
+    /// The snapshot, which is the first frame, is invalid.
+    #[error("offset {offset}: invalid snapshot: {error}")]
     Snapshot {
-        /// Offset of the frame.
-        at: usize,
-        /// What is wrong with it.
+        /// Offset of the frame, bytes.
+        offset: usize,
+        /// Error of decoding the frame.
         error: FrameError,
     },
     /// A batch that had been synced is invalid.
-    #[error("offset {at}: a batch after number {seq}: {error}; sound batches follow at offset {next}")]
+    #[error(
+        "offset {offset}: invalid batch after batch {seq}: {error}; a valid batch follows at offset {next_offset}"
+    )]
     Batch {
-        /// Offset of the frame.
-        at: usize,
-        /// The last valid batch before it.
+        /// Offset of the frame, bytes.
+        offset: usize,
+        /// Number of the last valid batch before the frame.
         seq: u64,
-        /// What is wrong with it.
+        /// Error of decoding the frame.
         error: FrameError,
-        /// Offset of the next valid frame.
-        next: usize,
+        /// Offset of the next valid batch, bytes. Equals `offset` if the frame's checksum matches.
+        next_offset: usize,
     },
-    /// A valid frame has a wrong number.
-    #[error("offset {at}: batch {found} after batch {seq}")]
+    /// A valid frame is not the batch with the next number.
+    #[error("offset {offset}: batch {found} after batch {seq}")]
     Order {
-        /// Offset of the frame.
-        at: usize,
-        /// The batch before it.
+        /// Offset of the frame, bytes.
+        offset: usize,
+        /// Number of the batch before the frame.
         seq: u64,
-        /// Its number.
+        /// Number of the frame.
         found: u64,
     },
 }
 
-/// Something that recovery found and repaired, for the operator.
+/// A repair that recovery made, to be reported to the operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecoveryNote {
-    /// The last bytes of a generation were no complete batch and were truncated.
+    /// The bytes after the last complete batch of a generation were truncated.
     TornTail {
-        /// The generation.
+        /// Number of the generation.
         generation: u64,
         /// Offset of the first truncated byte.
-        at: usize,
+        offset: usize,
         /// Number of truncated bytes.
-        bytes: usize,
+        truncated_bytes: usize,
     },
-    /// A generation can't be used; the previous one is.
-    FellBack {
-        /// The generation that can't be used.
+    /// A generation can't be used, and recovery fell back to the previous one.
+    GenerationSkipped {
+        /// Number of the generation that can't be used.
         generation: u64,
-        /// Why.
-        why: Corruption,
+        /// Corruption of that generation.
+        corruption: Corruption,
     },
 }
 
 impl fmt::Display for RecoveryNote {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RecoveryNote::TornTail { generation, at, bytes } => {
+            RecoveryNote::TornTail { generation, offset, truncated_bytes } => {
                 write!(
                     f,
-                    "generation {generation}, offset {at}: {bytes} bytes of no whole batch were cut off"
+                    "generation {generation}, offset {offset}: truncated {truncated_bytes} bytes of an incomplete batch"
                 )
             }
-            RecoveryNote::FellBack { generation, why } => {
-                write!(f, "generation {generation} can't be used, the one before it is taken: {why}")
+            RecoveryNote::GenerationSkipped { generation, corruption } => {
+                write!(
+                    f,
+                    "generation {generation} can't be used, fell back to the previous one: {corruption}"
+                )
             }
         }
     }
--- a/crates/base/store/src/recovery/mod.rs
+++ b/crates/base/store/src/recovery/mod.rs
@@ -1,9 +1,13 @@
 //! Decoding of a whole generation, without I/O.
 //!
-//! An invalid frame has two explanations. Either power was lost before it was synced: then the state before it is the last
-//! certain one, and what follows goes with it, as disks write in any order. Or data that had been synced is corrupt, and going on
-//! would lose it silently: that is an error for the operator. The frames that follow tell which: each has the number of the last
-//! batch that was synced when it was written.
+//! An invalid frame has one of two causes:
+//!
+//! - Power was lost before the frame was synced. The state before the frame is the last durable one, and all later frames are
+//!   discarded too, because disks write in any order.
+//! - Synced data is corrupt. Recovery reports an error to the operator, because it would otherwise lose that data silently.
+//!
+//! The later frames distinguish the two cases, because each contains the number of the last batch that was synced when it was
+//! written.
 
 mod error;
 
@@ -15,24 +19,24 @@
 
 pub use self::error::{Corruption, RecoveryNote};
 
-/// A batch number further ahead than this is not taken for one.
-const MAX_BATCHES_AHEAD: u64 = 1_000_000_000;
+/// Maximum distance of a batch number from the last valid one. Bytes that decode to a larger number are not a batch.
+const MAX_SEQ_DISTANCE: u64 = 1_000_000_000;
 
-/// The whole state: values by table and key.
+/// State of a store: values by table and key.
 pub type State = OrdMap<(Table, Vec<u8>), Arc<[u8]>>;
 
-/// A generation that can be used.
+/// A generation that was decoded.
 #[derive(Debug, Clone)]
 pub struct Recovered {
-    /// Its number.
+    /// Number of the generation.
     pub generation: u64,
-    /// Its state.
+    /// State after the last valid batch.
     pub state: State,
-    /// The number of the last batch.
+    /// Number of the last valid batch.
     pub seq: u64,
-    /// Number of valid bytes; what follows is to be truncated.
+    /// Number of valid bytes. The bytes after them are to be truncated.
     pub valid_len: usize,
-    /// Number of bytes after the valid ones.
+    /// Number of bytes after the valid ones, which are of an incomplete batch.
     pub torn_len: usize,
 }
 
@@ -46,17 +50,17 @@
     }
 }
 
-/// Decodes a generation whose file has the number `name`.
+/// Decodes a generation whose file name contains the number `file_name`.
 ///
 /// # Errors
-/// Something that had been synced can't be decoded.
-pub fn recover(name: u64, bytes: &[u8]) -> Result<Recovered, Corruption> {
-    let generation = frame::read_header(bytes)?;
-    if generation != name {
-        return Err(Corruption::Name { name, head: generation });
+/// Returns an error if the header, the snapshot or a synced batch is invalid.
+pub fn recover(file_name: u64, bytes: &[u8]) -> Result<Recovered, Corruption> {
+    let generation = frame::decode_header(bytes)?;
+    if generation != file_name {
+        return Err(Corruption::GenerationMismatch { file_name, header: generation });
     }
     let first = read_snapshot(generation, bytes)?;
-    let mut valid_len = frame::HEADER_LEN + first.length;
+    let mut valid_len = frame::HEADER_LEN + first.len;
     let mut seq = first.frame.seq;
     let mut state = State::new();
     apply(&mut state, first.frame.ops);
@@ -64,49 +68,51 @@
         let Some(next) = read_batch(generation, bytes, valid_len, seq)? else { break };
         apply(&mut state, next.frame.ops);
         seq = next.frame.seq;
-        valid_len += next.length;
+        valid_len += next.len;
     }
     Ok(Recovered { generation, state, seq, valid_len, torn_len: bytes.len() - valid_len })
 }
 
 fn read_snapshot(generation: u64, bytes: &[u8]) -> Result<DecodedFrame, Corruption> {
-    let at = frame::HEADER_LEN;
-    match frame::read(generation, &bytes[at..]) {
+    let offset = frame::HEADER_LEN;
+    match frame::decode(generation, &bytes[offset..]) {
         Ok(decoded) if decoded.frame.kind == FrameKind::Snapshot => Ok(decoded),
-        Ok(_) => Err(Corruption::Snapshot { at, error: FrameError::Payload }),
-        Err(error) => Err(Corruption::Snapshot { at, error }),
+        Ok(_) => Err(Corruption::Snapshot { offset, error: FrameError::Payload }),
+        Err(error) => Err(Corruption::Snapshot { offset, error }),
     }
 }
 
-/// The batch after number `seq`, or `None` where a torn write begins.
+/// Decodes the batch after batch `seq`. Returns `None` if the bytes at `offset` are an incomplete write.
 fn read_batch(
     generation: u64,
     bytes: &[u8],
-    at: usize,
+    offset: usize,
     seq: u64,
 ) -> Result<Option<DecodedFrame>, Corruption> {
-    let error = match frame::read(generation, &bytes[at..]) {
+    let error = match frame::decode(generation, &bytes[offset..]) {
         Ok(decoded) if decoded.frame.kind == FrameKind::Batch && decoded.frame.seq == seq + 1 => {
             return Ok(Some(decoded));
         }
-        Ok(decoded) => return Err(Corruption::Order { at, seq, found: decoded.frame.seq }),
+        Ok(decoded) => return Err(Corruption::Order { offset, seq, found: decoded.frame.seq }),
         Err(error) => error,
     };
     if error == FrameError::Payload {
-        // It was written completely, by a program unknown to this one.
-        return Err(Corruption::Batch { at, seq, error, next: at });
+        // The checksum matches, so an incompatible program wrote the whole frame.
+        return Err(Corruption::Batch { offset, seq, error, next_offset: offset });
     }
-    match find_synced_later(generation, bytes, at + 1, seq) {
-        Some(next) => Err(Corruption::Batch { at, seq, error, next }),
+    match find_batch_with_later_sync(generation, bytes, offset + 1, seq) {
+        Some(next_offset) => Err(Corruption::Batch { offset, seq, error, next_offset }),
         None => Ok(None),
     }
 }
 
-/// The offset of a valid batch that was written when more than batch `seq` had been synced.
-fn find_synced_later(generation: u64, bytes: &[u8], from: usize, seq: u64) -> Option<usize> {
+/// Returns the offset of the first valid batch that was written after a batch later than `seq` had been synced.
+fn find_batch_with_later_sync(generation: u64, bytes: &[u8], from: usize, seq: u64) -> Option<usize> {
     let offsets = from..bytes.len().saturating_sub(frame::FRAME_HEADER_LEN);
-    let candidates = offsets.filter(|at| frame::may_be_batch(bytes, *at, seq + 1..=seq + MAX_BATCHES_AHEAD));
-    let synced_later =
-        |at: &usize| frame::read(generation, &bytes[*at..]).is_ok_and(|decoded| decoded.frame.synced > seq);
-    candidates.into_iter().find(synced_later)
+    let candidates =
+        offsets.filter(|offset| frame::may_be_batch(bytes, *offset, seq + 1..=seq + MAX_SEQ_DISTANCE));
+    let has_later_sync = |offset: &usize| {
+        frame::decode(generation, &bytes[*offset..]).is_ok_and(|decoded| decoded.frame.synced > seq)
+    };
+    candidates.into_iter().find(has_later_sync)
 }
--- a/crates/base/store/src/store/batch.rs
+++ b/crates/base/store/src/store/batch.rs
@@ -4,7 +4,7 @@
 
 use crate::frame::{Op, Table};
 
-/// Changes that are applied atomically.
+/// A list of changes that is applied atomically.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Batch(pub(super) Vec<Op>);
 
@@ -14,7 +14,7 @@
         self.put_shared(table, key, value.into().into())
     }
 
-    /// Sets the value of a key to one that is shared, so that there is one copy of it in memory.
+    /// Sets the value of a key to a shared value, which is not copied.
     pub fn put_shared(&mut self, table: Table, key: impl Into<Vec<u8>>, value: Arc<[u8]>) -> &mut Self {
         self.0.push(Op { table, key: key.into(), value: Some(value) });
         self
@@ -26,7 +26,7 @@
         self
     }
 
-    /// Whether it has no changes.
+    /// Returns whether the batch contains no changes.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/base/store/src/store/compaction.rs
+++ b/crates/base/store/src/store/compaction.rs
@@ -1,4 +1,4 @@
-//! Compaction: the next generation is written beside the one in use.
+//! Compaction: writes the next generation while batches are still appended to the current one.
 
 use super::error::io_error;
 use super::generation::{PARTIAL_SUFFIX, file_name, generation_of_file, partial_file_name, write_snapshot};
@@ -6,7 +6,7 @@
 use crate::directory::{AppendFile, Directory};
 use crate::frame::{self, FrameKind, Op};
 
-/// A compaction in progress. It is independent of the store, so that another thread can write the snapshot.
+/// A compaction in progress. It does not borrow the store, so that another thread can write the snapshot.
 #[derive(Debug)]
 pub struct Compaction {
     view: View,
@@ -14,7 +14,7 @@
     id: u64,
 }
 
-/// A generation that is written but not in use yet.
+/// A generation whose snapshot is written, to be passed to [`Store::finish_compaction`].
 #[derive(Debug)]
 pub struct WrittenGeneration<F: AppendFile> {
     file: F,
@@ -23,49 +23,49 @@
     snapshot_len: u64,
 }
 
-/// A batch that was written since a compaction began.
+/// A batch that was written after a compaction began.
 #[derive(Debug)]
-pub(super) struct BatchSince {
+pub(super) struct BacklogBatch {
     pub seq: u64,
     pub ops: Vec<Op>,
 }
 
-/// Batches since a compaction began.
+/// Batches that were written after a compaction began and that the new generation lacks.
 #[derive(Debug)]
 pub(super) struct Backlog {
     compaction: u64,
-    pub batches: Vec<BatchSince>,
+    pub batches: Vec<BacklogBatch>,
 }
 
 impl Compaction {
-    /// Writes the snapshot of the next generation. May take long.
+    /// Writes the snapshot of the next generation. The duration grows with the size of the state.
     ///
     /// # Errors
-    /// Errors of the file system, or the state is too long for a frame.
+    /// Returns an error if an operation of the file system failed or the state exceeds the maximum length of a frame.
     pub fn write<D: Directory>(&self, directory: &D) -> Result<WrittenGeneration<D::File>, StoreError> {
         let snapshot = write_snapshot(directory, self.generation, self.id, &self.view)?;
         Ok(WrittenGeneration {
             file: snapshot.file,
             generation: self.generation,
             compaction: self.id,
-            snapshot_len: snapshot.length as u64,
+            snapshot_len: snapshot.len as u64,
         })
     }
 }
 
 impl<D: Directory> Store<D> {
-    /// Whether a compaction is worth its cost.
-    pub fn wants_compaction(&self) -> bool {
+    /// Returns whether a compaction is due by the store's [`Options`](super::Options) and none is in progress.
+    pub fn is_compaction_due(&self) -> bool {
         let is_idle = self.backlog.is_none() && self.failed_operation.is_none();
         let max_len = self.options.max_batches_ratio * self.snapshot_len as f64;
         is_idle && self.batches_len > self.options.min_batches_len && self.batches_len as f64 > max_len
     }
 
-    /// Begins a compaction. Batches may be written in the meantime; a further compaction makes this one stale.
+    /// Begins a compaction. Batches may be written while it is in progress. A later compaction supersedes it.
     ///
     /// # Errors
-    /// The store has stopped.
-    pub fn compaction(&mut self) -> Result<Compaction, StoreError> {
+    /// Returns an error if an earlier write or sync failed.
+    pub fn begin_compaction(&mut self) -> Result<Compaction, StoreError> {
         self.check_running()?;
         let generation = self.generation + 1;
         self.compactions_begun += 1;
@@ -73,19 +73,19 @@
         Ok(Compaction { view: self.view.clone(), generation, id: self.compactions_begun })
     }
 
-    /// Ends a compaction: batches since its beginning are appended to the new generation, which is in use from now on. After a
-    /// failure before that the present generation stays in use.
+    /// Finishes a compaction: appends the batches since its beginning to the new generation and switches to that generation. If
+    /// an operation before the switch fails, the current generation stays in use.
     ///
     /// # Errors
-    /// The compaction is stale, the store has stopped, or an operation of the file system failed.
-    pub fn finish(&mut self, written: WrittenGeneration<D::File>) -> Result<(), StoreError> {
+    /// Returns an error if a later compaction began, an earlier write or sync failed, or an operation of the file system failed.
+    pub fn finish_compaction(&mut self, written: WrittenGeneration<D::File>) -> Result<(), StoreError> {
         self.check_running()?;
         let WrittenGeneration { mut file, generation, compaction, snapshot_len } = written;
         let backlog =
             self.backlog.take_if(|backlog| backlog.compaction == compaction).ok_or(StoreError::Stale)?;
         let mut bytes = Vec::new();
-        for BatchSince { seq, ops } in &backlog.batches {
-            frame::write(generation, FrameKind::Batch, *seq, seq - 1, ops, &mut bytes)?;
+        for BacklogBatch { seq, ops } in &backlog.batches {
+            frame::encode(generation, FrameKind::Batch, *seq, seq - 1, ops, &mut bytes)?;
         }
         if !bytes.is_empty() {
             file.append(&bytes).map_err(io_error("write a generation"))?;
@@ -93,10 +93,10 @@
         }
         self.directory
             .rename(&partial_file_name(generation, compaction), &file_name(generation))
-            .map_err(io_error("name a generation"))?;
-        // From here on it is not known which of the two generations a start would find.
+            .map_err(io_error("rename a generation"))?;
+        // If the sync fails, it is unknown whether the next start would find the new generation.
         if let Err(error) = self.directory.sync() {
-            return Err(self.stop("sync the folder", error));
+            return Err(self.stop("sync the directory", error));
         }
         let previous = std::mem::replace(&mut self.generation, generation);
         self.file = file;
@@ -106,10 +106,10 @@
         self.remove_generations_before(previous)
     }
 
-    /// The previous generation stays in case that the one in use is truncated. An older one that can't be removed costs space and
-    /// does no harm.
+    /// Removes the generations before `previous` and partial generations. The previous generation is retained because recovery
+    /// falls back to it if the current one is truncated. A failed removal is ignored, because the file only takes space.
     fn remove_generations_before(&self, previous: u64) -> Result<(), StoreError> {
-        let names = self.directory.list().map_err(io_error("list the folder"))?;
+        let names = self.directory.list().map_err(io_error("list the directory"))?;
         let is_obsolete = |name: &&String| {
             let is_old = generation_of_file(name).is_some_and(|generation| generation < previous);
             is_old || name.ends_with(PARTIAL_SUFFIX)
@@ -123,9 +123,9 @@
     /// Performs a compaction in one step.
     ///
     /// # Errors
-    /// See [`Store::compaction`], [`Compaction::write`] and [`Store::finish`].
+    /// See [`Store::begin_compaction`], [`Compaction::write`] and [`Store::finish_compaction`].
     pub fn compact(&mut self) -> Result<(), StoreError> {
-        let written = self.compaction()?.write(&self.directory)?;
-        self.finish(written)
+        let written = self.begin_compaction()?.write(&self.directory)?;
+        self.finish_compaction(written)
     }
 }
--- a/crates/base/store/src/store/error.rs
+++ b/crates/base/store/src/store/error.rs
@@ -13,35 +13,36 @@
     /// Another process has the store open.
     #[error("another process has this store open")]
     Locked,
-    /// A file is corrupt, and what it held can't be restored without it.
+    /// A file is corrupt, and its content can't be restored from the other files.
     #[error("{file}: {corruption}")]
     Corrupt {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// What is wrong with it.
+        /// Kind and position of the corruption.
         corruption: Corruption,
     },
     /// An operation of the file system failed.
-    #[error("{what}: {error}")]
+    #[error("failed to {operation}: {error}")]
     Io {
-        /// The operation.
-        what: &'static str,
-        /// Why it failed.
+        /// Failed operation, as a verb phrase.
+        operation: &'static str,
+        /// Error of the file system.
         #[source]
         error: io::Error,
     },
-    /// An earlier write or sync failed: what the disk holds is not known, and no writes are accepted.
-    #[error("stopped, as it could not {0}")]
+    /// An earlier operation, named as a verb phrase, failed. The content of the disk is unknown since, and the store
+    /// accepts no further writes.
+    #[error("the store accepts no writes because it failed to {0}")]
     Stopped(&'static str),
-    /// A batch or the whole state is longer than a frame may be.
+    /// A batch or the snapshot of the state exceeds the maximum length of a frame.
     #[error(transparent)]
     TooLong(#[from] FrameTooLong),
-    /// A compaction that was superseded by another.
-    #[error("this compaction is out of date")]
+    /// The compaction was superseded by a later one.
+    #[error("the compaction was superseded by a later one")]
     Stale,
 }
 
-/// An error of a file-system operation.
-pub(super) fn io_error(what: &'static str) -> impl FnOnce(io::Error) -> StoreError {
-    move |error| StoreError::Io { what, error }
+/// Returns a function that converts an I/O error of `operation`, a verb phrase, into a [`StoreError`].
+pub(super) fn io_error(operation: &'static str) -> impl FnOnce(io::Error) -> StoreError {
+    move |error| StoreError::Io { operation, error }
 }
--- a/crates/base/store/src/store/generation.rs
+++ b/crates/base/store/src/store/generation.rs
@@ -1,4 +1,4 @@
-//! The files of generations.
+//! Files of generations: names, snapshots and recovery.
 
 use super::error::io_error;
 use super::{StoreError, View};
@@ -6,52 +6,57 @@
 use crate::frame::{self, FrameError, FrameKind, HeaderError};
 use crate::recovery::{self, Corruption, Recovered, RecoveryNote, State};
 
-/// The file extension of a generation that is not complete.
+/// File extension of a generation whose compaction is not complete.
 pub(super) const PARTIAL_SUFFIX: &str = ".new";
+/// File extension of a complete generation.
 const SUFFIX: &str = ".log";
+/// Number of decimal digits of the generation in a file name.
 const NAME_DIGITS: usize = 16;
 const FIRST_GENERATION: u64 = 1;
 
-/// The file name of a generation.
+/// Returns the file name of a complete generation.
 pub(super) fn file_name(generation: u64) -> String {
     format!("{generation:0NAME_DIGITS$}{SUFFIX}")
 }
 
-/// The file name of a generation while it is written. Each compaction has a name of its own, so that an abandoned one never takes
-/// the place of another.
+/// Returns the file name of a generation while a compaction writes it. The name contains the compaction's number, so that an
+/// abandoned compaction never overwrites the file of another one.
 pub(super) fn partial_file_name(generation: u64, compaction: u64) -> String {
     format!("{generation:0NAME_DIGITS$}-{compaction}{PARTIAL_SUFFIX}")
 }
 
-/// The number of the generation that a file name stands for, if it is that of one.
+/// Parses a generation's number from a file name. Returns `None` if the name is not that of a complete generation.
 pub fn generation_of_file(name: &str) -> Option<u64> {
     name.strip_suffix(SUFFIX).filter(|digits| digits.len() == NAME_DIGITS)?.parse().ok()
 }
 
-/// A generation's file after its snapshot was written.
+/// A generation's file that contains a header and a snapshot.
 pub(super) struct SnapshotFile<F> {
     pub file: F,
-    /// Length of header and snapshot, bytes.
-    pub length: usize,
+    /// Length of the header and the snapshot, bytes.
+    pub len: usize,
 }
 
-/// Writes a snapshot under the partial name and syncs it.
+/// Writes a header and a snapshot to a file with a partial name, and syncs the file.
 pub(super) fn write_snapshot<D: Directory>(
     directory: &D,
     generation: u64,
     compaction: u64,
     view: &View,
 ) -> Result<SnapshotFile<D::File>, StoreError> {
-    let mut bytes = frame::header(generation);
-    frame::write(generation, FrameKind::Snapshot, view.seq, view.seq, &view.ops(), &mut bytes)?;
+    let mut bytes = frame::encode_header(generation);
+    frame::encode(generation, FrameKind::Snapshot, view.seq, view.seq, &view.ops(), &mut bytes)?;
     let name = partial_file_name(generation, compaction);
-    let mut file = directory.create(&name).map_err(io_error("make a generation"))?;
+    let mut file = directory.create(&name).map_err(io_error("create a generation"))?;
     file.append(&bytes).map_err(io_error("write a generation"))?;
     file.sync().map_err(io_error("sync a generation"))?;
-    Ok(SnapshotFile { file, length: bytes.len() })
+    Ok(SnapshotFile { file, len: bytes.len() })
 }
 
-/// The newest generation that can be used.
+/// Recovers the newest usable generation. Returns `None` if the directory has no generation.
+///
+/// # Errors
+/// Returns an error if the newest complete generation is corrupt or an operation of the file system failed.
 pub(super) fn find_newest<D: Directory>(
     directory: &D,
     names: &[String],
@@ -71,14 +76,15 @@
         if !(is_incomplete(&corruption) && has_previous) {
             return Err(StoreError::Corrupt { file, corruption });
         }
-        notes.push(RecoveryNote::FellBack { generation, why: corruption });
-        directory.remove(&file).map_err(io_error("remove a generation that is cut short"))?;
+        notes.push(RecoveryNote::GenerationSkipped { generation, corruption });
+        directory.remove(&file).map_err(io_error("remove a truncated generation"))?;
     }
     Ok(None)
 }
 
-/// Whether a generation was truncated before its snapshot was complete. Only such a one is skipped: it holds nothing that the
-/// previous one does not. A corrupt one may have held more, and is left to the operator.
+/// Returns whether a generation was truncated before the end of its snapshot. Only such a generation is skipped, because it
+/// contains nothing that the previous one lacks. A generation that is corrupt in another way may have contained more, so that
+/// the operator has to decide.
 fn is_incomplete(corruption: &Corruption) -> bool {
     matches!(
         corruption,
@@ -87,7 +93,7 @@
     )
 }
 
-/// Opens a recovered generation for appending, after truncation of what follows its last complete batch.
+/// Truncates a recovered generation after its last complete batch and opens it for appending.
 pub(super) fn resume<D: Directory>(
     directory: &D,
     recovered: &Recovered,
@@ -95,29 +101,29 @@
 ) -> Result<D::File, StoreError> {
     let Recovered { generation, valid_len, torn_len, .. } = *recovered;
     if torn_len > 0 {
-        notes.push(RecoveryNote::TornTail { generation, at: valid_len, bytes: torn_len });
+        notes.push(RecoveryNote::TornTail { generation, offset: valid_len, truncated_bytes: torn_len });
     }
     let name = file_name(generation);
-    let mut file = directory.resume(&name, valid_len as u64).map_err(io_error("go on with a generation"))?;
-    // What was read may never have been synced by the process that wrote it.
+    let mut file = directory.resume(&name, valid_len as u64).map_err(io_error("resume a generation"))?;
+    // The process that wrote the recovered batches may have ended before it synced them.
     file.sync().map_err(io_error("sync a generation"))?;
-    directory.sync().map_err(io_error("sync the folder"))?;
+    directory.sync().map_err(io_error("sync the directory"))?;
     Ok(file)
 }
 
-/// Creates the first generation of a directory.
+/// Creates the first generation of a directory, with an empty state.
 pub(super) fn create_first<D: Directory>(directory: &D) -> Result<(D::File, Recovered), StoreError> {
     let view = View { state: State::new(), seq: 0 };
     let snapshot = write_snapshot(directory, FIRST_GENERATION, 0, &view)?;
     directory
         .rename(&partial_file_name(FIRST_GENERATION, 0), &file_name(FIRST_GENERATION))
-        .map_err(io_error("name a generation"))?;
-    directory.sync().map_err(io_error("sync the folder"))?;
+        .map_err(io_error("rename a generation"))?;
+    directory.sync().map_err(io_error("sync the directory"))?;
     let recovered = Recovered {
         generation: FIRST_GENERATION,
         state: view.state,
         seq: 0,
-        valid_len: snapshot.length,
+        valid_len: snapshot.len,
         torn_len: 0,
     };
     Ok((snapshot.file, recovered))
--- a/crates/base/store/src/typed.rs
+++ b/crates/base/store/src/typed.rs
@@ -1,7 +1,7 @@
-//! Typed tables: records with versions.
+//! Typed tables of versioned records.
 //!
-//! A value is a byte with its version, followed by a postcard encoding. A record's type has a current version and upgrades older
-//! ones; a later version is an error. Keys are encoded so that their bytes sort as the keys do.
+//! An encoded value is one byte with the version, followed by the record in postcard. A record type has a current version and
+//! upgrades values of older versions. A later version is an error. Encoded keys sort in the order of the keys.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -13,145 +13,143 @@
 use crate::frame::Table;
 use crate::store::{Batch, View};
 
-/// Maximum number of a key's bytes in an error.
-const MAX_SHOWN_BYTES: usize = 32;
+/// Maximum number of a key's bytes that an error shows.
+const MAX_DISPLAYED_KEY_BYTES: usize = 32;
 
-/// Why an entry can't be decoded as a record of its table.
+/// Error of decoding an entry as a record of its table.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum TypedError {
-    /// A later program wrote it.
-    #[error("table {table:?}, key {key}: version {found}, and this program reads up to {known}")]
-    Newer {
-        /// The table.
+    /// A later program version wrote the entry.
+    #[error("{table:?}, key {key}: unsupported version {found}; the latest supported version is {latest}")]
+    UnsupportedVersion {
+        /// Table of the entry.
         table: Table,
-        /// The key, in hexadecimal.
+        /// Key of the entry, in hexadecimal.
         key: String,
-        /// Its version.
+        /// Version of the entry.
         found: u8,
-        /// The latest known version.
-        known: u8,
+        /// Latest version that this program supports.
+        latest: u8,
     },
     /// The key or the value can't be decoded.
-    #[error("table {table:?}, key {key}: {what}")]
+    #[error("{table:?}, key {key}: {reason}")]
     Malformed {
-        /// Where.
+        /// Table of the entry.
         table: Table,
-        /// Which, in hexadecimal.
+        /// Key of the entry, in hexadecimal.
         key: String,
-        /// What can't be decoded.
-        what: &'static str,
+        /// Part of the entry that can't be decoded.
+        reason: &'static str,
     },
 }
 
 /// A key with an encoding that preserves its order.
 pub trait Key: Sized + Ord {
     /// Encodes the key.
-    fn write(&self) -> Vec<u8>;
-    /// Decodes a key.
-    fn read(bytes: &[u8]) -> Option<Self>;
+    fn encode(&self) -> Vec<u8>;
+    /// Decodes a key. Returns `None` if the bytes are not an encoded key.
+    fn decode(bytes: &[u8]) -> Option<Self>;
 }
 
 impl Key for u64 {
-    fn write(&self) -> Vec<u8> {
+    fn encode(&self) -> Vec<u8> {
         self.to_be_bytes().to_vec()
     }
 
-    fn read(bytes: &[u8]) -> Option<Self> {
+    fn decode(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(u64::from_be_bytes)
     }
 }
 
 impl Key for String {
-    fn write(&self) -> Vec<u8> {
+    fn encode(&self) -> Vec<u8> {
         self.as_bytes().to_vec()
     }
 
-    fn read(bytes: &[u8]) -> Option<Self> {
+    fn decode(bytes: &[u8]) -> Option<Self> {
         String::from_utf8(bytes.to_vec()).ok()
     }
 }
 
-/// The type of a table's values.
+/// The type of a table's records.
 pub trait Record: Serialize + DeserializeOwned {
-    /// The type of the keys.
+    /// Type of the keys.
     type Key: Key;
-    /// The table, which no other record type has.
+    /// Number of the table. Each record type has a table of its own.
     const TABLE: Table;
-    /// The current version.
+    /// Current version of the encoding.
     const VERSION: u8;
 
-    /// Decodes an older version; `None`, if there is no such version or the bytes are invalid.
+    /// Decodes a value of an older version. Returns `None` if there is no such version or the bytes are invalid.
     fn upgrade(version: u8, bytes: &[u8]) -> Option<Self> {
         let _ = (version, bytes);
         None
     }
 }
 
-/// Decodes a value without its version byte, for use in [`Record::upgrade`].
+/// Decodes a value without its version byte, for use in [`Record::upgrade`]. Returns `None` if the bytes are invalid.
 pub fn decode_value<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     postcard::from_bytes(bytes).ok()
 }
 
-/// Hexadecimal digits of at most [`MAX_SHOWN_BYTES`] bytes.
-fn hexadecimal(bytes: &[u8]) -> String {
-    bytes.iter().take(MAX_SHOWN_BYTES).map(|b| format!("{b:02x}")).collect()
+/// Formats at most [`MAX_DISPLAYED_KEY_BYTES`] bytes of a key as hexadecimal digits.
+fn hex_key(bytes: &[u8]) -> String {
+    bytes.iter().take(MAX_DISPLAYED_KEY_BYTES).map(|byte| format!("{byte:02x}")).collect()
 }
 
 fn decode<R: Record>(key: &[u8], value: &[u8]) -> Result<R, TypedError> {
-    let malformed = |what| TypedError::Malformed { table: R::TABLE, key: hexadecimal(key), what };
-    let (version, bytes) = value.split_first().ok_or_else(|| malformed("no version"))?;
+    let malformed = |reason| TypedError::Malformed { table: R::TABLE, key: hex_key(key), reason };
+    let (version, bytes) = value.split_first().ok_or_else(|| malformed("missing version"))?;
     match version.cmp(&R::VERSION) {
-        Ordering::Equal => decode_value(bytes).ok_or_else(|| malformed("its value makes no sense")),
+        Ordering::Equal => decode_value(bytes).ok_or_else(|| malformed("invalid value")),
         Ordering::Less => {
-            R::upgrade(*version, bytes).ok_or_else(|| malformed("its older value makes no sense"))
+            R::upgrade(*version, bytes).ok_or_else(|| malformed("invalid value of an older version"))
         }
-        Ordering::Greater => Err(TypedError::Newer {
+        Ordering::Greater => Err(TypedError::UnsupportedVersion {
             table: R::TABLE,
-            key: hexadecimal(key),
+            key: hex_key(key),
             found: *version,
-            known: R::VERSION,
+            latest: R::VERSION,
         }),
     }
 }
 
 impl Batch {
-    /// Puts a record. Returns `false`, with the batch unchanged, if the record can't be encoded.
+    /// Adds a change that sets a record. Returns `false`, with the batch unchanged, if the record can't be encoded.
     pub fn put_record<R: Record>(&mut self, key: &R::Key, record: &R) -> bool {
         let Ok(encoded) = postcard::to_allocvec(record) else { return false };
         let mut value = vec![R::VERSION];
         value.extend(encoded);
-        self.put(R::TABLE, key.write(), value);
+        self.put(R::TABLE, key.encode(), value);
         true
     }
 
-    /// Removes a record.
+    /// Adds a change that removes a record.
     pub fn remove_record<R: Record>(&mut self, key: &R::Key) -> &mut Self {
-        self.remove(R::TABLE, key.write())
+        self.remove(R::TABLE, key.encode())
     }
 }
 
 impl View {
-    /// A record.
+    /// Returns the record of a key, or `None` if the table has no such key.
     ///
     /// # Errors
-    /// The value can't be decoded.
+    /// Returns an error if the value can't be decoded.
     pub fn record<R: Record>(&self, key: &R::Key) -> Result<Option<R>, TypedError> {
-        let key = key.write();
+        let key = key.encode();
         self.get(R::TABLE, &key).map(|value| decode(&key, &value)).transpose()
     }
 
-    /// All records of a table that can be decoded, and the errors of the others, so that an invalid entry does not prevent the
-    /// use of the rest.
+    /// Returns all valid records of a table and the errors of the invalid entries, so that an invalid entry does not prevent the
+    /// use of the others.
     pub fn records<R: Record>(&self) -> (BTreeMap<R::Key, R>, Vec<TypedError>) {
         let (mut records, mut errors) = (BTreeMap::new(), Vec::new());
         for (key, value) in self.table(R::TABLE) {
-            let invalid_key = || TypedError::Malformed {
-                table: R::TABLE,
-                key: hexadecimal(key),
-                what: "its key makes no sense",
-            };
-            let entry =
-                R::Key::read(key).ok_or_else(invalid_key).and_then(|typed| Ok((typed, decode(key, value)?)));
+            let invalid_key =
+                || TypedError::Malformed { table: R::TABLE, key: hex_key(key), reason: "invalid key" };
+            let entry = R::Key::decode(key)
+                .ok_or_else(invalid_key)
+                .and_then(|typed| Ok((typed, decode(key, value)?)));
             match entry {
                 Ok((typed, record)) => drop(records.insert(typed, record)),
                 Err(error) => errors.push(error),
--- a/crates/base/store/tests/format.rs
+++ b/crates/base/store/tests/format.rs
@@ -66,10 +66,10 @@
 
 #[test]
 fn heads_and_frames_keep_their_bytes() {
-    let mut written = Files::from([("head".to_owned(), frame::header(GENERATION))]);
+    let mut written = Files::from([("head".to_owned(), frame::encode_header(GENERATION))]);
     for (name, frame) in frames() {
         let mut bytes = Vec::new();
-        frame::write(GENERATION, frame.kind, frame.seq, frame.synced, &frame.ops, &mut bytes)
+        frame::encode(GENERATION, frame.kind, frame.seq, frame.synced, &frame.ops, &mut bytes)
             .expect("short enough");
         written.insert(name.to_owned(), bytes);
     }
@@ -79,10 +79,10 @@
 #[test]
 fn heads_and_frames_of_the_fixture_are_read() {
     let fixture = parse(FRAMES);
-    assert_eq!(frame::read_header(&fixture["head"]), Ok(GENERATION));
+    assert_eq!(frame::decode_header(&fixture["head"]), Ok(GENERATION));
     for (name, frame) in frames() {
         let bytes = &fixture[name];
-        assert_eq!(frame::read(GENERATION, bytes), Ok(DecodedFrame { frame, length: bytes.len() }), "{name}");
+        assert_eq!(frame::decode(GENERATION, bytes), Ok(DecodedFrame { frame, len: bytes.len() }), "{name}");
     }
 }
 
--- a/crates/base/store/tests/model/main.rs
+++ b/crates/base/store/tests/model/main.rs
@@ -91,9 +91,9 @@
                 }
                 Step::Sync => if store.sync().is_ok() { synced = store.view().seq(); },
                 Step::Compact => if store.compact().is_ok() { synced = store.view().seq(); },
-                Step::Begin => written = store.compaction().ok().and_then(|c| c.write(&sim).ok()),
+                Step::Begin => written = store.begin_compaction().ok().and_then(|c| c.write(&sim).ok()),
                 Step::Finish => if let Some(w) = written.take()
-                    && store.finish(w).is_ok()
+                    && store.finish_compaction(w).is_ok()
                 {
                     synced = store.view().seq();
                 },
@@ -139,9 +139,9 @@
         store.sync().expect("synced");
         states.insert(seq, map(&store.view()));
         if n == 5 || n == 9 {
-            let written = store.compaction().expect("begun").write(&sim).expect("written");
+            let written = store.begin_compaction().expect("begun").write(&sim).expect("written");
             folders.push(sim.files());
-            store.finish(written).expect("finished");
+            store.finish_compaction(written).expect("finished");
         }
         folders.push(sim.files());
     }
@@ -192,9 +192,9 @@
     let newest = files.keys().filter(|n| n.ends_with(".log")).max().expect("one").clone();
     // Where the batches of the newest generation begin, and the last of them.
     let newest_bytes = &files[&newest];
-    let (mut ends, generation) = (vec![HEADER_LEN], frame::read_header(newest_bytes).expect("a head"));
-    while let Ok(decoded) = frame::read(generation, &newest_bytes[*ends.last().expect("one")..]) {
-        ends.push(ends.last().expect("one") + decoded.length);
+    let (mut ends, generation) = (vec![HEADER_LEN], frame::decode_header(newest_bytes).expect("a head"));
+    while let Ok(decoded) = frame::decode(generation, &newest_bytes[*ends.last().expect("one")..]) {
+        ends.push(ends.last().expect("one") + decoded.len);
     }
     let synced_before = ends[1]..ends[ends.len() - 2];
     assert!(!synced_before.is_empty());
@@ -273,7 +273,7 @@
         store
             .write(Batch::default().put(Table(0), key, vec![n.to_le_bytes()[0]; 100]).clone())
             .expect("written");
-        if store.wants_compaction() {
+        if store.is_compaction_due() {
             store.compact().expect("compacted");
         }
         if n > 1_000 {
--- a/crates/base/store/tests/typed.rs
+++ b/crates/base/store/tests/typed.rs
@@ -68,7 +68,12 @@
     assert_eq!(view.record::<Second>(&2).expect("sound").and_then(|r| r.seats), Some(4));
     assert_eq!(view.record::<Second>(&300), Ok(None));
     // The older program says that it is too old for the one, and goes on with the other.
-    let newer = TypedError::Newer { table: Table(7), key: "0000000000000002".into(), found: 2, known: 1 };
+    let newer = TypedError::UnsupportedVersion {
+        table: Table(7),
+        key: "0000000000000002".into(),
+        found: 2,
+        latest: 1,
+    };
     assert_eq!(view.record::<First>(&2), Err(newer.clone()));
     let (first_records, first_errors) = view.records::<First>();
     assert_eq!(
@@ -92,7 +97,7 @@
     assert_eq!(records.len(), 1);
     let what: Vec<&str> = faults
         .iter()
-        .map(|f| if let TypedError::Malformed { what, .. } = f { *what } else { panic!("{f}") })
+        .map(|f| if let TypedError::Malformed { reason, .. } = f { *reason } else { panic!("{f}") })
         .collect();
-    assert_eq!(what, ["its value makes no sense", "no version", "its key makes no sense"]);
+    assert_eq!(what, ["invalid value", "missing version", "invalid key"]);
 }
--- a/crates/fleet/coordinator/src/store/mod.rs
+++ b/crates/fleet/coordinator/src/store/mod.rs
@@ -176,19 +176,20 @@
     fn compact(&mut self) -> Result<(), StoreError> {
         if let Some(thread) = self.compaction.take_if(|t| t.is_finished()) {
             let written = thread.join().map_err(|_| StoreError::Stopped("write a generation"))??;
-            return self.store.finish(written);
+            return self.store.finish_compaction(written);
         }
-        if self.compaction.is_some() || !self.store.wants_compaction() {
+        if self.compaction.is_some() || !self.store.is_compaction_due() {
             return Ok(());
         }
         let size: usize = self.chunks.iter().map(|c| c.length as usize).sum();
         if size <= MAX_INLINE_COMPACTION_BYTES {
             return self.store.compact();
         }
-        let (compaction, directory) = (self.store.compaction()?, self.directory.clone());
+        let (compaction, directory) = (self.store.begin_compaction()?, self.directory.clone());
         let thread =
             thread::Builder::new().name("compacts".into()).spawn(move || compaction.write(&directory));
-        self.compaction = Some(thread.map_err(|error| StoreError::Io { what: "start a thread", error })?);
+        self.compaction =
+            Some(thread.map_err(|error| StoreError::Io { operation: "start a thread", error })?);
         Ok(())
     }
 }
