--- a/crates/base/http/src/body.rs
+++ b/crates/base/http/src/body.rs
@@ -1,43 +1,43 @@
-//! Framing of message bodies (RFC 9112, section 6): a decoder without I/O.
+//! Framing of message bodies (RFC 9112, section 6), and a decoder without I/O.
 
 use http::{HeaderMap, header};
 use thiserror::Error;
 
-/// Why a body can't be decoded.
+/// Error of decoding a body.
 #[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// `Content-Length` is not one number.
+    /// The `Content-Length` fields are not a single number.
     #[error("Content-Length is not one number")]
     Length,
-    /// Both a length and a transfer coding, as used in request smuggling.
+    /// The message has both `Content-Length` and `Transfer-Encoding`, as in request smuggling.
     #[error("both Content-Length and Transfer-Encoding")]
     Both,
-    /// A transfer coding other than `chunked`.
+    /// The transfer coding is not `chunked`.
     #[error("a transfer coding other than chunked")]
     Coding,
-    /// A chunk's size line or end is malformed.
+    /// The size line or the end of a chunk is malformed, or the trailer section is too long.
     #[error("a malformed chunk")]
     Chunk,
-    /// Longer than allowed.
+    /// The body exceeds the maximum length in bytes.
     #[error("the body is longer than {0} bytes")]
     TooLong(usize),
 }
 
-/// The framing of a body.
+/// Framing of a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// A number of bytes.
+    /// The body has this number of bytes.
     Length(u64),
-    /// Chunks.
+    /// The body is sent in chunks.
     Chunked,
-    /// Until the connection closes; responses only.
+    /// The body ends when the connection is closed. Only responses have this framing.
     Close,
 }
 
-/// The framing that a message's header fields declare, if any.
+/// Returns the framing that a message's header fields declare, or `None` if they declare none.
 ///
 /// # Errors
-/// The fields are malformed or contradictory.
+/// Returns an error if the fields are malformed or contradictory, or the transfer coding is not supported.
 pub fn framing(headers: &HeaderMap) -> Result<Option<Framing>, BodyError> {
     let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
     let mut lengths = headers.get_all(header::CONTENT_LENGTH).iter();
@@ -53,114 +53,125 @@
         }
         (None, Some(length)) => {
             let text = length.to_str().map_err(|_| BodyError::Length)?.trim();
-            let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
-            if !digits || lengths.any(|other| other != length) {
+            let is_number = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
+            if !is_number || lengths.any(|other| other != length) {
                 return Err(BodyError::Length);
             }
-            text.parse().map(|n| Some(Framing::Length(n))).map_err(|_| BodyError::Length)
+            text.parse().map(|len| Some(Framing::Length(len))).map_err(|_| BodyError::Length)
         }
         (None, None) => Ok(None),
     }
 }
 
+/// Part of the body that is decoded next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
+    /// This number of remaining bytes of a body without chunks.
     Data(u64),
+    /// Data up to the end of the connection.
     UntilClose,
+    /// The size line of a chunk.
     ChunkSize,
+    /// This number of remaining bytes of a chunk.
     ChunkData(u64),
+    /// The line end after a chunk.
     ChunkEnd,
+    /// A line of the trailer section.
     Trailer,
+    /// Nothing, because the body is complete.
     Done,
 }
 
-/// Maximum length of a chunk's size line, with extensions, and of a trailer line.
+/// Maximum length of a chunk's size line, including extensions, and of a trailer line, bytes.
 const MAX_LINE_LEN: usize = 256;
-/// Maximum number of trailer lines, which are ignored.
+/// Maximum number of trailer lines. Their content is ignored.
 const MAX_TRAILERS: u32 = 16;
 
-/// Extracts a body from a buffer as its bytes arrive.
+/// An incremental decoder of a body.
 #[derive(Debug, Clone)]
 pub struct Decoder {
     state: State,
-    left: usize,
+    /// Number of bytes that the body may still have.
+    remaining: usize,
     limit: usize,
+    /// Number of trailer lines so far.
     trailers: u32,
 }
 
 impl Decoder {
-    /// A decoder for a body of at most `limit` bytes.
+    /// Creates a decoder for a body of at most `limit` bytes.
     ///
     /// # Errors
-    /// The declared length exceeds the limit.
+    /// Returns an error if the declared length exceeds the limit.
     pub fn new(framing: Framing, limit: usize) -> Result<Self, BodyError> {
         let state = match framing {
-            Framing::Length(n) if n > limit as u64 => return Err(BodyError::TooLong(limit)),
+            Framing::Length(len) if len > limit as u64 => return Err(BodyError::TooLong(limit)),
             Framing::Length(0) => State::Done,
-            Framing::Length(n) => State::Data(n),
+            Framing::Length(len) => State::Data(len),
             Framing::Chunked => State::ChunkSize,
             Framing::Close => State::UntilClose,
         };
-        Ok(Decoder { state, left: limit, limit, trailers: 0 })
+        Ok(Decoder { state, remaining: limit, limit, trailers: 0 })
     }
 
-    /// A decoder for a body without limit, such as an event stream.
-    pub fn endless(framing: Framing) -> Self {
+    /// Creates a decoder for a body without a limit, such as an event stream.
+    pub fn unlimited(framing: Framing) -> Self {
         let state = match framing {
-            Framing::Length(n) => State::Data(n),
+            Framing::Length(len) => State::Data(len),
             Framing::Chunked => State::ChunkSize,
             Framing::Close => State::UntilClose,
         };
-        Decoder { state, left: usize::MAX, limit: usize::MAX, trailers: 0 }
+        Decoder { state, remaining: usize::MAX, limit: usize::MAX, trailers: 0 }
     }
 
-    /// Whether the body is complete.
-    pub fn done(&self) -> bool {
+    /// Returns whether the body is complete.
+    pub fn is_complete(&self) -> bool {
         matches!(self.state, State::Done | State::Data(0))
     }
 
-    /// Whether the body may end with the connection.
+    /// Returns whether the end of the connection completes the body.
     pub fn ends_with_connection(&self) -> bool {
         self.state == State::UntilClose
     }
 
-    /// Moves the bytes of the body from the front of `buf` to `out`.
+    /// Removes bytes from the front of `buf` and appends the body that they encode to `out`. Bytes after the end of the body stay
+    /// in `buf`.
     ///
     /// # Errors
-    /// The framing is malformed or the body exceeds the limit.
-    pub fn take(&mut self, buf: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<(), BodyError> {
-        let mut at = 0;
-        while !self.done() && at < buf.len() {
-            let Some(used) = self.step(&buf[at..], out)? else { break };
-            at += used;
+    /// Returns an error if the framing is malformed or the body exceeds the limit.
+    pub fn decode(&mut self, buf: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<(), BodyError> {
+        let mut used = 0;
+        while !self.is_complete() && used < buf.len() {
+            let Some(element_len) = self.decode_element(&buf[used..], out)? else { break };
+            used += element_len;
         }
-        buf.drain(..at);
+        buf.drain(..used);
         Ok(())
     }
 
-    /// Decodes one element; the number of bytes used, or `None` if more are needed.
-    fn step(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<Option<usize>, BodyError> {
+    /// Decodes one element of the framing. Returns the number of bytes used, or `None` if more bytes are needed.
+    fn decode_element(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<Option<usize>, BodyError> {
         match self.state {
             State::Data(len) => {
-                let used = self.data(input, len, out)?;
+                let used = self.copy_data(input, len, out)?;
                 self.state = State::Data(len - used as u64);
                 Ok(Some(used))
             }
-            State::UntilClose => self.data(input, u64::MAX, out).map(Some),
-            State::ChunkSize => self.chunk_size(input),
+            State::UntilClose => self.copy_data(input, u64::MAX, out).map(Some),
+            State::ChunkSize => self.decode_chunk_size(input),
             State::ChunkData(len) => {
-                let used = self.data(input, len, out)?;
-                let left = len - used as u64;
-                self.state = if left == 0 { State::ChunkEnd } else { State::ChunkData(left) };
+                let used = self.copy_data(input, len, out)?;
+                let remaining = len - used as u64;
+                self.state = if remaining == 0 { State::ChunkEnd } else { State::ChunkData(remaining) };
                 Ok(Some(used))
             }
-            State::ChunkEnd => self.chunk_end(input),
-            State::Trailer => self.trailer(input),
+            State::ChunkEnd => self.decode_chunk_end(input),
+            State::Trailer => self.decode_trailer(input),
             State::Done => Ok(None),
         }
     }
 
-    fn chunk_size(&mut self, input: &[u8]) -> Result<Option<usize>, BodyError> {
+    fn decode_chunk_size(&mut self, input: &[u8]) -> Result<Option<usize>, BodyError> {
         let window = &input[..input.len().min(MAX_LINE_LEN)];
         match httparse::parse_chunk_size(window) {
             Ok(httparse::Status::Complete((used, size))) => {
@@ -172,7 +183,7 @@
         }
     }
 
-    fn chunk_end(&mut self, input: &[u8]) -> Result<Option<usize>, BodyError> {
+    fn decode_chunk_end(&mut self, input: &[u8]) -> Result<Option<usize>, BodyError> {
         match input {
             [b'\r', b'\n', ..] => {
                 self.state = State::ChunkSize;
@@ -183,7 +194,7 @@
         }
     }
 
-    fn trailer(&mut self, input: &[u8]) -> Result<Option<usize>, BodyError> {
+    fn decode_trailer(&mut self, input: &[u8]) -> Result<Option<usize>, BodyError> {
         let Some(end) = input.iter().take(MAX_LINE_LEN).position(|byte| *byte == b'\n') else {
             return if input.len() >= MAX_LINE_LEN { Err(BodyError::Chunk) } else { Ok(None) };
         };
@@ -197,14 +208,14 @@
         Ok(Some(end + 1))
     }
 
-    /// Copies data of at most `len` bytes; the number of bytes copied.
-    fn data(&mut self, input: &[u8], len: u64, out: &mut Vec<u8>) -> Result<usize, BodyError> {
+    /// Copies at most `len` bytes of data to `out`. Returns the number of bytes copied.
+    fn copy_data(&mut self, input: &[u8], len: u64, out: &mut Vec<u8>) -> Result<usize, BodyError> {
         let used = input.len().min(usize::try_from(len).unwrap_or(usize::MAX));
-        if used > self.left {
+        if used > self.remaining {
             return Err(BodyError::TooLong(self.limit));
         }
         if self.limit != usize::MAX {
-            self.left -= used;
+            self.remaining -= used;
         }
         out.extend_from_slice(&input[..used]);
         Ok(used)
--- a/crates/base/http/src/client.rs
+++ b/crates/base/http/src/client.rs
@@ -1,4 +1,4 @@
-//! A client: a pool of connections, and exchanges that can be polled together with other sockets.
+//! A client with a connection pool. Pending exchanges can be polled together with other sockets.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -14,24 +14,31 @@
 use crate::message::{HeadError, Request, Response, response_head};
 use crate::wait;
 
-/// Why a call failed. It also tells whether the request may have been executed.
+/// Size of a read from a socket, bytes.
+const READ_CHUNK_BYTES: usize = 4096;
+/// Default maximum number of idle connections to one server.
+const DEFAULT_MAX_IDLE_PER_SERVER: usize = 64;
+/// Default maximum time for which a connection stays idle in the pool.
+const DEFAULT_MAX_IDLE_TIME: Duration = Duration::from_secs(10);
+
+/// Error of a call. The variants distinguish whether the server may have processed the request.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// Nothing listens at the address: the process is not running.
+    /// No process listens at the address, so nothing was sent.
     #[error("connection refused")]
     Refused,
-    /// The connection could not be established: nothing was sent.
-    #[error("no connection: {0}")]
+    /// The connection could not be established, so nothing was sent.
+    #[error("failed to connect: {0}")]
     Connect(io::Error),
-    /// No complete response in time.
-    #[error("no response in time")]
+    /// The deadline passed before the request was sent or the response was complete.
+    #[error("call timed out")]
     TimedOut,
     /// The connection broke before the response was complete.
-    #[error("the connection broke: {0}")]
+    #[error("connection lost: {0}")]
     Broken(io::Error),
     /// The response is not HTTP or exceeds a limit.
-    #[error("a response that can't be used: {0}")]
-    Bad(#[from] HeadError),
+    #[error("invalid response: {0}")]
+    InvalidResponse(#[from] HeadError),
 }
 
 /// A connection to a server.
@@ -39,6 +46,7 @@
 pub struct Conn {
     stream: TcpStream,
     peer: SocketAddr,
+    /// Bytes that were read but not parsed.
     buf: Vec<u8>,
 }
 
@@ -46,23 +54,29 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// The connection could not be established until `until`.
-    pub fn open(peer: SocketAddr, until: Instant) -> Result<Conn, CallError> {
-        let stream = TcpStream::connect_timeout(&peer, wait::left(until)).map_err(|e| match e.kind() {
-            io::ErrorKind::ConnectionRefused => CallError::Refused,
-            _ => CallError::Connect(e),
-        })?;
+    /// Returns an error if the connection could not be established before the deadline.
+    pub fn open(peer: SocketAddr, deadline: Instant) -> Result<Conn, CallError> {
+        let stream =
+            TcpStream::connect_timeout(&peer, wait::socket_timeout(deadline)).map_err(|e| {
+                match e.kind() {
+                    io::ErrorKind::ConnectionRefused => CallError::Refused,
+                    _ => CallError::Connect(e),
+                }
+            })?;
         stream.set_nodelay(true).map_err(CallError::Connect)?;
         Ok(Conn { stream, peer, buf: Vec::new() })
     }
 
-    /// Reads what arrives until `until`; `false` if nothing did. The end of the connection is an error.
-    fn fill(&mut self, until: Instant) -> Result<bool, CallError> {
-        let [ready] = wait::readable([Some(&self.stream)], until).map_err(CallError::Broken)?;
+    /// Waits for bytes and reads them once. Returns `false` if the deadline passed without any.
+    ///
+    /// # Errors
+    /// Returns an error if the connection ended or broke.
+    fn fill(&mut self, deadline: Instant) -> Result<bool, CallError> {
+        let [ready] = wait::readable([Some(&self.stream)], deadline).map_err(CallError::Broken)?;
         if !ready {
             return Ok(false);
         }
-        let mut chunk = [0; 4096];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         match self.stream.read(&mut chunk) {
             Ok(0) => return Err(CallError::Broken(io::ErrorKind::UnexpectedEof.into())),
             Ok(n) => self.buf.extend_from_slice(&chunk[..n]),
@@ -72,10 +86,10 @@
         Ok(true)
     }
 
-    /// All bytes that arrive until the server closes the connection or until `until`.
-    pub fn rest(mut self, until: Instant) -> Vec<u8> {
-        let mut chunk = [0; 4096];
-        while let Ok([true]) = wait::readable([Some(&self.stream)], until) {
+    /// Returns the unparsed bytes and all that arrive until the server closes the connection or the deadline passes.
+    pub fn read_to_end(mut self, deadline: Instant) -> Vec<u8> {
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        while let Ok([true]) = wait::readable([Some(&self.stream)], deadline) {
             match self.stream.read(&mut chunk) {
                 Ok(n) if n > 0 => self.buf.extend_from_slice(&chunk[..n]),
                 _ => break,
@@ -87,46 +101,47 @@
     /// Sends a request.
     ///
     /// # Errors
-    /// The connection broke or the request could not be written until `until`.
-    pub fn send(mut self, request: &Request, until: Instant) -> Result<Exchange, CallError> {
+    /// Returns an error if the connection broke or the request could not be written before the deadline.
+    pub fn send(mut self, request: &Request, deadline: Instant) -> Result<Exchange, CallError> {
         let bytes = request.encode(&self.peer.to_string());
-        self.stream.set_write_timeout(Some(wait::left(until))).map_err(CallError::Broken)?;
+        self.stream.set_write_timeout(Some(wait::socket_timeout(deadline))).map_err(CallError::Broken)?;
         self.stream.write_all(&bytes).map_err(|e| match e.kind() {
             io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => CallError::TimedOut,
             _ => CallError::Broken(e),
         })?;
-        Ok(Exchange { conn: self, method: request.method.clone(), head: None, limits: Limits::default() })
+        Ok(Exchange { conn: self, method: request.method.clone(), pending: None, limits: Limits::default() })
     }
 }
 
-/// A response whose body is not complete.
+/// A response with a parsed head and an incomplete body.
 #[derive(Debug)]
 struct PendingBody {
     response: Response,
     decoder: Decoder,
 }
 
-/// A request that was sent and whose response is pending.
+/// A sent request with a pending response.
 #[derive(Debug)]
 pub struct Exchange {
     conn: Conn,
     method: Method,
-    head: Option<PendingBody>,
+    /// The response if its head was parsed.
+    pending: Option<PendingBody>,
     limits: Limits,
 }
 
 impl Exchange {
-    /// The socket, for polling.
+    /// Returns the socket, for polling.
     pub fn socket(&self) -> &TcpStream {
         &self.conn.stream
     }
 
-    /// Reads once, which may block; the response, once it is complete.
+    /// Reads once, which may block. Returns the response when it is complete.
     ///
     /// # Errors
-    /// The connection broke, or the response is invalid.
+    /// Returns an error if the connection broke or the response is invalid.
     pub fn advance(&mut self) -> Result<Option<Response>, CallError> {
-        let mut chunk = [0; 4096];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         let n = match self.conn.stream.read(&mut chunk) {
             Ok(n) => n,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => return Ok(None),
@@ -139,32 +154,33 @@
         self.parse(n == 0)
     }
 
+    /// Parses the bytes that were read. `ended` is whether the server has closed the connection.
     fn parse(&mut self, ended: bool) -> Result<Option<Response>, CallError> {
-        if self.head.is_none()
+        if self.pending.is_none()
             && let Some(head) = response_head(&mut self.conn.buf, &self.method, &self.limits)?
         {
             let decoder = Decoder::new(head.framing, self.limits.body_bytes).map_err(HeadError::from)?;
-            self.head = Some(PendingBody { response: head.message, decoder });
+            self.pending = Some(PendingBody { response: head.message, decoder });
         }
         let broken = || CallError::Broken(io::ErrorKind::UnexpectedEof.into());
-        let Some(PendingBody { response, decoder }) = &mut self.head else {
+        let Some(PendingBody { response, decoder }) = &mut self.pending else {
             return if ended { Err(broken()) } else { Ok(None) };
         };
-        decoder.take(&mut self.conn.buf, &mut response.body).map_err(HeadError::from)?;
-        let complete = decoder.done() || (ended && decoder.ends_with_connection());
+        decoder.decode(&mut self.conn.buf, &mut response.body).map_err(HeadError::from)?;
+        let complete = decoder.is_complete() || (ended && decoder.ends_with_connection());
         if !complete {
             return if ended { Err(broken()) } else { Ok(None) };
         }
-        Ok(self.head.take().map(|head| head.response))
+        Ok(self.pending.take().map(|pending| pending.response))
     }
 
     /// Waits for the complete response.
     ///
     /// # Errors
-    /// The connection broke, the response is invalid, or it is not complete until `until`.
-    pub fn wait(&mut self, until: Instant) -> Result<Response, CallError> {
+    /// Returns an error if the connection broke, the response is invalid, or it is not complete before the deadline.
+    pub fn wait(&mut self, deadline: Instant) -> Result<Response, CallError> {
         loop {
-            let [ready] = wait::readable([Some(&self.conn.stream)], until).map_err(CallError::Broken)?;
+            let [ready] = wait::readable([Some(&self.conn.stream)], deadline).map_err(CallError::Broken)?;
             if !ready {
                 return Err(CallError::TimedOut);
             }
@@ -174,12 +190,12 @@
         }
     }
 
-    /// Signals the server that the request is abandoned, by closing the sending direction.
-    pub fn give_up(&self) {
+    /// Signals to the server that the request is abandoned, by shutting down the sending direction.
+    pub fn abandon(&self) {
         let _ = self.conn.stream.shutdown(Shutdown::Write);
     }
 
-    /// The connection, for another request.
+    /// Returns the connection, for another request.
     pub fn into_conn(self) -> Conn {
         self.conn
     }
@@ -187,21 +203,21 @@
     /// Waits for the head of a response and returns its body as a stream.
     ///
     /// # Errors
-    /// The connection broke, the head is invalid, or it is not complete until `until`.
-    pub fn into_stream(mut self, until: Instant) -> Result<(Response, Stream), CallError> {
+    /// Returns an error if the connection broke, the head is invalid, or it is not complete before the deadline.
+    pub fn into_stream(mut self, deadline: Instant) -> Result<(Response, Stream), CallError> {
         loop {
             if let Some(head) = response_head(&mut self.conn.buf, &self.method, &self.limits)? {
-                let decoder = Decoder::endless(head.framing);
+                let decoder = Decoder::unlimited(head.framing);
                 return Ok((head.message, Stream { conn: self.conn, decoder }));
             }
-            if !self.conn.fill(until)? {
+            if !self.conn.fill(deadline)? {
                 return Err(CallError::TimedOut);
             }
         }
     }
 }
 
-/// The body of a response that has no end.
+/// The body of a response of unlimited length, such as an event stream.
 #[derive(Debug)]
 pub struct Stream {
     conn: Conn,
@@ -209,27 +225,28 @@
 }
 
 impl Stream {
-    /// Reads what arrives until `until`; empty if nothing does.
+    /// Waits for a part of the body and returns it. Returns an empty vector if the deadline passed without any.
     ///
     /// # Errors
-    /// The stream ended or broke, or its framing is invalid.
-    pub fn read(&mut self, until: Instant) -> Result<Vec<u8>, CallError> {
+    /// Returns an error if the stream ended or broke, or its framing is invalid.
+    pub fn read(&mut self, deadline: Instant) -> Result<Vec<u8>, CallError> {
         let mut part = Vec::new();
         loop {
-            self.decoder.take(&mut self.conn.buf, &mut part).map_err(HeadError::from)?;
+            self.decoder.decode(&mut self.conn.buf, &mut part).map_err(HeadError::from)?;
             if !part.is_empty() {
                 return Ok(part);
             }
-            if self.decoder.done() {
+            if self.decoder.is_complete() {
                 return Err(CallError::Broken(io::ErrorKind::UnexpectedEof.into()));
             }
-            if !self.conn.fill(until)? {
+            if !self.conn.fill(deadline)? {
                 return Ok(part);
             }
         }
     }
 }
 
+/// A connection in the pool.
 #[derive(Debug)]
 struct IdleConn {
     since: Instant,
@@ -238,56 +255,56 @@
 
 type IdleConns = BTreeMap<SocketAddr, Vec<IdleConn>>;
 
-/// A pool of idle connections, by server.
+/// A pool of idle connections, grouped by server.
 #[derive(Debug)]
 pub struct Pool {
     idle: Mutex<IdleConns>,
-    per_server: usize,
-    idle_time: Duration,
+    max_per_server: usize,
+    max_idle_time: Duration,
 }
 
 impl Default for Pool {
     fn default() -> Self {
-        Pool::new(64, Duration::from_secs(10))
+        Pool::new(DEFAULT_MAX_IDLE_PER_SERVER, DEFAULT_MAX_IDLE_TIME)
     }
 }
 
 impl Pool {
-    /// A pool that keeps at most `per_server` connections to one server, each at most for `idle_time`.
-    pub fn new(per_server: usize, idle_time: Duration) -> Self {
-        Pool { idle: Mutex::default(), per_server, idle_time }
+    /// Creates a pool of at most `max_per_server` idle connections to each server, each for at most `max_idle_time`.
+    pub fn new(max_per_server: usize, max_idle_time: Duration) -> Self {
+        Pool { idle: Mutex::default(), max_per_server, max_idle_time }
     }
 
-    /// An idle connection, or a new one.
+    /// Returns an idle connection to a server, or opens a new one.
     ///
-    /// A connection that the server has closed in the meantime is detected here, before anything is sent on it; a request is never
-    /// sent twice.
+    /// An idle connection that the server has closed is detected here, before a request is sent on it. A request is never sent
+    /// twice, because the server may have processed the first copy.
     ///
     /// # Errors
-    /// A new connection could not be established.
-    pub fn get(&self, peer: SocketAddr, until: Instant) -> Result<Conn, CallError> {
+    /// Returns an error if a new connection could not be established.
+    pub fn get(&self, peer: SocketAddr, deadline: Instant) -> Result<Conn, CallError> {
         while let Some(IdleConn { since, conn }) = self.lock().get_mut(&peer).and_then(Vec::pop) {
-            if since.elapsed() < self.idle_time && conn.buf.is_empty() && wait::quiet(&conn.stream) {
+            if since.elapsed() < self.max_idle_time && conn.buf.is_empty() && wait::is_idle(&conn.stream) {
                 return Ok(conn);
             }
         }
-        Conn::open(peer, until)
+        Conn::open(peer, deadline)
     }
 
-    /// Returns the connection of an exchange whose response is complete, if it may be kept.
+    /// Puts the connection of a completed exchange into the pool if it may be used for another request and there is capacity.
     pub fn put(&self, exchange: Exchange, response: &Response) {
         if !response.keep_alive || !exchange.conn.buf.is_empty() {
             return;
         }
         let conn = exchange.into_conn();
         let mut idle = self.lock();
-        let kept = idle.entry(conn.peer).or_default();
-        if kept.len() < self.per_server {
-            kept.push(IdleConn { since: Instant::now(), conn });
+        let conns = idle.entry(conn.peer).or_default();
+        if conns.len() < self.max_per_server {
+            conns.push(IdleConn { since: Instant::now(), conn });
         }
     }
 
-    /// Drops the connections to a server.
+    /// Closes the idle connections to a server.
     pub fn forget(&self, peer: SocketAddr) {
         self.lock().remove(&peer);
     }
@@ -296,15 +313,20 @@
     ///
     /// # Errors
     /// See [`Pool::get`], [`Conn::send`] and [`Exchange::wait`].
-    pub fn call(&self, peer: SocketAddr, request: &Request, until: Instant) -> Result<Response, CallError> {
-        let mut exchange = self.get(peer, until)?.send(request, until)?;
-        let response = exchange.wait(until)?;
+    pub fn call(
+        &self,
+        peer: SocketAddr,
+        request: &Request,
+        deadline: Instant,
+    ) -> Result<Response, CallError> {
+        let mut exchange = self.get(peer, deadline)?.send(request, deadline)?;
+        let response = exchange.wait(deadline)?;
         self.put(exchange, &response);
         Ok(response)
     }
 
     fn lock(&self) -> MutexGuard<'_, IdleConns> {
-        // A panic of a thread that held the lock leaves a valid list of connections.
+        // The map is valid even if a thread panicked while it held the lock.
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/base/http/src/lib.rs
+++ b/crates/base/http/src/lib.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 (RFC 9112) on `std::net`, with limits on every size, time and count.
 //!
-//! Heads are parsed by `httparse`, and basic types come from `http`. This crate adds the framing of bodies, timeouts, and the
-//! management of connections. It has no async runtime: a connection is served by a thread with a small stack, taken from a pool.
+//! The crate `httparse` parses heads, and `http` supplies basic types. This crate adds the framing of bodies, timeouts, and the
+//! management of connections. It uses no async runtime. A thread with a small stack, taken from a pool, serves each connection.
 #![forbid(unsafe_code)]
 
 pub mod body;
--- a/crates/base/http/src/limits.rs
+++ b/crates/base/http/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of a connection.
+//! Limits of sizes, times and counts on a connection.
 
 use std::time::Duration;
 
--- a/crates/base/http/src/message/mod.rs
+++ b/crates/base/http/src/message/mod.rs
@@ -12,7 +12,7 @@
 macro_rules! message_methods {
     ($($message:ident)*) => {$(
         impl $message {
-            /// Adds a header field. An invalid value is ignored.
+            /// Adds a header field. A field with an invalid value is not added.
             #[must_use]
             pub fn with(mut self, name: HeaderName, value: impl AsRef<[u8]>) -> Self {
                 if let Ok(value) = HeaderValue::from_bytes(value.as_ref()) {
@@ -21,17 +21,18 @@
                 self
             }
 
-            /// Sets the body and its type.
+            /// Sets the body and adds a `Content-Type` field.
             #[must_use]
-            pub fn body(self, kind: &'static str, body: impl Into<Vec<u8>>) -> Self {
-                let mut this = self.with(header::CONTENT_TYPE, kind);
-                this.body = body.into();
-                this
+            pub fn body(self, content_type: &'static str, body: impl Into<Vec<u8>>) -> Self {
+                let mut message = self.with(header::CONTENT_TYPE, content_type);
+                message.body = body.into();
+                message
             }
 
-            /// The value of a header field as text.
+            /// Returns the value of a header field as text. Returns `None` if there is no such field or its value is not
+            /// visible ASCII.
             pub fn field(&self, name: impl http::header::AsHeaderName) -> Option<&str> {
-                self.headers.get(name).and_then(|v| v.to_str().ok())
+                self.headers.get(name).and_then(|value| value.to_str().ok())
             }
         }
     )*};
@@ -42,20 +43,20 @@
 /// A complete request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Its method.
+    /// Method of the request.
     pub method: Method,
     /// Path and query, in origin form.
     pub target: String,
-    /// Its header fields.
+    /// Header fields.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body, without its transfer coding.
     pub body: Vec<u8>,
     /// Whether the connection may be used for another message.
     pub keep_alive: bool,
 }
 
 impl Request {
-    /// A request without header fields or body.
+    /// Creates a request without header fields or body.
     pub fn new(method: Method, target: impl Into<String>) -> Self {
         Request {
             method,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
@@ -86,29 +87,29 @@
 /// A complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
-    /// Its status.
+    /// Status of the response.
     pub status: StatusCode,
-    /// Its header fields.
+    /// Header fields.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body, without its transfer coding.
     pub body: Vec<u8>,
     /// Whether the connection may be used for another message.
     pub keep_alive: bool,
 }
 
 impl Response {
-    /// A response without header fields or body.
+    /// Creates a response without header fields or body.
     pub fn new(status: StatusCode) -> Self {
         Response { status, headers: HeaderMap::new(), body: Vec::new(), keep_alive: true }
     }
 
-    /// A response with a plain text.
+    /// Creates a response with a line of plain text.
     pub fn text(status: StatusCode, text: impl std::fmt::Display) -> Self {
         Response::new(status).body("text/plain; charset=utf-8", format!("{text}\n"))
     }
 
-    /// Encodes the response to a request with this method.
-    pub fn encode(&self, to: &Method) -> Vec<u8> {
+    /// Encodes the response to a request with method `request_method`. The body is omitted if the method is `HEAD`.
+    pub fn encode(&self, request_method: &Method) -> Vec<u8> {
         let mut head = status_line(self.status);
         if !self.status.is_informational() && self.status != StatusCode::NO_CONTENT {
             let _ = write!(head, "content-length: {}\r\n", self.body.len());
@@ -116,12 +117,12 @@
         if !self.keep_alive {
             head.push_str("connection: close\r\n");
         }
-        let body: &[u8] = if *to == Method::HEAD { &[] } else { &self.body };
+        let body: &[u8] = if *request_method == Method::HEAD { &[] } else { &self.body };
         encode_message(head, &self.headers, body)
     }
 
-    /// Encodes the head of a response whose body ends with the connection.
-    pub fn encode_open(&self) -> Vec<u8> {
+    /// Encodes the head of a response whose body ends when the connection is closed.
+    pub fn encode_close_delimited_head(&self) -> Vec<u8> {
         let mut head = status_line(self.status);
         head.push_str("connection: close\r\n");
         encode_message(head, &self.headers, &[])
--- a/crates/base/http/src/server/connection.rs
+++ b/crates/base/http/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! Service of one connection.
+//! Serving of a single connection.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -8,24 +8,28 @@
 
 use http::{Method, StatusCode};
 
-use super::request_reader::{NoRequest, RequestReader};
-use super::{Counted, Link, Reply, Shared};
+use super::request_reader::{ReadError, RequestReader};
+use super::{CounterGuard, Link, Reply, Shared};
 use crate::message::Response;
 use crate::wait;
 
-/// How long a connection is read after its last response, so that the peer receives that.
+/// Maximum time for which a connection is read after its last response, so that the peer can read the response.
 const LINGER_TIME: Duration = Duration::from_millis(200);
+/// Size of a read of bytes that are discarded.
+const DISCARD_CHUNK_BYTES: usize = 4096;
 
-/// What becomes of a connection after a reply.
+/// Treatment of a connection after a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Next {
     KeepOpen,
     Close,
 }
 
-/// A response that was written, or not.
+/// Result of writing a response.
 struct Written {
+    /// Whether the whole response was written.
     complete: bool,
+    /// Whether the response allows another request on the connection.
     keep_alive: bool,
 }
 
@@ -42,49 +46,53 @@
     serve_requests(&stream, peer, shared);
 }
 
+/// Adds a connection to the list of open connections.
 fn register(stream: &Arc<TcpStream>, shared: &Shared) {
     let mut open = shared.open();
-    // Swept whenever its capacity is used up, so that the amortized cost of a connection is constant.
+    // Entries of closed connections are removed when the capacity is used up, so that the amortized cost is constant.
     if open.len() == open.capacity() {
         open.retain(|entry| entry.strong_count() > 0);
     }
     open.push(Arc::downgrade(stream));
 }
 
-/// Counts a request that a stop waits for.
-fn count_busy(shared: &Shared) -> Counted<'_> {
+/// Counts a request for which [`Server::stop`](super::Server::stop) waits, until the guard is dropped.
+fn count_busy(shared: &Shared) -> CounterGuard<'_> {
     shared.busy.fetch_add(1, Ordering::SeqCst);
-    Counted(&shared.busy)
+    CounterGuard(&shared.busy)
 }
 
+/// Serves the requests of a connection until the connection ends.
 fn serve_requests(stream: &TcpStream, peer: SocketAddr, shared: &Shared) {
     let limits = &shared.sizes.limits;
     let mut reader = RequestReader::new(stream, shared);
     let _ = stream.set_write_timeout(Some(limits.write_time));
     for number in 0..limits.messages {
-        // A stop waits for the first request of a connection, as a client connects in order to send one.
-        let awaits_first = (number == 0).then(|| count_busy(shared));
+        // The server waits for the first request of a connection before it stops, because a client connects to send one.
+        let first_request_guard = (number == 0).then(|| count_busy(shared));
         let request = match reader.read(number == 0) {
             Ok(request) => request,
-            Err(NoRequest::Closed | NoRequest::Idle) => return,
-            Err(NoRequest::TimedOut) => {
-                let late = Response::text(StatusCode::REQUEST_TIMEOUT, "the request took too long to arrive");
-                return close(stream, late);
+            Err(ReadError::Closed | ReadError::Idle) => return,
+            Err(ReadError::TimedOut) => {
+                let response =
+                    Response::text(StatusCode::REQUEST_TIMEOUT, "the request took too long to arrive");
+                return close(stream, response);
             }
-            Err(NoRequest::Invalid(error)) => return close(stream, shared.handler.bad(&error)),
+            Err(ReadError::Invalid(error)) => return close(stream, shared.handler.invalid_request(&error)),
         };
-        let _busy = count_busy(shared);
-        drop(awaits_first);
+        let _busy_guard = count_busy(shared);
+        drop(first_request_guard);
         let method = request.method.clone();
-        let may_keep = request.keep_alive && number + 1 < limits.messages;
+        let may_keep_alive = request.keep_alive && number + 1 < limits.messages;
         let reply = shared.handler.handle(request, &Link { socket: stream, peer });
-        let keep_alive = may_keep && !shared.stop.load(Ordering::SeqCst);
+        let keep_alive = may_keep_alive && !shared.stop.load(Ordering::SeqCst);
         if send(stream, reply, &method, keep_alive) == Next::Close {
             return;
         }
     }
 }
 
+/// Sends a reply and returns whether the connection may be used further.
 fn send(mut stream: &TcpStream, reply: Reply, method: &Method, keep_alive: bool) -> Next {
     match reply {
         Reply::Complete(response) => write_response(stream, response, method, keep_alive).next(),
@@ -94,7 +102,7 @@
             written.next()
         }
         Reply::Stream(response, write_body) => {
-            if stream.write_all(&response.encode_open()).is_ok() {
+            if stream.write_all(&response.encode_close_delimited_head()).is_ok() {
                 write_body(stream);
             }
             Next::Close
@@ -103,6 +111,7 @@
     }
 }
 
+/// Writes a response unless the peer has closed the connection.
 fn write_response(
     mut stream: &TcpStream,
     mut response: Response,
@@ -114,16 +123,17 @@
     Written { complete, keep_alive: response.keep_alive }
 }
 
-/// Sends a last response and closes the connection, so that the response is received even if more requests were sent.
+/// Sends a last response and closes the connection. Bytes that the peer sent are read first, because closing a connection with
+/// unread bytes resets it, and the peer would lose the response.
 fn close(mut stream: &TcpStream, mut response: Response) {
     response.keep_alive = false;
     if stream.write_all(&response.encode(&Method::GET)).is_err() {
         return;
     }
     let _ = stream.shutdown(Shutdown::Write);
-    let until = Instant::now() + LINGER_TIME;
-    let mut discarded = [0; 4096];
-    while let Ok([true]) = wait::readable([Some(stream)], until) {
+    let deadline = Instant::now() + LINGER_TIME;
+    let mut discarded = [0; DISCARD_CHUNK_BYTES];
+    while let Ok([true]) = wait::readable([Some(stream)], deadline) {
         if !matches!(stream.read(&mut discarded), Ok(len) if len > 0) {
             break;
         }
--- a/crates/base/http/src/server/mod.rs
+++ b/crates/base/http/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! A server with one thread per connection, taken from a bounded pool. Connections over the bound are refused at once.
+//! A server with one thread per connection, taken from a pool of limited size. Connections over the limit are refused at once.
 
 mod accept;
 mod connection;
@@ -20,35 +20,35 @@
 pub enum Reply {
     /// A complete response.
     Complete(Response),
-    /// A complete response, and a callback that receives whether it could be written.
+    /// A complete response, and a callback that receives whether the whole response was written.
     CompleteThen(Response, Box<dyn FnOnce(bool) + Send>),
-    /// A head, and a function that writes the body. The connection is closed after it.
+    /// The head of a response, and a function that writes the body. The connection is closed after the body.
     Stream(Response, Box<dyn FnOnce(&TcpStream) + Send>),
-    /// The connection is closed without a response.
+    /// No response. The connection is closed.
     Disconnect,
 }
 
-/// The connection that a request came on.
+/// The connection on which a request was received.
 #[derive(Debug)]
 pub struct Link<'a> {
-    /// Its socket, to be polled but not read.
+    /// Socket of the connection, which may be polled but not read.
     pub socket: &'a TcpStream,
-    /// The address of the peer.
+    /// Address of the peer.
     pub peer: SocketAddr,
 }
 
-/// Handles requests.
+/// A handler of requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Handles one request. It runs on the connection's thread and may block.
+    /// Handles one request. The method is called on the connection's thread and may block.
     fn handle(&self, request: Request, link: &Link<'_>) -> Reply;
 
-    /// The response to a connection over the bound.
-    fn refuse(&self) -> Response {
+    /// Returns the response to a connection over the limit. The method is called on the acceptor's thread and must not block.
+    fn connection_refusal(&self) -> Response {
         Response::text(StatusCode::SERVICE_UNAVAILABLE, "too many connections").with(header::RETRY_AFTER, "1")
     }
 
-    /// The response to a request that can't be parsed.
-    fn bad(&self, error: &HeadError) -> Response {
+    /// Returns the response to a request that can't be parsed.
+    fn invalid_request(&self, error: &HeadError) -> Response {
         Response::text(error.status(), error)
     }
 }
@@ -71,7 +71,7 @@
 }
 
 /// Stack size of the acceptor's thread, bytes.
-const ACCEPTOR_STACK: usize = 256 * 1024;
+const ACCEPTOR_STACK_BYTES: usize = 256 * 1024;
 /// Interval at which [`Server::stop`] checks whether all requests have been answered.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
@@ -82,9 +82,9 @@
     stop: AtomicBool,
     /// Number of connection threads.
     threads: AtomicUsize,
-    /// Number of requests that a stop waits for.
+    /// Number of requests for which [`Server::stop`] waits.
     busy: AtomicUsize,
-    /// Open connections, to be reset by [`Server::kill`].
+    /// Open connections, which [`Server::kill`] resets.
     open: Mutex<Vec<Weak<TcpStream>>>,
 }
 
@@ -94,10 +94,10 @@
     }
 }
 
-/// Decrements a counter when it is dropped.
-struct Counted<'a>(&'a AtomicUsize);
+/// A guard that decrements a counter when it is dropped.
+struct CounterGuard<'a>(&'a AtomicUsize);
 
-impl Drop for Counted<'_> {
+impl Drop for CounterGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
@@ -114,7 +114,7 @@
     /// Starts serving on a listener.
     ///
     /// # Errors
-    /// The listener can't be configured or the acceptor's thread can't be started.
+    /// Returns an error if the listener can't be configured or the acceptor's thread can't be started.
     pub fn start(listener: TcpListener, sizes: Sizes, handler: Arc<dyn Handler>) -> io::Result<Server> {
         let address = listener.local_addr()?;
         listener.set_nonblocking(true)?;
@@ -129,35 +129,36 @@
         let acceptor_shared = shared.clone();
         let acceptor = thread::Builder::new()
             .name("accept".into())
-            .stack_size(ACCEPTOR_STACK)
+            .stack_size(ACCEPTOR_STACK_BYTES)
             .spawn(move || accept::run(&listener, &acceptor_shared))?;
         Ok(Server { shared, address, acceptor: Some(acceptor) })
     }
 
-    /// The address that it listens on.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Accepts no further connections and waits for pending requests to be answered, at most for `wait`.
-    pub fn stop(mut self, wait: Duration) {
+    /// Stops accepting connections and waits until pending requests are answered, at most for `max_wait`.
+    pub fn stop(mut self, max_wait: Duration) {
         self.join_acceptor();
-        let until = Instant::now() + wait;
-        while self.shared.busy.load(Ordering::SeqCst) > 0 && Instant::now() < until {
+        let deadline = Instant::now() + max_wait;
+        while self.shared.busy.load(Ordering::SeqCst) > 0 && Instant::now() < deadline {
             thread::sleep(STOP_POLL_INTERVAL);
         }
     }
 
-    /// Ends at once: the listener is closed and every connection is reset, as if the process had died.
+    /// Closes the listener and resets every connection at once, as if the process had been killed.
     pub fn kill(mut self) {
         self.join_acceptor();
         for stream in self.shared.open().drain(..).filter_map(|stream| stream.upgrade()) {
-            // A zero linger makes the system send a reset. If it can't be set, the shutdown has to suffice.
+            // A linger time of zero makes the operating system send a reset. If it can't be set, the connection is shut down.
             let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
+    /// Signals the stop to all threads and waits for the acceptor, which closes the listener.
     fn join_acceptor(&mut self) {
         self.shared.stop.store(true, Ordering::SeqCst);
         if let Some(acceptor) = self.acceptor.take() {
--- a/crates/base/http/src/server/request_reader.rs
+++ b/crates/base/http/src/server/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reading of requests from a connection.
+//! Reads requests from a connection.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
@@ -13,30 +13,31 @@
 use crate::message::{HeadError, Request, request_head};
 use crate::wait;
 
-/// During a stop, a connection without request so far is given this long: its request may be on the way.
+/// Time for which a stopping server waits for the first request of a connection, which may be in transit.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(100);
-/// During a stop, a connection between requests is given this long, which suffices for what has arrived.
+/// Time for which a stopping server waits for a further request on a connection. It only suffices for received bytes.
 const NEXT_REQUEST_GRACE: Duration = Duration::from_millis(1);
-/// Interval at which an idle connection checks whether the server stops.
+/// Interval at which an idle connection checks whether the server is stopping.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-const READ_CHUNK: usize = 4096;
-/// Capacity of the buffer that is kept between requests.
-const KEPT_CAPACITY: usize = 4096;
+/// Size of a read from the socket, bytes.
+const READ_CHUNK_BYTES: usize = 4096;
+/// Maximum capacity of the buffer between requests, bytes.
+const IDLE_BUFFER_BYTES: usize = 4096;
 
-/// Why no request was read.
-pub(super) enum NoRequest {
-    /// The peer closed the connection.
+/// Error of reading a request.
+pub(super) enum ReadError {
+    /// The connection ended, or the server is stopping.
     Closed,
-    /// The time passed without a byte of a request.
+    /// The idle time passed without a byte of a request.
     Idle,
-    /// The time passed with a part of a request.
+    /// The time limit passed before the request was complete.
     TimedOut,
     /// The request is invalid.
     Invalid(HeadError),
 }
 
-fn invalid_body(error: BodyError) -> NoRequest {
-    NoRequest::Invalid(HeadError::Body(error))
+fn invalid_body(error: BodyError) -> ReadError {
+    ReadError::Invalid(HeadError::Body(error))
 }
 
 /// Reads the requests of one connection.
@@ -44,6 +45,7 @@
     stream: &'a TcpStream,
     shared: &'a Shared,
     limits: &'a Limits,
+    /// Bytes that were read but not parsed.
     buf: Vec<u8>,
 }
 
@@ -52,82 +54,84 @@
         RequestReader { stream, shared, limits: &shared.sizes.limits, buf: Vec::new() }
     }
 
-    /// Reads the next request.
-    pub fn read(&mut self, is_first: bool) -> Result<Request, NoRequest> {
+    /// Reads the next request. `is_first` is whether the connection had no request before.
+    pub fn read(&mut self, is_first: bool) -> Result<Request, ReadError> {
         self.wait_for_start(is_first)?;
-        let head_until = Instant::now() + self.limits.head_time;
+        let head_deadline = Instant::now() + self.limits.head_time;
         let head = loop {
-            match request_head(&mut self.buf, self.limits).map_err(NoRequest::Invalid)? {
+            match request_head(&mut self.buf, self.limits).map_err(ReadError::Invalid)? {
                 Some(head) => break head,
-                None => self.fill(head_until)?,
+                None => self.fill(head_deadline)?,
             }
         };
         let mut request = head.message;
         let mut decoder = Decoder::new(head.framing, self.limits.body_bytes).map_err(invalid_body)?;
-        if expects_continue(&request) && !decoder.done() && self.buf.is_empty() {
+        if expects_continue(&request) && !decoder.is_complete() && self.buf.is_empty() {
             let mut stream = self.stream;
-            stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").map_err(|_| NoRequest::Closed)?;
+            stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").map_err(|_| ReadError::Closed)?;
         }
         self.read_body(&mut decoder, &mut request.body)?;
         Ok(request)
     }
 
     /// Waits for the first byte of a request.
-    fn wait_for_start(&mut self, is_first: bool) -> Result<(), NoRequest> {
-        let idle_until = Instant::now() + self.limits.idle_time;
+    fn wait_for_start(&mut self, is_first: bool) -> Result<(), ReadError> {
+        let idle_deadline = Instant::now() + self.limits.idle_time;
         while self.buf.is_empty() {
-            let stops = self.shared.stop.load(Ordering::SeqCst);
-            let wait = match (stops, is_first) {
+            let is_stopping = self.shared.stop.load(Ordering::SeqCst);
+            let wait = match (is_stopping, is_first) {
                 (true, true) => FIRST_REQUEST_GRACE,
                 (true, false) => NEXT_REQUEST_GRACE,
                 (false, _) => STOP_CHECK_INTERVAL,
             };
-            match self.fill(idle_until.min(Instant::now() + wait)) {
-                Err(NoRequest::Idle) if stops => return Err(NoRequest::Closed),
-                Err(NoRequest::Idle) if Instant::now() < idle_until => {}
+            match self.fill(idle_deadline.min(Instant::now() + wait)) {
+                Err(ReadError::Idle) if is_stopping => return Err(ReadError::Closed),
+                Err(ReadError::Idle) if Instant::now() < idle_deadline => {}
                 other => other?,
             }
         }
         Ok(())
     }
 
-    fn read_body(&mut self, decoder: &mut Decoder, body: &mut Vec<u8>) -> Result<(), NoRequest> {
-        let body_until = Instant::now() + self.limits.body_time;
+    /// Reads the rest of a request's body.
+    fn read_body(&mut self, decoder: &mut Decoder, body: &mut Vec<u8>) -> Result<(), ReadError> {
+        let body_deadline = Instant::now() + self.limits.body_time;
         loop {
-            decoder.take(&mut self.buf, body).map_err(invalid_body)?;
-            if decoder.done() {
-                self.buf.shrink_to(KEPT_CAPACITY);
+            decoder.decode(&mut self.buf, body).map_err(invalid_body)?;
+            if decoder.is_complete() {
+                self.buf.shrink_to(IDLE_BUFFER_BYTES);
                 return Ok(());
             }
-            match self.fill(body_until) {
-                Err(NoRequest::Idle | NoRequest::TimedOut) => return Err(NoRequest::TimedOut),
+            match self.fill(body_deadline) {
+                Err(ReadError::Idle | ReadError::TimedOut) => return Err(ReadError::TimedOut),
                 other => other?,
             }
         }
     }
 
-    /// Reads once, waiting at most until `until`.
-    fn fill(&mut self, until: Instant) -> Result<(), NoRequest> {
-        match wait::readable([Some(self.stream)], until) {
+    /// Waits for bytes, at most until the deadline, and reads them once.
+    fn fill(&mut self, deadline: Instant) -> Result<(), ReadError> {
+        match wait::readable([Some(self.stream)], deadline) {
             Ok([true]) => {}
-            Ok([false]) if self.buf.is_empty() => return Err(NoRequest::Idle),
-            Ok([false]) => return Err(NoRequest::TimedOut),
-            Err(_) => return Err(NoRequest::Closed),
+            Ok([false]) if self.buf.is_empty() => return Err(ReadError::Idle),
+            Ok([false]) => return Err(ReadError::TimedOut),
+            Err(_) => return Err(ReadError::Closed),
         }
-        let mut chunk = [0; READ_CHUNK];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         let mut stream = self.stream;
         match stream.read(&mut chunk) {
-            Ok(0) => Err(NoRequest::Closed),
+            Ok(0) => Err(ReadError::Closed),
             Ok(len) => {
                 self.buf.extend_from_slice(&chunk[..len]);
                 Ok(())
             }
             Err(error) if error.kind() == io::ErrorKind::Interrupted => Ok(()),
-            Err(_) => Err(NoRequest::Closed),
+            Err(_) => Err(ReadError::Closed),
         }
     }
 }
 
+/// Returns whether the client waits for an interim response before it sends the body.
 fn expects_continue(request: &Request) -> bool {
     let expect = request.headers.get(header::EXPECT);
     expect.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"100-continue"))
--- a/crates/base/http/src/sse.rs
+++ b/crates/base/http/src/sse.rs
@@ -1,17 +1,17 @@
-//! Event streams (`text/event-stream`, WHATWG HTML section 9.2): a parser without I/O and a writer.
+//! Event streams (`text/event-stream`, WHATWG HTML section 9.2): an encoder and an incremental parser without I/O.
 
 use std::fmt::Write as _;
 
 use thiserror::Error;
 
-/// One event.
+/// An event of a stream.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Event {
-    /// Its type; empty for a plain message.
+    /// Type of the event. Empty for the default type `message`.
     pub name: String,
-    /// Its data, lines joined.
+    /// Data of the event. Lines are separated by line feeds.
     pub data: String,
-    /// Its id; empty if it has none.
+    /// Id of the event. Empty if the event has no id.
     pub id: String,
 }
 
@@ -33,38 +33,43 @@
     }
 }
 
-/// A comment, which keeps a connection alive and is no event.
+/// An empty comment, which a server sends to keep an idle connection open. Parsers skip it.
 pub const KEEP_ALIVE: &[u8] = b":\n\n";
 
-/// An event that exceeds the limit.
+/// Error of parsing an event that exceeds the limit in bytes.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("an event is longer than {0} bytes")]
+#[error("event is longer than {0} bytes")]
 pub struct TooLong(pub usize);
 
-/// An incremental parser.
+/// An incremental parser of an event stream.
 #[derive(Debug)]
 pub struct Parser {
+    /// Bytes of the incomplete last line.
     line: Vec<u8>,
+    /// Event that the lines so far belong to.
     event: Event,
+    /// Whether the event has a data field.
     has_data: bool,
+    /// Whether the last byte was a carriage return.
     after_cr: bool,
+    /// Maximum length of an event, bytes.
     limit: usize,
 }
 
 impl Parser {
-    /// A parser for events of at most `limit` bytes.
+    /// Creates a parser for events of at most `limit` bytes.
     pub fn new(limit: usize) -> Self {
         Parser { line: Vec::new(), event: Event::default(), has_data: false, after_cr: false, limit }
     }
 
-    /// Parses bytes and appends the events that they complete.
+    /// Parses bytes and appends the events that they complete to `out`.
     ///
     /// # Errors
-    /// An event exceeds the limit.
+    /// Returns an error if an event exceeds the limit.
     pub fn push(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), TooLong> {
         for &byte in bytes {
-            let lf_of_crlf = std::mem::replace(&mut self.after_cr, byte == b'\r') && byte == b'\n';
-            if lf_of_crlf {
+            let is_lf_of_crlf = std::mem::replace(&mut self.after_cr, byte == b'\r') && byte == b'\n';
+            if is_lf_of_crlf {
                 continue;
             }
             if byte != b'\n' && byte != b'\r' {
@@ -75,12 +80,13 @@
                 continue;
             }
             let line = std::mem::take(&mut self.line);
-            self.line_end(&String::from_utf8_lossy(&line), out);
+            self.parse_line(&String::from_utf8_lossy(&line), out);
         }
         Ok(())
     }
 
-    fn line_end(&mut self, line: &str, out: &mut Vec<Event>) {
+    /// Parses a complete line. An empty line completes the event.
+    fn parse_line(&mut self, line: &str, out: &mut Vec<Event>) {
         if line.is_empty() {
             let event = std::mem::take(&mut self.event);
             if std::mem::take(&mut self.has_data) {
@@ -99,7 +105,7 @@
                 self.event.data.push_str(value);
             }
             "id" if !value.contains('\0') => self.event.id = value.to_owned(),
-            // Comments and reconnection times.
+            // Comments, reconnection times and unknown fields are ignored.
             _ => {}
         }
     }
--- a/crates/base/http/src/wait.rs
+++ b/crates/base/http/src/wait.rs
@@ -1,4 +1,4 @@
-//! Polling of sockets.
+//! Readiness and state of sockets, by `poll`.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -6,43 +6,52 @@
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
-/// Waits until one of the sockets is readable or broken, or until `until`. The result says which are, in the same order.
+/// Timeout of a `poll` that returns at once.
+const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
+/// Minimum timeout of a socket. Zero would mean no timeout.
+const MIN_SOCKET_TIMEOUT: Duration = Duration::from_millis(1);
+
+/// Waits until a socket is readable, closed or broken, at most until the deadline. Returns for each socket whether it is, in the
+/// order of the sockets. `None` is never ready.
 ///
 /// # Errors
-/// Errors of `poll` other than interruption.
-pub fn readable<const N: usize>(sockets: [Option<&TcpStream>; N], until: Instant) -> io::Result<[bool; N]> {
+/// Returns an error of `poll` other than an interruption.
+pub fn readable<const N: usize>(
+    sockets: [Option<&TcpStream>; N],
+    deadline: Instant,
+) -> io::Result<[bool; N]> {
     loop {
         let mut fds = Vec::with_capacity(N);
         for socket in sockets.iter().flatten() {
             fds.push(PollFd::new(*socket, PollFlags::IN | PollFlags::RDHUP));
         }
-        // Rounded up to a nanosecond: a wait of zero for the rest would spin.
-        let left = until.saturating_duration_since(Instant::now());
-        let timeout = Timespec { tv_sec: left.as_secs() as i64, tv_nsec: left.subsec_nanos().into() };
+        // The timeout has a resolution of a nanosecond. A coarser one would round the last part of the wait to zero and spin.
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let timeout =
+            Timespec { tv_sec: remaining.as_secs() as i64, tv_nsec: remaining.subsec_nanos().into() };
         match poll(&mut fds, Some(&timeout)) {
-            Ok(0) if Instant::now() < until => continue,
+            Ok(0) if Instant::now() < deadline => continue,
             Ok(_) => {}
             Err(rustix::io::Errno::INTR) => continue,
             Err(e) => return Err(e.into()),
         }
-        let mut seen = fds.iter().map(|fd| !fd.revents().is_empty());
-        return Ok(sockets.map(|socket| socket.is_some() && seen.next().unwrap_or(false)));
+        let mut ready = fds.iter().map(|fd| !fd.revents().is_empty());
+        return Ok(sockets.map(|socket| socket.is_some() && ready.next().unwrap_or(false)));
     }
 }
 
-/// Waits until a connection can be accepted, at most for `max`.
-pub fn acceptable(listener: &TcpListener, max: Duration) {
+/// Waits until a connection can be accepted, at most for `max_wait`.
+pub fn acceptable(listener: &TcpListener, max_wait: Duration) {
     let mut fds = [PollFd::new(listener, PollFlags::IN)];
-    let timeout = Timespec { tv_sec: max.as_secs() as i64, tv_nsec: max.subsec_nanos().into() };
-    // After an interrupted wait the caller polls again.
+    let timeout = Timespec { tv_sec: max_wait.as_secs() as i64, tv_nsec: max_wait.subsec_nanos().into() };
+    // The result is ignored, because the caller tries to accept and polls again if there is no connection.
     let _ = poll(&mut fds, Some(&timeout));
 }
 
-/// Whether the peer has closed or reset the connection. Unread bytes hide a close that follows them.
+/// Returns whether the peer has closed or reset the connection. Unread bytes may hide a close that follows them.
 pub fn hung_up(socket: &TcpStream) -> bool {
     let mut fds = [PollFd::new(socket, PollFlags::IN | PollFlags::RDHUP)];
-    let now = Timespec { tv_sec: 0, tv_nsec: 0 };
-    match poll(&mut fds, Some(&now)) {
+    match poll(&mut fds, Some(&NO_WAIT)) {
         Ok(0) => false,
         Ok(_) => {
             let events = fds[0].revents();
@@ -52,13 +61,13 @@
     }
 }
 
-/// Whether a connection is idle: nothing to read and not closed.
-pub fn quiet(socket: &TcpStream) -> bool {
+/// Returns whether a connection is open and has no bytes to read.
+pub fn is_idle(socket: &TcpStream) -> bool {
     let mut fds = [PollFd::new(socket, PollFlags::IN | PollFlags::RDHUP)];
-    poll(&mut fds, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })) == Ok(0)
+    poll(&mut fds, Some(&NO_WAIT)) == Ok(0)
 }
 
-/// The time left until `until`; at least a millisecond, as zero means no timeout to a socket.
-pub fn left(until: Instant) -> Duration {
-    until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1))
+/// Returns the time until the deadline as a timeout of a socket, which is at least one millisecond.
+pub fn socket_timeout(deadline: Instant) -> Duration {
+    deadline.saturating_duration_since(Instant::now()).max(MIN_SOCKET_TIMEOUT)
 }
--- a/crates/base/http/tests/body.rs
+++ b/crates/base/http/tests/body.rs
@@ -14,9 +14,9 @@
     let (mut buf, mut out) = (Vec::new(), Vec::new());
     for part in text.chunks(step.max(1)) {
         buf.extend_from_slice(part);
-        d.take(&mut buf, &mut out)?;
+        d.decode(&mut buf, &mut out)?;
     }
-    Ok((out, d.done(), buf))
+    Ok((out, d.is_complete(), buf))
 }
 
 #[test]
--- a/crates/front/server/src/attempt.rs
+++ b/crates/front/server/src/attempt.rs
@@ -101,13 +101,13 @@
         CallError::Connect(_) => Outcome::ConnectFailed,
         CallError::TimedOut => Outcome::Timeout,
         CallError::Broken(_) => Outcome::Reset,
-        CallError::Bad(_) => Outcome::Error,
+        CallError::InvalidResponse(_) => Outcome::Error,
     }
 }
 
 /// Ends an attempt that is given up, and undoes what it may still have set up.
 fn abandon(mut exchange: Exchange) -> AttemptEnd {
-    exchange.give_up();
+    exchange.abandon();
     let until = Instant::now() + Duration::from_micros(GRACE.0);
     let result = match exchange.wait(until).map(|response| media_server::attempt_result(&response).0) {
         Ok(AttemptResult::Accepted { resource, .. } | AttemptResult::Unusable { resource, .. }) => {
--- a/crates/front/server/src/http.rs
+++ b/crates/front/server/src/http.rs
@@ -284,13 +284,13 @@
         }
     }
 
-    fn refuse(&self) -> Response {
+    fn connection_refusal(&self) -> Response {
         let retry_after =
             self.shared.settings.settings.capabilities.max_retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
         answer::for_browsers(answer::response(&Answer::Rejected(Some(retry_after))))
     }
 
-    fn bad(&self, error: &HeadError) -> Response {
+    fn invalid_request(&self, error: &HeadError) -> Response {
         answer::for_browsers(Response::text(error.status(), error))
     }
 }
--- a/crates/front/server/src/server_calls.rs
+++ b/crates/front/server/src/server_calls.rs
@@ -231,7 +231,7 @@
 fn health(result: Result<Response, CallError>) -> (Outcome, LoadReport) {
     match result {
         Ok(response) if response.status.is_success() => (Outcome::Ok, load::body(&response.body)),
-        Ok(_) | Err(CallError::Bad(_)) => (Outcome::Error, LoadReport::default()),
+        Ok(_) | Err(CallError::InvalidResponse(_)) => (Outcome::Error, LoadReport::default()),
         Err(CallError::Refused | CallError::Connect(_)) => (Outcome::ConnectFailed, LoadReport::default()),
         Err(CallError::TimedOut) => (Outcome::Timeout, LoadReport::default()),
         Err(CallError::Broken(_)) => (Outcome::Reset, LoadReport::default()),
--- a/crates/platform/event-loop/src/event_bus/response.rs
+++ b/crates/platform/event-loop/src/event_bus/response.rs
@@ -90,7 +90,7 @@
         if !body.assembler.in_event {
             self.last_complete_at = now;
         }
-        if body.decoder.done() { Err(ResponseError::Ended) } else { Ok(()) }
+        if body.decoder.is_complete() { Err(ResponseError::Ended) } else { Ok(()) }
     }
 }
 
@@ -107,7 +107,7 @@
         return Err(ResponseError::UnexpectedStatus);
     }
     let assembler = EventAssembler::new(max_event_bytes);
-    Ok(Some(Body { encoded: std::mem::take(head), decoder: Decoder::endless(framing), assembler }))
+    Ok(Some(Body { encoded: std::mem::take(head), decoder: Decoder::unlimited(framing), assembler }))
 }
 
 impl Body {
@@ -119,7 +119,7 @@
         let mut text = Vec::new();
         // Events before a malformed chunk are handled. Otherwise they would be lost if they arrived together with it
         // after each reconnect.
-        let decoded = self.decoder.take(&mut self.encoded, &mut text);
+        let decoded = self.decoder.decode(&mut self.encoded, &mut text);
         self.assembler.push(&text, events, skip_oversized)?;
         decoded.map_err(|_| ResponseError::MalformedBody)
     }
--- a/crates/testing/fakes/src/player.rs
+++ b/crates/testing/fakes/src/player.rs
@@ -125,7 +125,7 @@
     match exchange.wait(hangs_up.unwrap_or(until)) {
         Ok(response) => {
             // A second answer would follow on the same connection, before it closes.
-            let rest = exchange.into_conn().rest(Instant::now() + Duration::from_millis(500));
+            let rest = exchange.into_conn().read_to_end(Instant::now() + Duration::from_millis(500));
             let extra = rest.windows(9).filter(|w| w.starts_with(b"HTTP/1.1 ")).count() as u32;
             (Ending::Status(response.status.as_u16()), Some(response), extra)
         }
