--- a/crates/base/config-reader/src/document.rs
+++ b/crates/base/config-reader/src/document.rs
@@ -1,4 +1,4 @@
-//! A YAML document as a tree of nodes with positions.
+//! Parsing of a YAML document into a tree of nodes with positions.
 
 use saphyr::{LoadableYamlNode, MarkedYaml, Scalar, YamlData};
 
@@ -6,13 +6,13 @@
 
 /// Maximum size of a file, bytes.
 pub const MAX_FILE_BYTES: usize = 4 * 1024 * 1024;
-/// Maximum depth of nesting.
+/// Maximum number of nested levels, including the top one.
 const MAX_DEPTH: usize = 32;
 
-/// The type of a node, with its value.
+/// Type and value of a node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum NodeKind {
-    /// Nothing.
+    /// A null or an empty value.
     Null,
     /// `true` or `false`.
     Bool(bool),
@@ -24,15 +24,15 @@
     Text(String),
     /// A sequence.
     List(Vec<Node>),
-    /// A mapping, in the file's order.
+    /// A mapping in the order of the file.
     Map(Vec<(Key, Node)>),
 }
 
 impl NodeKind {
-    /// What the type is called in error messages.
+    /// Returns the name of the type for error messages.
     pub fn name(&self) -> &'static str {
         match self {
-            NodeKind::Null => "nothing",
+            NodeKind::Null => "null",
             NodeKind::Bool(_) => "true or false",
             NodeKind::Int(_) => "a whole number",
             NodeKind::Float(_) => "a number",
@@ -46,67 +46,70 @@
 /// A key of a mapping.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Key {
-    /// The text of the key.
+    /// Text of the key.
     pub name: String,
-    /// Where it begins.
+    /// Position at which the key begins.
     pub position: Position,
 }
 
 /// A node of the tree.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Node {
-    /// Where it begins.
+    /// Position at which the node begins.
     pub position: Position,
-    /// Its type and value.
+    /// Type and value of the node.
     pub kind: NodeKind,
 }
 
 impl Node {
-    /// The node as JSON, which is YAML as well.
+    /// Converts the node to JSON, which is valid YAML too.
     pub fn to_json(&self) -> serde_json::Value {
         use serde_json::Value;
         match &self.kind {
             NodeKind::Null => Value::Null,
-            NodeKind::Bool(b) => (*b).into(),
-            NodeKind::Int(n) => (*n).into(),
-            NodeKind::Float(x) => (*x).into(),
+            NodeKind::Bool(value) => (*value).into(),
+            NodeKind::Int(value) => (*value).into(),
+            NodeKind::Float(value) => (*value).into(),
             NodeKind::Text(text) => text.as_str().into(),
             NodeKind::List(list) => list.iter().map(Node::to_json).collect(),
             NodeKind::Map(map) => {
-                Value::Object(map.iter().map(|(k, v)| (k.name.clone(), v.to_json())).collect())
+                Value::Object(map.iter().map(|(key, value)| (key.name.clone(), value.to_json())).collect())
             }
         }
     }
 }
 
-/// Parses a file of exactly one document.
+/// Parses a file that contains exactly one document.
 ///
 /// # Errors
-/// The file is too long or no YAML, has no document or several, is nested too deep, or uses tags or aliases.
+/// Returns an error if the file is too long, is not YAML, has no document or several ones, exceeds the depth of nesting, or uses
+/// tags or aliases.
 pub fn parse(text: &str) -> Result<Node, ConfigError> {
     let start = Position { line: 1, column: 1 };
     if text.len() > MAX_FILE_BYTES {
         return Err(ConfigError::new(start, "", format!("the file is longer than {MAX_FILE_BYTES} bytes")));
     }
-    let documents = MarkedYaml::load_from_str(text).map_err(|e| {
-        let position = Position { line: e.marker().line(), column: e.marker().col() + 1 };
-        ConfigError::new(position, "", format!("not YAML: {}", e.info()))
+    let documents = MarkedYaml::load_from_str(text).map_err(|error| {
+        let position = Position { line: error.marker().line(), column: error.marker().col() + 1 };
+        ConfigError::new(position, "", format!("not YAML: {}", error.info()))
     })?;
     match documents.as_slice() {
-        [one] => node(one, MAX_DEPTH),
+        [document] => parse_node(document, MAX_DEPTH),
         [] => Err(ConfigError::new(start, "", "the file is empty")),
-        [_, second, ..] => Err(ConfigError::new(position(second), "", "a second document; one is expected")),
+        [_, second, ..] => Err(ConfigError::new(start_of(second), "", "more than one document")),
     }
 }
 
-fn position(yaml: &MarkedYaml<'_>) -> Position {
+/// Returns the position at which a node begins. The parser counts lines from 1 and columns from 0.
+fn start_of(yaml: &MarkedYaml<'_>) -> Position {
     Position { line: yaml.span.start.line(), column: yaml.span.start.col() + 1 }
 }
 
-fn node(yaml: &MarkedYaml<'_>, depth: usize) -> Result<Node, ConfigError> {
-    let position = position(yaml);
-    let Some(depth) = depth.checked_sub(1) else {
-        return Err(ConfigError::new(position, "", format!("nested deeper than {MAX_DEPTH}")));
+/// Converts a node with at most `max_depth` nested levels.
+fn parse_node(yaml: &MarkedYaml<'_>, max_depth: usize) -> Result<Node, ConfigError> {
+    let position = start_of(yaml);
+    let Some(child_depth) = max_depth.checked_sub(1) else {
+        return Err(ConfigError::new(position, "", format!("nested deeper than {MAX_DEPTH} levels")));
     };
     let kind = match &yaml.data {
         YamlData::Value(Scalar::Null) => NodeKind::Null,
@@ -115,22 +118,23 @@
         YamlData::Value(Scalar::FloatingPoint(x)) => NodeKind::Float(x.into_inner()),
         YamlData::Value(Scalar::String(s)) => NodeKind::Text(s.to_string()),
         YamlData::Sequence(list) => {
-            NodeKind::List(list.iter().map(|n| node(n, depth)).collect::<Result<_, _>>()?)
+            NodeKind::List(list.iter().map(|item| parse_node(item, child_depth)).collect::<Result<_, _>>()?)
         }
         YamlData::Mapping(map) => {
             let mut entries = Vec::with_capacity(map.len());
             for (key, value) in map {
-                entries.push((self::key(key)?, node(value, depth)?));
+                entries.push((parse_key(key)?, parse_node(value, child_depth)?));
             }
             NodeKind::Map(entries)
         }
-        _ => return Err(ConfigError::new(position, "", "tags and aliases are not used here")),
+        _ => return Err(ConfigError::new(position, "", "tags and aliases are not supported")),
     };
     Ok(Node { position, kind })
 }
 
-fn key(yaml: &MarkedYaml<'_>) -> Result<Key, ConfigError> {
-    let position = position(yaml);
+/// Converts a key. Whole numbers and booleans are read as text.
+fn parse_key(yaml: &MarkedYaml<'_>) -> Result<Key, ConfigError> {
+    let position = start_of(yaml);
     let name = match &yaml.data {
         YamlData::Value(Scalar::String(s)) => s.to_string(),
         YamlData::Value(Scalar::Integer(n)) => n.to_string(),
--- a/crates/base/config-reader/src/error.rs
+++ b/crates/base/config-reader/src/error.rs
@@ -1,32 +1,32 @@
-//! Errors of a settings file, each with its position.
+//! Errors of a settings file with their positions.
 
 use std::cell::RefCell;
 use std::fmt;
 
 use thiserror::Error;
 
-/// A position in a file. Line and column are counted from 1.
+/// A position in a file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Position {
-    /// The line.
+    /// Line, counted from 1.
     pub line: usize,
-    /// The column.
+    /// Column, counted from 1.
     pub column: usize,
 }
 
-/// One error of a settings file. Errors are ordered by position.
+/// An error of a settings file. Errors are ordered by position.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub struct ConfigError {
-    /// Where the value, or the mapping that lacks it, begins.
+    /// Position at which the value begins, or the mapping that lacks it.
     pub position: Position,
-    /// Path of the key from the top mapping, such as `service.classes[0].aim_ms`; empty for an error of the whole file.
+    /// Path of the key from the top mapping, such as `service.classes[0].aim_ms`. Empty for an error of the whole file.
     pub key: String,
-    /// What is wrong.
+    /// Description of the error.
     pub text: String,
 }
 
 impl ConfigError {
-    /// An error at a position.
+    /// Creates an error at a position.
     pub fn new(position: Position, key: impl Into<String>, text: impl Into<String>) -> Self {
         ConfigError { position, key: key.into(), text: text.into() }
     }
@@ -42,7 +42,7 @@
     }
 }
 
-/// All errors of a file, in the order of their positions, one on each line when displayed.
+/// All errors of a file in the order of their positions. They are displayed one per line.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub struct ConfigErrors(pub Vec<ConfigError>);
 
@@ -55,17 +55,16 @@
     }
 }
 
-/// Collects errors while a file is read.
+/// The errors found so far while a file is read.
 #[derive(Debug, Default)]
 pub(crate) struct ErrorCollector(RefCell<Vec<ConfigError>>);
 
 impl ErrorCollector {
-    /// Adds an error.
     pub fn add(&self, error: ConfigError) {
         self.0.borrow_mut().push(error);
     }
 
-    /// All errors in the order of their positions, without duplicates.
+    /// Returns all errors in the order of their positions, without duplicates.
     pub fn into_errors(self) -> Vec<ConfigError> {
         let mut errors = self.0.into_inner();
         errors.sort();
--- a/crates/base/config-reader/src/lib.rs
+++ b/crates/base/config-reader/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads a YAML file of settings.
+//! Reads a YAML file of settings and reports all its errors at once.
 //!
-//! [`read`] hands the top mapping to its caller as a [`Section`]. The caller takes the keys that it knows; wrong types, values out
-//! of range and unknown keys are collected, and all errors of the file come back together, each with its [`Position`]. What the
-//! settings mean is up to the caller.
+//! [`read`] passes the top mapping to a function of its caller as a [`Section`]. The function reads the keys that it supports.
+//! Wrong types, values out of range and unknown keys are collected, and [`read`] returns all errors of the file together, each
+//! with its [`Position`]. The crate does not know the meaning of any setting.
 #![forbid(unsafe_code)]
 
 pub mod document;
--- a/crates/base/config-reader/src/section.rs
+++ b/crates/base/config-reader/src/section.rs
@@ -1,4 +1,4 @@
-//! Reads a mapping key by key and collects errors, unknown keys among them.
+//! Reads a mapping key by key and collects its errors, including unknown keys.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -8,34 +8,38 @@
 use crate::document::{self, Node, NodeKind};
 use crate::error::{ConfigError, ConfigErrors, ErrorCollector, Position};
 
-/// Reads a whole file: `read` takes the values that it needs from the top mapping.
+/// Parses a file and calls `read_settings` with its top mapping.
 ///
 /// # Errors
-/// All errors of the file: that it is no YAML, or everything that was reported while `read` ran.
-pub fn read<T>(text: &str, read: impl FnOnce(&Section<'_>) -> T) -> Result<T, ConfigErrors> {
+/// Returns an error if the file can't be parsed. Otherwise returns all errors that were reported during the call, if any.
+pub fn read<T>(text: &str, read_settings: impl FnOnce(&Section<'_>) -> T) -> Result<T, ConfigErrors> {
     let node = document::parse(text).map_err(|error| ConfigErrors(vec![error]))?;
     let errors = ErrorCollector::default();
     let value = {
-        let top = Section::of(&node, String::new(), &errors);
-        read(&top)
+        let top = Section::from_node(&node, String::new(), &errors);
+        read_settings(&top)
     };
     let found = errors.into_errors();
     if found.is_empty() { Ok(value) } else { Err(ConfigErrors(found)) }
 }
 
-/// A mapping that is being read. When it is dropped, keys that were never asked for are reported as unknown.
+/// A mapping that is being read.
+///
+/// Each method that reads a key marks the key as known. Dropping the section reports all other keys of the mapping as unknown.
 #[derive(Debug)]
 pub struct Section<'a> {
+    /// The mapping, or `None` if the file lacks it.
     node: Option<&'a Node>,
     position: Position,
+    /// Path of the mapping from the top one. Empty for the top mapping.
     path: String,
     errors: &'a ErrorCollector,
     known_keys: RefCell<BTreeSet<&'static str>>,
 }
 
 impl<'a> Section<'a> {
-    /// A section over a node; a node that is no mapping is reported.
-    fn of(node: &'a Node, path: String, errors: &'a ErrorCollector) -> Self {
+    /// Creates a section of a node. A node that is neither a mapping nor null is reported as an error.
+    fn from_node(node: &'a Node, path: String, errors: &'a ErrorCollector) -> Self {
         let is_map = matches!(node.kind, NodeKind::Map(_));
         if !is_map && node.kind != NodeKind::Null {
             errors.add(ConfigError::new(
@@ -47,75 +51,82 @@
         Section { node: Some(node), position: node.position, path, errors, known_keys: RefCell::default() }
     }
 
-    /// Where the mapping begins.
+    /// Returns the position at which the mapping begins.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    fn key(&self, key: &str) -> String {
+    /// Returns the path of a key from the top mapping.
+    fn key_path(&self, key: &str) -> String {
         if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
     }
 
-    /// Reports an error of a key; of the mapping itself if the key is empty.
+    /// Reports an error of a key. An empty key stands for the mapping itself.
     pub fn report(&self, key: &str, text: impl Into<String>) {
-        let position = self.peek(key).map_or(self.position, |n| n.position);
-        let path = if key.is_empty() { self.path.clone() } else { self.key(key) };
+        let position = self.find(key).map_or(self.position, |node| node.position);
+        let path = if key.is_empty() { self.path.clone() } else { self.key_path(key) };
         self.errors.add(ConfigError::new(position, path, text));
     }
 
-    fn peek(&self, key: &str) -> Option<&'a Node> {
+    /// Returns the node of a key without marking the key as known. Returns `None` if the key is missing.
+    fn find(&self, key: &str) -> Option<&'a Node> {
         match &self.node?.kind {
-            NodeKind::Map(map) => map.iter().find(|(k, _)| k.name == key).map(|(_, v)| v),
+            NodeKind::Map(map) => {
+                map.iter().find(|(entry_key, _)| entry_key.name == key).map(|(_, value)| value)
+            }
             _ => None,
         }
     }
 
-    /// The node of a key, if the key is there and not null.
+    /// Returns the node of a key. Returns `None` if the key is missing or null.
     pub fn node(&self, key: &'static str) -> Option<&'a Node> {
         self.known_keys.borrow_mut().insert(key);
-        self.peek(key).filter(|n| n.kind != NodeKind::Null)
+        self.find(key).filter(|node| node.kind != NodeKind::Null)
     }
 
-    /// Whether a key is there.
+    /// Returns whether a key is present and not null.
     pub fn has(&self, key: &'static str) -> bool {
         self.node(key).is_some()
     }
 
-    fn report_type(&self, key: &'static str, node: &Node, what: &str) {
-        self.report(key, format!("{what} is expected, not {}", node.kind.name()));
+    /// Reports that the node of a key has another type than `expected`.
+    fn report_type(&self, key: &'static str, node: &Node, expected: &str) {
+        self.report(key, format!("{expected} is expected, not {}", node.kind.name()));
     }
 
-    /// A mapping; a missing one is read as an empty one.
+    /// Returns the mapping of a key. A missing mapping is read as an empty one.
     pub fn section(&self, key: &'static str) -> Section<'a> {
         match self.node(key) {
-            Some(node) => Section::of(node, self.key(key), self.errors),
+            Some(node) => Section::from_node(node, self.key_path(key), self.errors),
             None => Section {
                 node: None,
                 position: self.position,
-                path: self.key(key),
+                path: self.key_path(key),
                 errors: self.errors,
                 known_keys: RefCell::default(),
             },
         }
     }
 
-    /// A list of mappings; a missing one is empty.
+    /// Returns the mappings in the list of a key. A missing list is read as an empty one.
     pub fn sections(&self, key: &'static str) -> Vec<Section<'a>> {
         let Some(node) = self.node(key) else { return Vec::new() };
         let NodeKind::List(list) = &node.kind else {
             self.report_type(key, node, "a list");
             return Vec::new();
         };
-        let of = |(index, item)| Section::of(item, format!("{}[{index}]", self.key(key)), self.errors);
-        list.iter().enumerate().map(of).collect()
+        let section =
+            |(index, item)| Section::from_node(item, format!("{}[{index}]", self.key_path(key)), self.errors);
+        list.iter().enumerate().map(section).collect()
     }
 
-    /// Text, if the key is there. A whole number is read as text too.
+    /// Returns the text of a key. A whole number is read as text too. Returns `None` if the key is missing, and also after an
+    /// error.
     pub fn text(&self, key: &'static str) -> Option<String> {
         let node = self.node(key)?;
         match &node.kind {
             NodeKind::Text(text) => Some(text.clone()),
-            NodeKind::Int(n) => Some(n.to_string()),
+            NodeKind::Int(number) => Some(number.to_string()),
             _ => {
                 self.report_type(key, node, "text");
                 None
@@ -123,7 +134,7 @@
         }
     }
 
-    /// Text that must be there and not be blank; an empty string after an error.
+    /// Returns the text of a key that must be present and not blank. Returns an empty string after an error.
     pub fn required_text(&self, key: &'static str) -> String {
         match self.text(key) {
             Some(text) if !text.trim().is_empty() => text,
@@ -140,7 +151,7 @@
         }
     }
 
-    /// A list of texts; a missing one is empty.
+    /// Returns the texts in the list of a key. A missing list is read as an empty one, and invalid items are left out.
     pub fn texts(&self, key: &'static str) -> Vec<String> {
         let Some(node) = self.node(key) else { return Vec::new() };
         let NodeKind::List(list) = &node.kind else {
@@ -151,10 +162,10 @@
         for item in list {
             match &item.kind {
                 NodeKind::Text(text) => texts.push(text.clone()),
-                NodeKind::Int(n) => texts.push(n.to_string()),
+                NodeKind::Int(number) => texts.push(number.to_string()),
                 other => self.errors.add(ConfigError::new(
                     item.position,
-                    self.key(key),
+                    self.key_path(key),
                     format!("text is expected, not {}", other.name()),
                 )),
             }
@@ -162,11 +173,11 @@
         texts
     }
 
-    /// `true` or `false`; `default` if the key is not there.
+    /// Returns the boolean of a key. Returns `default` if the key is missing, and also after an error.
     pub fn flag(&self, key: &'static str, default: bool) -> bool {
         match self.node(key) {
             None => default,
-            Some(Node { kind: NodeKind::Bool(b), .. }) => *b,
+            Some(Node { kind: NodeKind::Bool(value), .. }) => *value,
             Some(node) => {
                 self.report_type(key, node, "true or false");
                 default
@@ -174,25 +185,25 @@
         }
     }
 
-    /// A number within bounds, if it is there.
+    /// Returns the number of a key, which must be in the range. Returns `None` if the key is missing, and also after an error.
     pub fn number(&self, key: &'static str, range: RangeInclusive<f64>) -> Option<f64> {
         let node = self.node(key)?;
-        let x = match node.kind {
-            NodeKind::Int(n) => n as f64,
-            NodeKind::Float(x) => x,
+        let number = match node.kind {
+            NodeKind::Int(number) => number as f64,
+            NodeKind::Float(number) => number,
             _ => {
                 self.report_type(key, node, "a number");
                 return None;
             }
         };
-        if !range.contains(&x) {
-            self.report(key, format!("{x} is out of range: {} to {}", range.start(), range.end()));
+        if !range.contains(&number) {
+            self.report(key, format!("{number} is out of range: {} to {}", range.start(), range.end()));
             return None;
         }
-        Some(x)
+        Some(number)
     }
 
-    /// A number that must be there; the lower bound after an error.
+    /// Returns the number of a key that must be present. Returns the lower bound of the range after an error.
     pub fn required_number(&self, key: &'static str, range: RangeInclusive<f64>) -> f64 {
         if !self.has(key) {
             self.report(key, "missing");
@@ -201,21 +212,22 @@
         self.number(key, range).unwrap_or(start)
     }
 
-    /// A whole number within bounds, if it is there.
+    /// Returns the whole number of a key, which must be in the range. Returns `None` if the key is missing, and also after an
+    /// error.
     pub fn integer(&self, key: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
         let node = self.node(key)?;
-        let NodeKind::Int(n) = node.kind else {
+        let NodeKind::Int(number) = node.kind else {
             self.report_type(key, node, "a whole number");
             return None;
         };
-        let found = u64::try_from(n).ok().filter(|n| range.contains(n));
+        let found = u64::try_from(number).ok().filter(|number| range.contains(number));
         if found.is_none() {
-            self.report(key, format!("{n} is out of range: {} to {}", range.start(), range.end()));
+            self.report(key, format!("{number} is out of range: {} to {}", range.start(), range.end()));
         }
         found
     }
 
-    /// A whole number that must be there; the lower bound after an error.
+    /// Returns the whole number of a key that must be present. Returns the lower bound of the range after an error.
     pub fn required_integer(&self, key: &'static str, range: RangeInclusive<u64>) -> u64 {
         if !self.has(key) {
             self.report(key, "missing");
@@ -224,49 +236,52 @@
         self.integer(key, range).unwrap_or(start)
     }
 
-    /// A duration in milliseconds, if the key is there.
+    /// Returns the duration of a key, which is written as a whole number of milliseconds in the range. Returns `None` if the key
+    /// is missing, and also after an error.
     pub fn millis(&self, key: &'static str, range: RangeInclusive<u64>) -> Option<Duration> {
         self.integer(key, range).map(Duration::from_millis)
     }
 
-    /// A list of whole numbers; a missing one is empty.
+    /// Returns the whole numbers in the list of a key. A missing list is read as an empty one, and invalid items are left out.
     pub fn integers(&self, key: &'static str, range: RangeInclusive<u64>) -> Vec<u64> {
         let Some(node) = self.node(key) else { return Vec::new() };
         let NodeKind::List(list) = &node.kind else {
             self.report_type(key, node, "a list");
             return Vec::new();
         };
-        let one = |item: &Node| match item.kind {
-            NodeKind::Int(n) => u64::try_from(n).ok().filter(|n| range.contains(n)),
+        let parse_item = |item: &Node| match item.kind {
+            NodeKind::Int(number) => u64::try_from(number).ok().filter(|number| range.contains(number)),
             _ => None,
         };
-        let found: Vec<u64> = list.iter().filter_map(one).collect();
+        let found: Vec<u64> = list.iter().filter_map(parse_item).collect();
         if found.len() < list.len() {
             self.report(key, format!("whole numbers from {} to {} are expected", range.start(), range.end()));
         }
         found
     }
 
-    /// A list of numbers; a missing one is empty.
+    /// Returns the numbers in the list of a key. A missing list is read as an empty one, and invalid items are left out.
     pub fn numbers(&self, key: &'static str, range: RangeInclusive<f64>) -> Vec<f64> {
         let Some(node) = self.node(key) else { return Vec::new() };
         let NodeKind::List(list) = &node.kind else {
             self.report_type(key, node, "a list");
             return Vec::new();
         };
-        let one = |item: &Node| match item.kind {
-            NodeKind::Int(n) => Some(n as f64),
-            NodeKind::Float(x) => Some(x),
+        let parse_item = |item: &Node| match item.kind {
+            NodeKind::Int(number) => Some(number as f64),
+            NodeKind::Float(number) => Some(number),
             _ => None,
         };
-        let found: Vec<f64> = list.iter().filter_map(one).filter(|x| range.contains(x)).collect();
+        let found: Vec<f64> =
+            list.iter().filter_map(parse_item).filter(|number| range.contains(number)).collect();
         if found.len() < list.len() {
             self.report(key, format!("numbers from {} to {} are expected", range.start(), range.end()));
         }
         found
     }
 
-    /// A range written as a list of two numbers, the lower first; `default` if the key is not there.
+    /// Returns the lower and the upper bound of a range, which is written as a list of two numbers. Returns `default` if the key
+    /// is missing, and also after an error.
     pub fn pair(&self, key: &'static str, range: RangeInclusive<f64>, default: (f64, f64)) -> (f64, f64) {
         if !self.has(key) {
             return default;
@@ -280,28 +295,30 @@
         }
     }
 
-    /// One of the given words, if the key is there.
+    /// Returns the value of the choice whose word is the text of a key. Returns `None` if the key is missing, and also after an
+    /// error.
     pub fn choice<T: Copy>(&self, key: &'static str, choices: &[(&str, T)]) -> Option<T> {
         let text = self.text(key)?;
-        let found = choices.iter().find(|c| c.0 == text).map(|c| c.1);
+        let found = choices.iter().find(|(word, _)| *word == text).map(|(_, value)| *value);
         if found.is_none() {
-            let words: Vec<&str> = choices.iter().map(|c| c.0).collect();
+            let words: Vec<&str> = choices.iter().map(|(word, _)| *word).collect();
             self.report(key, format!("'{text}' is not one of {}", words.join(", ")));
         }
         found
     }
 
-    /// The index of a name in a list of names, if the key is there.
-    pub fn index(&self, key: &'static str, names: &[String], what: &str) -> Option<usize> {
+    /// Returns the index in `names` of the text of a key. Errors describe a name as a `kind`. Returns `None` if the key is missing,
+    /// and also after an error.
+    pub fn index(&self, key: &'static str, names: &[String], kind: &str) -> Option<usize> {
         let text = self.text(key)?;
-        let found = names.iter().position(|n| *n == text);
+        let found = names.iter().position(|name| *name == text);
         if found.is_none() {
-            self.report(key, format!("no {what} is called '{text}'"));
+            self.report(key, format!("no {kind} is called '{text}'"));
         }
         found
     }
 
-    /// An address with a port, if the key is there.
+    /// Returns the address of a key, which has a port. Returns `None` if the key is missing, and also after an error.
     pub fn address<T: std::str::FromStr>(&self, key: &'static str) -> Option<T> {
         let text = self.text(key)?;
         let found = text.parse().ok();
@@ -320,7 +337,7 @@
             if !known_keys.contains(key.name.as_str()) {
                 let known: Vec<&str> = known_keys.iter().copied().collect();
                 let text = format!("unknown key; known here: {}", known.join(", "));
-                self.errors.add(ConfigError::new(key.position, self.key(&key.name), text));
+                self.errors.add(ConfigError::new(key.position, self.key_path(&key.name), text));
             }
         }
     }
