--- a/crates/base/store/tests/format.rs
+++ b/crates/base/store/tests/format.rs
@@ -1,7 +1,7 @@
-//! The bytes of heads, frames, a directory and typed values, compared with fixtures in both directions.
+//! Tests that compare the encodings of headers, frames, directories and typed values with fixtures, in both directions.
 //!
-//! Each line of a fixture file is a name and its bytes in hexadecimal. Stores that earlier versions wrote are read by later
-//! ones, so a change here breaks an upgrade.
+//! Each line of a fixture file is a name and its bytes in hexadecimal. Later versions read stores that earlier versions wrote, so
+//! that a change of the fixtures breaks an upgrade.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -23,24 +23,24 @@
 }
 
 fn unhex(text: &str) -> Vec<u8> {
-    assert!(text.len().is_multiple_of(2), "half a byte in {text}");
+    assert!(text.len().is_multiple_of(2), "odd number of digits in {text}");
     (0..text.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits"))
+        .map(|index| u8::from_str_radix(&text[index..index + 2], 16).expect("invalid hex digits"))
         .collect()
 }
 
 fn parse(fixture: &str) -> Files {
-    let line = |line: &str| {
-        let (name, bytes) = line.split_once(' ').expect("a name and bytes");
+    let parse_line = |line: &str| {
+        let (name, bytes) = line.split_once(' ').expect("no separator in line");
         (name.to_owned(), unhex(bytes))
     };
-    fixture.lines().map(line).collect()
+    fixture.lines().map(parse_line).collect()
 }
 
-fn assert_same(files: &Files, fixture: &str) {
+fn assert_matches_fixture(files: &Files, fixture: &str) {
     let text: String = files.iter().map(|(name, bytes)| format!("{name} {}\n", hex(bytes))).collect();
-    assert!(text == fixture, "the fixture differs; written now:\n{text}");
+    assert!(text == fixture, "the encoding differs from the fixture; encoded now:\n{text}");
 }
 
 fn ops() -> Vec<Op> {
@@ -65,19 +65,19 @@
 const GENERATION: u64 = 0x0102_0304_0506_0708;
 
 #[test]
-fn heads_and_frames_keep_their_bytes() {
+fn encoded_headers_and_frames_match_fixture() {
     let mut written = Files::from([("head".to_owned(), frame::encode_header(GENERATION))]);
     for (name, frame) in frames() {
         let mut bytes = Vec::new();
         frame::encode(GENERATION, frame.kind, frame.seq, frame.synced, &frame.ops, &mut bytes)
-            .expect("short enough");
+            .expect("frame is too long");
         written.insert(name.to_owned(), bytes);
     }
-    assert_same(&written, FRAMES);
+    assert_matches_fixture(&written, FRAMES);
 }
 
 #[test]
-fn heads_and_frames_of_the_fixture_are_read() {
+fn decodes_headers_and_frames_of_fixture() {
     let fixture = parse(FRAMES);
     assert_eq!(frame::decode_header(&fixture["head"]), Ok(GENERATION));
     for (name, frame) in frames() {
@@ -87,66 +87,66 @@
 }
 
 fn open(directory: &Path) -> Store<DiskDirectory> {
-    let disk = DiskDirectory::open(directory).expect("a directory");
-    let (store, notes) = Store::open(disk, Options::default()).expect("a store");
+    let disk = DiskDirectory::open(directory).expect("no directory");
+    let (store, notes) = Store::open(disk, Options::default()).expect("open failed");
     assert_eq!(notes, []);
     store
 }
 
-/// Two generations: one that was compacted, and the one in use with batches after its state.
+/// Writes two generations: one that was compacted, and the current one with batches after its snapshot.
 fn write_directory(directory: &Path) {
     let mut store = open(directory);
     let mut first = Batch::default();
     first.put(Table(1), b"a".to_vec(), b"one".to_vec()).put(Table(2), b"b".to_vec(), vec![0; 200]);
-    store.write(first).expect("written");
-    store.sync().expect("synced");
+    store.write(first).expect("write failed");
+    store.sync().expect("sync failed");
     let mut second = Batch::default();
     second.put(Table(1), b"c".to_vec(), b"three".to_vec()).remove(Table(2), b"b".to_vec());
-    store.write(second).expect("written");
-    store.compact().expect("compacted");
+    store.write(second).expect("write failed");
+    store.compact().expect("compaction failed");
     let mut third = Batch::default();
     third.put(Table(1), b"a".to_vec(), b"four".to_vec()).put(Table(3), Vec::new(), Vec::new());
-    store.write(third).expect("written");
-    store.sync().expect("synced");
-    store.write(Batch::default()).expect("written");
-    store.sync().expect("synced");
+    store.write(third).expect("write failed");
+    store.sync().expect("sync failed");
+    store.write(Batch::default()).expect("write failed");
+    store.sync().expect("sync failed");
 }
 
 fn read_files(directory: &Path) -> Files {
     let mut files = Files::new();
-    for entry in fs::read_dir(directory).expect("the directory") {
-        let entry = entry.expect("an entry");
-        let name = entry.file_name().into_string().expect("a text");
-        files.insert(name, fs::read(entry.path()).expect("a file"));
+    for entry in fs::read_dir(directory).expect("no directory") {
+        let entry = entry.expect("unreadable entry");
+        let name = entry.file_name().into_string().expect("name is not Unicode");
+        files.insert(name, fs::read(entry.path()).expect("unreadable file"));
     }
     files
 }
 
 fn write_files(directory: &Path, files: &Files) {
     for (name, bytes) in files {
-        fs::write(directory.join(name), bytes).expect("written");
+        fs::write(directory.join(name), bytes).expect("write failed");
     }
 }
 
 #[test]
-fn a_directory_keeps_its_files_and_bytes() {
-    let directory = tempfile::tempdir().expect("a directory");
+fn written_directory_matches_fixture() {
+    let directory = tempfile::tempdir().expect("no directory");
     write_directory(directory.path());
-    assert_same(&read_files(directory.path()), DIRECTORY);
+    assert_matches_fixture(&read_files(directory.path()), DIRECTORY);
 }
 
-fn content(store: &Store<DiskDirectory>) -> Vec<(u8, Vec<u8>, Vec<u8>)> {
+fn entries(store: &Store<DiskDirectory>) -> Vec<(u8, Vec<u8>, Vec<u8>)> {
     let view = store.view();
     let table = |number| {
-        let of = move |(key, value): (&[u8], &[u8])| (number, key.to_vec(), value.to_vec());
-        view.table(Table(number)).map(of).collect::<Vec<_>>()
+        let entry = move |(key, value): (&[u8], &[u8])| (number, key.to_vec(), value.to_vec());
+        view.table(Table(number)).map(entry).collect::<Vec<_>>()
     };
     (0..=255).flat_map(table).collect()
 }
 
 #[test]
-fn a_directory_of_the_fixture_is_read_and_written_on() {
-    let directory = tempfile::tempdir().expect("a directory");
+fn opens_and_extends_directory_of_fixture() {
+    let directory = tempfile::tempdir().expect("no directory");
     write_files(directory.path(), &parse(DIRECTORY));
     let mut store = open(directory.path());
     let expected = vec![
@@ -154,25 +154,25 @@
         (1, b"c".to_vec(), b"three".to_vec()),
         (3, Vec::new(), Vec::new()),
     ];
-    assert_eq!(content(&store), expected);
+    assert_eq!(entries(&store), expected);
     assert_eq!((store.generation(), store.view().seq()), (2, 4));
-    store.write(Batch::default()).expect("written");
-    store.sync().expect("synced");
+    store.write(Batch::default()).expect("write failed");
+    store.sync().expect("sync failed");
     drop(store);
     assert_eq!(open(directory.path()).view().seq(), 5);
 }
 
-/// A generation whose state was never written whole: the one before it is used.
+/// Truncates the newest generation within its snapshot, as after a power failure during a compaction.
 #[test]
-fn a_directory_of_the_fixture_falls_back_to_the_generation_before() {
-    let directory = tempfile::tempdir().expect("a directory");
+fn falls_back_to_previous_generation_of_fixture() {
+    let directory = tempfile::tempdir().expect("no directory");
     let mut files = parse(DIRECTORY);
-    files.get_mut("0000000000000002.log").expect("the newest generation").truncate(30);
+    files.get_mut("0000000000000002.log").expect("no second generation").truncate(30);
     write_files(directory.path(), &files);
-    let disk = DiskDirectory::open(directory.path()).expect("the directory");
-    let (store, notes) = Store::open(disk, Options::default()).expect("a store");
+    let disk = DiskDirectory::open(directory.path()).expect("no directory");
+    let (store, notes) = Store::open(disk, Options::default()).expect("open failed");
     assert_eq!((store.generation(), store.view().seq(), notes.len()), (1, 2, 1));
-    assert_eq!(content(&store), [(1, b"a".to_vec(), b"one".to_vec()), (1, b"c".to_vec(), b"three".to_vec())]);
+    assert_eq!(entries(&store), [(1, b"a".to_vec(), b"one".to_vec()), (1, b"c".to_vec(), b"three".to_vec())]);
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -204,38 +204,38 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-struct Named(Vec<u16>);
+struct NumberList(Vec<u16>);
 
-impl Record for Named {
+impl Record for NumberList {
     type Key = String;
     const TABLE: Table = Table(8);
     const VERSION: u8 = 3;
 }
 
 #[test]
-fn typed_values_and_keys_keep_their_bytes() {
-    let directory = tempfile::tempdir().expect("a directory");
+fn encoded_typed_entries_match_fixture() {
+    let directory = tempfile::tempdir().expect("no directory");
     let mut store = open(directory.path());
     let mut batch = Batch::default();
     batch.put_record(&258, &FirstVersion { name: "first".into() });
     batch.put_record(&1, &SecondVersion { name: "second".into(), size: Some(300) });
-    batch.put_record(&"ke/y".to_owned(), &Named(vec![1, 128, 65_535]));
-    store.write(batch).expect("written");
+    batch.put_record(&"ke/y".to_owned(), &NumberList(vec![1, 128, 65_535]));
+    store.write(batch).expect("write failed");
     let entry = |(table, key, value): (u8, Vec<u8>, Vec<u8>)| (format!("{table}/{}", hex(&key)), value);
-    let written: Files = content(&store).into_iter().map(entry).collect();
-    assert_same(&written, TYPED);
+    let written: Files = entries(&store).into_iter().map(entry).collect();
+    assert_matches_fixture(&written, TYPED);
 }
 
 #[test]
-fn typed_values_and_keys_of_the_fixture_are_read_in_their_versions() {
-    let directory = tempfile::tempdir().expect("a directory");
+fn decodes_and_upgrades_typed_entries_of_fixture() {
+    let directory = tempfile::tempdir().expect("no directory");
     let mut store = open(directory.path());
     let mut batch = Batch::default();
     for (name, value) in parse(TYPED) {
-        let (table, key) = name.split_once('/').expect("a table and a key");
-        batch.put(Table(table.parse().expect("a number")), unhex(key), value);
+        let (table, key) = name.split_once('/').expect("no separator in name");
+        batch.put(Table(table.parse().expect("invalid table number")), unhex(key), value);
     }
-    store.write(batch).expect("written");
+    store.write(batch).expect("write failed");
     let (records, errors) = store.view().records::<SecondVersion>();
     assert_eq!(errors, []);
     let expected = BTreeMap::from([
@@ -243,6 +243,6 @@
         (258, SecondVersion { name: "first".into(), size: None }),
     ]);
     assert_eq!(records, expected);
-    let named = store.view().record::<Named>(&"ke/y".to_owned());
-    assert_eq!(named, Ok(Some(Named(vec![1, 128, 65_535]))));
+    let list = store.view().record::<NumberList>(&"ke/y".to_owned());
+    assert_eq!(list, Ok(Some(NumberList(vec![1, 128, 65_535]))));
 }
