--- a/crates/base/config-reader/src/document.rs
+++ b/crates/base/config-reader/src/document.rs
@@ -32,7 +32,7 @@
     /// Returns the name of the type for error messages.
     pub fn name(&self) -> &'static str {
         match self {
-            NodeKind::Null => "null",
+            NodeKind::Null => "nothing",
             NodeKind::Bool(_) => "true or false",
             NodeKind::Int(_) => "a whole number",
             NodeKind::Float(_) => "a number",
--- a/crates/base/http/src/server/accept.rs
+++ b/crates/base/http/src/server/accept.rs
@@ -43,7 +43,8 @@
             Err(_) => thread::sleep(ACCEPT_RETRY_DELAY),
         }
     }
-    // The operating system would reset the connections that are in the backlog when the listener is closed.
+    // Connections in the backlog were established before the stop. The operating system would reset them when the listener is
+    // closed.
     for _ in 0..MAX_BACKLOG_AT_STOP {
         let Ok((stream, peer)) = listener.accept() else { break };
         acceptor.admit(Accepted { stream, peer });
--- a/crates/base/store/src/recovery/mod.rs
+++ b/crates/base/store/src/recovery/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! An invalid frame has one of two causes:
 //!
-//! - Power was lost before the frame was synced. The state before the frame is the last durable one, and all later frames are
+//! - Power was lost before the frame was synced. The state before the frame is the last certain one, and all later frames are
 //!   discarded too, because disks write in any order.
 //! - Synced data is corrupt. Recovery reports an error to the operator, because it would otherwise lose that data silently.
 //!
--- a/crates/base/store/src/store/error.rs
+++ b/crates/base/store/src/store/error.rs
@@ -7,7 +7,7 @@
 use crate::frame::FrameTooLong;
 use crate::recovery::Corruption;
 
-/// Why an operation of the store failed.
+/// Error of an operation of the store.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// Another process has the store open.
--- a/crates/base/store/src/store/generation.rs
+++ b/crates/base/store/src/store/generation.rs
@@ -56,7 +56,7 @@
 /// Recovers the newest usable generation. Returns `None` if the directory has no generation.
 ///
 /// # Errors
-/// Returns an error if the newest complete generation is corrupt or an operation of the file system failed.
+/// Returns an error if a generation is corrupt and must not be skipped, or an operation of the file system failed.
 pub(super) fn find_newest<D: Directory>(
     directory: &D,
     names: &[String],
