--- a/crates/front/sip/src/admission.rs
+++ b/crates/front/sip/src/admission.rs
@@ -1,17 +1,18 @@
-//! What an INVITE must be before anybody else sees it (RFC 3261, section 8.2).
+//! Validation of an initial INVITE before it is passed on (RFC 3261, section 8.2).
 
 use rsip::{Header, headers::UntypedHeader};
 
 use crate::message::{Request, Response};
 
-/// Methods that are taken.
+/// Value of `Allow`: the supported methods.
 pub const ALLOW: &str = "INVITE, ACK, CANCEL, BYE, UPDATE, OPTIONS";
-/// What is understood in `Require`.
+/// Option tags that are supported in `Require`.
 const EXTENSIONS: [&str; 1] = ["timer"];
 
-/// The answer to an INVITE outside any dialog that can't be taken; none: it can.
+/// Returns the response that rejects an INVITE outside any dialog, or `None` if the INVITE is acceptable.
 ///
-/// `full`: no further call fits. `merged`: the same request came by another way already (section 8.2.2.2).
+/// `full` states that no further call fits. `merged` states that the same request already arrived by another path
+/// (section 8.2.2.2).
 pub fn fault(request: &Request, tag: &str, full: bool, merged: bool) -> Option<Response> {
     let headers = &request.raw.headers;
     let with = |status, header: Header| {
--- a/crates/front/sip/src/agent/boxes.rs
+++ b/crates/front/sip/src/agent/boxes.rs
@@ -1,4 +1,4 @@
-//! The agent towards media servers: attempts, calls that stand there, their rungs and their ends.
+//! The agent's outbound side: attempts and calls at media servers, their rungs and their ends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -116,7 +116,7 @@
         if placed.keys.first() == Some(key) {
             self.on_box(leg, callee::In::Lost);
         } else if placed.leg.bye_key().as_ref() == Some(key) {
-            // A BYE that nobody answered: its other side is gone.
+            // The BYE has timed out, so the media server doesn't have the call any more.
             self.on_box(leg, callee::In::ByeDone);
         } else if placed.leg.update_key() == Some(key) {
             self.on_box(leg, callee::In::Updated(key, None));
@@ -124,7 +124,7 @@
         }
     }
 
-    /// A transaction that a leg waited for is over, and the leg goes on.
+    /// Removes a completed transaction of a leg that continues.
     fn forget(&mut self, leg: u64, key: &Key) {
         self.by_key.remove(key);
         if let Some(placed) = self.placed.get_mut(&leg) {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// A request of a media server within its call.
+    /// Responds to a request that a media server sent within its call.
     pub(super) fn box_asks(&mut self, key: &Key, leg: u64, request: &Request) {
         let Some(placed) = self.placed.get_mut(&leg) else { return };
         let taken = placed.leg.dialog().map_or(Err(481), |d| d.takes(request));
@@ -149,7 +149,7 @@
         }
     }
 
-    /// A rung is changed by an UPDATE with the caller's offer limited to the rung's rate (RFC 3311, RFC 3890).
+    /// Changes the rung by an UPDATE with the caller's offer limited to the rung's rate (RFC 3311, RFC 3890).
     pub(super) fn set_rung(&mut self, resource: &str, rate_kb: f64) {
         let Some(leg) = leg_of(resource) else { return };
         let Some(placed) = self.placed.get(&leg) else { return };
@@ -157,7 +157,7 @@
         self.on_box(leg, callee::In::Change(&body));
     }
 
-    /// Hands something to a leg at a media server and carries out what it wants.
+    /// Passes an input to a leg at a media server and carries out its outputs.
     pub(super) fn on_box(&mut self, leg: u64, input: callee::In<'_>) {
         let Some(placed) = self.placed.get_mut(&leg) else { return };
         let lost = matches!(input, callee::In::Lost);
@@ -228,7 +228,7 @@
         });
     }
 
-    /// Notes a transaction that a leg waits for.
+    /// Registers an outstanding transaction of a leg.
     pub(super) fn name(&mut self, leg: u64, request: &Request) {
         let key = Layer::key_of(request);
         if let Some(placed) = self.placed.get_mut(&leg) {
@@ -253,7 +253,7 @@
     }
 }
 
-/// What a media server's answer to an INVITE comes to.
+/// Converts the answer in a media server's 2xx into the result of the attempt.
 fn accepted(leg: u64, body: Vec<u8>) -> AttemptResult {
     let resource = resource_of(leg);
     if sdp::check_answer(&body).is_err() {
@@ -263,7 +263,7 @@
     AttemptResult::Accepted { resource, reply: Arc::new(reply) }
 }
 
-/// What a media server's final status means: full, the caller's own fault, or an error.
+/// Converts a media server's final status into the result of the attempt: overloaded, the caller's fault, or an error.
 fn refusal(status: u16) -> AttemptResult {
     match status {
         486 | 503 | 600 => AttemptResult::Ended(Outcome::Overloaded),
--- a/crates/front/sip/src/agent/callers.rs
+++ b/crates/front/sip/src/agent/callers.rs
@@ -1,4 +1,4 @@
-//! The agent towards callers: a call comes, is admitted or rejected, and what its leg wants is carried out.
+//! The agent's inbound side: callers' requests are validated and admitted, and the outputs of their legs carried out.
 
 use beechloft_session::api::SessionId;
 use beechloft_session::io::{self as core_io, Protocol, RequestId, Secret, SessionRequest};
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Hands something to a caller's leg and carries out what it wants.
+    /// Passes an input to a caller's leg and carries out its outputs.
     pub(super) fn on_caller(
         &mut self,
         session: SessionId,
--- a/crates/front/sip/src/agent/gate.rs
+++ b/crates/front/sip/src/agent/gate.rs
@@ -1,4 +1,4 @@
-//! The agent's gate: a new call passes it before anything else is done for it.
+//! Overload control of new calls, applied before any other work is done for them.
 
 use beechloft_session::api::Micros;
 use beechloft_session::io::RequestId;
@@ -12,7 +12,7 @@
 use crate::transaction::layer::Peer;
 
 impl Agent {
-    /// Whether a message that came at a time is to be worked on. A new call that is rejected has its answer by then.
+    /// Returns whether a message that arrived at a time is to be processed. A rejected call has already been answered.
     pub(super) fn passes(&mut self, peer: Peer, message: &Message, at: Micros) -> bool {
         let Message::Request(invite) = message else { return true };
         let new = invite.method() == Method::Invite && invite.names.to_tag.is_none();
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A refusal without a transaction: it is not repeated, and its ACK means nothing to us.
+    /// Rejects a call without a transaction: the 503 is not retransmitted, and its ACK is ignored.
     fn turn_away(&mut self, peer: Peer, invite: &Request, name: Name, after: Option<u64>) {
         let mut refusal = invite.answer(503, &name.tag());
         if let Some(after) = after {
@@ -47,7 +47,7 @@
         self.out.push(Output::Transmit(peer, Box::new(Message::Response(refusal))));
     }
 
-    /// The core said something on a caller's request: how long its call waited for that is the sign of overload.
+    /// Records the session controller's first response to a request. The delay of the call until then indicates overload.
     pub(super) fn first_word(&mut self, request: RequestId) {
         let call = self.by_request.get(&request).and_then(|s| self.calls.get_mut(s));
         if let Some(arrived) = call.and_then(|c| c.arrived.take()) {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Adds to an answer what its caller's side is to keep back, if it takes part.
+    /// Adds overload control parameters to a response to an INVITE if its sender supports them.
     pub(super) fn advise(&mut self, key: &Key, response: &mut Response) {
         if response.method == Method::Invite
             && let Some(peer) = self.layer.peer_of(key)
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The overload control, to be looked at.
+    /// Returns the overload control for inspection.
     pub fn control(&self) -> &crate::overload::Control {
         &self.control
     }
--- a/crates/front/sip/src/agent/mod.rs
+++ b/crates/front/sip/src/agent/mod.rs
@@ -1,8 +1,8 @@
-//! The back-to-back user agent: callers' calls on one side, media servers' on the other, and the front's core in between.
+//! The back-to-back user agent: inbound calls of callers, outbound calls to media servers, and the session controller.
 //!
-//! A caller's INVITE is an `SessionRequest` of the session controller; each attempt that the session controller asks for is an INVITE to a media server on a
-//! connection of its own; a leg's end is a verdict, a release a BYE. Retransmissions stop at the transaction layer and
-//! never reach the session controller. No I/O, clock or randomness but seeded.
+//! A caller's INVITE becomes a `SessionRequest` of the session controller. Each attempt that the controller requests is an
+//! INVITE to a media server on a connection of its own. The end of a leg is reported as the attempt's result, and a release
+//! is a BYE. Retransmissions end at the transaction layer. The agent has no I/O or clock, and its randomness is seeded.
 
 mod boxes;
 mod callers;
@@ -25,34 +25,34 @@
 use crate::transaction::layer::Peer;
 use crate::transaction::{self, Key, Layer};
 
-/// Calls at once; past that an INVITE is refused unseen.
+/// Maximum number of concurrent calls. Further INVITEs are rejected.
 pub const CALLS: usize = 100_000;
-/// What begins the path of a call at a media server, as the session controller knows it.
+/// Prefix of the resource by which the session controller knows a call at a media server.
 pub const RESOURCE: &str = "sip:";
-/// The agent's own requests to the session controller are told from others' by this bit.
+/// Bit that marks request and connection IDs of the agent, which tells them from those of others.
 pub const OWN: u64 = 1 << 63;
 
-/// What happens to the agent.
+/// Input of the agent.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
-    /// A message came, at this time: it may have waited since.
+    /// A message arrived at this time. It may have been queued since.
     Received(Peer, Box<Message>, Micros),
-    /// A connection is gone, or never came about (`refused`: nobody listens there).
+    /// A connection was closed or could not be established. The flag is set if the peer refused it.
     Lost(Peer, bool),
-    /// The core wants something of it.
+    /// An output of the session controller.
     Core(Box<core_io::Output>),
-    /// Time passes.
+    /// Timers may have expired.
     Tick,
 }
 
-/// What the agent wants done.
+/// Output of the agent.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Put a message on the wire; a stream that is not open yet is opened.
+    /// Send a message. A stream that is not open yet is to be opened.
     Transmit(Peer, Box<Message>),
     /// Close a connection.
     Close(Peer),
-    /// Tell the session controller.
+    /// An input of the session controller.
     Core(Box<core_io::Input>),
 }
 
@@ -66,7 +66,7 @@
     name: (String, String),
     title: String,
     offer: Offer,
-    /// When its INVITE came; none once the session controller has said its first word on it.
+    /// Arrival time of the INVITE, or `None` once the session controller has first responded to it.
     arrived: Option<Micros>,
 }
 
@@ -78,24 +78,24 @@
     session: SessionId,
     attempt: AttemptId,
     sent: Micros,
-    /// When the attempt is given up; none: it is over, or the call stands.
+    /// Deadline of the attempt, or `None` once the attempt has ended.
     until: Option<Micros>,
     refused: bool,
     release: Option<ReleaseId>,
-    /// The caller's offer, for changes of the rung.
+    /// The caller's offer, which rung changes are derived from.
     offer: Offer,
-    /// Its transactions, the INVITE's first.
+    /// Transactions of the leg, starting with that of the INVITE.
     keys: Vec<Key>,
 }
 
-/// Whose time has come.
+/// Leg that a timer belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Owner {
     Caller(SessionId),
     Box(u64),
 }
 
-/// The agent.
+/// Back-to-back user agent of a front.
 #[derive(Debug)]
 pub struct Agent {
     layer: Layer,
@@ -106,35 +106,35 @@
     next: u64,
     control: Control,
     refused: Refused,
-    /// When the message at hand came.
+    /// Arrival time of the message that is being handled.
     arrived: Micros,
     calls: BTreeMap<SessionId, Call>,
-    /// Callers' calls by `Call-ID` and tag.
+    /// Callers' calls by `Call-ID` and `From` tag.
     by_caller: BTreeMap<(String, String), SessionId>,
     by_request: BTreeMap<RequestId, SessionId>,
     by_invite: BTreeMap<Key, SessionId>,
     placed: BTreeMap<u64, Placed>,
-    /// Legs at media servers by their `Call-ID`.
+    /// Legs at media servers by `Call-ID`.
     by_box: BTreeMap<String, u64>,
-    /// Legs at media servers by the transactions that they wait for.
+    /// Legs at media servers by outstanding transaction.
     by_key: BTreeMap<Key, u64>,
-    /// Attempts that are out.
+    /// Legs of outstanding attempts.
     trying: BTreeMap<SessionId, u64>,
-    /// Calls that stand at media servers.
+    /// Legs of calls that are established at media servers.
     standing: BTreeMap<SessionId, u64>,
-    /// When each leg is next due, both ways.
+    /// Timers of the legs in order of time.
     timers: BTreeSet<(Micros, Owner)>,
     armed: BTreeMap<Owner, Micros>,
     out: Vec<Output>,
 }
 
 impl Agent {
-    /// The agent of the front of this number, which others reach at this address.
+    /// Creates the agent of the front in this slot, which is reached at the address `listen`.
     pub fn new(listen: SocketAddr, number: u32, seed: u64) -> Self {
         Agent::with(listen, number, seed, Control::new(seed, true))
     }
 
-    /// The same with an overload control of one's own, as for a comparison with none.
+    /// Creates an agent with the given overload control, for example a disabled one for comparison.
     pub fn with(listen: SocketAddr, number: u32, seed: u64, control: Control) -> Self {
         Agent {
             layer: Layer::default(),
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Takes one input and appends what is to be done.
+    /// Handles one input and appends the resulting outputs.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match input {
@@ -171,7 +171,7 @@
                 }
             }
             Input::Lost(peer, refused) => {
-                // The connection of an attempt has its leg's number.
+                // The connection of an attempt carries the ID of its leg.
                 let leg = peer.conn & !OWN;
                 if let Some(placed) = self.placed.get_mut(&leg).filter(|p| p.peer == peer) {
                     placed.refused = refused;
@@ -188,12 +188,12 @@
         out.append(&mut self.out);
     }
 
-    /// When [`Input::Tick`] is next needed.
+    /// Returns the time at which [`Input::Tick`] is needed next.
     pub fn next_due(&self) -> Option<Micros> {
         self.layer.next_due().into_iter().chain(self.timers.first().map(|t| t.0)).min()
     }
 
-    /// Notes when a leg is next due.
+    /// Updates the timer of a leg.
     fn arm(&mut self, owner: Owner) {
         let due = match owner {
             Owner::Caller(session) => self.calls.get(&session).and_then(|c| c.leg.next_due()),
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Calls of callers, and legs at media servers, that are not over.
+    /// Returns the number of callers' calls and the number of legs at media servers that have not ended.
     pub fn len(&self) -> (usize, usize) {
         (self.calls.len(), self.placed.len())
     }
@@ -234,7 +234,7 @@
                 transaction::Output::Response(key, response) => self.response(&key, &response),
                 transaction::Output::Stray(_, response) => self.stray(&response),
                 transaction::Output::TimedOut(key) => self.timed_out(&key),
-                // The failure went out; whether it was heard is the caller's loss.
+                // The failure was sent. Nothing more can be done for a caller that doesn't acknowledge it.
                 transaction::Output::NoAck(_) => {}
             }
         }
@@ -256,7 +256,7 @@
                 self.set_up(attempt, server, &url, rate_kb, until);
             }
             core_io::Output::Cancel(attempt) => {
-                // At most one attempt of a session is out.
+                // A session has at most one outstanding attempt.
                 let leg = self.trying.get(&attempt.session).copied();
                 if let Some(leg) = leg.filter(|l| self.placed.get(l).is_some_and(|p| p.attempt == attempt)) {
                     self.on_box(leg, callee::In::End);
@@ -275,8 +275,8 @@
             },
             core_io::Output::SessionEnded(session, _) => {
                 self.on_caller(session, caller::In::End, None);
-                // Of a media server that is lost the session controller asks nothing more, but its process may run on and the call with it:
-                // unlike a player's session it does not end by itself when its caller has gone.
+                // The session controller releases nothing at a lost media server, although its process and the call may still run:
+                // unlike a player's session, the call doesn't end by itself when its caller disconnects.
                 if let Some(leg) = self.standing.get(&session).copied() {
                     self.on_box(leg, callee::In::End);
                 }
@@ -303,7 +303,7 @@
         self.on_caller(session, input, None);
     }
 
-    /// What is due by now, on both sides.
+    /// Runs the expired timers of both sides.
     fn due(&mut self) {
         while let Some((at, owner)) = self.timers.first().copied().filter(|t| t.0 <= self.now) {
             self.timers.remove(&(at, owner));
@@ -320,12 +320,12 @@
     }
 }
 
-/// How a front names itself to media servers (section 20.41).
+/// Returns the `User-Agent` by which a front identifies itself to media servers (section 20.41).
 fn user_agent(number: u32) -> String {
     format!("beechloft-{number}")
 }
 
-/// The number of the front that sent a request, if it says so.
+/// Returns the slot of the front that sent a request, or `None` if the request doesn't name it.
 pub fn front_of(request: &Request) -> Option<u32> {
     let agent = request
         .raw
--- a/crates/front/sip/src/callee.rs
+++ b/crates/front/sip/src/callee.rs
@@ -1,10 +1,10 @@
-//! The leg towards a media server: an attempt to set a call up there, and the call while it stands.
+//! The call leg to a media server: the attempt to set up a call there, and the established call.
 //!
-//! A media server that has a call is never left with it. An attempt that is given up is cancelled as soon as that is allowed
-//! (section 9.1); a 2xx that comes all the same, however late, is acknowledged and ended by a BYE. When an attempt is
-//! **certainly over**, so that another may go out, is said by [`Out::Over`]: a final response has come, or the
-//! connection that it went out on is closed. The connection is the attempt's own; it is closed [`GRACE`] after the
-//! attempt was given up, so that a media server that stands still costs no more than that.
+//! No call is left behind at a media server. An abandoned attempt is cancelled as soon as that is allowed (section 9.1). A
+//! 2xx that arrives nonetheless, however late, is acknowledged and followed by a BYE. [`Out::Over`] reports that an attempt
+//! has **certainly ended**, so that another may be sent: a final response has arrived, or the connection of the attempt is
+//! closed. Each attempt has a connection of its own. It is closed [`GRACE`] after the attempt was abandoned, which bounds
+//! the cost of a media server that doesn't respond.
 
 use beechloft_session::api::Micros;
 use beechloft_session::session::GRACE;
@@ -15,65 +15,65 @@
 use crate::timer::TRIES;
 use crate::transaction::{Key, Layer};
 
-/// What happens to the leg.
+/// Input of the leg.
 #[derive(Debug, Clone, Copy)]
 pub enum In<'a> {
-    /// A response to its INVITE.
+    /// A response to the INVITE.
     Response(&'a Response),
-    /// Its INVITE got no final response, or its connection is gone.
+    /// The INVITE got no final response, or its connection is closed.
     Lost,
-    /// The attempt is given up, or the call is to be ended.
+    /// The attempt is to be abandoned, or the call ended.
     End,
-    /// A BYE came from the media server, in this dialog.
+    /// A BYE arrived from the media server in this dialog.
     Bye,
-    /// A response to its BYE, or none in time.
+    /// The BYE was answered or has timed out.
     ByeDone,
-    /// Another rung: the offer that says so.
+    /// The rung is to be changed by this offer.
     Change(&'a str),
-    /// The final answer to its UPDATE of this key, or none in time.
+    /// The final response to the UPDATE with this key, or `None` if it has timed out.
     Updated(&'a Key, Option<&'a Response>),
-    /// The connection of a call that stands is gone.
+    /// The connection of an established call is closed.
     Broken,
-    /// Time passes.
+    /// Timers may have expired.
     Tick,
 }
 
-/// What the leg wants done.
+/// Output of the leg.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Out {
     /// Send a request in a transaction of its own.
     Send(Box<Request>),
     /// Send an ACK of a 2xx.
     Ack(Box<Request>),
-    /// The media server works on it.
+    /// The media server sent a provisional response with this status.
     Rings(u16),
-    /// The call stands; the media server's answer.
+    /// The call is established. Carries the media server's SDP answer.
     Up(Vec<u8>),
-    /// The attempt ended without a call: the media server's final status; none: it was given up, or nothing came.
+    /// The attempt ended without a call. Carries the final status, or `None` if the attempt was abandoned or timed out.
     Over(Option<u16>),
-    /// Close the attempt's own connection.
+    /// Close the connection of the attempt.
     Close,
     /// The media server ended the call.
     HungUp,
-    /// Nothing is left of the leg at the media server.
+    /// The leg has ended.
     Gone,
 }
 
 #[derive(Debug)]
 enum State {
-    /// The INVITE is out. Whether a provisional response has come, and whether it was given up and when.
+    /// The INVITE was sent.
     Calling { tried: bool, given_up: Option<Micros> },
-    /// The call stands.
+    /// The call is established.
     Up(Box<Standing>),
-    /// A BYE is out, under this key.
+    /// A BYE was sent in the transaction with this key.
     Ending(Box<Dialog>, Key),
-    /// Given up without a final response; a late 2xx is still ended until this time.
+    /// The attempt was abandoned without a final response. A late 2xx is still ended until this time.
     Abandoned { until: Micros },
-    /// Nothing is left.
+    /// The leg has ended.
     Gone,
 }
 
-/// A leg towards a media server.
+/// Call leg to a media server.
 #[derive(Debug)]
 pub struct BoxLeg {
     invite: Request,
@@ -82,37 +82,37 @@
 }
 
 impl BoxLeg {
-    /// Begins with the INVITE that was sent.
+    /// Creates a leg for an INVITE that was sent.
     pub fn new(invite: Request, at: Local) -> Self {
         BoxLeg { invite, at, state: State::Calling { tried: false, given_up: None } }
     }
 
-    /// The INVITE that it began with.
+    /// Returns the INVITE of the leg.
     pub fn invite(&self) -> &Request {
         &self.invite
     }
 
-    /// The dialog, while the call stands.
+    /// Returns the dialog, or `None` if the call is not established.
     pub fn dialog(&mut self) -> Option<&mut Dialog> {
         if let State::Up(standing) = &mut self.state { Some(standing.dialog()) } else { None }
     }
 
-    /// The key of its BYE, while one is out.
+    /// Returns the key of the outstanding BYE, if any.
     pub fn bye_key(&self) -> Option<Key> {
         if let State::Ending(_, bye) = &self.state { Some(bye.clone()) } else { None }
     }
 
-    /// The key of its UPDATE, while one is out.
+    /// Returns the key of the outstanding UPDATE, if any.
     pub fn update_key(&self) -> Option<&Key> {
         if let State::Up(standing) = &self.state { standing.key() } else { None }
     }
 
-    /// Whether nothing is left of it.
+    /// Returns whether the leg has ended.
     pub fn is_gone(&self) -> bool {
         matches!(self.state, State::Gone)
     }
 
-    /// Takes one input and appends what is to be done.
+    /// Handles one input and appends the resulting outputs.
     pub fn handle(&mut self, now: Micros, input: In<'_>, mint: &mut Mint, out: &mut Vec<Out>) {
         match input {
             In::Response(response) if response.status < 200 => self.provisional(response.status, out),
@@ -131,7 +131,7 @@
         }
     }
 
-    /// When [`In::Tick`] is next needed.
+    /// Returns the time at which [`In::Tick`] is needed next.
     pub fn next_due(&self) -> Option<Micros> {
         match &self.state {
             State::Calling { given_up: Some(at), .. } => Some(*at + GRACE),
@@ -155,14 +155,14 @@
         let first = !std::mem::replace(tried, true);
         if given_up.is_some() {
             if first {
-                self.cancel(out); // it could not be sent before
+                self.cancel(out); // no CANCEL was allowed before the provisional response
             }
         } else {
             out.push(Out::Rings(status));
         }
     }
 
-    /// Every 2xx is acknowledged, also a repeated one; what nobody wants any more is ended.
+    /// Acknowledges every 2xx, including retransmissions, and ends a call that is no longer wanted.
     fn accepted(&mut self, now: Micros, response: &Response, mint: &mut Mint, out: &mut Vec<Out>) {
         let seq = self.invite.names.seq;
         let ack = |dialog: &Dialog, mint: &mut Mint, out: &mut Vec<Out>| {
@@ -173,7 +173,7 @@
             State::Up(standing) => return ack(standing.dialog(), mint, out),
             State::Ending(dialog, _) => return ack(dialog, mint, out),
             State::Gone => {
-                // Its BYE was answered, and yet the 2xx comes again: the ACK was lost.
+                // The 2xx is retransmitted although the BYE was answered, so the ACK was lost.
                 if let Ok(dialog) = Dialog::as_client(&self.invite, response) {
                     ack(&dialog, mint, out);
                 }
@@ -184,7 +184,7 @@
         let wanted = matches!(self.state, State::Calling { given_up: None, .. });
         let counts = matches!(self.state, State::Calling { .. });
         let Ok(dialog) = Dialog::as_client(&self.invite, response) else {
-            // No address to end it at: the connection's end is all that is left to say.
+            // Without a valid contact the call can't be ended by a BYE. Closing the connection is all that remains.
             out.push(Out::Close);
             if counts {
                 out.push(Out::Over(Some(500)));
@@ -220,7 +220,9 @@
         }
     }
 
-    /// No final response will come on the attempt's connection. The media server may still accept and say so on another.
+    /// Abandons the attempt because its connection will bring no final response.
+    ///
+    /// The media server may still accept and send its 2xx on another connection.
     fn abandon(&mut self, now: Micros, out: &mut Vec<Out>) {
         self.state = State::Abandoned { until: now + TRIES };
         out.push(Out::Over(None));
@@ -239,14 +241,14 @@
         }
     }
 
-    /// Ends a call that stands.
+    /// Ends an established call.
     fn bye(&mut self, mint: &mut Mint, out: &mut Vec<Out>) {
         if let State::Up(standing) = std::mem::replace(&mut self.state, State::Gone) {
             self.hang_up(standing.into_dialog(), mint, out);
         }
     }
 
-    /// Sends a BYE in a dialog; one that makes no request has nothing left to be ended by.
+    /// Sends a BYE in a dialog. If the remote target makes no valid request, the leg ends without one.
     fn hang_up(&mut self, mut dialog: Dialog, mint: &mut Mint, out: &mut Vec<Out>) {
         match dialog.request(Method::Bye, &self.at, &mint.branch(), None) {
             Some(bye) => {
@@ -257,7 +259,9 @@
         }
     }
 
-    /// What concerns a call that stands; what the media server does not have any more is over, and a BYE makes it certain.
+    /// Handles an input for an established call.
+    ///
+    /// If the media server doesn't have the call any more, the call ends, and a BYE makes sure of it.
     fn standing(&mut self, now: Micros, input: In<'_>, mint: &mut Mint, out: &mut Vec<Out>) {
         let State::Up(standing) = &mut self.state else { return };
         match input {
--- a/crates/front/sip/src/caller.rs
+++ b/crates/front/sip/src/caller.rs
@@ -1,8 +1,8 @@
-//! The leg towards a caller: its INVITE is owed one final answer, and its call stands until one side ends it.
+//! The call leg to a caller: its INVITE gets exactly one final response, and its call lasts until one side ends it.
 //!
-//! A 2xx is repeated by us until its ACK comes (section 13.3.1.4); a caller that never sends one is disconnected. A caller
-//! that vanishes without a BYE is noticed by the session timer (RFC 4028): we ask for refreshes by the caller and end
-//! the call when they stay out, so that its room is free again.
+//! A 2xx is retransmitted until its ACK arrives (section 13.3.1.4), and a caller that never sends one is disconnected. A
+//! caller that disappears without a BYE is detected by the session timer (RFC 4028): the front requires refreshes by the
+//! caller and ends the call if they stop, which frees its capacity.
 
 use beechloft_session::api::Micros;
 use rsip::{Header, Headers};
@@ -11,84 +11,84 @@
 use crate::message::{MessageError, Method, Request, Response};
 use crate::timer::{Backoff, TRIES};
 
-/// Shortest interval between two refreshes that we take (RFC 4028, section 4).
+/// Minimum session interval that is accepted, in seconds (RFC 4028, section 4).
 pub const MIN_SE: u32 = 90;
-/// The interval that we ask for where the caller names none.
+/// Session interval if the caller names none, in seconds.
 pub const SESSION: u32 = 180;
 
-/// What happens to the leg.
+/// Input of the leg.
 #[derive(Debug, Clone, Copy)]
 pub enum In<'a> {
-    /// It rings at the other end.
+    /// The callee is ringing.
     Ring,
-    /// It plays: the answer to its offer.
+    /// The call is accepted with this SDP answer.
     Accept(&'a str),
-    /// It is rejected or failed, perhaps with seconds to come back after.
+    /// The call is rejected with this status and perhaps the seconds of `Retry-After`.
     Refuse(u16, Option<u64>),
     /// The caller cancelled its INVITE.
     Cancel,
-    /// An ACK of this dialog.
+    /// An ACK arrived in this dialog.
     Ack(&'a Request),
-    /// Another request of this dialog.
+    /// Another request arrived in this dialog.
     Request(&'a Request),
-    /// The call is over at the other end.
+    /// The call ended on the callee's side.
     End,
-    /// Time passes.
+    /// Timers may have expired.
     Tick,
 }
 
-/// What the leg wants done.
+/// Output of the leg.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Out {
-    /// Answer the INVITE.
+    /// Respond to the INVITE.
     AnswerInvite(Box<Response>),
-    /// Answer the request at hand.
+    /// Respond to the request that is being handled.
     Answer(Box<Response>),
     /// Send a request in a transaction of its own.
     Send(Box<Request>),
-    /// The caller gave up before its answer; none is owed any more but the 487 that was sent.
+    /// The caller cancelled before the final response. The 487 was sent.
     Cancelled,
-    /// The caller has the answer.
+    /// The caller acknowledged the 2xx.
     Confirmed,
-    /// The call is over on the caller's side.
+    /// The call ended on the caller's side.
     Over(Why),
 }
 
-/// Why a call is over on the caller's side.
+/// Reason why a call ended on the caller's side.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Why {
-    /// It disconnected.
+    /// The caller sent a BYE.
     Bye,
-    /// Its answer was never acknowledged.
+    /// The 2xx was never acknowledged.
     NoAck,
-    /// It stopped refreshing.
+    /// The session interval expired without a refresh.
     Expired,
 }
 
 #[derive(Debug)]
 enum State {
-    /// An answer is owed.
+    /// No final response has been sent.
     Owed,
-    /// The 2xx is out and not acknowledged: next repetition, and when to give up.
+    /// The 2xx was sent and is not acknowledged. It is retransmitted until the timeout.
     Accepted { answer: Box<Response>, repeat: Micros, backoff: Backoff, until: Micros },
-    /// The call stands.
+    /// The call is established.
     Confirmed,
-    /// Over.
+    /// The leg has ended.
     Over,
 }
 
-/// A leg towards a caller.
+/// Call leg to a caller.
 #[derive(Debug)]
 pub struct CallerLeg {
     invite: Request,
     dialog: Dialog,
     at: Local,
     state: State,
-    /// The interval of refreshes, seconds, and when the next must have come.
+    /// Session interval in seconds, and the time at which it expires.
     session: Option<(u32, Micros)>,
 }
 
-/// A value among the fields that the parser does not know.
+/// Returns the value of a header field that the parser doesn't know.
 fn other<'a>(headers: &'a Headers, name: &str) -> Option<&'a str> {
     headers.iter().find_map(|h| match h {
         Header::Other(key, value) if key.eq_ignore_ascii_case(name) => Some(value.as_str()),
@@ -96,24 +96,27 @@
     })
 }
 
-/// The seconds of a `Session-Expires`, if there is one.
+/// Returns the interval of `Session-Expires` in seconds, if the field is present and valid.
 pub(crate) fn session_expires(headers: &Headers) -> Option<u32> {
     other(headers, "Session-Expires")?.split(';').next()?.trim().parse().ok()
 }
 
 impl CallerLeg {
-    /// Begins with an INVITE outside any dialog. An interval of refreshes that is too short is refused with 422.
+    /// Creates a leg for an INVITE outside any dialog.
+    ///
+    /// # Errors
+    /// Returns an error if the INVITE has no valid dialog fields.
     pub fn new(invite: Request, at: Local, mint: &mut Mint) -> Result<CallerLeg, MessageError> {
         let dialog = Dialog::as_server(&invite, &mint.name())?;
         Ok(CallerLeg { invite, dialog, at, state: State::Owed, session: None })
     }
 
-    /// The dialog's tag on our side.
+    /// Returns the local tag of the dialog.
     pub fn tag(&self) -> &str {
         self.dialog.local_tag()
     }
 
-    /// The refusal that the caller's wish for refreshes calls for, if any (RFC 4028, section 9).
+    /// Returns the 422 that rejects a session interval that is too short, if any (RFC 4028, section 9).
     pub fn session_fault(&self) -> Option<Response> {
         let short = session_expires(&self.invite.raw.headers).is_some_and(|s| s < MIN_SE);
         short.then(|| {
@@ -123,17 +126,17 @@
         })
     }
 
-    /// Whether nothing is left of it.
+    /// Returns whether the leg has ended.
     pub fn is_over(&self) -> bool {
         matches!(self.state, State::Over)
     }
 
-    /// Whether a final answer is still owed.
+    /// Returns whether no final response has been sent.
     pub fn is_owed(&self) -> bool {
         matches!(self.state, State::Owed)
     }
 
-    /// Takes one input and appends what is to be done.
+    /// Handles one input and appends the resulting outputs.
     pub fn handle(&mut self, now: Micros, input: In<'_>, mint: &mut Mint, out: &mut Vec<Out>) {
         match input {
             In::Ring if self.is_owed() => {
@@ -155,7 +158,7 @@
         }
     }
 
-    /// When [`In::Tick`] is next needed.
+    /// Returns the time at which [`In::Tick`] is needed next.
     pub fn next_due(&self) -> Option<Micros> {
         let expires = self.session.map(|s| s.1);
         match &self.state {
@@ -178,7 +181,7 @@
         self.state = State::Accepted { answer, repeat, backoff, until: now + TRIES };
     }
 
-    /// A 200 with what a 2xx to INVITE or UPDATE carries.
+    /// Builds a 200 with the header fields of a 2xx to an INVITE or UPDATE.
     fn ok(&self, request: &Request, sdp: Option<&str>, interval: u32) -> Response {
         let mut ok = request.answer(200, self.tag());
         let headers = &mut ok.raw.headers;
@@ -215,8 +218,10 @@
         }
     }
 
-    /// A request within the dialog. A change of the session from the caller's side is not taken (488): the policy
-    /// chooses the rung; a refresh is an offer-less UPDATE or the same offer again.
+    /// Handles a request within the dialog.
+    ///
+    /// A session change by the caller is rejected with 488, because the policy chooses the rung. A refresh is an UPDATE without
+    /// an offer.
     fn request(&mut self, now: Micros, request: &Request, out: &mut Vec<Out>) {
         if matches!(self.state, State::Owed | State::Over) {
             return out.push(Out::Answer(Box::new(request.answer(481, self.tag()))));
@@ -230,7 +235,7 @@
                 out.push(plain(200));
                 self.over(Why::Bye, out);
             }
-            // The first INVITE's transaction has not ended yet (section 14.2).
+            // The transaction of the first INVITE has not ended yet (section 14.2).
             Method::Invite if matches!(self.state, State::Accepted { .. }) => out.push(plain(491)),
             Method::Invite => out.push(plain(488)),
             Method::Update if request.raw.body.is_empty() => {
@@ -249,7 +254,7 @@
         out.push(Out::Over(why));
     }
 
-    /// Hangs up on the caller.
+    /// Sends a BYE to the caller.
     fn bye(&mut self, mint: &mut Mint, out: &mut Vec<Out>) {
         let bye = self.dialog.request(Method::Bye, &self.at, &mint.branch(), None);
         out.extend(bye.map(|b| Out::Send(Box::new(b))));
--- a/crates/front/sip/src/dialog.rs
+++ b/crates/front/sip/src/dialog.rs
@@ -1,4 +1,4 @@
-//! Dialogs (RFC 3261, section 12): what both sides of a call must remember to speak of it.
+//! Dialogs (RFC 3261, section 12): the state that both sides of a call keep in order to send requests within it.
 
 use rsip::headers::{ToTypedHeader, UntypedHeader};
 use rsip::message::HeadersExt;
@@ -6,20 +6,20 @@
 
 use crate::message::{COOKIE, Message, MessageError, Method, Request, Response};
 
-/// Record-Route entries at most; each request of the dialog carries them all.
+/// Maximum number of `Record-Route` entries, since each request of the dialog carries all of them.
 pub const ROUTES: usize = 16;
 
-/// Makes names that nobody else has: branches, tags, call ids. Seeded, so that a run can be repeated.
+/// Generator of unique branches, tags and call IDs, seeded so that a run can be reproduced.
 #[derive(Debug, Clone)]
 pub struct Mint(u64);
 
 impl Mint {
-    /// Names that follow from a seed.
+    /// Creates a generator whose output follows from a seed.
     pub fn new(seed: u64) -> Self {
         Mint(seed)
     }
 
-    /// Splitmix64: spreads every seed over all numbers, and never comes to the same one twice in its period.
+    /// SplitMix64, which spreads every seed over all numbers and never repeats a number within its period.
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -27,37 +27,37 @@
         z ^ (z >> 31)
     }
 
-    /// Any number, for what is spread by chance.
+    /// Returns a pseudorandom number, for example for jitter.
     pub fn number(&mut self) -> u64 {
         self.next()
     }
 
-    /// A `Call-ID`: no other host makes one with this in it (section 8.1.1.4).
+    /// Returns a new `Call-ID`, made globally unique by the host (section 8.1.1.4).
     pub fn call(&mut self, host: &str) -> String {
         format!("{}@{host}", self.name())
     }
 
-    /// A tag.
+    /// Returns a new tag.
     pub fn name(&mut self) -> String {
         format!("{:016x}", self.next())
     }
 
-    /// A branch.
+    /// Returns a new branch.
     pub fn branch(&mut self) -> String {
         format!("{COOKIE}{:016x}", self.next())
     }
 }
 
-/// Who we are on one hop.
+/// Local end of a hop.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Local {
-    /// `UDP` or `TCP`.
+    /// Transport as named in `Via`: `UDP` or `TCP`.
     pub transport: &'static str,
-    /// Where answers come: `host:port`.
+    /// Address to which responses are sent, as `host:port`.
     pub sent_by: String,
 }
 
-/// A dialog, from one side.
+/// State of a dialog on one side.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Dialog {
     call: String,
@@ -71,7 +71,7 @@
     remote_seq: Option<u32>,
 }
 
-/// The address within the first `Contact`.
+/// Returns the URI of the first `Contact`.
 fn contact(message: &impl HeadersExt) -> Result<String, MessageError> {
     let bad = |_| MessageError::Field("Contact");
     Ok(message.contact_header().map_err(bad)?.typed().map_err(bad)?.uri.to_string())
@@ -87,7 +87,7 @@
     if routes.len() > ROUTES { Err(MessageError::Field("Record-Route")) } else { Ok(routes) }
 }
 
-/// The address of a `From` or `To`, without its tag.
+/// Returns the address of a `From` or `To` without its tag.
 fn address(text: &str) -> String {
     match text.rfind('>') {
         Some(end) => text[..=end].to_owned(),
@@ -102,7 +102,10 @@
 }
 
 impl Dialog {
-    /// The side that was asked, with the tag that its answer carries.
+    /// Creates the dialog of the side that received the INVITE, with the tag of its response.
+    ///
+    /// # Errors
+    /// Returns an error if the INVITE lacks a valid `From`, `To` or `Contact`, or has too many routes.
     pub fn as_server(invite: &Request, tag: &str) -> Result<Dialog, MessageError> {
         let (from, to) = parties(&invite.raw)?;
         Ok(Dialog {
@@ -118,7 +121,10 @@
         })
     }
 
-    /// The side that asked, from the answer.
+    /// Creates the dialog of the side that sent the INVITE, from the response.
+    ///
+    /// # Errors
+    /// Returns an error if the response lacks a valid `From`, `To`, tag or `Contact`, or has too many routes.
     pub fn as_client(invite: &Request, answer: &Response) -> Result<Dialog, MessageError> {
         let (from, to) = parties(&answer.raw)?;
         let mut routes = record_routes(&answer.raw.headers)?;
@@ -136,12 +142,14 @@
         })
     }
 
-    /// Where its requests go if no route leads there: the other side's own address.
+    /// Returns the remote target, to which requests go unless a route set leads elsewhere.
     pub fn target(&self) -> &str {
         &self.target
     }
 
-    /// The next request of the dialog; none: what the other side gave as its address makes no request.
+    /// Builds the next request of the dialog.
+    ///
+    /// Returns `None` if the remote target makes no valid request.
     pub fn request(
         &mut self,
         method: Method,
@@ -153,7 +161,7 @@
         self.build(method, self.seq, at, branch, body)
     }
 
-    /// The ACK of a 2xx to the INVITE of this number (section 13.2.2.4): a branch of its own, the INVITE's number.
+    /// Builds the ACK of a 2xx to the INVITE with this sequence number (section 13.2.2.4), with a branch of its own.
     pub fn ack(&self, seq: u32, at: &Local, branch: &str) -> Option<Request> {
         self.build(Method::Ack, seq, at, branch, None)
     }
@@ -190,8 +198,11 @@
         }
     }
 
-    /// Whether a request is of this dialog and in order; else the status that says why not: 481 for a foreign one, 500
-    /// for one that comes after a later one (section 12.2.2).
+    /// Accepts a request if it belongs to the dialog and is in order.
+    ///
+    /// # Errors
+    /// Returns the status to reject it with: 481 if it belongs to another dialog, 500 if its sequence number is not higher
+    /// than that of the last request (section 12.2.2).
     pub fn takes(&mut self, request: &Request) -> Result<(), u16> {
         let names = &request.names;
         let ours = names.call == self.call
@@ -200,7 +211,7 @@
         if !ours {
             return Err(481);
         }
-        // An ACK has the number of its INVITE.
+        // An ACK has the sequence number of its INVITE.
         if request.method() == Method::Ack {
             return Ok(());
         }
@@ -216,12 +227,12 @@
         Ok(())
     }
 
-    /// The `Call-ID`.
+    /// Returns the `Call-ID`.
     pub fn call(&self) -> &str {
         &self.call
     }
 
-    /// Our tag.
+    /// Returns the local tag.
     pub fn local_tag(&self) -> &str {
         &self.local_tag
     }
--- a/crates/front/sip/src/framing.rs
+++ b/crates/front/sip/src/framing.rs
@@ -1,40 +1,45 @@
-//! Messages in a byte stream: `Content-Length` (RFC 3261, section 18.3) and keep-alive (RFC 5626, section 3.5.1).
+//! Framing of messages in a byte stream: `Content-Length` (RFC 3261, section 18.3) and keep-alive (RFC 5626, section 3.5.1).
 
 use thiserror::Error;
 
 use crate::message::{self, BYTES, Message, MessageError};
 
-/// What a stream brings.
+/// Item received on a stream.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Framed {
-    /// A message.
+    /// A complete message.
     Message(Box<Message>),
-    /// Two line ends: the other side asks whether we are there; one is to be sent back.
+    /// Keep-alive of two line ends, which is to be answered by one line end.
     Ping,
 }
 
-/// Why a stream can't be read on. Its connection is to be closed: where the next message begins is not known.
+/// Reason why a stream can't be read further.
+///
+/// The start of the next message is unknown, so the connection must be closed.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum FramingError {
-    /// A message is longer than allowed.
-    #[error("a message is longer than {BYTES} bytes")]
+    /// A message is longer than [`MAX_MESSAGE_BYTES`].
+    #[error("message exceeds {BYTES} bytes")]
     TooLong,
-    /// No length; on a stream it must be there.
-    #[error("a message without a Content-Length on a stream")]
+    /// A message has no valid `Content-Length`, which is mandatory on a stream.
+    #[error("message on a stream has no valid Content-Length")]
     NoLength,
-    /// It can't be read.
+    /// A message is malformed.
     #[error(transparent)]
     Message(#[from] MessageError),
 }
 
-/// Cuts a stream into messages as bytes come.
+/// Splits a byte stream into messages.
 #[derive(Debug, Default)]
 pub struct Framer {
     buf: Vec<u8>,
 }
 
 impl Framer {
-    /// Takes bytes; what is complete is appended.
+    /// Adds received bytes and appends the items that are complete.
+    ///
+    /// # Errors
+    /// Returns an error if a message exceeds its limit, has no length or is malformed.
     pub fn push(&mut self, bytes: &[u8], out: &mut Vec<Framed>) -> Result<(), FramingError> {
         self.buf.extend_from_slice(bytes);
         while self.next(out)? {}
@@ -47,8 +52,8 @@
             out.push(Framed::Ping);
             return Ok(true);
         }
-        // One line end is the other side's answer to a ping, or stands before a message (section 7.5). It is taken
-        // only when what follows shows which of the two pairs it belongs to.
+        // A single line end is the peer's answer to a keep-alive, or precedes a message (section 7.5). It is consumed only
+        // when the bytes that follow show that it doesn't begin a keep-alive.
         if self.buf.len() > 2
             && self.buf.starts_with(b"\r\n")
             && !b"\r\n".starts_with(&self.buf[2..self.buf.len().min(4)])
--- a/crates/front/sip/src/lib.rs
+++ b/crates/front/sip/src/lib.rs
@@ -1,12 +1,10 @@
-//! SIP (RFC 3261) as the session front needs it, without sockets, clock or randomness of its own.
+//! The subset of SIP (RFC 3261) that the session front needs, without sockets, a clock or a source of randomness.
 //!
-//! [`message`] reads what comes from outside behind bounds, with a kept parser, and builds answers. [`framing`] cuts a
-//! byte stream into messages. [`transaction`] holds the four state machines of section 17 with the corrections of RFC
-//! 6026, and a bounded table of them that is driven by messages and by time. [`dialog`] is what both sides of a call
-//! remember; [`caller`] and [`callee`] are the two legs of a call, [`standing`] is what a
-//! call that stands still asks of its media server; both legs the back-to-back user agent in
-//! [`agent`] ties to the front's core.
-// Not reworked yet, see docs/ROADMAP.md.
+//! [`message`] parses messages within bounds by means of a third-party parser, and builds responses. [`framing`] splits a
+//! byte stream into messages. [`transaction`] implements the four state machines of section 17 with the corrections of RFC
+//! 6026, and a bounded table of transactions that is driven by messages and by time. [`dialog`] is the state of a dialog.
+//! [`caller`] and [`callee`] are the two legs of a call, and [`established`] refreshes and changes an established call at its
+//! media server. The back-to-back user agent in [`agent`] connects both legs to the session controller.
 #![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
--- a/crates/front/sip/src/message.rs
+++ b/crates/front/sip/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages behind bounds: read by a kept parser, with what the layers above need taken out and checked once.
+//! SIP messages: bounded parsing, and validation of the fields that the upper layers rely on.
 
 use rsip::headers::{ToTypedHeader, UntypedHeader};
 use rsip::message::HeadersExt;
@@ -8,81 +8,83 @@
 
 pub use rsip::Method;
 
-/// Longest message, bytes: what one UDP datagram can hold.
+/// Maximum length of a message in bytes, which is what one UDP datagram can hold.
 pub const BYTES: usize = 65_535;
-/// Header fields at most.
+/// Maximum number of header fields of a message.
 pub const FIELDS: usize = 100;
-/// Longest value of a field that names something (a tag, a branch, a call), bytes.
+/// Maximum length of an identifier (a tag, a branch, a `Call-ID`), in bytes.
 pub const NAME_BYTES: usize = 256;
-/// What begins every branch (section 8.1.1.7).
+/// Prefix of every branch (section 8.1.1.7).
 pub const COOKIE: &str = "z9hG4bK";
 
-/// Why a message can't be used.
+/// Reason why a message is rejected.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum MessageError {
-    /// Too long, or too many fields.
-    #[error("a message of more than {BYTES} bytes or {FIELDS} fields")]
+    /// The message is too long or has too many header fields.
+    #[error("message exceeds {BYTES} bytes or {FIELDS} header fields")]
     TooLong,
-    /// Not SIP.
+    /// The message can't be parsed as SIP.
     #[error("not SIP: {0}")]
     Malformed(String),
-    /// A field that must be there is missing, or makes no sense.
-    #[error("the {0} field is missing or makes no sense")]
+    /// A required header field is missing, repeated or malformed.
+    #[error("the {0} field is missing or malformed")]
     Field(&'static str),
-    /// The body is shorter than `Content-Length` says.
-    #[error("the body is shorter than its length says")]
+    /// The message ends before the length that `Content-Length` states.
+    #[error("message is shorter than its Content-Length")]
     Cut,
 }
 
-/// What names a message's place: which call, which request, which hop.
+/// Identifiers of a message's call, dialog and transaction.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Names {
-    /// The `Call-ID`.
+    /// Value of `Call-ID`.
     pub call: String,
-    /// The tag of `From`.
+    /// Tag of `From`.
     pub from_tag: String,
-    /// The tag of `To`, if there is one yet.
+    /// Tag of `To`, or `None` before the dialog is established.
     pub to_tag: Option<String>,
-    /// The number of `CSeq`.
+    /// Sequence number of `CSeq`.
     pub seq: u32,
-    /// The branch of the topmost `Via`.
+    /// Branch of the topmost `Via`.
     pub branch: String,
-    /// The `sent-by` of the topmost `Via`.
+    /// `sent-by` of the topmost `Via`.
     pub sent_by: String,
 }
 
-/// A request.
+/// SIP request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// What names it.
+    /// Identifiers of the message.
     pub names: Names,
-    /// The message as the parser has it.
+    /// The parsed message.
     pub raw: rsip::Request,
 }
 
-/// A response.
+/// SIP response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Response {
-    /// What names it.
+    /// Identifiers of the message.
     pub names: Names,
-    /// The method of the request that it answers.
+    /// Method of the request that the response answers.
     pub method: Method,
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// The message as the parser has it.
+    /// The parsed message.
     pub raw: rsip::Response,
 }
 
-/// A message.
+/// SIP message.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// A request.
+    /// SIP request.
     Request(Request),
-    /// A response.
+    /// SIP response.
     Response(Response),
 }
 
-/// The value of `Content-Length` in a head, if it is there once and sound.
+/// Returns the value of `Content-Length` in a head.
+///
+/// Returns `None` if the field is missing, malformed or present with different values.
 pub fn content_length(head: &[u8]) -> Option<usize> {
     let mut found = None;
     for line in head.split(|b| *b == b'\n') {
@@ -100,7 +102,7 @@
     found
 }
 
-/// Compact names (section 7.3.3 and the registry of header fields).
+/// Compact forms of header names (section 7.3.3 and the registry of header fields).
 const COMPACT: [(&str, &str); 11] = [
     ("v", "Via"),
     ("f", "From"),
@@ -115,7 +117,7 @@
     ("x", "Session-Expires"),
 ];
 
-/// A head as the parser wants it: continued lines joined (section 7.3.1), names in full, each `Via` on its own line.
+/// Normalizes a head for the parser: joins continuation lines (section 7.3.1), expands compact names and splits `Via` lists.
 fn long_form(head: &[u8]) -> Vec<u8> {
     let mut lines: Vec<Vec<u8>> = Vec::new();
     for line in head.split(|b| *b == b'\n') {
@@ -140,7 +142,7 @@
         let long = COMPACT.iter().find(|c| short.eq_ignore_ascii_case(c.0.as_bytes()));
         let name = long.map_or(short, |c| c.1.as_bytes());
         let via = name.eq_ignore_ascii_case(b"via");
-        // A comma within quotation marks joins nothing.
+        // A comma within a quoted string doesn't separate values.
         let mut quoted = false;
         let ends = |b: &u8| {
             quoted ^= *b == b'"';
@@ -163,7 +165,7 @@
     if sound { Ok(text.to_owned()) } else { Err(MessageError::Field(field)) }
 }
 
-/// Fields that name a message must be there once: two of them would be read differently by different readers.
+/// Checks that no identifying field is repeated, since implementations differ in which of two values they read.
 fn each_once(headers: &Headers) -> Result<(), MessageError> {
     type Is = fn(&Header) -> bool;
     let count = |is: Is| headers.iter().filter(|h| is(h)).count();
@@ -205,7 +207,10 @@
 }
 
 impl Message {
-    /// Reads one message, as from a datagram: bytes past `Content-Length` are dropped (section 18.3).
+    /// Parses one message, as from a datagram. Bytes past `Content-Length` are dropped (section 18.3).
+    ///
+    /// # Errors
+    /// Returns an error if the message exceeds a limit, is malformed or lacks a required field.
     pub fn parse(bytes: &[u8]) -> Result<Message, MessageError> {
         if bytes.len() > BYTES {
             return Err(MessageError::TooLong);
@@ -215,7 +220,7 @@
         if head.iter().filter(|b| **b == b'\n').count() > FIELDS {
             return Err(MessageError::TooLong);
         }
-        // The parser takes no other than text here; a body may be anything.
+        // The parser accepts only UTF-8 here. The body may be arbitrary bytes.
         if std::str::from_utf8(head).is_err() {
             return Err(MessageError::Malformed("the head is not text".into()));
         }
@@ -257,18 +262,19 @@
 }
 
 impl Request {
-    /// Its method.
+    /// Returns the method of the request.
     pub fn method(&self) -> Method {
         self.raw.method
     }
 
-    /// The bytes on the wire.
+    /// Encodes the message as sent on the wire.
     pub fn encode(&self) -> Vec<u8> {
         self.raw.clone().into()
     }
 
-    /// A response to it (section 8.2.6): `Via`, `From`, `To`, `Call-ID`, `CSeq` and `Record-Route` are taken over, and
-    /// the tag is added to `To` where it has none.
+    /// Builds a response to the request (section 8.2.6).
+    ///
+    /// `Via`, `From`, `To`, `Call-ID`, `CSeq` and `Record-Route` are copied, and the tag is added to `To` if it has none.
     pub fn answer(&self, status: u16, tag: &str) -> Response {
         let mut headers: Vec<Header> = Vec::new();
         for header in self.raw.headers.iter() {
@@ -299,7 +305,7 @@
     }
 
     fn tagged(&self, to: &rsip::headers::To, status: u16, tag: &str) -> Header {
-        // A 100 goes out before there is a dialog and takes no tag.
+        // A 100 precedes the dialog and gets no tag.
         if self.names.to_tag.is_some() || status == 100 {
             return to.clone().into();
         }
@@ -309,18 +315,20 @@
         }
     }
 
-    /// The ACK for a final response to this INVITE other than 2xx (section 17.1.1.3): same branch, `To` of the response.
+    /// Builds the ACK for a final response other than 2xx to this INVITE (section 17.1.1.3).
+    ///
+    /// The ACK has the branch of the INVITE and the `To` of the response.
     pub fn ack_for(&self, response: &Response) -> Request {
         let to = response.raw.to_header().ok().cloned();
         self.hop_request(Method::Ack, to)
     }
 
-    /// The CANCEL of this request (section 9.1): same branch, same number, same `To`.
+    /// Builds the CANCEL of this request (section 9.1), with the same branch, sequence number and `To`.
     pub fn cancel(&self) -> Request {
         self.hop_request(Method::Cancel, None)
     }
 
-    /// A request of another method that belongs to this one on this hop.
+    /// Builds a request of another method that belongs to this request's transaction on this hop.
     fn hop_request(&self, method: Method, to: Option<rsip::headers::To>) -> Request {
         let mut headers: Vec<Header> = Vec::new();
         let mut via = false;
@@ -353,12 +361,12 @@
 }
 
 impl Response {
-    /// Whether it is a final one.
+    /// Returns whether the response is final.
     pub fn is_final(&self) -> bool {
         self.status >= 200
     }
 
-    /// The bytes on the wire.
+    /// Encodes the message as sent on the wire.
     pub fn encode(&self) -> Vec<u8> {
         self.raw.clone().into()
     }
--- a/crates/front/sip/src/overload/control.rs
+++ b/crates/front/sip/src/overload/control.rs
@@ -1,11 +1,12 @@
-//! The decision: take a new call, or turn it away at once.
+//! Admission decision: accept a new call, or reject it immediately.
 //!
-//! The sign of overload is the least wait of an interval, from a call's arrival to the session controller's first word on it: a burst
-//! makes some wait, a queue that stands makes all wait (the idea of CoDel, RFC 8289, section 4.2). While it stands, new
-//! calls are admitted at a rate that is cut when the wait stays, and grows when it is gone. From that rate and from
-//! what all neighbours would send follows the share that each is asked to keep back (RFC 7339, section 5.5).
+//! The indicator of overload is the minimum delay in an interval, from a call's arrival to the session controller's first
+//! response. A burst delays some calls, a standing queue delays all of them (the idea of CoDel, RFC 8289, section 4.2).
+//! While the queue lasts, new calls are admitted at a rate that is cut as long as the delay persists and grows once it is
+//! gone. That rate and the offered load of all neighbours determine the fraction of calls that each neighbour is asked to
+//! reduce (RFC 7339, section 5.5).
 //!
-//! Requests within calls pass always: they end calls and free rooms, and refusing one makes more work than it saves.
+//! Requests within calls are always accepted. They end calls and free capacity, and rejecting one costs more than it saves.
 
 use std::net::SocketAddr;
 
@@ -17,77 +18,77 @@
 use super::wire::Advice;
 use crate::timer::T1;
 
-/// Length of an interval. Some tens of calls fall into it at rates where overload is a question.
+/// Length of a measurement interval. It covers some tens of calls at rates where overload is possible.
 pub const LOOK: Micros = Micros(100_000);
-/// A wait of all calls up to this is borne: a 25th of the time after which a caller repeats its INVITE.
+/// Minimum delay up to which there is no overload: a 25th of the time after which a caller retransmits its INVITE.
 pub const BORNE: Micros = Micros(T1.0 / 25);
-/// A call that has waited longer is rejected, whatever the rate: half the time after which its caller repeats it.
+/// Delay beyond which a call is rejected at any rate: half the time after which its caller retransmits the INVITE.
 pub const LATE: Micros = Micros(T1.0 / 2);
-/// What stands in the queue beyond [`BORNE`] is to be worked off within this time.
+/// Time in which the queue beyond [`BORNE`] is to drain.
 const DRAINS: Micros = T1;
-/// The rate is never cut below this part of what is worked off.
+/// Lower bound of the admitted rate as a fraction of the throughput.
 const CUT: f64 = 0.5;
-/// The weight of an interval in what the front is taken to work off: one that stood still for a moment can do more.
+/// Weight of an interval in the smoothed throughput, low because a front that stalled for a moment can process more.
 const WEIGHT: f64 = 0.3;
-/// What the rate grows by in an interval that it bound.
+/// Factor by which the rate grows in an interval in which it was the bottleneck.
 const GROWS: f64 = 1.05;
-/// Intervals without need after which the control lets go.
+/// Number of consecutive intervals without overload after which all calls are accepted.
 const CALM: u32 = 20;
-/// Fewer calls than this in an interval say nothing.
+/// Number of calls in an interval below which its delay is not significant.
 const FEW: u32 = 3;
-/// The shortest span over which a rate is taken.
+/// Minimum time span over which a rate is computed.
 const SPAN: Micros = Micros(5_000);
-/// Burst that the rate allows for, in intervals.
+/// Burst that the rate allows, in intervals.
 const BURST: f64 = 0.5;
-/// The longest time to come back that is named, seconds.
+/// Maximum `Retry-After`, in seconds.
 const LONGEST_WAIT: u64 = 8;
-/// How long an advice holds: some intervals, so that a lost answer does not end it.
+/// Validity of feedback: several intervals, so that one lost response doesn't end it.
 const VALIDITY: Micros = Micros(5 * LOOK.0);
 
-/// What becomes of a new call.
+/// Decision on a new call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ruling {
-    /// It is taken.
+    /// Accept the call.
     Take,
-    /// It is rejected. Seconds after which it may come back; none for a neighbour that keeps calls back by itself,
-    /// which would stop altogether.
+    /// Reject the call with the seconds of `Retry-After`. A neighbour that supports overload control gets none, because it
+    /// would stop sending altogether.
     TurnAway(Option<u64>),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum State {
-    /// All calls are taken.
+    /// All calls are accepted.
     Free,
-    /// Calls are taken at a rate.
+    /// Calls are accepted at a limited rate.
     Shedding(Shedding),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Shedding {
-    /// Calls a second.
+    /// Admitted calls per second.
     rate: f64,
-    /// What may be taken now.
+    /// Calls that may be accepted now.
     tokens: f64,
     filled: Micros,
-    /// The part of what all would send that the rate allows.
+    /// Fraction of the offered load that the rate admits.
     share: f64,
-    /// Calls that are worked off a second while a queue stands.
+    /// Smoothed throughput under overload, in calls per second.
     worked: f64,
-    /// Intervals in a row without need.
+    /// Number of consecutive intervals without overload.
     calm: u32,
 }
 
-/// What an interval has brought so far.
+/// Counters of the current interval.
 #[derive(Debug, Clone, Copy, Default)]
 struct Interval {
-    /// New calls of those that keep none back.
+    /// New calls from senders that don't reduce their load.
     plain: u32,
-    /// New calls of neighbours that keep back what they are told to.
+    /// New calls from neighbours that follow the feedback.
     spared: u32,
     taken: u32,
-    /// Calls on which the session controller said its first word: while a queue stands, what the front can do.
+    /// Calls that the session controller first responded to, which is the front's throughput while a queue persists.
     worked: u32,
-    /// When the last of them arrived.
+    /// Arrival time of the last call.
     last: Option<Micros>,
     least: Option<Micros>,
 }
@@ -98,12 +99,12 @@
     }
 }
 
-/// The control of one front.
+/// Overload control of a front.
 #[derive(Debug)]
 pub struct Control {
     on: bool,
     began: Option<Micros>,
-    /// When the last call of the intervals before arrived.
+    /// Arrival time of the last call of earlier intervals.
     before: Option<Micros>,
     now: Interval,
     state: State,
@@ -112,7 +113,7 @@
 }
 
 impl Control {
-    /// A control; its chance follows from the seed. One that is off takes every call.
+    /// Creates a control with seeded randomness. A disabled one accepts every call.
     pub fn new(seed: u64, on: bool) -> Self {
         Control {
             on,
@@ -125,17 +126,17 @@
         }
     }
 
-    /// The part of all new calls that is wanted now; 1 without overload.
+    /// Returns the fraction of the offered load that is admitted, 1 without overload.
     pub fn share(&self) -> f64 {
         if let State::Shedding(s) = &self.state { s.share } else { 1.0 }
     }
 
-    /// The rate at which calls are taken, a second, if there is a bound.
+    /// Returns the limit of accepted calls per second, or `None` without overload.
     pub fn rate(&self) -> Option<f64> {
         if let State::Shedding(s) = &self.state { Some(s.rate) } else { None }
     }
 
-    /// Judges a new call that arrived at a time. `claims`: its sender says that it keeps calls back when told.
+    /// Decides on a new call that arrived at a time. `claims` states that its sender supports loss-based overload control.
     pub fn judge(&mut self, now: Micros, arrived: Micros, from: SocketAddr, claims: bool) -> Ruling {
         if !self.on {
             return Ruling::Take;
@@ -157,7 +158,7 @@
         Ruling::TurnAway((!claims).then(|| self.come_back()))
     }
 
-    /// Whether the rate has room, and chance spares the call: neighbours that keep calls back have been spared already.
+    /// Returns whether the rate and random thinning admit a call. A neighbour that follows the feedback is not thinned again.
     fn fits(&mut self, now: Micros, believed: bool) -> bool {
         let State::Shedding(s) = &mut self.state else { return true };
         let room = (s.rate * LOOK.secs() * BURST).max(1.0);
@@ -170,32 +171,34 @@
         true
     }
 
-    /// The core said its first word on a call that arrived at a time.
+    /// Records the session controller's first response to a call that arrived at a time.
     pub fn worked(&mut self, now: Micros, arrived: Micros) {
         self.now.waited(now - arrived);
         self.now.worked += 1;
         self.look(now);
     }
 
-    /// What a neighbour that claims to keep calls back is told along with an answer. Nothing before it is needed.
+    /// Returns the feedback to include in a response to a neighbour that supports overload control.
+    ///
+    /// Returns `None` if the neighbour needs none.
     pub fn advice(&mut self, now: Micros, to: SocketAddr) -> Option<Advice> {
         let kept = self.share();
         if !self.on || !self.neighbours.tell(to, kept) {
             return None;
         }
-        // Rounded towards taking: the rate bounds what comes anyway, and a front that asks for nothing starves.
+        // Rounded down, because the rate limits the load anyway and a front that asks for no calls would starve.
         let percent = ((1.0 - kept) * 100.0).floor().clamp(0.0, 99.0) as u8;
-        // Time in the numerals of section 4.4: whole intervals, so that each has one.
+        // Time in whole intervals as the sequence number of section 4.4, so that each interval has its own.
         Some(Advice { percent, validity: VALIDITY, seq: now.0 / LOOK.0 })
     }
 
-    /// A time to come back: the longer, the less is taken, and spread, so that not all come at once.
+    /// Returns a random `Retry-After` in seconds, so that callers don't retry all at once. Its range grows with the overload.
     fn come_back(&mut self) -> u64 {
         let longest = (2.0 / self.share().max(0.01)).ceil().min(LONGEST_WAIT as f64) as u64;
         1 + self.chance.next_u64() % longest
     }
 
-    /// Ends the interval if it is over.
+    /// Ends the current interval if its time is over.
     fn look(&mut self, now: Micros) {
         let began = *self.began.get_or_insert(now);
         let length = now - began;
@@ -205,7 +208,7 @@
         self.began = Some(now);
         let i = std::mem::take(&mut self.now);
         let seconds = length.secs();
-        // A queue shows its calls more slowly than they came: their rate is taken over the span of their arrivals.
+        // Queued calls are seen later than they arrived, so their rate is computed over the span of their arrivals.
         let last = i.last.unwrap_or(now);
         let span = self.before.map_or(length, |before| (last - before).max(SPAN)).secs();
         self.before = i.last.or(self.before);
@@ -234,10 +237,10 @@
         } else if taken > 0.8 * self.rate || plain + spared > self.rate {
             self.rate *= GROWS;
         }
-        // What would come if nobody kept anything back.
+        // Offered load if no neighbour reduced its own.
         let wanted = plain + spared / self.share;
         let share = if wanted > 0.0 { (self.rate / wanted).min(1.0) } else { 1.0 };
-        // Halfway: one interval's count is a small sample.
+        // Moved only halfway, because one interval is a small sample.
         self.share = (self.share + share) / 2.0;
         if self.share > 0.99 {
             self.share = 1.0;
@@ -247,7 +250,7 @@
     }
 }
 
-/// The part of what is worked off that may come, for a queue of this wait to drain.
+/// Returns the fraction of the throughput to admit so that a queue with this delay drains.
 fn cut(wait: Micros) -> f64 {
     (1.0 - (wait - BORNE).secs() / DRAINS.secs()).max(CUT)
 }
--- a/crates/front/sip/src/overload/mod.rs
+++ b/crates/front/sip/src/overload/mod.rs
@@ -1,8 +1,8 @@
-//! Overload: which new calls a front takes while more come than it can work off, and what it tells those who send them.
+//! Overload control: which new calls a front accepts while it can't process all, and the feedback to those who send them.
 //!
-//! Without I/O, clock or threads. [`control`] decides from how long new calls wait before the session controller says its first word
-//! on them; [`neighbours`] judges who does what it was told; [`refused`] remembers what was rejected, so that a
-//! repeated INVITE gets the same answer and costs no more; [`wire`] is the form of RFC 7339 in a `Via`.
+//! This module has no I/O, clock or threads. [`control`] decides from the time that new calls wait until the session
+//! controller first responds. [`neighbours`] checks who follows the feedback. [`refused`] remembers rejections, so that a
+//! retransmitted INVITE gets the same response at no further cost. [`wire`] encodes the parameters of RFC 7339 in a `Via`.
 
 pub mod control;
 pub mod neighbours;
--- a/crates/front/sip/src/overload/neighbours.rs
+++ b/crates/front/sip/src/overload/neighbours.rs
@@ -1,57 +1,57 @@
-//! Who says that it keeps calls back when told, and whether it does.
+//! Neighbours that claim to support overload control, and whether they follow its feedback.
 //!
-//! A neighbour that claims the control of RFC 7339 is not thinned by us, since it has thinned already. That would be a
-//! way past the control for one that claims and does nothing. So what each sends is compared with what it sent before
-//! it was told anything: one that goes on at more than twice its part is thinned like those that claim nothing, until
-//! the overload is over.
+//! Calls of a neighbour that supports RFC 7339 are not thinned here, since the neighbour has thinned them already. To
+//! prevent a neighbour from bypassing the control by a false claim, its rate is compared with the rate at which it sent
+//! before any feedback. One that exceeds twice its allowed fraction is thinned like a neighbour without support until the
+//! overload ends.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use beechloft_session::api::Micros;
 
-/// Neighbours that are remembered; further ones count as claiming nothing.
+/// Maximum number of tracked neighbours. Further ones count as not supporting overload control.
 pub const MOST: usize = 1024;
-/// One that was not heard of for so long is forgotten.
+/// Time after its last call at which a neighbour is forgotten.
 const FORGOTTEN: Micros = Micros(10_000_000);
-/// Intervals in a row of more than its part that make a neighbour a cheat.
+/// Number of consecutive intervals above its allowance after which a neighbour is treated as not compliant.
 const STRIKES: u32 = 4;
-/// More than its part begins at this many times of it, and so many calls a second on top, as small numbers swing.
+/// Tolerance of a neighbour's allowance: a factor, and calls per second on top because small numbers fluctuate.
 const SLACK: (f64, f64) = (2.0, 20.0);
-/// The weight of an interval in a neighbour's usual rate.
+/// Weight of an interval in a neighbour's usual rate.
 const WEIGHT: f64 = 0.2;
 
-/// What a neighbour counts as.
+/// How the calls of a neighbour are treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// It keeps nothing back, or has not been told yet, or is not believed.
+    /// The neighbour doesn't reduce its load: no support, no feedback yet, or not compliant.
     Plain,
-    /// It was told what to keep back, and does as far as is known.
+    /// The neighbour got feedback and complies as far as is known.
     Told,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Neighbour {
     heard: Micros,
-    /// New calls in this interval.
+    /// New calls in the current interval.
     sent: u32,
-    /// Calls a second that it sends when it is told nothing.
+    /// Usual rate without feedback, in calls per second.
     usual: f64,
-    /// The part that it was last told to send; none: it was told nothing yet.
+    /// Fraction of its calls that the neighbour was last asked to send, or `None` before any feedback.
     told: Option<f64>,
-    /// The part that it had been told when the interval began.
+    /// Fraction that applied when the current interval began.
     known: Option<f64>,
     strikes: u32,
 }
 
-/// The neighbours of one front.
+/// Tracked neighbours of a front.
 #[derive(Debug, Default)]
 pub struct Neighbours {
     all: BTreeMap<SocketAddr, Neighbour>,
 }
 
 impl Neighbours {
-    /// A new call came from one that claims the control.
+    /// Records a new call from a neighbour that claims support.
     pub fn sent(&mut self, now: Micros, from: SocketAddr) -> Standing {
         if self.all.len() >= MOST && !self.all.contains_key(&from) {
             return Standing::Plain;
@@ -67,10 +67,10 @@
         }
     }
 
-    /// Notes what a neighbour is told to send; whether there is any need to tell it.
+    /// Records the fraction that a neighbour is to send, and returns whether the neighbour must be informed.
     pub fn tell(&mut self, to: SocketAddr, share: f64) -> bool {
         let Some(neighbour) = self.all.get_mut(&to) else { return false };
-        // One that was told something is told when it is over, too.
+        // A neighbour that got feedback is also informed of its end.
         if share >= 1.0 && neighbour.told.is_none() {
             return false;
         }
@@ -78,13 +78,13 @@
         true
     }
 
-    /// An interval of so many seconds is over; `share` holds from now on.
+    /// Ends an interval of the given length. The fraction `share` applies from now on.
     pub fn interval(&mut self, now: Micros, seconds: f64, share: f64) {
         self.all.retain(|_, n| now - n.heard < FORGOTTEN);
         for n in self.all.values_mut() {
             let rate = f64::from(std::mem::take(&mut n.sent)) / seconds;
             match n.known {
-                // Nothing was asked of it: that is what it usually sends.
+                // No feedback applied, so this is the usual rate.
                 None => {
                     let weight = if n.usual == 0.0 { 1.0 } else { WEIGHT };
                     n.usual += (rate - n.usual) * weight;
@@ -94,7 +94,7 @@
                 Some(_) => {}
             }
             if share >= 1.0 {
-                // The overload is over, and with it every doubt.
+                // The end of the overload clears all violations.
                 (n.known, n.strikes) = (None, 0);
             } else {
                 n.known = n.told;
--- a/crates/front/sip/src/overload/refused.rs
+++ b/crates/front/sip/src/overload/refused.rs
@@ -1,8 +1,8 @@
-//! What was rejected, remembered by a number each.
+//! Cache of rejected calls by a hash of their INVITE.
 //!
-//! A refusal under overload holds no transaction and is not repeated by us (the stateless server of RFC 3261, section
-//! 8.2.7): a repeated INVITE draws the same answer again. It must be the same one: were a copy judged anew and taken,
-//! its caller could see a refusal and an acceptance of one request.
+//! A rejection under overload has no transaction and is not retransmitted (the stateless server of RFC 3261, section
+//! 8.2.7). A retransmitted INVITE must get the same response again. If it were decided anew and accepted, its caller could
+//! receive a rejection and an acceptance of one request.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -12,23 +12,23 @@
 use crate::message::Request;
 use crate::timer::{T4, TRIES};
 
-/// A refusal is remembered for as long as a copy of its INVITE may come, and for twice as long at most.
+/// Minimum time for which a rejection is remembered: as long as copies of its INVITE may arrive. The maximum is twice that.
 pub const KEPT: Micros = Micros(TRIES.0 + T4.0);
-/// Refusals that are remembered of one such time. When they are that many, a further call is dropped without a word.
+/// Maximum number of rejections in each generation. At this limit a further rejected call is dropped without a response.
 pub const MOST: usize = 500_000;
 
-/// The number of an INVITE: the same for each of its copies (section 17.2.3).
+/// Hash of an INVITE, equal for all its retransmissions (section 17.2.3).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Name(u64);
 
 impl Name {
-    /// The tag of `To` in its refusal: the same for each copy, as section 8.2.7 wants it.
+    /// Returns the `To` tag of the rejection, which is equal for all copies as section 8.2.7 requires.
     pub fn tag(self) -> String {
         format!("{:016x}", self.0)
     }
 }
 
-/// The memory of one front.
+/// Recent rejections of a front, in two generations.
 #[derive(Debug)]
 pub struct Refused {
     seed: u64,
@@ -39,17 +39,17 @@
 }
 
 impl Refused {
-    /// An empty one. The seed keeps others from finding two INVITEs of one number.
+    /// Creates an empty cache. The secret seed prevents others from constructing INVITEs with equal hashes.
     pub fn new(seed: u64) -> Self {
         Refused::holding(seed, MOST)
     }
 
-    /// One that holds so many.
+    /// Creates an empty cache with the given maximum number of rejections in each generation.
     pub fn holding(seed: u64, most: usize) -> Self {
         Refused { seed, turned: Micros(0), new: BTreeMap::new(), old: BTreeMap::new(), most }
     }
 
-    /// The number of an INVITE.
+    /// Returns the hash of an INVITE.
     pub fn name(&self, invite: &Request) -> Name {
         let mut hasher = DefaultHasher::new();
         self.seed.hash(&mut hasher);
@@ -58,15 +58,15 @@
         Name(hasher.finish())
     }
 
-    /// The refusal that an INVITE has had, if any: seconds to come back after, if it named them.
+    /// Returns the rejection that an INVITE got, if any, with its seconds of `Retry-After`.
     pub fn had(&self, name: Name) -> Option<Option<u64>> {
         self.new.get(&name).or_else(|| self.old.get(&name)).copied()
     }
 
-    /// Remembers a refusal; false: there is no room, and none may be sent.
+    /// Remembers a rejection. Returns `false` if the cache is full, in which case no response may be sent.
     pub fn remember(&mut self, now: Micros, name: Name, after: Option<u64>) -> bool {
         if now - self.turned >= KEPT {
-            // What is older than two such times goes with the first of them.
+            // After two periods without a change of generation, both generations have expired.
             let both = now - self.turned >= Micros(2 * KEPT.0);
             self.old = std::mem::take(&mut self.new);
             if both {
@@ -81,12 +81,12 @@
         true
     }
 
-    /// Refusals that are remembered.
+    /// Returns the number of remembered rejections.
     pub fn len(&self) -> usize {
         self.new.len() + self.old.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether no rejection is remembered.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/front/sip/src/overload/wire/mod.rs
+++ b/crates/front/sip/src/overload/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The parameters of RFC 7339 in the topmost `Via`.
+//! Overload control parameters of RFC 7339 in the topmost `Via`.
 
 use beechloft_session::api::Micros;
 use rsip::headers::UntypedHeader;
@@ -6,18 +6,18 @@
 
 use crate::message::Response;
 
-/// What a neighbour is told: the part of its new calls to keep back.
+/// Feedback to a neighbour: the fraction of its new calls to drop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Advice {
-    /// Percent to keep back, 0 to 100 (`oc`).
+    /// Percentage of new calls to drop, 0 to 100 (`oc`).
     pub percent: u8,
-    /// How long it holds (`oc-validity`, milliseconds on the wire).
+    /// Validity period (`oc-validity`, in milliseconds on the wire).
     pub validity: Micros,
-    /// Later advice has a higher number (`oc-seq`).
+    /// Sequence number, higher in later feedback (`oc-seq`).
     pub seq: u64,
 }
 
-/// The parts of a field's value between semicolons, but for those within quotation marks.
+/// Splits a header value at semicolons outside quoted strings.
 fn parts(value: &str) -> impl Iterator<Item = &str> {
     let mut quoted = false;
     value.split(move |c| {
@@ -31,7 +31,7 @@
     ["oc", "oc-algo", "oc-validity", "oc-seq"].iter().any(|n| name.eq_ignore_ascii_case(n))
 }
 
-/// Whether the sender of a request with these fields takes part in the loss-based control (sections 4.1 and 4.2).
+/// Returns whether the sender of a request with these headers supports loss-based control (sections 4.1 and 4.2).
 pub fn claims(headers: &Headers) -> bool {
     let via = headers.iter().find_map(|h| if let Header::Via(v) = h { Some(v.value()) } else { None });
     let Some(via) = via else { return false };
@@ -46,7 +46,7 @@
     oc && loss
 }
 
-/// Puts advice into the topmost `Via` of a response, in place of what the request had there.
+/// Puts feedback into the topmost `Via` of a response, in place of the request's own parameters.
 pub fn advise(response: &mut Response, advice: Advice) {
     let headers = response.raw.headers.iter_mut();
     let via = headers.filter_map(|h| if let Header::Via(v) = h { Some(v) } else { None }).next();
--- a/crates/front/sip/src/standing.rs
+++ b/crates/front/sip/src/standing.rs
@@ -1,9 +1,9 @@
-//! A call that stands at a media server: what is still asked of the media server while it does.
+//! An established call at a media server: session refreshes and rung changes.
 //!
-//! Two things are asked, both by an UPDATE (RFC 3311) and one at a time (section 5.1): a change of the rung, and a
-//! refresh (RFC 4028), by which each side learns that the other still has the call. Without refreshes the media server ends the
-//! call by itself: a front that is gone leaves nothing there for longer than the interval. An answer that says that the
-//! media server does not know the call any more, or none at all, ends it on our side.
+//! Both use an UPDATE (RFC 3311), and only one is outstanding at a time (section 5.1). A refresh (RFC 4028) tells each side
+//! that the other still has the call. Without refreshes the media server ends the call by itself, so a front that failed
+//! leaves no call there for longer than the refresh interval. A response that says that the media server doesn't have the
+//! call any more, or no response at all, ends the call on the front's side.
 
 use beechloft_session::api::Micros;
 use rsip::Header;
@@ -14,18 +14,18 @@
 use crate::message::{Method, Request, Response};
 use crate::transaction::{Key, Layer};
 
-/// After a broken connection the media server is asked within this time, spread, whether it still has the call.
+/// Range of the random delay before a refresh after the connection to the media server was lost.
 const ASKS: (Micros, Micros) = (Micros(500_000), Micros(2_500_000));
-/// An UPDATE that crossed another (491) is sent again within this time (RFC 3261, section 14.1, for the side that made
-/// the `Call-ID`).
+/// Range of the random delay before an UPDATE that crossed another (491) is retried, for the side that generated the
+/// `Call-ID` (RFC 3261, section 14.1).
 const CROSSED: (Micros, Micros) = (Micros(2_100_000), Micros(4_000_000));
 
-/// What an answer means for the call.
+/// State of the call after a response to an UPDATE.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Means {
-    /// It stands.
+    /// The call is still established.
     Stands,
-    /// The media server does not have it any more.
+    /// The media server doesn't have the call any more.
     Gone,
 }
 
@@ -35,20 +35,20 @@
     offer: Option<String>,
 }
 
-/// The call.
+/// An established call at a media server.
 #[derive(Debug)]
 pub struct Standing {
     dialog: Dialog,
-    /// Between two refreshes; none: the media server takes no UPDATE.
+    /// Interval between two refreshes, or `None` if the media server doesn't support UPDATE.
     every: Option<Micros>,
     refresh: Micros,
-    /// The UPDATE that is out.
+    /// The outstanding UPDATE.
     sent: Option<Sent>,
-    /// The offer that is to be sent, and not before when.
+    /// The next offer and the earliest time at which it may be sent.
     wanted: Option<(String, Micros)>,
 }
 
-/// The extension fields of a request that sets or refreshes the interval.
+/// Returns the header fields of a request that sets or refreshes the session interval.
 pub fn timer_fields() -> [Header; 3] {
     [
         Header::Supported("timer".into()),
@@ -62,47 +62,47 @@
 }
 
 impl Standing {
-    /// A call that was just accepted.
+    /// Creates the state of a call from the 2xx that accepted it.
     pub fn new(now: Micros, dialog: Dialog, answer: &Response) -> Standing {
         let every = interval(answer);
         Standing { dialog, every: Some(every), refresh: now + every, sent: None, wanted: None }
     }
 
-    /// Its dialog.
+    /// Returns the dialog of the call.
     pub fn dialog(&mut self) -> &mut Dialog {
         &mut self.dialog
     }
 
-    /// The dialog alone.
+    /// Converts the call into its dialog.
     pub fn into_dialog(self) -> Dialog {
         self.dialog
     }
 
-    /// The key of the UPDATE that is out.
+    /// Returns the key of the outstanding UPDATE.
     pub fn key(&self) -> Option<&Key> {
         self.sent.as_ref().map(|s| &s.key)
     }
 
-    /// When [`Standing::due`] is next needed.
+    /// Returns the time at which [`Standing::due`] must be called next.
     pub fn next_due(&self) -> Option<Micros> {
         if self.sent.is_some() {
-            return None; // its transaction ends by itself
+            return None; // the transaction has its own timeout
         }
         let refresh = self.every.map(|_| self.refresh);
         refresh.into_iter().chain(self.wanted.as_ref().map(|w| w.1)).min()
     }
 
-    /// Another rung: the newest offer counts, whatever was wanted before.
+    /// Sets the offer to send next, in place of any offer that is still unsent.
     pub fn change(&mut self, now: Micros, offer: &str) {
         self.wanted = Some((offer.to_owned(), now));
     }
 
-    /// Its connection broke. That ends no call, but perhaps the media server broke with it.
+    /// Schedules an early refresh after the connection was lost, since the media server may have failed with it.
     pub fn broken(&mut self, now: Micros, mint: &mut Mint) {
         self.refresh = self.refresh.min(now + spread(ASKS, mint));
     }
 
-    /// The UPDATE that is due, if one is.
+    /// Returns the UPDATE that is due, or `None` if there is none.
     pub fn due(&mut self, now: Micros, at: &Local, mint: &mut Mint) -> Option<Request> {
         if self.next_due().is_none_or(|due| due > now) {
             return None;
@@ -110,11 +110,11 @@
         let offer = self.wanted.take_if(|w| w.1 <= now).map(|w| w.0);
         let update = self.dialog.request(Method::Update, at, &mint.branch(), offer.as_deref());
         let Some(mut update) = update else {
-            // What the media server gave as its address makes no request: nothing can be asked of it, now or later.
+            // The media server's contact address makes no valid request, so that no UPDATE can ever be sent.
             (self.every, self.wanted) = (None, None);
             return None;
         };
-        // Content-Length stays last: what reads a stream looks for the empty line anyway, people look for the order.
+        // `Content-Length` remains the last field by convention. Parsers don't depend on it.
         let length = update.raw.headers.iter().position(|h| matches!(h, Header::ContentLength(_)));
         let mut headers: Vec<Header> = update.raw.headers.iter().cloned().collect();
         let place = length.unwrap_or(headers.len());
@@ -124,7 +124,7 @@
         Some(update)
     }
 
-    /// The final answer to the UPDATE of this key, or none in time.
+    /// Handles the final response to the UPDATE with this key, or its timeout if `answer` is `None`.
     pub fn answered(&mut self, now: Micros, key: &Key, answer: Option<&Response>, mint: &mut Mint) -> Means {
         let Some(sent) = self.sent.take_if(|s| s.key == *key) else { return Means::Stands };
         let Some(answer) = answer else { return Means::Gone };
@@ -142,22 +142,22 @@
                     self.wanted = Some((offer, now + wait));
                 }
             }
-            // It knows no UPDATE. The call stands as it is; its end is learned from the media server's events alone.
+            // The media server doesn't support UPDATE. Only its events report the end of the call.
             405 | 501 => (self.every, self.wanted) = (None, None),
-            // It has the call and does not want this.
+            // The media server has the call but rejects the change.
             _ => self.refresh = now + self.every.unwrap_or_default(),
         }
         Means::Stands
     }
 }
 
-/// Half of what the media server allows between refreshes (RFC 4028, section 10).
+/// Returns half of the interval that the media server allows between refreshes (RFC 4028, section 10).
 fn interval(answer: &Response) -> Micros {
     let seconds = session_expires(&answer.raw.headers).map_or(SESSION, |s| s.clamp(MIN_SE, SESSION));
     Micros(u64::from(seconds) * 500_000)
 }
 
-/// A wait that a failure names, 0 to 10 s as RFC 3311, section 5.2, has it.
+/// Returns the delay of `Retry-After`, limited to 10 s (RFC 3311, section 5.2).
 fn retry_after(answer: &Response) -> Option<Micros> {
     let named = answer
         .raw
--- a/crates/front/sip/src/timer.rs
+++ b/crates/front/sip/src/timer.rs
@@ -1,21 +1,21 @@
-//! The timer values of RFC 3261, table 4, and RFC 6026, section 7.1.
+//! Timer values of RFC 3261, table 4, and RFC 6026, section 7.1.
 
 use beechloft_session::api::Micros;
 
-/// Estimate of a round trip.
+/// Estimate of the round-trip time.
 pub const T1: Micros = Micros(500_000);
-/// Longest pause between two retransmissions of a request other than INVITE and of a response to INVITE.
+/// Maximum retransmission interval of a non-INVITE request and of a response to an INVITE.
 pub const T2: Micros = Micros(4_000_000);
-/// Longest time that a message stays in the network.
+/// Maximum time that a message remains in the network.
 pub const T4: Micros = Micros(5_000_000);
-/// How long a transaction is tried: 64 times [`T1`] (timers B, F, H, J, L and M).
+/// Timeout of a transaction: 64 times [`T1`] (timers B, F, H, J, L and M).
 pub const TRIES: Micros = Micros(64 * T1.0);
-/// How long an INVITE client transaction absorbs repeated failures over UDP (timer D).
+/// Time for which an INVITE client transaction absorbs retransmitted failures over UDP (timer D).
 pub const ABSORB: Micros = Micros(32_000_000);
-/// When a server transaction answers 100 by itself, if its user has said nothing (section 17.2.1).
+/// Time after which an INVITE server transaction sends a 100 if its user has not responded (section 17.2.1).
 pub const TRYING: Micros = Micros(200_000);
 
-/// A pause that doubles, up to a bound.
+/// Retransmission interval that doubles up to a maximum.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Backoff {
     pause: Micros,
@@ -23,22 +23,22 @@
 }
 
 impl Backoff {
-    /// Begins at T1, unbounded (timer A).
+    /// Returns a backoff for an INVITE: from T1, doubling until the transaction times out (timer A).
     pub fn invite() -> Self {
         Backoff { pause: T1, most: TRIES }
     }
 
-    /// Begins at T1, up to T2 (timers E and G).
+    /// Returns a backoff from T1 up to T2 (timers E and G).
     pub fn bounded() -> Self {
         Backoff { pause: T1, most: T2 }
     }
 
-    /// Always T2 (timer E once a provisional response has come).
+    /// Returns a constant backoff of T2 (timer E after a provisional response).
     pub fn slow() -> Self {
         Backoff { pause: T2, most: T2 }
     }
 
-    /// The pause now; the next is twice as long.
+    /// Returns the current interval and doubles the next one.
     pub fn take(&mut self) -> Micros {
         let pause = self.pause;
         self.pause = Micros((pause.0 * 2).min(self.most.0));
--- a/crates/front/sip/src/transaction/client.rs
+++ b/crates/front/sip/src/transaction/client.rs
@@ -1,4 +1,4 @@
-//! Client transactions: figures 5 and 6 of RFC 3261, the first with RFC 6026's Accepted state.
+//! Client transactions: figures 5 and 6 of RFC 3261, with RFC 6026's Accepted state for INVITE.
 
 use beechloft_session::api::Micros;
 
@@ -6,47 +6,47 @@
 use crate::message::{Method, Names, Request, Response};
 use crate::timer::{ABSORB, Backoff, T4, TRIES};
 
-/// Where a client transaction is.
+/// State of a client transaction.
 #[derive(Debug)]
 enum State {
-    /// Nothing has come. Repeated at a time (timers A and E), given up at another (B and F).
+    /// No response has arrived. The request is retransmitted (timers A and E) until the timeout (timers B and F).
     Calling { repeat: Option<(Micros, Backoff)>, until: Micros },
-    /// A provisional response has come. An INVITE then waits as long as its user does.
+    /// A provisional response has arrived. An INVITE then waits for as long as its user does.
     Proceeding { repeat: Option<(Micros, Backoff)>, until: Option<Micros> },
-    /// A final response other than 2xx to INVITE has come; repeated ones are acknowledged again (timer D).
+    /// A final response other than 2xx to an INVITE has arrived. Retransmitted ones are acknowledged again (timer D).
     Completed { ack: Box<Request>, until: Micros },
-    /// The final response of a request other than INVITE has come; repeated ones are absorbed (timer K).
+    /// The final response to a non-INVITE request has arrived. Retransmitted ones are absorbed (timer K).
     Answered { until: Micros },
-    /// A 2xx to INVITE has come; further ones are told (timer M).
+    /// A 2xx to an INVITE has arrived. Further ones are delivered (timer M).
     Accepted { until: Micros },
-    /// Over.
+    /// The transaction has ended.
     Terminated,
 }
 
-/// What a client transaction wants done.
+/// Action requested by a client transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    /// Send its request or an ACK.
+    /// Send the request or an ACK.
     Send(Box<Request>),
-    /// Tell its user of a response.
+    /// Deliver a response to the user.
     Tell(Box<Response>),
-    /// Tell its user that no final response came.
+    /// Report to the user that no final response arrived.
     TimedOut,
 }
 
-/// One client transaction.
+/// Client transaction.
 #[derive(Debug)]
 pub struct Client {
     names: Names,
     method: Method,
-    /// What it sent, until a final response has come: the transaction outlives that by half a minute.
+    /// The request, kept only until a final response arrives because the transaction lives on for half a minute.
     request: Option<Box<Request>>,
     transport: Transport,
     state: State,
 }
 
 impl Client {
-    /// Begins by sending a request.
+    /// Starts a transaction by sending its request.
     pub fn new(now: Micros, request: Request, transport: Transport, out: &mut Vec<Step>) -> Self {
         let mut backoff =
             if request.method() == Method::Invite { Backoff::invite() } else { Backoff::bounded() };
@@ -62,7 +62,7 @@
         }
     }
 
-    /// What names the request that it sent.
+    /// Returns the identifiers of the request.
     pub fn names(&self) -> &Names {
         &self.names
     }
@@ -71,7 +71,7 @@
         self.method == Method::Invite
     }
 
-    /// A response to it came.
+    /// Handles a response to the request.
     pub fn received(&mut self, now: Micros, response: Response, out: &mut Vec<Step>) {
         let (response, invite) = (Box::new(response), self.is_invite());
         let request = if response.is_final() { self.request.take() } else { None };
@@ -105,7 +105,7 @@
                 self.end_if(wait == Micros(0));
                 out.push(Step::Tell(response));
             }
-            // A repeated failure means that the ACK was lost. One with another tag is another's, and not acknowledged.
+            // A retransmitted failure means that the ACK was lost. One with another tag belongs to another dialog and gets no ACK.
             (State::Completed { ack, .. }, 300..) if ack.names.to_tag == response.names.to_tag => {
                 out.push(Step::Send(ack.clone()));
             }
@@ -119,7 +119,7 @@
         }
     }
 
-    /// What is due by now.
+    /// Runs the timers that have expired.
     pub fn due(&mut self, now: Micros, out: &mut Vec<Step>) {
         match &mut self.state {
             State::Calling { until, .. } | State::Proceeding { until: Some(until), .. } if *until <= now => {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// When [`Client::due`] is next needed.
+    /// Returns the time at which [`Client::due`] must be called next.
     pub fn next_due(&self) -> Option<Micros> {
         match &self.state {
             State::Calling { repeat, until } => Some(repeat.map_or(*until, |r| r.0.min(*until))),
@@ -154,17 +154,17 @@
         }
     }
 
-    /// Whether a CANCEL may be sent: a provisional response has come and no final one (section 9.1).
+    /// Returns whether a CANCEL may be sent: a provisional response has arrived and no final one (section 9.1).
     pub fn may_cancel(&self) -> bool {
         self.is_invite() && matches!(self.state, State::Proceeding { .. })
     }
 
-    /// Whether a final response has come, or none will.
+    /// Returns whether a final response has arrived or the transaction has timed out.
     pub fn is_answered(&self) -> bool {
         !matches!(self.state, State::Calling { .. } | State::Proceeding { .. })
     }
 
-    /// Whether it is over.
+    /// Returns whether the transaction has ended.
     pub fn is_over(&self) -> bool {
         matches!(self.state, State::Terminated)
     }
--- a/crates/front/sip/src/transaction/layer.rs
+++ b/crates/front/sip/src/transaction/layer.rs
@@ -1,4 +1,4 @@
-//! The table of transactions: messages find theirs, time moves them, and their number is bounded.
+//! Transaction layer: a bounded table that routes messages to their transactions and runs their timers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,19 +10,19 @@
 use super::server::{self, Server};
 use crate::message::{Message, Method, Request, Response};
 
-/// Server transactions at once; past that a new request gets a 503 that is remembered nowhere.
+/// Maximum number of concurrent server transactions. Further requests get a stateless 503.
 pub const SERVERS: usize = 200_000;
 
-/// Which side of a transaction we are.
+/// Local role in a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Side {
-    /// We were asked.
+    /// The request was received.
     Server,
-    /// We asked.
+    /// The request was sent.
     Client,
 }
 
-/// What tells transactions apart (sections 17.1.3 and 17.2.3). An ACK of a failure has its INVITE's key.
+/// Identifier of a transaction (sections 17.1.3 and 17.2.3). The ACK of a failure has the key of its INVITE.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key {
     side: Side,
@@ -57,65 +57,65 @@
     }
 
     fn client(branch: &str, method: Method) -> Key {
-        // Our own branches are unique by themselves; the response's sent-by is ours.
+        // Locally generated branches are unique, and the `sent-by` of a response is always the local one.
         Key { side: Side::Client, branch: branch.to_owned(), sent_by: String::new(), method: word(method) }
     }
 
-    /// The key of the INVITE that a CANCEL is about.
+    /// Returns the key of the INVITE that a CANCEL refers to.
     fn cancelled(request: &Request) -> Key {
         Key { method: "INVITE", ..Key::server(request) }
     }
 
-    /// Which side we are.
+    /// Returns the local role in the transaction.
     pub fn side(&self) -> Side {
         self.side
     }
 }
 
-/// Where messages come from and go to.
+/// Source or destination of messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Peer {
-    /// The other side's address.
+    /// Address of the peer.
     pub address: SocketAddr,
-    /// How it is reached.
+    /// Transport to the peer.
     pub transport: Transport,
-    /// Which connection, on a stream; 0 for datagrams.
+    /// ID of the connection on a stream, 0 for datagrams.
     pub conn: u64,
 }
 
-/// What happens to the layer.
+/// Input of the transaction layer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
-    /// A message came.
+    /// A message arrived.
     Received(Peer, Box<Message>),
-    /// The user sends a request in a transaction of its own. An ACK of a 2xx is not one: it is sent as it is.
+    /// The user sends a request. It gets a client transaction, except for the ACK of a 2xx, which is sent without one.
     Send(Peer, Box<Request>),
-    /// The user answers a request.
+    /// The user responds to a request.
     Respond(Key, Box<Response>),
-    /// A stream to a peer is gone.
+    /// The stream to a peer was closed.
     Lost(Peer),
-    /// Time passes.
+    /// Timers may have expired.
     Tick,
 }
 
-/// What the layer wants done.
+/// Output of the transaction layer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Put a message on the wire.
+    /// Send a message.
     Transmit(Peer, Box<Message>),
-    /// A new request for the user; it is told once.
+    /// A new request for the user, without its retransmissions.
     Request(Key, Peer, Box<Request>),
-    /// A CANCEL for a request that has no final answer yet. The CANCEL itself has been answered.
+    /// A CANCEL arrived for a request without a final response. The CANCEL itself has been answered.
     Cancelled(Key),
-    /// An ACK of a 2xx, which belongs to a dialog.
+    /// The ACK of a 2xx arrived. It belongs to a dialog.
     Ack(Peer, Box<Request>),
     /// A response to a request of the user.
     Response(Key, Box<Response>),
-    /// No final response came in time, or the stream broke before one.
+    /// No final response arrived in time, or the stream was closed before one.
     TimedOut(Key),
-    /// A 2xx that belongs to no transaction any more; its dialog may still have to acknowledge it.
+    /// A 2xx to an INVITE that matches no transaction. The dialog may still have to acknowledge it.
     Stray(Peer, Box<Response>),
-    /// The ACK of a failure never came.
+    /// No ACK arrived for a failure.
     NoAck(Key),
 }
 
@@ -124,14 +124,16 @@
 pub struct Layer {
     servers: BTreeMap<Key, (Peer, Server)>,
     clients: BTreeMap<Key, (Peer, Client)>,
-    /// Those of them that go over a stream, by it.
+    /// Client transactions over each stream.
     by_stream: BTreeMap<Peer, BTreeSet<Key>>,
     due: BTreeSet<(Micros, Key)>,
     now: Micros,
 }
 
 impl Layer {
-    /// Takes one input and appends what is to be done. A `now` that goes back counts as the one before.
+    /// Handles one input and appends the resulting outputs.
+    ///
+    /// Time never runs backwards: a `now` before that of the last call is replaced by the latter.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.run_due(out);
@@ -147,37 +149,37 @@
         }
     }
 
-    /// When [`Input::Tick`] is next needed.
+    /// Returns the time at which [`Input::Tick`] is needed next.
     pub fn next_due(&self) -> Option<Micros> {
         self.due.first().map(|d| d.0)
     }
 
-    /// Transactions that are not over.
+    /// Returns the number of transactions that have not ended.
     pub fn len(&self) -> usize {
         self.servers.len() + self.clients.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no transactions.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Whether a request belongs to a transaction that is known: it is a copy.
+    /// Returns whether a request is a retransmission that belongs to an existing transaction.
     pub fn knows(&self, request: &Request) -> bool {
         self.servers.contains_key(&Key::server(request))
     }
 
-    /// Who is on the other side of a transaction in which we were asked.
+    /// Returns the peer of a server transaction.
     pub fn peer_of(&self, key: &Key) -> Option<Peer> {
         self.servers.get(key).map(|s| s.0)
     }
 
-    /// Whether a CANCEL may be sent for a request of the user now.
+    /// Returns whether a CANCEL may be sent now for a request of the user.
     pub fn may_cancel(&self, key: &Key) -> bool {
         self.clients.get(key).is_some_and(|c| c.1.may_cancel())
     }
 
-    /// The key under which a request of the user goes.
+    /// Returns the key of the client transaction of a request.
     pub fn key_of(request: &Request) -> Key {
         Key::client(&request.names.branch, request.method())
     }
@@ -189,7 +191,7 @@
             return self.on_server(&key, out, |server, now, steps| server.received(now, method, steps));
         }
         match request.method() {
-            // Not of a failure: of a 2xx, whose transaction it is not (section 13.2.2.4).
+            // The ACK of a 2xx belongs to no transaction (section 13.2.2.4).
             Method::Ack => return out.push(Output::Ack(peer, Box::new(request))),
             _ if self.servers.len() >= SERVERS => {
                 let mut full = request.answer(503, "full");
@@ -209,8 +211,9 @@
         self.servers.insert(key.clone(), (peer, server));
     }
 
-    /// A CANCEL is answered here (section 9.2): 200 if what it is about is known, else 481. The user is told if that
-    /// has no final answer yet.
+    /// Answers a CANCEL (section 9.2) with 200 if its INVITE is known, else with 481.
+    ///
+    /// The user is informed if the INVITE has no final response yet.
     fn cancel(&mut self, key: Key, peer: Peer, request: Request, out: &mut Vec<Output>) {
         let about = Key::cancelled(&request);
         let known = self.servers.get(&about).map(|(_, s)| s.is_answered());
@@ -252,7 +255,7 @@
         let key = Key::client(&response.names.branch, response.method);
         let ours = |c: &(Peer, Client)| {
             let (own, got) = (c.1.names(), &response.names);
-            // A forged response that does not know the call and its tag is nobody's.
+            // A response with another call ID, tag or sequence number may be forged and is dropped.
             own.call == got.call && own.from_tag == got.from_tag && own.seq == got.seq
         };
         if self.clients.get(&key).is_some_and(ours) {
@@ -262,7 +265,7 @@
         }
     }
 
-    /// A stream is gone: requests that wait on it will have no answer.
+    /// Ends the client transactions of a closed stream. Those without a final response time out.
     fn lost(&mut self, peer: Peer, out: &mut Vec<Output>) {
         for key in self.by_stream.remove(&peer).unwrap_or_default() {
             if let Some((_, client)) = self.clients.remove(&key) {
--- a/crates/front/sip/src/transaction/mod.rs
+++ b/crates/front/sip/src/transaction/mod.rs
@@ -1,7 +1,7 @@
 //! Transactions (RFC 3261, section 17, with RFC 6026): one request and its responses on one hop.
 //!
-//! A retransmission is absorbed here and never reaches the user of the layer: a request is told once, a final response
-//! once. Only 2xx responses to INVITE are told each time, since they go from end to end and their ACK is the user's.
+//! Retransmissions are absorbed here: the user of the layer receives each request and each final response once. The
+//! exception is a 2xx response to an INVITE. It is end to end, its ACK is up to the user, and each copy is delivered.
 
 pub mod client;
 pub mod layer;
@@ -11,17 +11,17 @@
 
 use beechloft_session::api::Micros;
 
-/// Whether the transport repeats lost data by itself.
+/// Transport of a message. Only TCP retransmits lost data by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Transport {
-    /// Datagrams.
+    /// Unreliable datagrams.
     Udp,
-    /// A stream.
+    /// Reliable stream.
     Tcp,
 }
 
 impl Transport {
-    /// A pause that only datagrams need: none on a stream.
+    /// Returns the delay on an unreliable transport, and zero on a reliable one.
     pub(crate) fn wait(self, pause: Micros) -> Micros {
         if self == Transport::Udp { pause } else { Micros(0) }
     }
--- a/crates/front/sip/src/transaction/server.rs
+++ b/crates/front/sip/src/transaction/server.rs
@@ -1,8 +1,8 @@
-//! Server transactions: figures 7 and 8 of RFC 3261, the first with RFC 6026's Accepted state.
+//! Server transactions: figures 7 and 8 of RFC 3261, with RFC 6026's Accepted state for INVITE.
 //!
-//! Over datagrams they are kept for T4 longer than the figures say. A client repeats its request for 64 T1, and the
-//! last copy may be on the way for T4 more; a transaction that ends before would take it for a new request, and a
-//! session would be set up twice.
+//! Over UDP they are kept for T4 longer than the figures say. A client retransmits its request for 64 T1, and the last
+//! copy may be in the network for T4 more. A transaction that ended before would take this copy for a new request, and
+//! the session would be set up twice.
 
 use beechloft_session::api::Micros;
 
@@ -10,46 +10,46 @@
 use crate::message::{Method, Request, Response};
 use crate::timer::{Backoff, T4, TRIES, TRYING};
 
-/// Where a server transaction is.
+/// State of a server transaction.
 #[derive(Debug)]
 enum State {
-    /// Nothing has been answered. An INVITE gets a 100 at this time, if its user stays silent.
+    /// No response has been sent. For an INVITE, a 100 is sent at the given time.
     Trying(Option<Micros>),
-    /// A provisional response has gone out last.
+    /// The last response sent was provisional.
     Proceeding(Box<Response>),
-    /// A final response other than 2xx to INVITE has gone out and is repeated until its ACK (timers G and H).
+    /// A final response other than 2xx to an INVITE has been sent. It is retransmitted until its ACK (timers G and H).
     Completed { response: Box<Response>, repeat: Option<(Micros, Backoff)>, until: Micros },
-    /// The final response of a request other than INVITE has gone out (timer J).
+    /// The final response to a non-INVITE request has been sent (timer J).
     Answered { response: Box<Response>, until: Micros },
-    /// A 2xx to INVITE has gone out; its user repeats it (timer L).
+    /// A 2xx to an INVITE has been sent. Its user retransmits it (timer L).
     Accepted { until: Micros },
-    /// The ACK has come; further ones are absorbed (timer I).
+    /// The ACK has arrived. Further ones are absorbed (timer I).
     Confirmed { until: Micros },
-    /// Over.
+    /// The transaction has ended.
     Terminated,
 }
 
-/// What a server transaction wants done.
+/// Action requested by a server transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
     /// Send a response.
     Send(Box<Response>),
-    /// The ACK of a final response other than 2xx never came.
+    /// Report that no ACK arrived for a final response other than 2xx.
     NoAck,
 }
 
-/// One server transaction.
+/// Server transaction.
 #[derive(Debug)]
 pub struct Server {
     method: Method,
-    /// What was asked, until something was answered: the transaction outlives that by half a minute.
+    /// The request, kept only until the first response because the transaction lives on for half a minute.
     request: Option<Box<Request>>,
     transport: Transport,
     state: State,
 }
 
 impl Server {
-    /// Begins with a request that was not seen before.
+    /// Starts a transaction for a new request.
     pub fn new(now: Micros, request: Request, transport: Transport) -> Self {
         let method = request.method();
         let trying = (method == Method::Invite).then_some(now + TRYING);
@@ -60,7 +60,7 @@
         self.method == Method::Invite
     }
 
-    /// The same request came again, or the ACK of its failure.
+    /// Handles a retransmission of the request, or the ACK of its failure.
     pub fn received(&mut self, now: Micros, method: Method, out: &mut Vec<Step>) {
         if method == Method::Ack {
             if let State::Completed { .. } = self.state {
@@ -80,7 +80,9 @@
         }
     }
 
-    /// The user answers. A response after the final one is dropped, but for repeated 2xx to INVITE.
+    /// Sends a response of the user and returns whether it was sent.
+    ///
+    /// A response after the final one is dropped, except for a retransmitted 2xx to an INVITE.
     pub fn respond(&mut self, now: Micros, response: Response, out: &mut Vec<Step>) -> bool {
         let response = Box::new(response);
         match (&self.state, response.status) {
@@ -114,7 +116,7 @@
         }
     }
 
-    /// What is due by now.
+    /// Runs the timers that have expired.
     pub fn due(&mut self, now: Micros, out: &mut Vec<Step>) {
         match &mut self.state {
             State::Trying(Some(at)) if *at <= now => {
@@ -141,7 +143,7 @@
         }
     }
 
-    /// When [`Server::due`] is next needed.
+    /// Returns the time at which [`Server::due`] must be called next.
     pub fn next_due(&self) -> Option<Micros> {
         match &self.state {
             State::Trying(at) => *at,
@@ -153,12 +155,12 @@
         }
     }
 
-    /// Whether a final response has been given.
+    /// Returns whether a final response has been sent.
     pub fn is_answered(&self) -> bool {
         !matches!(self.state, State::Trying(_) | State::Proceeding(_))
     }
 
-    /// Whether it is over.
+    /// Returns whether the transaction has ended.
     pub fn is_over(&self) -> bool {
         matches!(self.state, State::Terminated)
     }
