--- a/crates/cli/src/bench/calls.rs
+++ b/crates/cli/src/bench/calls.rs
@@ -7,7 +7,7 @@
 use beechloft_fakes::dice::Dice;
 use beechloft_fakes::{caller, offer};
 use beechloft_http::client::Pool;
-use beechloft_sip::dialog::{Dialog, Local, Mint};
+use beechloft_sip::dialog::{Dialog, IdGenerator, LocalEndpoint};
 use beechloft_sip::framing::{Framed, Framer};
 use beechloft_sip::message::{Message, Method, Request, Response};
 
@@ -15,9 +15,10 @@
 pub fn one(_: &Pool, to: SocketAddr, dice: &mut Dice) -> io::Result<Duration> {
     let began = Instant::now();
     let mut stream = Stream::open(to)?;
-    let (own, mut mint) = (stream.socket.local_addr()?.to_string(), Mint::new(dice.number()));
-    let (body, id, branch) = (offer::plain(&mint.name(), None), mint.name(), mint.branch());
-    let at = Local { transport: "TCP", sent_by: own };
+    let (own, mut id_generator) = (stream.socket.local_addr()?.to_string(), IdGenerator::new(dice.number()));
+    let (body, id, branch) =
+        (offer::plain(&id_generator.tag(), None), id_generator.tag(), id_generator.branch());
+    let at = LocalEndpoint { transport: "TCP", sent_by: own };
     let Some(invite) = caller::invite(&at, to, "asparagus", &id, &branch, &body) else {
         return Err(io::Error::other("an INVITE that makes no sense"));
     };
@@ -30,8 +31,8 @@
     }
     let mut dialog = Dialog::as_client(&invite, &answer).map_err(io::Error::other)?;
     let nothing = || io::Error::other("a box whose address makes no sense");
-    stream.send(&dialog.ack(1, &at, &mint.branch()).ok_or_else(nothing)?)?;
-    stream.send(&dialog.request(Method::Bye, &at, &mint.branch(), None).ok_or_else(nothing)?)?;
+    stream.send(&dialog.ack(1, &at, &id_generator.branch()).ok_or_else(nothing)?)?;
+    stream.send(&dialog.request(Method::Bye, &at, &id_generator.branch(), None).ok_or_else(nothing)?)?;
     stream.answer(Method::Bye)?;
     Ok(took)
 }
--- a/crates/front/server/src/engine/event_loop.rs
+++ b/crates/front/server/src/engine/event_loop.rs
@@ -130,14 +130,16 @@
     fn handled_by_sip(&self, output: &Output) -> bool {
         let Some(agent) = &self.sip else { return false };
         let (concerns_sip, is_all) = match output {
-            Output::SetUp { request, .. } | Output::Reply(request, _) => (request.0 & agent::OWN != 0, true),
-            Output::SetRung { layers, .. } => (layers.starts_with(agent::RESOURCE), true),
-            Output::Release { resource, .. } => (resource.starts_with(agent::RESOURCE), true),
+            Output::SetUp { request, .. } | Output::Reply(request, _) => {
+                (request.0 & agent::AGENT_ID_BIT != 0, true)
+            }
+            Output::SetRung { layers, .. } => (layers.starts_with(agent::RESOURCE_PREFIX), true),
+            Output::Release { resource, .. } => (resource.starts_with(agent::RESOURCE_PREFIX), true),
             Output::Cancel(_) | Output::SessionEnded(..) => (true, false),
             _ => (false, false),
         };
         if concerns_sip {
-            let _ = agent.send(agent::Input::Core(Box::new(output.clone())));
+            let _ = agent.send(agent::Input::Controller(Box::new(output.clone())));
         }
         concerns_sip && is_all
     }
--- a/crates/front/server/src/sip/mod.rs
+++ b/crates/front/server/src/sip/mod.rs
@@ -13,7 +13,7 @@
 
 use beechloft_http::wait;
 use beechloft_sip::agent::{Agent, Input, Output};
-use beechloft_sip::message::{BYTES, Message};
+use beechloft_sip::message::{MAX_MESSAGE_BYTES, Message};
 use beechloft_sip::overload::Control;
 use beechloft_sip::transaction::Transport;
 use beechloft_sip::transaction::layer::Peer;
@@ -109,7 +109,7 @@
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Core(input) => self.shared.handle.input(*input),
+            Output::Controller(input) => self.shared.handle.input(*input),
             Output::Close(peer) => self.streams.close(peer),
             Output::Transmit(peer, message) => {
                 let bytes = match &*message {
@@ -126,7 +126,7 @@
 }
 
 fn read_datagrams(shared: &Shared, udp: &UdpSocket, agent: &AgentSender) {
-    let mut buffer = vec![0; BYTES];
+    let mut buffer = vec![0; MAX_MESSAGE_BYTES];
     while !shared.handle.ended() {
         let Ok((length, address)) = udp.recv_from(&mut buffer) else { continue };
         let peer = Peer { address, transport: Transport::Udp, conn: 0 };
--- a/crates/front/server/src/sip/queues/mod.rs
+++ b/crates/front/server/src/sip/queues/mod.rs
@@ -68,7 +68,7 @@
         let Input::Received(_, message, _) = input else { return &self.reliable };
         match &**message {
             Message::Request(request)
-                if request.method() == Method::Invite && request.names.to_tag.is_none() =>
+                if request.method() == Method::Invite && request.ids.to_tag.is_none() =>
             {
                 &self.new_calls
             }
--- a/crates/front/server/src/sip/streams/event_loop.rs
+++ b/crates/front/server/src/sip/streams/event_loop.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use beechloft_sip::agent::{Input, OWN};
+use beechloft_sip::agent::{AGENT_ID_BIT, Input};
 use beechloft_sip::framing::{Framed, Framer};
 use beechloft_sip::transaction::layer::Peer;
 use crossbeam_channel::Receiver;
@@ -106,20 +106,20 @@
         }
         let _ = stream.socket.shutdown(Shutdown::Both);
         self.deadlines.remove(&(stream.deadline, stream.peer.conn));
-        if stream.peer.conn < OWN {
+        if stream.peer.conn < AGENT_ID_BIT {
             self.callers.fetch_sub(1, Ordering::SeqCst);
         }
     }
 
     pub(super) fn send(&mut self, peer: Peer, bytes: &[u8]) {
         if !self.open.contains_key(&peer.conn) {
-            if peer.conn < OWN {
+            if peer.conn < AGENT_ID_BIT {
                 return; // its caller closed it
             }
             if let Err(error) = self.connect(peer) {
                 debug!(target: "boxes", peer = %peer.address, %error, "no stream");
                 let refused = error.kind() == io::ErrorKind::ConnectionRefused;
-                return self.agent.reliable(Input::Lost(peer, refused));
+                return self.agent.reliable(Input::ConnectionLost(peer, refused));
             }
         }
         let Some(stream) = self.open.get_mut(&peer.conn) else { return };
@@ -159,7 +159,7 @@
         if let Err(error) = epoll::add(&self.epoll, &stream.socket, data, stream.interest) {
             debug!(target: "boxes", peer = %peer.address, %error, "no stream");
             self.close(stream);
-            return self.agent.reliable(Input::Lost(peer, false));
+            return self.agent.reliable(Input::ConnectionLost(peer, false));
         }
         self.deadlines.insert((deadline, peer.conn));
         self.open.insert(peer.conn, stream);
@@ -188,7 +188,7 @@
         for input in undelivered {
             self.agent.reliable(input);
         }
-        self.agent.reliable(Input::Lost(peer, matches!(reason, Closed::Refused)));
+        self.agent.reliable(Input::ConnectionLost(peer, matches!(reason, Closed::Refused)));
     }
 
     fn ready(&mut self, conn: u64, flags: EventFlags) {
@@ -253,7 +253,7 @@
             }
             break;
         }
-        if conn < OWN && left < MAX_READ_PER_TURN {
+        if conn < AGENT_ID_BIT && left < MAX_READ_PER_TURN {
             self.deadlines.remove(&(stream.deadline, conn));
             stream.deadline = Instant::now() + IDLE_TIMEOUT;
             self.deadlines.insert((stream.deadline, conn));
@@ -276,7 +276,7 @@
     fn deliver(&mut self, conn: u64) {
         let Some(stream) = self.open.get_mut(&conn) else { return };
         while let Some(input) = stream.undelivered.pop_front() {
-            if conn >= OWN {
+            if conn >= AGENT_ID_BIT {
                 self.agent.reliable(input);
             } else if let Err(input) = self.agent.streamed(input) {
                 stream.undelivered.push_front(input);
--- a/crates/front/server/tests/streams.rs
+++ b/crates/front/server/tests/streams.rs
@@ -93,7 +93,7 @@
         self.says(&invite);
         let ok = self.answer(Method::Invite);
         assert_eq!(ok.status, 200);
-        self.tag = format!(";tag={}", ok.names.to_tag.expect("a tag"));
+        self.tag = format!(";tag={}", ok.ids.to_tag.expect("a tag"));
         let rest = format!("{}{}", self.text("ACK", 1), self.text("BYE", 2));
         self.says(&rest);
         assert_eq!(self.answer(Method::Bye).status, 200);
--- a/crates/front/sip/src/agent/mod.rs
+++ b/crates/front/sip/src/agent/mod.rs
@@ -4,33 +4,33 @@
 //! INVITE to a media server on a connection of its own. The end of a leg is reported as the attempt's result, and a release
 //! is a BYE. Retransmissions end at the transaction layer. The agent has no I/O or clock, and its randomness is seeded.
 
-mod boxes;
-mod callers;
-mod gate;
+mod inbound;
+mod outbound;
+mod overload;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 use beechloft_session::api::{Micros, ServerId, SessionId};
-use beechloft_session::io::{self as core_io, Answer, AttemptId, RequestId, Secret};
+use beechloft_session::io::{self as controller_io, Answer, AttemptId, RequestId, Secret};
 use beechloft_session::release::ReleaseId;
 use beechloft_whep::sdp::Offer;
 use rsip::{Header, headers::UntypedHeader};
 
-use crate::callee::{self, BoxLeg};
+use crate::callee::{self, CalleeLeg};
 use crate::caller::{self, CallerLeg};
-use crate::dialog::Mint;
+use crate::dialog::IdGenerator;
 use crate::message::{Message, Request, Response};
-use crate::overload::{Control, Refused};
+use crate::overload::{Control, RejectionCache};
 use crate::transaction::layer::Peer;
 use crate::transaction::{self, Key, Layer};
 
 /// Maximum number of concurrent calls. Further INVITEs are rejected.
-pub const CALLS: usize = 100_000;
+pub const MAX_CALLS: usize = 100_000;
 /// Prefix of the resource by which the session controller knows a call at a media server.
-pub const RESOURCE: &str = "sip:";
+pub const RESOURCE_PREFIX: &str = "sip:";
 /// Bit that marks request and connection IDs of the agent, which tells them from those of others.
-pub const OWN: u64 = 1 << 63;
+pub const AGENT_ID_BIT: u64 = 1 << 63;
 
 /// Input of the agent.
 #[derive(Debug, Clone, PartialEq)]
@@ -38,9 +38,9 @@
     /// A message arrived at this time. It may have been queued since.
     Received(Peer, Box<Message>, Micros),
     /// A connection was closed or could not be established. The flag is set if the peer refused it.
-    Lost(Peer, bool),
+    ConnectionLost(Peer, bool),
     /// An output of the session controller.
-    Core(Box<core_io::Output>),
+    Controller(Box<controller_io::Output>),
     /// Timers may have expired.
     Tick,
 }
@@ -53,17 +53,17 @@
     /// Close a connection.
     Close(Peer),
     /// An input of the session controller.
-    Core(Box<core_io::Input>),
+    Controller(Box<controller_io::Input>),
 }
 
 #[derive(Debug)]
-struct Call {
+struct InboundCall {
     request: RequestId,
     secret: Secret,
     leg: CallerLeg,
     peer: Peer,
     key: Key,
-    name: (String, String),
+    dialog_id: (String, String),
     title: String,
     offer: Offer,
     /// Arrival time of the INVITE, or `None` once the session controller has first responded to it.
@@ -71,16 +71,16 @@
 }
 
 #[derive(Debug)]
-struct Placed {
-    leg: BoxLeg,
+struct OutboundCall {
+    leg: CalleeLeg,
     peer: Peer,
     server: ServerId,
     session: SessionId,
     attempt: AttemptId,
-    sent: Micros,
+    sent_at: Micros,
     /// Deadline of the attempt, or `None` once the attempt has ended.
-    until: Option<Micros>,
-    refused: bool,
+    deadline: Option<Micros>,
+    connection_refused: bool,
     release: Option<ReleaseId>,
     /// The caller's offer, which rung changes are derived from.
     offer: Offer,
@@ -90,74 +90,74 @@
 
 /// Leg that a timer belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Owner {
-    Caller(SessionId),
-    Box(u64),
+enum TimerOwner {
+    Inbound(SessionId),
+    Outbound(u64),
 }
 
 /// Back-to-back user agent of a front.
 #[derive(Debug)]
 pub struct Agent {
     layer: Layer,
-    mint: Mint,
+    id_generator: IdGenerator,
     sent_by: String,
-    number: u32,
+    slot: u32,
     now: Micros,
-    next: u64,
+    last_id: u64,
     control: Control,
-    refused: Refused,
+    rejections: RejectionCache,
     /// Arrival time of the message that is being handled.
     arrived: Micros,
-    calls: BTreeMap<SessionId, Call>,
+    inbound: BTreeMap<SessionId, InboundCall>,
     /// Callers' calls by `Call-ID` and `From` tag.
     by_caller: BTreeMap<(String, String), SessionId>,
     by_request: BTreeMap<RequestId, SessionId>,
     by_invite: BTreeMap<Key, SessionId>,
-    placed: BTreeMap<u64, Placed>,
+    outbound: BTreeMap<u64, OutboundCall>,
     /// Legs at media servers by `Call-ID`.
-    by_box: BTreeMap<String, u64>,
+    by_outbound_call_id: BTreeMap<String, u64>,
     /// Legs at media servers by outstanding transaction.
     by_key: BTreeMap<Key, u64>,
     /// Legs of outstanding attempts.
-    trying: BTreeMap<SessionId, u64>,
+    attempts: BTreeMap<SessionId, u64>,
     /// Legs of calls that are established at media servers.
-    standing: BTreeMap<SessionId, u64>,
+    established: BTreeMap<SessionId, u64>,
     /// Timers of the legs in order of time.
-    timers: BTreeSet<(Micros, Owner)>,
-    armed: BTreeMap<Owner, Micros>,
-    out: Vec<Output>,
+    timers: BTreeSet<(Micros, TimerOwner)>,
+    due_at: BTreeMap<TimerOwner, Micros>,
+    outputs: Vec<Output>,
 }
 
 impl Agent {
     /// Creates the agent of the front in this slot, which is reached at the address `listen`.
-    pub fn new(listen: SocketAddr, number: u32, seed: u64) -> Self {
-        Agent::with(listen, number, seed, Control::new(seed, true))
+    pub fn new(listen: SocketAddr, slot: u32, seed: u64) -> Self {
+        Agent::with(listen, slot, seed, Control::new(seed, true))
     }
 
     /// Creates an agent with the given overload control, for example a disabled one for comparison.
-    pub fn with(listen: SocketAddr, number: u32, seed: u64, control: Control) -> Self {
+    pub fn with(listen: SocketAddr, slot: u32, seed: u64, control: Control) -> Self {
         Agent {
             layer: Layer::default(),
-            mint: Mint::new(seed),
+            id_generator: IdGenerator::new(seed),
             sent_by: listen.to_string(),
-            number,
+            slot,
             now: Micros(0),
-            next: 0,
+            last_id: 0,
             control,
-            refused: Refused::new(seed),
+            rejections: RejectionCache::new(seed),
             arrived: Micros(0),
-            calls: BTreeMap::new(),
+            inbound: BTreeMap::new(),
             by_caller: BTreeMap::new(),
             by_request: BTreeMap::new(),
             by_invite: BTreeMap::new(),
-            placed: BTreeMap::new(),
-            by_box: BTreeMap::new(),
+            outbound: BTreeMap::new(),
+            by_outbound_call_id: BTreeMap::new(),
             by_key: BTreeMap::new(),
-            trying: BTreeMap::new(),
-            standing: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            established: BTreeMap::new(),
             timers: BTreeSet::new(),
-            armed: BTreeMap::new(),
-            out: Vec::new(),
+            due_at: BTreeMap::new(),
+            outputs: Vec::new(),
         }
     }
 
@@ -166,26 +166,26 @@
         self.now = self.now.max(now);
         match input {
             Input::Received(peer, message, at) => {
-                if self.passes(peer, &message, at) {
+                if self.admits(peer, &message, at) {
                     self.layer(transaction::Input::Received(peer, message));
                 }
             }
-            Input::Lost(peer, refused) => {
+            Input::ConnectionLost(peer, refused) => {
                 // The connection of an attempt carries the ID of its leg.
-                let leg = peer.conn & !OWN;
-                if let Some(placed) = self.placed.get_mut(&leg).filter(|p| p.peer == peer) {
-                    placed.refused = refused;
+                let leg = peer.conn & !AGENT_ID_BIT;
+                if let Some(call) = self.outbound.get_mut(&leg).filter(|p| p.peer == peer) {
+                    call.connection_refused = refused;
                 }
-                self.layer(transaction::Input::Lost(peer));
-                if self.placed.get(&leg).is_some_and(|p| p.peer == peer) {
-                    self.on_box(leg, callee::In::Broken);
+                self.layer(transaction::Input::ConnectionLost(peer));
+                if self.outbound.get(&leg).is_some_and(|p| p.peer == peer) {
+                    self.on_outbound(leg, callee::Input::ConnectionLost);
                 }
             }
-            Input::Core(output) => self.core(*output),
+            Input::Controller(output) => self.on_controller_output(*output),
             Input::Tick => self.layer(transaction::Input::Tick),
         }
-        self.due();
-        out.append(&mut self.out);
+        self.run_timers();
+        out.append(&mut self.outputs);
     }
 
     /// Returns the time at which [`Input::Tick`] is needed next.
@@ -194,16 +194,16 @@
     }
 
     /// Updates the timer of a leg.
-    fn arm(&mut self, owner: Owner) {
+    fn update_timer(&mut self, owner: TimerOwner) {
         let due = match owner {
-            Owner::Caller(session) => self.calls.get(&session).and_then(|c| c.leg.next_due()),
-            Owner::Box(leg) => {
-                self.placed.get(&leg).and_then(|p| p.leg.next_due().into_iter().chain(p.until).min())
+            TimerOwner::Inbound(session) => self.inbound.get(&session).and_then(|c| c.leg.next_due()),
+            TimerOwner::Outbound(leg) => {
+                self.outbound.get(&leg).and_then(|p| p.leg.next_due().into_iter().chain(p.deadline).min())
             }
         };
         let before = match due {
-            Some(at) => self.armed.insert(owner, at),
-            None => self.armed.remove(&owner),
+            Some(at) => self.due_at.insert(owner, at),
+            None => self.due_at.remove(&owner),
         };
         self.timers.extend(due.map(|at| (at, owner)));
         if let Some(before) = before.filter(|b| Some(*b) != due) {
@@ -213,26 +213,26 @@
 
     /// Returns the number of callers' calls and the number of legs at media servers that have not ended.
     pub fn len(&self) -> (usize, usize) {
-        (self.calls.len(), self.placed.len())
+        (self.inbound.len(), self.outbound.len())
     }
 
-    fn tell(&mut self, input: core_io::Input) {
-        self.out.push(Output::Core(Box::new(input)));
+    fn send_to_controller(&mut self, input: controller_io::Input) {
+        self.outputs.push(Output::Controller(Box::new(input)));
     }
 
     fn layer(&mut self, input: transaction::Input) {
-        let mut done = Vec::new();
-        self.layer.handle(self.now, input, &mut done);
-        for output in done {
+        let mut outputs = Vec::new();
+        self.layer.handle(self.now, input, &mut outputs);
+        for output in outputs {
             match output {
                 transaction::Output::Transmit(peer, message) => {
-                    self.out.push(Output::Transmit(peer, message))
+                    self.outputs.push(Output::Transmit(peer, message))
                 }
                 transaction::Output::Request(key, peer, request) => self.request(key, peer, *request),
                 transaction::Output::Cancelled(key) => self.cancelled(&key),
                 transaction::Output::Ack(_, ack) => self.acknowledged(&ack),
                 transaction::Output::Response(key, response) => self.response(&key, &response),
-                transaction::Output::Stray(_, response) => self.stray(&response),
+                transaction::Output::UnmatchedSuccess(_, response) => self.unmatched_success(&response),
                 transaction::Output::TimedOut(key) => self.timed_out(&key),
                 // The failure was sent. Nothing more can be done for a caller that doesn't acknowledge it.
                 transaction::Output::NoAck(_) => {}
@@ -241,44 +241,47 @@
     }
 
     fn respond(&mut self, key: &Key, mut response: Response) {
-        self.advise(key, &mut response);
+        self.add_feedback(key, &mut response);
         self.layer(transaction::Input::Respond(key.clone(), Box::new(response)));
     }
 
-    fn core(&mut self, output: core_io::Output) {
-        if let core_io::Output::SetUp { request, .. } | core_io::Output::Reply(request, _) = &output {
-            self.first_word(*request);
+    fn on_controller_output(&mut self, output: controller_io::Output) {
+        if let controller_io::Output::SetUp { request, .. } | controller_io::Output::Reply(request, _) =
+            &output
+        {
+            self.record_first_response(*request);
         }
         match output {
-            core_io::Output::SetUp { attempt, request, server, url, rate_kb, deadline: until, .. }
+            controller_io::Output::SetUp { attempt, request, server, url, rate_kb, deadline, .. }
                 if self.by_request.contains_key(&request) =>
             {
-                self.set_up(attempt, server, &url, rate_kb, until);
+                self.set_up(attempt, server, &url, rate_kb, deadline);
             }
-            core_io::Output::Cancel(attempt) => {
+            controller_io::Output::Cancel(attempt) => {
                 // A session has at most one outstanding attempt.
-                let leg = self.trying.get(&attempt.session).copied();
-                if let Some(leg) = leg.filter(|l| self.placed.get(l).is_some_and(|p| p.attempt == attempt)) {
-                    self.on_box(leg, callee::In::End);
+                let leg = self.attempts.get(&attempt.session).copied();
+                if let Some(leg) = leg.filter(|l| self.outbound.get(l).is_some_and(|p| p.attempt == attempt))
+                {
+                    self.on_outbound(leg, callee::Input::End);
                 }
             }
-            core_io::Output::Reply(request, answer) => self.reply(request, &answer),
-            core_io::Output::SetRung { layers, rate_kb, .. } => self.set_rung(&layers, rate_kb),
-            core_io::Output::Release { id: ticket, resource, .. } => match leg_of(&resource) {
-                Some(leg) if self.placed.contains_key(&leg) => {
-                    if let Some(placed) = self.placed.get_mut(&leg) {
-                        placed.release = Some(ticket);
+            controller_io::Output::Reply(request, answer) => self.reply(request, &answer),
+            controller_io::Output::SetRung { layers, rate_kb, .. } => self.set_rung(&layers, rate_kb),
+            controller_io::Output::Release { id: release, resource, .. } => match leg_of(&resource) {
+                Some(leg) if self.outbound.contains_key(&leg) => {
+                    if let Some(call) = self.outbound.get_mut(&leg) {
+                        call.release = Some(release);
                     }
-                    self.on_box(leg, callee::In::End);
+                    self.on_outbound(leg, callee::Input::End);
                 }
-                _ => self.tell(core_io::Input::Released { id: ticket, gone: true }),
+                _ => self.send_to_controller(controller_io::Input::Released { id: release, gone: true }),
             },
-            core_io::Output::SessionEnded(session, _) => {
-                self.on_caller(session, caller::In::End, None);
-                // The session controller releases nothing at a lost media server, although its process and the call may still run:
-                // unlike a player's session, the call doesn't end by itself when its caller disconnects.
-                if let Some(leg) = self.standing.get(&session).copied() {
-                    self.on_box(leg, callee::In::End);
+            controller_io::Output::SessionEnded(session, _) => {
+                self.on_inbound(session, caller::Input::End, None);
+                // The session controller releases nothing at a lost media server, but its process and the call may
+                // still run. Unlike a player's session, the call doesn't end by itself when its caller disconnects.
+                if let Some(leg) = self.established.get(&session).copied() {
+                    self.on_outbound(leg, callee::Input::End);
                 }
             }
             _ => {}
@@ -289,31 +292,31 @@
         let Some(session) = self.by_request.get(&request).copied() else { return };
         let input = match answer {
             Answer::Playing { reply, .. } => match std::str::from_utf8(&reply.sdp) {
-                Ok(sdp) => caller::In::Accept(sdp),
-                Err(_) => caller::In::Refuse(500, None),
+                Ok(sdp) => caller::Input::Accept(sdp),
+                Err(_) => caller::Input::Reject(500, None),
             },
-            Answer::Rejected(advice) => {
-                caller::In::Refuse(503, advice.map(|a| a.0.div_ceil(1_000_000).max(1)))
+            Answer::Rejected(retry_after) => {
+                caller::Input::Reject(503, retry_after.map(|delay| delay.0.div_ceil(1_000_000).max(1)))
             }
-            Answer::Failed => caller::In::Refuse(504, None),
-            Answer::Declined(status) => caller::In::Refuse(*status, None),
-            Answer::UnknownTitle => caller::In::Refuse(404, None),
-            _ => caller::In::Refuse(500, None),
+            Answer::Failed => caller::Input::Reject(504, None),
+            Answer::Declined(status) => caller::Input::Reject(*status, None),
+            Answer::UnknownTitle => caller::Input::Reject(404, None),
+            _ => caller::Input::Reject(500, None),
         };
-        self.on_caller(session, input, None);
+        self.on_inbound(session, input, None);
     }
 
     /// Runs the expired timers of both sides.
-    fn due(&mut self) {
+    fn run_timers(&mut self) {
         while let Some((at, owner)) = self.timers.first().copied().filter(|t| t.0 <= self.now) {
             self.timers.remove(&(at, owner));
-            self.armed.remove(&owner);
+            self.due_at.remove(&owner);
             match owner {
-                Owner::Caller(session) => self.on_caller(session, caller::In::Tick, None),
-                Owner::Box(leg) => {
-                    let Some(placed) = self.placed.get_mut(&leg) else { continue };
-                    let given_up = placed.until.take_if(|until| *until <= self.now).is_some();
-                    self.on_box(leg, if given_up { callee::In::End } else { callee::In::Tick });
+                TimerOwner::Inbound(session) => self.on_inbound(session, caller::Input::Tick, None),
+                TimerOwner::Outbound(leg) => {
+                    let Some(call) = self.outbound.get_mut(&leg) else { continue };
+                    let expired = call.deadline.take_if(|deadline| *deadline <= self.now).is_some();
+                    self.on_outbound(leg, if expired { callee::Input::End } else { callee::Input::Tick });
                 }
             }
         }
@@ -321,8 +324,8 @@
 }
 
 /// Returns the `User-Agent` by which a front identifies itself to media servers (section 20.41).
-fn user_agent(number: u32) -> String {
-    format!("beechloft-{number}")
+fn user_agent(slot: u32) -> String {
+    format!("beechloft-{slot}")
 }
 
 /// Returns the slot of the front that sent a request, or `None` if the request doesn't name it.
@@ -336,9 +339,9 @@
 }
 
 fn resource_of(leg: u64) -> String {
-    format!("{RESOURCE}{leg}")
+    format!("{RESOURCE_PREFIX}{leg}")
 }
 
 fn leg_of(resource: &str) -> Option<u64> {
-    resource.strip_prefix(RESOURCE)?.parse().ok()
+    resource.strip_prefix(RESOURCE_PREFIX)?.parse().ok()
 }
--- a/crates/front/sip/src/caller.rs
+++ b/crates/front/sip/src/caller.rs
@@ -7,24 +7,24 @@
 use beechloft_session::api::Micros;
 use rsip::{Header, Headers};
 
-use crate::dialog::{Dialog, Local, Mint};
+use crate::dialog::{Dialog, IdGenerator, LocalEndpoint};
 use crate::message::{MessageError, Method, Request, Response};
-use crate::timer::{Backoff, TRIES};
+use crate::timer::{Backoff, TRANSACTION_TIMEOUT};
 
 /// Minimum session interval that is accepted, in seconds (RFC 4028, section 4).
-pub const MIN_SE: u32 = 90;
+pub const MIN_SE_SECONDS: u32 = 90;
 /// Session interval if the caller names none, in seconds.
-pub const SESSION: u32 = 180;
+pub const DEFAULT_SESSION_SECONDS: u32 = 180;
 
 /// Input of the leg.
 #[derive(Debug, Clone, Copy)]
-pub enum In<'a> {
+pub enum Input<'a> {
     /// The callee is ringing.
-    Ring,
+    Ringing,
     /// The call is accepted with this SDP answer.
     Accept(&'a str),
     /// The call is rejected with this status and perhaps the seconds of `Retry-After`.
-    Refuse(u16, Option<u64>),
+    Reject(u16, Option<u64>),
     /// The caller cancelled its INVITE.
     Cancel,
     /// An ACK arrived in this dialog.
@@ -39,11 +39,11 @@
 
 /// Output of the leg.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Out {
+pub enum Output {
     /// Respond to the INVITE.
-    AnswerInvite(Box<Response>),
+    RespondInvite(Box<Response>),
     /// Respond to the request that is being handled.
-    Answer(Box<Response>),
+    Respond(Box<Response>),
     /// Send a request in a transaction of its own.
     Send(Box<Request>),
     /// The caller cancelled before the final response. The 487 was sent.
@@ -51,12 +51,12 @@
     /// The caller acknowledged the 2xx.
     Confirmed,
     /// The call ended on the caller's side.
-    Over(Why),
+    Ended(EndReason),
 }
 
 /// Reason why a call ended on the caller's side.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum EndReason {
     /// The caller sent a BYE.
     Bye,
     /// The 2xx was never acknowledged.
@@ -68,13 +68,13 @@
 #[derive(Debug)]
 enum State {
     /// No final response has been sent.
-    Owed,
+    Pending,
     /// The 2xx was sent and is not acknowledged. It is retransmitted until the timeout.
-    Accepted { answer: Box<Response>, repeat: Micros, backoff: Backoff, until: Micros },
+    Accepted { answer: Box<Response>, retransmit_at: Micros, backoff: Backoff, until: Micros },
     /// The call is established.
     Confirmed,
     /// The leg has ended.
-    Over,
+    Ended,
 }
 
 /// Call leg to a caller.
@@ -82,14 +82,14 @@
 pub struct CallerLeg {
     invite: Request,
     dialog: Dialog,
-    at: Local,
+    local: LocalEndpoint,
     state: State,
     /// Session interval in seconds, and the time at which it expires.
     session: Option<(u32, Micros)>,
 }
 
 /// Returns the value of a header field that the parser doesn't know.
-fn other<'a>(headers: &'a Headers, name: &str) -> Option<&'a str> {
+fn unknown_field<'a>(headers: &'a Headers, name: &str) -> Option<&'a str> {
     headers.iter().find_map(|h| match h {
         Header::Other(key, value) if key.eq_ignore_ascii_case(name) => Some(value.as_str()),
         _ => None,
@@ -98,7 +98,7 @@
 
 /// Returns the interval of `Session-Expires` in seconds, if the field is present and valid.
 pub(crate) fn session_expires(headers: &Headers) -> Option<u32> {
-    other(headers, "Session-Expires")?.split(';').next()?.trim().parse().ok()
+    unknown_field(headers, "Session-Expires")?.split(';').next()?.trim().parse().ok()
 }
 
 impl CallerLeg {
@@ -106,9 +106,13 @@
     ///
     /// # Errors
     /// Returns an error if the INVITE has no valid dialog fields.
-    pub fn new(invite: Request, at: Local, mint: &mut Mint) -> Result<CallerLeg, MessageError> {
-        let dialog = Dialog::as_server(&invite, &mint.name())?;
-        Ok(CallerLeg { invite, dialog, at, state: State::Owed, session: None })
+    pub fn new(
+        invite: Request,
+        local: LocalEndpoint,
+        id_generator: &mut IdGenerator,
+    ) -> Result<CallerLeg, MessageError> {
+        let dialog = Dialog::as_server(&invite, &id_generator.tag())?;
+        Ok(CallerLeg { invite, dialog, local, state: State::Pending, session: None })
     }
 
     /// Returns the local tag of the dialog.
@@ -117,76 +121,83 @@
     }
 
     /// Returns the 422 that rejects a session interval that is too short, if any (RFC 4028, section 9).
-    pub fn session_fault(&self) -> Option<Response> {
-        let short = session_expires(&self.invite.raw.headers).is_some_and(|s| s < MIN_SE);
+    pub fn session_interval_error(&self) -> Option<Response> {
+        let short = session_expires(&self.invite.raw.headers).is_some_and(|s| s < MIN_SE_SECONDS);
         short.then(|| {
-            let mut refusal = self.invite.answer(422, self.tag());
-            refusal.raw.headers.push(Header::Other("Min-SE".into(), MIN_SE.to_string()));
-            refusal
+            let mut rejection = self.invite.response(422, self.tag());
+            rejection.raw.headers.push(Header::Other("Min-SE".into(), MIN_SE_SECONDS.to_string()));
+            rejection
         })
     }
 
     /// Returns whether the leg has ended.
-    pub fn is_over(&self) -> bool {
-        matches!(self.state, State::Over)
+    pub fn is_ended(&self) -> bool {
+        matches!(self.state, State::Ended)
     }
 
     /// Returns whether no final response has been sent.
-    pub fn is_owed(&self) -> bool {
-        matches!(self.state, State::Owed)
+    pub fn is_pending(&self) -> bool {
+        matches!(self.state, State::Pending)
     }
 
     /// Handles one input and appends the resulting outputs.
-    pub fn handle(&mut self, now: Micros, input: In<'_>, mint: &mut Mint, out: &mut Vec<Out>) {
+    pub fn handle(
+        &mut self,
+        now: Micros,
+        input: Input<'_>,
+        id_generator: &mut IdGenerator,
+        out: &mut Vec<Output>,
+    ) {
         match input {
-            In::Ring if self.is_owed() => {
-                out.push(Out::AnswerInvite(Box::new(self.invite.answer(180, self.tag()))))
+            Input::Ringing if self.is_pending() => {
+                out.push(Output::RespondInvite(Box::new(self.invite.response(180, self.tag()))))
             }
-            In::Ring => {}
-            In::Accept(sdp) => self.accept(now, sdp, out),
-            In::Refuse(status, wait) => self.refuse(status, wait, out),
-            In::Cancel => {
-                if self.is_owed() {
-                    self.refuse(487, None, out);
-                    out.push(Out::Cancelled);
+            Input::Ringing => {}
+            Input::Accept(sdp) => self.accept(now, sdp, out),
+            Input::Reject(status, retry_after_seconds) => self.reject(status, retry_after_seconds, out),
+            Input::Cancel => {
+                if self.is_pending() {
+                    self.reject(487, None, out);
+                    out.push(Output::Cancelled);
                 }
             }
-            In::Ack(ack) => self.acknowledged(ack, out),
-            In::Request(request) => self.request(now, request, out),
-            In::End => self.end(mint, out),
-            In::Tick => self.due(now, mint, out),
+            Input::Ack(ack) => self.acknowledged(ack, out),
+            Input::Request(request) => self.request(now, request, out),
+            Input::End => self.end(id_generator, out),
+            Input::Tick => self.run_timers(now, id_generator, out),
         }
     }
 
-    /// Returns the time at which [`In::Tick`] is needed next.
+    /// Returns the time at which [`Input::Tick`] is needed next.
     pub fn next_due(&self) -> Option<Micros> {
         let expires = self.session.map(|s| s.1);
         match &self.state {
-            State::Accepted { repeat, until, .. } => Some((*repeat).min(*until)),
+            State::Accepted { retransmit_at, until, .. } => Some((*retransmit_at).min(*until)),
             State::Confirmed => expires,
-            State::Owed | State::Over => None,
+            State::Pending | State::Ended => None,
         }
     }
 
-    fn accept(&mut self, now: Micros, sdp: &str, out: &mut Vec<Out>) {
-        if !self.is_owed() {
+    fn accept(&mut self, now: Micros, sdp: &str, out: &mut Vec<Output>) {
+        if !self.is_pending() {
             return;
         }
-        let interval = session_expires(&self.invite.raw.headers).map_or(SESSION, |s| s.max(MIN_SE));
+        let interval = session_expires(&self.invite.raw.headers)
+            .map_or(DEFAULT_SESSION_SECONDS, |s| s.max(MIN_SE_SECONDS));
         let answer = Box::new(self.ok(&self.invite, Some(sdp), interval));
         self.session = Some((interval, now + Micros(u64::from(interval) * 1_000_000)));
         let mut backoff = Backoff::bounded();
-        let repeat = now + backoff.take();
-        out.push(Out::AnswerInvite(answer.clone()));
-        self.state = State::Accepted { answer, repeat, backoff, until: now + TRIES };
+        let retransmit_at = now + backoff.next_interval();
+        out.push(Output::RespondInvite(answer.clone()));
+        self.state = State::Accepted { answer, retransmit_at, backoff, until: now + TRANSACTION_TIMEOUT };
     }
 
     /// Builds a 200 with the header fields of a 2xx to an INVITE or UPDATE.
     fn ok(&self, request: &Request, sdp: Option<&str>, interval: u32) -> Response {
-        let mut ok = request.answer(200, self.tag());
+        let mut ok = request.response(200, self.tag());
         let headers = &mut ok.raw.headers;
         headers.retain(|h| !matches!(h, Header::ContentLength(_)));
-        headers.push(Header::Contact(format!("<sip:{}>", self.at.sent_by).into()));
+        headers.push(Header::Contact(format!("<sip:{}>", self.local.sent_by).into()));
         headers.push(Header::Other("Session-Expires".into(), format!("{interval};refresher=uac")));
         headers.push(Header::Require("timer".into()));
         if sdp.is_some() {
@@ -198,23 +209,23 @@
         ok
     }
 
-    fn refuse(&mut self, status: u16, wait: Option<u64>, out: &mut Vec<Out>) {
-        if !self.is_owed() {
+    fn reject(&mut self, status: u16, retry_after_seconds: Option<u64>, out: &mut Vec<Output>) {
+        if !self.is_pending() {
             return;
         }
-        let mut refusal = self.invite.answer(status, self.tag());
-        if let Some(wait) = wait {
-            refusal.raw.headers.push(Header::RetryAfter(wait.to_string().into()));
+        let mut rejection = self.invite.response(status, self.tag());
+        if let Some(seconds) = retry_after_seconds {
+            rejection.raw.headers.push(Header::RetryAfter(seconds.to_string().into()));
         }
-        self.state = State::Over;
-        out.push(Out::AnswerInvite(Box::new(refusal)));
+        self.state = State::Ended;
+        out.push(Output::RespondInvite(Box::new(rejection)));
     }
 
-    fn acknowledged(&mut self, ack: &Request, out: &mut Vec<Out>) {
-        let ours = self.dialog.takes(ack).is_ok() && ack.names.seq == self.invite.names.seq;
+    fn acknowledged(&mut self, ack: &Request, out: &mut Vec<Output>) {
+        let ours = self.dialog.accept_request(ack).is_ok() && ack.ids.seq == self.invite.ids.seq;
         if ours && let State::Accepted { .. } = self.state {
             self.state = State::Confirmed;
-            out.push(Out::Confirmed);
+            out.push(Output::Confirmed);
         }
     }
 
@@ -222,64 +233,65 @@
     ///
     /// A session change by the caller is rejected with 488, because the policy chooses the rung. A refresh is an UPDATE without
     /// an offer.
-    fn request(&mut self, now: Micros, request: &Request, out: &mut Vec<Out>) {
-        if matches!(self.state, State::Owed | State::Over) {
-            return out.push(Out::Answer(Box::new(request.answer(481, self.tag()))));
+    fn request(&mut self, now: Micros, request: &Request, out: &mut Vec<Output>) {
+        if matches!(self.state, State::Pending | State::Ended) {
+            return out.push(Output::Respond(Box::new(request.response(481, self.tag()))));
         }
-        if let Err(status) = self.dialog.takes(request) {
-            return out.push(Out::Answer(Box::new(request.answer(status, self.tag()))));
+        if let Err(status) = self.dialog.accept_request(request) {
+            return out.push(Output::Respond(Box::new(request.response(status, self.tag()))));
         }
-        let plain = |status| Out::Answer(Box::new(request.answer(status, self.dialog.local_tag())));
+        let respond = |status| Output::Respond(Box::new(request.response(status, self.dialog.local_tag())));
         match request.method() {
             Method::Bye => {
-                out.push(plain(200));
-                self.over(Why::Bye, out);
+                out.push(respond(200));
+                self.end_with(EndReason::Bye, out);
             }
             // The transaction of the first INVITE has not ended yet (section 14.2).
-            Method::Invite if matches!(self.state, State::Accepted { .. }) => out.push(plain(491)),
-            Method::Invite => out.push(plain(488)),
+            Method::Invite if matches!(self.state, State::Accepted { .. }) => out.push(respond(491)),
+            Method::Invite => out.push(respond(488)),
             Method::Update if request.raw.body.is_empty() => {
-                let interval = session_expires(&request.raw.headers).map_or(SESSION, |s| s.max(MIN_SE));
+                let interval = session_expires(&request.raw.headers)
+                    .map_or(DEFAULT_SESSION_SECONDS, |s| s.max(MIN_SE_SECONDS));
                 self.session = Some((interval, now + Micros(u64::from(interval) * 1_000_000)));
-                out.push(Out::Answer(Box::new(self.ok(request, None, interval))));
+                out.push(Output::Respond(Box::new(self.ok(request, None, interval))));
             }
-            Method::Update => out.push(plain(488)),
-            Method::Options => out.push(plain(200)),
-            _ => out.push(plain(405)),
+            Method::Update => out.push(respond(488)),
+            Method::Options => out.push(respond(200)),
+            _ => out.push(respond(405)),
         }
     }
 
-    fn over(&mut self, why: Why, out: &mut Vec<Out>) {
-        self.state = State::Over;
-        out.push(Out::Over(why));
+    fn end_with(&mut self, reason: EndReason, out: &mut Vec<Output>) {
+        self.state = State::Ended;
+        out.push(Output::Ended(reason));
     }
 
     /// Sends a BYE to the caller.
-    fn bye(&mut self, mint: &mut Mint, out: &mut Vec<Out>) {
-        let bye = self.dialog.request(Method::Bye, &self.at, &mint.branch(), None);
-        out.extend(bye.map(|b| Out::Send(Box::new(b))));
+    fn send_bye(&mut self, id_generator: &mut IdGenerator, out: &mut Vec<Output>) {
+        let bye = self.dialog.request(Method::Bye, &self.local, &id_generator.branch(), None);
+        out.extend(bye.map(|b| Output::Send(Box::new(b))));
     }
 
-    fn end(&mut self, mint: &mut Mint, out: &mut Vec<Out>) {
+    fn end(&mut self, id_generator: &mut IdGenerator, out: &mut Vec<Output>) {
         if matches!(self.state, State::Accepted { .. } | State::Confirmed) {
-            self.bye(mint, out);
-            self.state = State::Over;
+            self.send_bye(id_generator, out);
+            self.state = State::Ended;
         }
     }
 
-    fn due(&mut self, now: Micros, mint: &mut Mint, out: &mut Vec<Out>) {
+    fn run_timers(&mut self, now: Micros, id_generator: &mut IdGenerator, out: &mut Vec<Output>) {
         match &mut self.state {
             State::Accepted { until, .. } if *until <= now => {
-                self.bye(mint, out);
-                self.over(Why::NoAck, out);
+                self.send_bye(id_generator, out);
+                self.end_with(EndReason::NoAck, out);
             }
-            State::Accepted { answer, repeat, backoff, .. } if *repeat <= now => {
-                out.push(Out::AnswerInvite(answer.clone()));
-                *repeat = now + backoff.take();
+            State::Accepted { answer, retransmit_at, backoff, .. } if *retransmit_at <= now => {
+                out.push(Output::RespondInvite(answer.clone()));
+                *retransmit_at = now + backoff.next_interval();
             }
             State::Confirmed if self.session.is_some_and(|s| s.1 <= now) => {
-                self.bye(mint, out);
-                self.over(Why::Expired, out);
+                self.send_bye(id_generator, out);
+                self.end_with(EndReason::Expired, out);
             }
             _ => {}
         }
--- a/crates/front/sip/src/dialog.rs
+++ b/crates/front/sip/src/dialog.rs
@@ -4,19 +4,19 @@
 use rsip::message::HeadersExt;
 use rsip::{Header, Headers};
 
-use crate::message::{COOKIE, Message, MessageError, Method, Request, Response};
+use crate::message::{BRANCH_COOKIE, Message, MessageError, Method, Request, Response};
 
 /// Maximum number of `Record-Route` entries, since each request of the dialog carries all of them.
-pub const ROUTES: usize = 16;
+pub const MAX_ROUTES: usize = 16;
 
 /// Generator of unique branches, tags and call IDs, seeded so that a run can be reproduced.
 #[derive(Debug, Clone)]
-pub struct Mint(u64);
+pub struct IdGenerator(u64);
 
-impl Mint {
+impl IdGenerator {
     /// Creates a generator whose output follows from a seed.
     pub fn new(seed: u64) -> Self {
-        Mint(seed)
+        IdGenerator(seed)
     }
 
     /// SplitMix64, which spreads every seed over all numbers and never repeats a number within its period.
@@ -28,29 +28,29 @@
     }
 
     /// Returns a pseudorandom number, for example for jitter.
-    pub fn number(&mut self) -> u64 {
+    pub fn random(&mut self) -> u64 {
         self.next()
     }
 
     /// Returns a new `Call-ID`, made globally unique by the host (section 8.1.1.4).
-    pub fn call(&mut self, host: &str) -> String {
-        format!("{}@{host}", self.name())
+    pub fn call_id(&mut self, host: &str) -> String {
+        format!("{}@{host}", self.tag())
     }
 
     /// Returns a new tag.
-    pub fn name(&mut self) -> String {
+    pub fn tag(&mut self) -> String {
         format!("{:016x}", self.next())
     }
 
     /// Returns a new branch.
     pub fn branch(&mut self) -> String {
-        format!("{COOKIE}{:016x}", self.next())
+        format!("{BRANCH_COOKIE}{:016x}", self.next())
     }
 }
 
 /// Local end of a hop.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Local {
+pub struct LocalEndpoint {
     /// Transport as named in `Via`: `UDP` or `TCP`.
     pub transport: &'static str,
     /// Address to which responses are sent, as `host:port`.
@@ -60,7 +60,7 @@
 /// State of a dialog on one side.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Dialog {
-    call: String,
+    call_id: String,
     local_tag: String,
     remote_tag: String,
     local: String,
@@ -84,7 +84,7 @@
             routes.extend(route.value().split(',').map(|r| r.trim().to_owned()));
         }
     }
-    if routes.len() > ROUTES { Err(MessageError::Field("Record-Route")) } else { Ok(routes) }
+    if routes.len() > MAX_ROUTES { Err(MessageError::Field("Record-Route")) } else { Ok(routes) }
 }
 
 /// Returns the address of a `From` or `To` without its tag.
@@ -109,15 +109,15 @@
     pub fn as_server(invite: &Request, tag: &str) -> Result<Dialog, MessageError> {
         let (from, to) = parties(&invite.raw)?;
         Ok(Dialog {
-            call: invite.names.call.clone(),
+            call_id: invite.ids.call_id.clone(),
             local_tag: tag.to_owned(),
-            remote_tag: invite.names.from_tag.clone(),
+            remote_tag: invite.ids.from_tag.clone(),
             local: to,
             remote: from,
             target: contact(&invite.raw)?,
             routes: record_routes(&invite.raw.headers)?,
             seq: 0,
-            remote_seq: Some(invite.names.seq),
+            remote_seq: Some(invite.ids.seq),
         })
     }
 
@@ -130,14 +130,14 @@
         let mut routes = record_routes(&answer.raw.headers)?;
         routes.reverse();
         Ok(Dialog {
-            call: invite.names.call.clone(),
-            local_tag: invite.names.from_tag.clone(),
-            remote_tag: answer.names.to_tag.clone().ok_or(MessageError::Field("To"))?,
+            call_id: invite.ids.call_id.clone(),
+            local_tag: invite.ids.from_tag.clone(),
+            remote_tag: answer.ids.to_tag.clone().ok_or(MessageError::Field("To"))?,
             local: from,
             remote: to,
             target: contact(&answer.raw)?,
             routes,
-            seq: invite.names.seq,
+            seq: invite.ids.seq,
             remote_seq: None,
         })
     }
@@ -153,24 +153,24 @@
     pub fn request(
         &mut self,
         method: Method,
-        at: &Local,
+        local: &LocalEndpoint,
         branch: &str,
         body: Option<&str>,
     ) -> Option<Request> {
         self.seq += 1;
-        self.build(method, self.seq, at, branch, body)
+        self.build(method, self.seq, local, branch, body)
     }
 
     /// Builds the ACK of a 2xx to the INVITE with this sequence number (section 13.2.2.4), with a branch of its own.
-    pub fn ack(&self, seq: u32, at: &Local, branch: &str) -> Option<Request> {
-        self.build(Method::Ack, seq, at, branch, None)
+    pub fn ack(&self, seq: u32, local: &LocalEndpoint, branch: &str) -> Option<Request> {
+        self.build(Method::Ack, seq, local, branch, None)
     }
 
     fn build(
         &self,
         method: Method,
         seq: u32,
-        at: &Local,
+        local: &LocalEndpoint,
         branch: &str,
         body: Option<&str>,
     ) -> Option<Request> {
@@ -178,7 +178,7 @@
         let body = body.unwrap_or_default();
         let mut text = format!(
             "{method} {} SIP/2.0\r\nVia: SIP/2.0/{} {};branch={branch}\r\nMax-Forwards: 70\r\n",
-            self.target, at.transport, at.sent_by
+            self.target, local.transport, local.sent_by
         );
         for route in &self.routes {
             let _ = write!(text, "Route: {route}\r\n");
@@ -186,7 +186,7 @@
         let _ = write!(
             text,
             "From: {};tag={}\r\nTo: {};tag={}\r\nCall-ID: {}\r\nCSeq: {seq} {method}\r\nContact: <sip:{}>\r\n",
-            self.local, self.local_tag, self.remote, self.remote_tag, self.call, at.sent_by
+            self.local, self.local_tag, self.remote, self.remote_tag, self.call_id, local.sent_by
         );
         if !body.is_empty() {
             text.push_str("Content-Type: application/sdp\r\n");
@@ -203,11 +203,11 @@
     /// # Errors
     /// Returns the status to reject it with: 481 if it belongs to another dialog, 500 if its sequence number is not higher
     /// than that of the last request (section 12.2.2).
-    pub fn takes(&mut self, request: &Request) -> Result<(), u16> {
-        let names = &request.names;
-        let ours = names.call == self.call
-            && names.from_tag == self.remote_tag
-            && names.to_tag.as_deref() == Some(self.local_tag.as_str());
+    pub fn accept_request(&mut self, request: &Request) -> Result<(), u16> {
+        let ids = &request.ids;
+        let ours = ids.call_id == self.call_id
+            && ids.from_tag == self.remote_tag
+            && ids.to_tag.as_deref() == Some(self.local_tag.as_str());
         if !ours {
             return Err(481);
         }
@@ -215,10 +215,10 @@
         if request.method() == Method::Ack {
             return Ok(());
         }
-        if self.remote_seq.is_some_and(|last| names.seq <= last) {
+        if self.remote_seq.is_some_and(|last| ids.seq <= last) {
             return Err(500);
         }
-        self.remote_seq = Some(names.seq);
+        self.remote_seq = Some(ids.seq);
         if matches!(request.method(), Method::Invite | Method::Update)
             && let Ok(target) = contact(&request.raw)
         {
@@ -228,8 +228,8 @@
     }
 
     /// Returns the `Call-ID`.
-    pub fn call(&self) -> &str {
-        &self.call
+    pub fn call_id(&self) -> &str {
+        &self.call_id
     }
 
     /// Returns the local tag.
--- a/crates/front/sip/src/framing.rs
+++ b/crates/front/sip/src/framing.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-use crate::message::{self, BYTES, Message, MessageError};
+use crate::message::{self, MAX_MESSAGE_BYTES, Message, MessageError};
 
 /// Item received on a stream.
 #[derive(Debug, Clone, PartialEq)]
@@ -19,7 +19,7 @@
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum FramingError {
     /// A message is longer than [`MAX_MESSAGE_BYTES`].
-    #[error("message exceeds {BYTES} bytes")]
+    #[error("message exceeds {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
     /// A message has no valid `Content-Length`, which is mandatory on a stream.
     #[error("message on a stream has no valid Content-Length")]
@@ -32,7 +32,7 @@
 /// Splits a byte stream into messages.
 #[derive(Debug, Default)]
 pub struct Framer {
-    buf: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl Framer {
@@ -41,40 +41,40 @@
     /// # Errors
     /// Returns an error if a message exceeds its limit, has no length or is malformed.
     pub fn push(&mut self, bytes: &[u8], out: &mut Vec<Framed>) -> Result<(), FramingError> {
-        self.buf.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         while self.next(out)? {}
-        if self.buf.len() > BYTES { Err(FramingError::TooLong) } else { Ok(()) }
+        if self.buffer.len() > MAX_MESSAGE_BYTES { Err(FramingError::TooLong) } else { Ok(()) }
     }
 
     fn next(&mut self, out: &mut Vec<Framed>) -> Result<bool, FramingError> {
-        if self.buf.starts_with(b"\r\n\r\n") {
-            self.buf.drain(..4);
+        if self.buffer.starts_with(b"\r\n\r\n") {
+            self.buffer.drain(..4);
             out.push(Framed::Ping);
             return Ok(true);
         }
         // A single line end is the peer's answer to a keep-alive, or precedes a message (section 7.5). It is consumed only
         // when the bytes that follow show that it doesn't begin a keep-alive.
-        if self.buf.len() > 2
-            && self.buf.starts_with(b"\r\n")
-            && !b"\r\n".starts_with(&self.buf[2..self.buf.len().min(4)])
+        if self.buffer.len() > 2
+            && self.buffer.starts_with(b"\r\n")
+            && !b"\r\n".starts_with(&self.buffer[2..self.buffer.len().min(4)])
         {
-            self.buf.drain(..2);
+            self.buffer.drain(..2);
             return Ok(true);
         }
-        let Some(head) = find(&self.buf, b"\r\n\r\n") else { return Ok(false) };
-        if head > BYTES {
+        let Some(head) = find(&self.buffer, b"\r\n\r\n") else { return Ok(false) };
+        if head > MAX_MESSAGE_BYTES {
             return Err(FramingError::TooLong);
         }
-        let length = message::content_length(&self.buf[..head]).ok_or(FramingError::NoLength)?;
-        let whole = head + 4 + length;
-        if whole > BYTES {
+        let length = message::content_length(&self.buffer[..head]).ok_or(FramingError::NoLength)?;
+        let total = head + 4 + length;
+        if total > MAX_MESSAGE_BYTES {
             return Err(FramingError::TooLong);
         }
-        if self.buf.len() < whole {
+        if self.buffer.len() < total {
             return Ok(false);
         }
-        let message = Message::parse(&self.buf[..whole])?;
-        self.buf.drain(..whole);
+        let message = Message::parse(&self.buffer[..total])?;
+        self.buffer.drain(..total);
         out.push(Framed::Message(Box::new(message)));
         Ok(true)
     }
--- a/crates/front/sip/src/lib.rs
+++ b/crates/front/sip/src/lib.rs
@@ -5,7 +5,6 @@
 //! 6026, and a bounded table of transactions that is driven by messages and by time. [`dialog`] is the state of a dialog.
 //! [`caller`] and [`callee`] are the two legs of a call, and [`established`] refreshes and changes an established call at its
 //! media server. The back-to-back user agent in [`agent`] connects both legs to the session controller.
-#![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
 pub mod admission;
@@ -13,10 +12,10 @@
 pub mod callee;
 pub mod caller;
 pub mod dialog;
+pub mod established;
 pub mod framing;
 pub mod message;
 pub mod overload;
-pub mod standing;
 pub mod timer;
 pub mod transaction;
 
--- a/crates/front/sip/src/message.rs
+++ b/crates/front/sip/src/message.rs
@@ -9,19 +9,19 @@
 pub use rsip::Method;
 
 /// Maximum length of a message in bytes, which is what one UDP datagram can hold.
-pub const BYTES: usize = 65_535;
+pub const MAX_MESSAGE_BYTES: usize = 65_535;
 /// Maximum number of header fields of a message.
-pub const FIELDS: usize = 100;
+pub const MAX_HEADER_FIELDS: usize = 100;
 /// Maximum length of an identifier (a tag, a branch, a `Call-ID`), in bytes.
-pub const NAME_BYTES: usize = 256;
+pub const MAX_IDENTIFIER_BYTES: usize = 256;
 /// Prefix of every branch (section 8.1.1.7).
-pub const COOKIE: &str = "z9hG4bK";
+pub const BRANCH_COOKIE: &str = "z9hG4bK";
 
 /// Reason why a message is rejected.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum MessageError {
     /// The message is too long or has too many header fields.
-    #[error("message exceeds {BYTES} bytes or {FIELDS} header fields")]
+    #[error("message exceeds {MAX_MESSAGE_BYTES} bytes or {MAX_HEADER_FIELDS} header fields")]
     TooLong,
     /// The message can't be parsed as SIP.
     #[error("not SIP: {0}")]
@@ -31,14 +31,14 @@
     Field(&'static str),
     /// The message ends before the length that `Content-Length` states.
     #[error("message is shorter than its Content-Length")]
-    Cut,
+    Truncated,
 }
 
 /// Identifiers of a message's call, dialog and transaction.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Names {
+pub struct Identifiers {
     /// Value of `Call-ID`.
-    pub call: String,
+    pub call_id: String,
     /// Tag of `From`.
     pub from_tag: String,
     /// Tag of `To`, or `None` before the dialog is established.
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
     /// Identifiers of the message.
-    pub names: Names,
+    pub ids: Identifiers,
     /// The parsed message.
     pub raw: rsip::Request,
 }
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Response {
     /// Identifiers of the message.
-    pub names: Names,
+    pub ids: Identifiers,
     /// Method of the request that the response answers.
     pub method: Method,
     /// Status code.
@@ -103,7 +103,7 @@
 }
 
 /// Compact forms of header names (section 7.3.3 and the registry of header fields).
-const COMPACT: [(&str, &str); 11] = [
+const COMPACT_NAMES: [(&str, &str); 11] = [
     ("v", "Via"),
     ("f", "From"),
     ("t", "To"),
@@ -118,7 +118,7 @@
 ];
 
 /// Normalizes a head for the parser: joins continuation lines (section 7.3.1), expands compact names and splits `Via` lists.
-fn long_form(head: &[u8]) -> Vec<u8> {
+fn normalize_head(head: &[u8]) -> Vec<u8> {
     let mut lines: Vec<Vec<u8>> = Vec::new();
     for line in head.split(|b| *b == b'\n') {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
@@ -139,7 +139,7 @@
             continue;
         };
         let (short, value) = (line[..colon].trim_ascii(), line[colon + 1..].trim_ascii());
-        let long = COMPACT.iter().find(|c| short.eq_ignore_ascii_case(c.0.as_bytes()));
+        let long = COMPACT_NAMES.iter().find(|c| short.eq_ignore_ascii_case(c.0.as_bytes()));
         let name = long.map_or(short, |c| c.1.as_bytes());
         let via = name.eq_ignore_ascii_case(b"via");
         // A comma within a quoted string doesn't separate values.
@@ -148,10 +148,10 @@
             quoted ^= *b == b'"';
             via && !quoted && *b == b','
         };
-        for value in value.split(ends) {
+        for part in value.split(ends) {
             out.extend_from_slice(name);
             out.extend_from_slice(b": ");
-            out.extend_from_slice(value.trim_ascii());
+            out.extend_from_slice(part.trim_ascii());
             out.extend_from_slice(b"\r\n");
         }
     }
@@ -159,17 +159,18 @@
     out
 }
 
-fn name(text: &str, field: &'static str) -> Result<String, MessageError> {
-    let sound =
-        !text.is_empty() && text.len() <= NAME_BYTES && text.chars().all(|c| !c.is_control() && c != ' ');
-    if sound { Ok(text.to_owned()) } else { Err(MessageError::Field(field)) }
+fn identifier(text: &str, field: &'static str) -> Result<String, MessageError> {
+    let is_valid = !text.is_empty()
+        && text.len() <= MAX_IDENTIFIER_BYTES
+        && text.chars().all(|c| !c.is_control() && c != ' ');
+    if is_valid { Ok(text.to_owned()) } else { Err(MessageError::Field(field)) }
 }
 
 /// Checks that no identifying field is repeated, since implementations differ in which of two values they read.
-fn each_once(headers: &Headers) -> Result<(), MessageError> {
-    type Is = fn(&Header) -> bool;
-    let count = |is: Is| headers.iter().filter(|h| is(h)).count();
-    let fields: [(&'static str, Is); 5] = [
+fn check_unrepeated_fields(headers: &Headers) -> Result<(), MessageError> {
+    type Predicate = fn(&Header) -> bool;
+    let count = |matches: Predicate| headers.iter().filter(|h| matches(h)).count();
+    let fields: [(&'static str, Predicate); 5] = [
         ("From", |h| matches!(h, Header::From(_))),
         ("To", |h| matches!(h, Header::To(_))),
         ("Call-ID", |h| matches!(h, Header::CallId(_))),
@@ -182,28 +183,28 @@
     }
 }
 
-fn names(message: &impl HeadersExt) -> Result<(Names, Method), MessageError> {
-    each_once(message.headers())?;
+fn identifiers(message: &impl HeadersExt) -> Result<(Identifiers, Method), MessageError> {
+    check_unrepeated_fields(message.headers())?;
     let bad = |field| move |_| MessageError::Field(field);
     let via = message.via_header().map_err(bad("Via"))?.typed().map_err(bad("Via"))?;
     let branch = via.branch().ok_or(MessageError::Field("Via"))?.value().to_owned();
-    if !branch.starts_with(COOKIE) {
-        return Err(MessageError::Field("Via")); // a branch of RFC 2543 names nothing
+    if !branch.starts_with(BRANCH_COOKIE) {
+        return Err(MessageError::Field("Via")); // a branch of RFC 2543 identifies nothing
     }
     let from = message.from_header().map_err(bad("From"))?.typed().map_err(bad("From"))?;
     let to = message.to_header().map_err(bad("To"))?.typed().map_err(bad("To"))?;
     let cseq = message.cseq_header().map_err(bad("CSeq"))?.typed().map_err(bad("CSeq"))?;
     let call = message.call_id_header().map_err(bad("Call-ID"))?.value().to_owned();
     let from_tag = from.tag().ok_or(MessageError::Field("From"))?.value().to_owned();
-    let names = Names {
-        call: name(&call, "Call-ID")?,
-        from_tag: name(&from_tag, "From")?,
-        to_tag: to.tag().map(|t| name(t.value(), "To")).transpose()?,
+    let ids = Identifiers {
+        call_id: identifier(&call, "Call-ID")?,
+        from_tag: identifier(&from_tag, "From")?,
+        to_tag: to.tag().map(|t| identifier(t.value(), "To")).transpose()?,
         seq: cseq.seq,
-        branch: name(&branch, "Via")?,
+        branch: identifier(&branch, "Via")?,
         sent_by: via.sent_by().host_with_port.to_string().to_ascii_lowercase(),
     };
-    Ok((names, cseq.method))
+    Ok((ids, cseq.method))
 }
 
 impl Message {
@@ -212,17 +213,17 @@
     /// # Errors
     /// Returns an error if the message exceeds a limit, is malformed or lacks a required field.
     pub fn parse(bytes: &[u8]) -> Result<Message, MessageError> {
-        if bytes.len() > BYTES {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong);
         }
-        let end = bytes.windows(4).position(|w| w == b"\r\n\r\n").ok_or(MessageError::Cut)?;
+        let end = bytes.windows(4).position(|w| w == b"\r\n\r\n").ok_or(MessageError::Truncated)?;
         let head = &bytes[..end];
-        if head.iter().filter(|b| **b == b'\n').count() > FIELDS {
+        if head.iter().filter(|b| **b == b'\n').count() > MAX_HEADER_FIELDS {
             return Err(MessageError::TooLong);
         }
         // The parser accepts only UTF-8 here. The body may be arbitrary bytes.
         if std::str::from_utf8(head).is_err() {
-            return Err(MessageError::Malformed("the head is not text".into()));
+            return Err(MessageError::Malformed("head is not UTF-8".into()));
         }
         let body = &bytes[end + 4..];
         let length = match content_length(head) {
@@ -233,29 +234,29 @@
             None => body.len(),
         };
         if length > body.len() {
-            return Err(MessageError::Cut);
+            return Err(MessageError::Truncated);
         }
-        let whole = [&long_form(head), &body[..length]].concat();
-        let parsed =
-            SipMessage::try_from(whole.as_slice()).map_err(|e| MessageError::Malformed(e.to_string()))?;
+        let normalized = [&normalize_head(head), &body[..length]].concat();
+        let parsed = SipMessage::try_from(normalized.as_slice())
+            .map_err(|e| MessageError::Malformed(e.to_string()))?;
         match parsed {
             SipMessage::Request(raw) => {
                 if raw.uri.scheme.is_none() {
-                    return Err(MessageError::Malformed("its address has no scheme".into()));
+                    return Err(MessageError::Malformed("request URI has no scheme".into()));
                 }
-                let (names, method) = names(&raw)?;
+                let (ids, method) = identifiers(&raw)?;
                 if method != raw.method {
                     return Err(MessageError::Field("CSeq"));
                 }
-                Ok(Message::Request(Request { names, raw }))
+                Ok(Message::Request(Request { ids, raw }))
             }
             SipMessage::Response(raw) => {
-                let (names, method) = names(&raw)?;
+                let (ids, method) = identifiers(&raw)?;
                 let status = raw.status_code.code();
                 if !(100..700).contains(&status) {
                     return Err(MessageError::Malformed(format!("status {status}")));
                 }
-                Ok(Message::Response(Response { names, method, status, raw }))
+                Ok(Message::Response(Response { ids, method, status, raw }))
             }
         }
     }
@@ -275,7 +276,7 @@
     /// Builds a response to the request (section 8.2.6).
     ///
     /// `Via`, `From`, `To`, `Call-ID`, `CSeq` and `Record-Route` are copied, and the tag is added to `To` if it has none.
-    pub fn answer(&self, status: u16, tag: &str) -> Response {
+    pub fn response(&self, status: u16, tag: &str) -> Response {
         let mut headers: Vec<Header> = Vec::new();
         for header in self.raw.headers.iter() {
             match header {
@@ -297,16 +298,16 @@
             headers: Headers::from(headers),
             body: Vec::new(),
         };
-        let mut names = self.names.clone();
-        if status > 100 && names.to_tag.is_none() {
-            names.to_tag = Some(tag.to_owned());
+        let mut ids = self.ids.clone();
+        if status > 100 && ids.to_tag.is_none() {
+            ids.to_tag = Some(tag.to_owned());
         }
-        Response { names, method: self.method(), status, raw }
+        Response { ids, method: self.method(), status, raw }
     }
 
     fn tagged(&self, to: &rsip::headers::To, status: u16, tag: &str) -> Header {
         // A 100 precedes the dialog and gets no tag.
-        if self.names.to_tag.is_some() || status == 100 {
+        if self.ids.to_tag.is_some() || status == 100 {
             return to.clone().into();
         }
         match to.typed() {
@@ -339,15 +340,15 @@
                     headers.push(header.clone());
                 }
                 Header::To(own) => headers.push(to.clone().unwrap_or_else(|| own.clone()).into()),
-                Header::CSeq(_) => headers.push(typed::CSeq { seq: self.names.seq, method }.into()),
+                Header::CSeq(_) => headers.push(typed::CSeq { seq: self.ids.seq, method }.into()),
                 _ => {}
             }
         }
         headers.push(rsip::headers::ContentLength::default().into());
-        let mut names = self.names.clone();
+        let mut ids = self.ids.clone();
         if let Some(tag) = to.and_then(|t| t.typed().ok()).and_then(|t| t.tag().map(|t| t.value().to_owned()))
         {
-            names.to_tag = Some(tag);
+            ids.to_tag = Some(tag);
         }
         let raw = rsip::Request {
             method,
@@ -356,7 +357,7 @@
             headers: Headers::from(headers),
             body: Vec::new(),
         };
-        Request { names, raw }
+        Request { ids, raw }
     }
 }
 
--- a/crates/front/sip/src/overload/refused.rs
+++ b/crates/front/sip/src/overload/rejections.rs
@@ -1,7 +1,7 @@
 //! Cache of rejected calls by a hash of their INVITE.
 //!
 //! A rejection under overload has no transaction and is not retransmitted (the stateless server of RFC 3261, section
-//! 8.2.7). A retransmitted INVITE must get the same response again. If it were decided anew and accepted, its caller could
+//! 8.2.7). A retransmitted INVITE must get the same response again. If it were decided again and accepted, its caller could
 //! receive a rejection and an acceptance of one request.
 
 use std::collections::BTreeMap;
@@ -10,18 +10,18 @@
 use beechloft_session::api::Micros;
 
 use crate::message::Request;
-use crate::timer::{T4, TRIES};
+use crate::timer::{T4, TRANSACTION_TIMEOUT};
 
 /// Minimum time for which a rejection is remembered: as long as copies of its INVITE may arrive. The maximum is twice that.
-pub const KEPT: Micros = Micros(TRIES.0 + T4.0);
+pub const RETENTION: Micros = Micros(TRANSACTION_TIMEOUT.0 + T4.0);
 /// Maximum number of rejections in each generation. At this limit a further rejected call is dropped without a response.
-pub const MOST: usize = 500_000;
+pub const MAX_PER_GENERATION: usize = 500_000;
 
 /// Hash of an INVITE, equal for all its retransmissions (section 17.2.3).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Name(u64);
+pub struct Fingerprint(u64);
 
-impl Name {
+impl Fingerprint {
     /// Returns the `To` tag of the rejection, which is equal for all copies as section 8.2.7 requires.
     pub fn tag(self) -> String {
         format!("{:016x}", self.0)
@@ -30,60 +30,71 @@
 
 /// Recent rejections of a front, in two generations.
 #[derive(Debug)]
-pub struct Refused {
+pub struct RejectionCache {
     seed: u64,
-    turned: Micros,
-    new: BTreeMap<Name, Option<u64>>,
-    old: BTreeMap<Name, Option<u64>>,
-    most: usize,
+    rotated_at: Micros,
+    current: BTreeMap<Fingerprint, Option<u64>>,
+    previous: BTreeMap<Fingerprint, Option<u64>>,
+    capacity: usize,
 }
 
-impl Refused {
+impl RejectionCache {
     /// Creates an empty cache. The secret seed prevents others from constructing INVITEs with equal hashes.
     pub fn new(seed: u64) -> Self {
-        Refused::holding(seed, MOST)
+        RejectionCache::with_capacity(seed, MAX_PER_GENERATION)
     }
 
     /// Creates an empty cache with the given maximum number of rejections in each generation.
-    pub fn holding(seed: u64, most: usize) -> Self {
-        Refused { seed, turned: Micros(0), new: BTreeMap::new(), old: BTreeMap::new(), most }
+    pub fn with_capacity(seed: u64, capacity: usize) -> Self {
+        RejectionCache {
+            seed,
+            rotated_at: Micros(0),
+            current: BTreeMap::new(),
+            previous: BTreeMap::new(),
+            capacity,
+        }
     }
 
     /// Returns the hash of an INVITE.
-    pub fn name(&self, invite: &Request) -> Name {
+    pub fn fingerprint(&self, invite: &Request) -> Fingerprint {
         let mut hasher = DefaultHasher::new();
         self.seed.hash(&mut hasher);
-        let names = &invite.names;
-        (&names.branch, &names.sent_by, &names.call, &names.from_tag, names.seq).hash(&mut hasher);
-        Name(hasher.finish())
+        let ids = &invite.ids;
+        (&ids.branch, &ids.sent_by, &ids.call_id, &ids.from_tag, ids.seq).hash(&mut hasher);
+        Fingerprint(hasher.finish())
     }
 
     /// Returns the rejection that an INVITE got, if any, with its seconds of `Retry-After`.
-    pub fn had(&self, name: Name) -> Option<Option<u64>> {
-        self.new.get(&name).or_else(|| self.old.get(&name)).copied()
+    pub fn get(&self, fingerprint: Fingerprint) -> Option<Option<u64>> {
+        self.current.get(&fingerprint).or_else(|| self.previous.get(&fingerprint)).copied()
     }
 
     /// Remembers a rejection. Returns `false` if the cache is full, in which case no response may be sent.
-    pub fn remember(&mut self, now: Micros, name: Name, after: Option<u64>) -> bool {
-        if now - self.turned >= KEPT {
+    pub fn remember(
+        &mut self,
+        now: Micros,
+        fingerprint: Fingerprint,
+        retry_after_seconds: Option<u64>,
+    ) -> bool {
+        if now - self.rotated_at >= RETENTION {
             // After two periods without a change of generation, both generations have expired.
-            let both = now - self.turned >= Micros(2 * KEPT.0);
-            self.old = std::mem::take(&mut self.new);
-            if both {
-                self.old.clear();
+            let all_expired = now - self.rotated_at >= Micros(2 * RETENTION.0);
+            self.previous = std::mem::take(&mut self.current);
+            if all_expired {
+                self.previous.clear();
             }
-            self.turned = now;
+            self.rotated_at = now;
         }
-        if self.new.len() >= self.most {
+        if self.current.len() >= self.capacity {
             return false;
         }
-        self.new.insert(name, after);
+        self.current.insert(fingerprint, retry_after_seconds);
         true
     }
 
     /// Returns the number of remembered rejections.
     pub fn len(&self) -> usize {
-        self.new.len() + self.old.len()
+        self.current.len() + self.previous.len()
     }
 
     /// Returns whether no rejection is remembered.
--- a/crates/front/sip/src/overload/wire/mod.rs
+++ b/crates/front/sip/src/overload/wire/mod.rs
@@ -8,7 +8,7 @@
 
 /// Feedback to a neighbour: the fraction of its new calls to drop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Advice {
+pub struct Feedback {
     /// Percentage of new calls to drop, 0 to 100 (`oc`).
     pub percent: u8,
     /// Validity period (`oc-validity`, in milliseconds on the wire).
@@ -18,7 +18,7 @@
 }
 
 /// Splits a header value at semicolons outside quoted strings.
-fn parts(value: &str) -> impl Iterator<Item = &str> {
+fn split_parameters(value: &str) -> impl Iterator<Item = &str> {
     let mut quoted = false;
     value.split(move |c| {
         quoted ^= c == '"';
@@ -26,17 +26,17 @@
     })
 }
 
-fn is_ours(part: &str) -> bool {
+fn is_overload_parameter(part: &str) -> bool {
     let name = part.split('=').next().unwrap_or_default().trim();
     ["oc", "oc-algo", "oc-validity", "oc-seq"].iter().any(|n| name.eq_ignore_ascii_case(n))
 }
 
 /// Returns whether the sender of a request with these headers supports loss-based control (sections 4.1 and 4.2).
-pub fn claims(headers: &Headers) -> bool {
+pub fn supports_loss_control(headers: &Headers) -> bool {
     let via = headers.iter().find_map(|h| if let Header::Via(v) = h { Some(v.value()) } else { None });
     let Some(via) = via else { return false };
     let (mut oc, mut loss) = (false, false);
-    for part in parts(via).skip(1) {
+    for part in split_parameters(via).skip(1) {
         let (name, value) = part.split_once('=').unwrap_or((part, ""));
         let name = name.trim();
         oc |= name.eq_ignore_ascii_case("oc");
@@ -47,12 +47,12 @@
 }
 
 /// Puts feedback into the topmost `Via` of a response, in place of the request's own parameters.
-pub fn advise(response: &mut Response, advice: Advice) {
+pub fn add_feedback(response: &mut Response, feedback: Feedback) {
     let headers = response.raw.headers.iter_mut();
     let via = headers.filter_map(|h| if let Header::Via(v) = h { Some(v) } else { None }).next();
     let Some(via) = via else { return };
-    let kept: Vec<&str> = parts(via.value()).filter(|p| !is_ours(p)).collect();
-    let Advice { percent, validity, seq } = advice;
+    let kept: Vec<&str> = split_parameters(via.value()).filter(|p| !is_overload_parameter(p)).collect();
+    let Feedback { percent, validity, seq } = feedback;
     let ms = validity.0 / 1000;
     let text = format!("{};oc={percent};oc-algo=\"loss\";oc-validity={ms};oc-seq={seq}.0", kept.join(";"));
     *via = text.into();
--- a/crates/front/sip/src/overload/wire/tests.rs
+++ b/crates/front/sip/src/overload/wire/tests.rs
@@ -15,21 +15,23 @@
 }
 
 #[test]
-fn only_the_loss_algorithm_is_a_claim_to_be_heard() {
-    let with = |rest: &str| claims(&invite(&format!("SIP/2.0/UDP a:1;branch=z9hG4bK1{rest}")).raw.headers);
+fn support_requires_the_loss_algorithm() {
+    let with = |rest: &str| {
+        supports_loss_control(&invite(&format!("SIP/2.0/UDP a:1;branch=z9hG4bK1{rest}")).raw.headers)
+    };
     assert!(with(";oc;oc-algo=\"loss\""));
     assert!(with(";OC;oc-algo=\"rate,loss\""));
     assert!(!with(";oc;oc-algo=\"rate\""));
     assert!(!with(";oc-algo=\"loss\""));
-    assert!(!with(";x=\";oc;oc-algo=loss\""), "what is quoted is no parameter");
+    assert!(!with(";x=\";oc;oc-algo=loss\""), "a quoted string contains no parameters");
     assert!(!with(""));
 }
 
 #[test]
-fn advice_takes_the_place_of_the_claim() {
+fn feedback_replaces_the_request_parameters() {
     let request = invite("SIP/2.0/UDP a:1;oc;branch=z9hG4bK1;oc-algo=\"loss\";rport");
-    let mut response = request.answer(503, "t");
-    advise(&mut response, Advice { percent: 20, validity: Micros(500_000), seq: 7 });
+    let mut response = request.response(503, "t");
+    add_feedback(&mut response, Feedback { percent: 20, validity: Micros(500_000), seq: 7 });
     let text = String::from_utf8(response.encode()).expect("text");
     let via =
         "Via: SIP/2.0/UDP a:1;branch=z9hG4bK1;rport;oc=20;oc-algo=\"loss\";oc-validity=500;oc-seq=7.0\r\n";
--- a/crates/front/sip/src/transaction/client.rs
+++ b/crates/front/sip/src/transaction/client.rs
@@ -3,20 +3,20 @@
 use beechloft_session::api::Micros;
 
 use super::Transport;
-use crate::message::{Method, Names, Request, Response};
-use crate::timer::{ABSORB, Backoff, T4, TRIES};
+use crate::message::{Identifiers, Method, Request, Response};
+use crate::timer::{Backoff, T4, TIMER_D, TRANSACTION_TIMEOUT};
 
 /// State of a client transaction.
 #[derive(Debug)]
 enum State {
     /// No response has arrived. The request is retransmitted (timers A and E) until the timeout (timers B and F).
-    Calling { repeat: Option<(Micros, Backoff)>, until: Micros },
+    Calling { retransmit: Option<(Micros, Backoff)>, until: Micros },
     /// A provisional response has arrived. An INVITE then waits for as long as its user does.
-    Proceeding { repeat: Option<(Micros, Backoff)>, until: Option<Micros> },
+    Proceeding { retransmit: Option<(Micros, Backoff)>, until: Option<Micros> },
     /// A final response other than 2xx to an INVITE has arrived. Retransmitted ones are acknowledged again (timer D).
-    Completed { ack: Box<Request>, until: Micros },
+    InviteCompleted { ack: Box<Request>, until: Micros },
     /// The final response to a non-INVITE request has arrived. Retransmitted ones are absorbed (timer K).
-    Answered { until: Micros },
+    Completed { until: Micros },
     /// A 2xx to an INVITE has arrived. Further ones are delivered (timer M).
     Accepted { until: Micros },
     /// The transaction has ended.
@@ -29,7 +29,7 @@
     /// Send the request or an ACK.
     Send(Box<Request>),
     /// Deliver a response to the user.
-    Tell(Box<Response>),
+    Deliver(Box<Response>),
     /// Report to the user that no final response arrived.
     TimedOut,
 }
@@ -37,7 +37,7 @@
 /// Client transaction.
 #[derive(Debug)]
 pub struct Client {
-    names: Names,
+    ids: Identifiers,
     method: Method,
     /// The request, kept only until a final response arrives because the transaction lives on for half a minute.
     request: Option<Box<Request>>,
@@ -50,21 +50,21 @@
     pub fn new(now: Micros, request: Request, transport: Transport, out: &mut Vec<Step>) -> Self {
         let mut backoff =
             if request.method() == Method::Invite { Backoff::invite() } else { Backoff::bounded() };
-        let repeat = (transport == Transport::Udp).then(|| (now + backoff.take(), backoff));
+        let retransmit = (transport == Transport::Udp).then(|| (now + backoff.next_interval(), backoff));
         out.push(Step::Send(Box::new(request.clone())));
-        let (names, method) = (request.names.clone(), request.method());
+        let (ids, method) = (request.ids.clone(), request.method());
         Client {
-            names,
+            ids,
             method,
             request: Some(Box::new(request)),
             transport,
-            state: State::Calling { repeat, until: now + TRIES },
+            state: State::Calling { retransmit, until: now + TRANSACTION_TIMEOUT },
         }
     }
 
     /// Returns the identifiers of the request.
-    pub fn names(&self) -> &Names {
-        &self.names
+    pub fn identifiers(&self) -> &Identifiers {
+        &self.ids
     }
 
     fn is_invite(&self) -> bool {
@@ -78,35 +78,35 @@
         match (&mut self.state, response.status) {
             (State::Calling { until, .. }, 100..=199) => {
                 let until = *until;
-                let repeat = (!invite && self.transport == Transport::Udp).then(|| {
+                let retransmit = (!invite && self.transport == Transport::Udp).then(|| {
                     let mut backoff = Backoff::slow();
-                    (now + backoff.take(), backoff)
+                    (now + backoff.next_interval(), backoff)
                 });
-                self.state = State::Proceeding { repeat, until: (!invite).then_some(until) };
-                out.push(Step::Tell(response));
+                self.state = State::Proceeding { retransmit, until: (!invite).then_some(until) };
+                out.push(Step::Deliver(response));
             }
-            (State::Proceeding { .. }, 100..=199) => out.push(Step::Tell(response)),
+            (State::Proceeding { .. }, 100..=199) => out.push(Step::Deliver(response)),
             (State::Calling { .. } | State::Proceeding { .. }, 200..=299) if invite => {
-                self.state = State::Accepted { until: now + TRIES };
-                out.push(Step::Tell(response));
+                self.state = State::Accepted { until: now + TRANSACTION_TIMEOUT };
+                out.push(Step::Deliver(response));
             }
-            (State::Accepted { .. }, 200..=299) => out.push(Step::Tell(response)),
+            (State::Accepted { .. }, 200..=299) => out.push(Step::Deliver(response)),
             (State::Calling { .. } | State::Proceeding { .. }, _) if invite => {
                 let Some(ack) = request.map(|r| Box::new(r.ack_for(&response))) else { return };
                 out.push(Step::Send(ack.clone()));
-                let wait = self.transport.wait(ABSORB);
-                self.state = State::Completed { ack, until: now + wait };
+                let wait = self.transport.unreliable_delay(TIMER_D);
+                self.state = State::InviteCompleted { ack, until: now + wait };
                 self.end_if(wait == Micros(0));
-                out.push(Step::Tell(response));
+                out.push(Step::Deliver(response));
             }
             (State::Calling { .. } | State::Proceeding { .. }, _) => {
-                let wait = self.transport.wait(T4);
-                self.state = State::Answered { until: now + wait };
+                let wait = self.transport.unreliable_delay(T4);
+                self.state = State::Completed { until: now + wait };
                 self.end_if(wait == Micros(0));
-                out.push(Step::Tell(response));
+                out.push(Step::Deliver(response));
             }
             // A retransmitted failure means that the ACK was lost. One with another tag belongs to another dialog and gets no ACK.
-            (State::Completed { ack, .. }, 300..) if ack.names.to_tag == response.names.to_tag => {
+            (State::InviteCompleted { ack, .. }, 300..) if ack.ids.to_tag == response.ids.to_tag => {
                 out.push(Step::Send(ack.clone()));
             }
             _ => {}
@@ -120,20 +120,20 @@
     }
 
     /// Runs the timers that have expired.
-    pub fn due(&mut self, now: Micros, out: &mut Vec<Step>) {
+    pub fn run_timers(&mut self, now: Micros, out: &mut Vec<Step>) {
         match &mut self.state {
             State::Calling { until, .. } | State::Proceeding { until: Some(until), .. } if *until <= now => {
                 out.push(Step::TimedOut);
                 self.state = State::Terminated;
             }
-            State::Calling { repeat: Some((at, backoff)), .. }
-            | State::Proceeding { repeat: Some((at, backoff)), .. }
+            State::Calling { retransmit: Some((at, backoff)), .. }
+            | State::Proceeding { retransmit: Some((at, backoff)), .. }
                 if *at <= now =>
             {
                 out.extend(self.request.clone().map(Step::Send));
-                *at = now + backoff.take();
+                *at = now + backoff.next_interval();
             }
-            State::Completed { until, .. } | State::Answered { until } | State::Accepted { until }
+            State::InviteCompleted { until, .. } | State::Completed { until } | State::Accepted { until }
                 if *until <= now =>
             {
                 self.state = State::Terminated;
@@ -142,12 +142,14 @@
         }
     }
 
-    /// Returns the time at which [`Client::due`] must be called next.
+    /// Returns the time at which [`Client::run_timers`] must be called next.
     pub fn next_due(&self) -> Option<Micros> {
         match &self.state {
-            State::Calling { repeat, until } => Some(repeat.map_or(*until, |r| r.0.min(*until))),
-            State::Proceeding { repeat, until } => repeat.map(|r| r.0).into_iter().chain(*until).min(),
-            State::Completed { until, .. } | State::Answered { until } | State::Accepted { until } => {
+            State::Calling { retransmit, until } => Some(retransmit.map_or(*until, |r| r.0.min(*until))),
+            State::Proceeding { retransmit, until } => {
+                retransmit.map(|r| r.0).into_iter().chain(*until).min()
+            }
+            State::InviteCompleted { until, .. } | State::Completed { until } | State::Accepted { until } => {
                 Some(*until)
             }
             State::Terminated => None,
@@ -160,12 +162,12 @@
     }
 
     /// Returns whether a final response has arrived or the transaction has timed out.
-    pub fn is_answered(&self) -> bool {
+    pub fn is_completed(&self) -> bool {
         !matches!(self.state, State::Calling { .. } | State::Proceeding { .. })
     }
 
     /// Returns whether the transaction has ended.
-    pub fn is_over(&self) -> bool {
+    pub fn is_terminated(&self) -> bool {
         matches!(self.state, State::Terminated)
     }
 }
--- a/crates/front/sip/src/transaction/layer.rs
+++ b/crates/front/sip/src/transaction/layer.rs
@@ -11,7 +11,7 @@
 use crate::message::{Message, Method, Request, Response};
 
 /// Maximum number of concurrent server transactions. Further requests get a stateless 503.
-pub const SERVERS: usize = 200_000;
+pub const MAX_SERVER_TRANSACTIONS: usize = 200_000;
 
 /// Local role in a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -31,7 +31,7 @@
     method: &'static str,
 }
 
-fn word(method: Method) -> &'static str {
+fn method_name(method: Method) -> &'static str {
     match method {
         Method::Invite | Method::Ack => "INVITE",
         Method::Bye => "BYE",
@@ -51,14 +51,19 @@
 
 impl Key {
     fn server(request: &Request) -> Key {
-        let names = &request.names;
-        let (branch, sent_by) = (names.branch.clone(), names.sent_by.clone());
-        Key { side: Side::Server, branch, sent_by, method: word(request.method()) }
+        let ids = &request.ids;
+        let (branch, sent_by) = (ids.branch.clone(), ids.sent_by.clone());
+        Key { side: Side::Server, branch, sent_by, method: method_name(request.method()) }
     }
 
     fn client(branch: &str, method: Method) -> Key {
         // Locally generated branches are unique, and the `sent-by` of a response is always the local one.
-        Key { side: Side::Client, branch: branch.to_owned(), sent_by: String::new(), method: word(method) }
+        Key {
+            side: Side::Client,
+            branch: branch.to_owned(),
+            sent_by: String::new(),
+            method: method_name(method),
+        }
     }
 
     /// Returns the key of the INVITE that a CANCEL refers to.
@@ -93,7 +98,7 @@
     /// The user responds to a request.
     Respond(Key, Box<Response>),
     /// The stream to a peer was closed.
-    Lost(Peer),
+    ConnectionLost(Peer),
     /// Timers may have expired.
     Tick,
 }
@@ -114,7 +119,7 @@
     /// No final response arrived in time, or the stream was closed before one.
     TimedOut(Key),
     /// A 2xx to an INVITE that matches no transaction. The dialog may still have to acknowledge it.
-    Stray(Peer, Box<Response>),
+    UnmatchedSuccess(Peer, Box<Response>),
     /// No ACK arrived for a failure.
     NoAck(Key),
 }
@@ -125,7 +130,7 @@
     servers: BTreeMap<Key, (Peer, Server)>,
     clients: BTreeMap<Key, (Peer, Client)>,
     /// Client transactions over each stream.
-    by_stream: BTreeMap<Peer, BTreeSet<Key>>,
+    clients_by_stream: BTreeMap<Peer, BTreeSet<Key>>,
     due: BTreeSet<(Micros, Key)>,
     now: Micros,
 }
@@ -144,7 +149,7 @@
             },
             Input::Send(peer, request) => self.send(peer, *request, out),
             Input::Respond(key, response) => self.respond(key, *response, out),
-            Input::Lost(peer) => self.lost(peer, out),
+            Input::ConnectionLost(peer) => self.connection_lost(peer, out),
             Input::Tick => {}
         }
     }
@@ -165,7 +170,7 @@
     }
 
     /// Returns whether a request is a retransmission that belongs to an existing transaction.
-    pub fn knows(&self, request: &Request) -> bool {
+    pub fn is_retransmission(&self, request: &Request) -> bool {
         self.servers.contains_key(&Key::server(request))
     }
 
@@ -181,7 +186,7 @@
 
     /// Returns the key of the client transaction of a request.
     pub fn key_of(request: &Request) -> Key {
-        Key::client(&request.names.branch, request.method())
+        Key::client(&request.ids.branch, request.method())
     }
 
     fn request(&mut self, peer: Peer, request: Request, out: &mut Vec<Output>) {
@@ -193,19 +198,19 @@
         match request.method() {
             // The ACK of a 2xx belongs to no transaction (section 13.2.2.4).
             Method::Ack => return out.push(Output::Ack(peer, Box::new(request))),
-            _ if self.servers.len() >= SERVERS => {
-                let mut full = request.answer(503, "full");
+            _ if self.servers.len() >= MAX_SERVER_TRANSACTIONS => {
+                let mut full = request.response(503, "full");
                 full.raw.headers.push(rsip::Header::RetryAfter("1".into()));
                 return out.push(Output::Transmit(peer, Box::new(Message::Response(full))));
             }
             Method::Cancel => return self.cancel(key, peer, request, out),
             _ => {}
         }
-        self.begin(&key, peer, &request);
+        self.start_server(&key, peer, &request);
         out.push(Output::Request(key, peer, Box::new(request)));
     }
 
-    fn begin(&mut self, key: &Key, peer: Peer, request: &Request) {
+    fn start_server(&mut self, key: &Key, peer: Peer, request: &Request) {
         let server = Server::new(self.now, request.clone(), peer.transport);
         self.due.extend(server.next_due().map(|at| (at, key.clone())));
         self.servers.insert(key.clone(), (peer, server));
@@ -216,10 +221,10 @@
     /// The user is informed if the INVITE has no final response yet.
     fn cancel(&mut self, key: Key, peer: Peer, request: Request, out: &mut Vec<Output>) {
         let about = Key::cancelled(&request);
-        let known = self.servers.get(&about).map(|(_, s)| s.is_answered());
-        self.begin(&key, peer, &request);
+        let known = self.servers.get(&about).map(|(_, s)| s.is_completed());
+        self.start_server(&key, peer, &request);
         let status = if known.is_some() { 200 } else { 481 };
-        let answer = request.answer(status, "c");
+        let answer = request.response(status, "c");
         self.on_server(&key, out, |server, now, steps| {
             server.respond(now, answer, steps);
         });
@@ -246,33 +251,33 @@
         self.due.extend(client.next_due().map(|at| (at, key.clone())));
         self.clients.insert(key.clone(), (peer, client));
         if peer.transport == Transport::Tcp {
-            self.by_stream.entry(peer).or_default().insert(key.clone());
+            self.clients_by_stream.entry(peer).or_default().insert(key.clone());
         }
-        carry_out(&key, peer, steps, out);
+        push_outputs(&key, peer, steps, out);
     }
 
     fn response(&mut self, peer: Peer, response: Response, out: &mut Vec<Output>) {
-        let key = Key::client(&response.names.branch, response.method);
+        let key = Key::client(&response.ids.branch, response.method);
         let ours = |c: &(Peer, Client)| {
-            let (own, got) = (c.1.names(), &response.names);
+            let (own, got) = (c.1.identifiers(), &response.ids);
             // A response with another call ID, tag or sequence number may be forged and is dropped.
-            own.call == got.call && own.from_tag == got.from_tag && own.seq == got.seq
+            own.call_id == got.call_id && own.from_tag == got.from_tag && own.seq == got.seq
         };
         if self.clients.get(&key).is_some_and(ours) {
             self.on_client(&key, out, |client, now, steps| client.received(now, response, steps));
         } else if response.method == Method::Invite && (200..300).contains(&response.status) {
-            out.push(Output::Stray(peer, Box::new(response)));
+            out.push(Output::UnmatchedSuccess(peer, Box::new(response)));
         }
     }
 
     /// Ends the client transactions of a closed stream. Those without a final response time out.
-    fn lost(&mut self, peer: Peer, out: &mut Vec<Output>) {
-        for key in self.by_stream.remove(&peer).unwrap_or_default() {
+    fn connection_lost(&mut self, peer: Peer, out: &mut Vec<Output>) {
+        for key in self.clients_by_stream.remove(&peer).unwrap_or_default() {
             if let Some((_, client)) = self.clients.remove(&key) {
                 if let Some(at) = client.next_due() {
                     self.due.remove(&(at, key.clone()));
                 }
-                if !client.is_answered() {
+                if !client.is_completed() {
                     out.push(Output::TimedOut(key));
                 }
             }
@@ -283,8 +288,8 @@
         while let Some((at, key)) = self.due.first().filter(|d| d.0 <= self.now).cloned() {
             self.due.remove(&(at, key.clone()));
             match key.side {
-                Side::Server => self.on_server(&key, out, |server, now, steps| server.due(now, steps)),
-                Side::Client => self.on_client(&key, out, |client, now, steps| client.due(now, steps)),
+                Side::Server => self.on_server(&key, out, |server, now, steps| server.run_timers(now, steps)),
+                Side::Client => self.on_client(&key, out, |client, now, steps| client.run_timers(now, steps)),
             }
         }
     }
@@ -309,7 +314,7 @@
                 server::Step::NoAck => Output::NoAck(key.clone()),
             });
         }
-        if server.is_over() {
+        if server.is_terminated() {
             self.servers.remove(key);
         } else if let Some(at) = server.next_due() {
             self.due.insert((at, key.clone()));
@@ -328,14 +333,14 @@
         }
         let mut steps = Vec::new();
         f(client, self.now, &mut steps);
-        let (peer, over, next) = (*peer, client.is_over(), client.next_due());
-        carry_out(key, peer, steps, out);
+        let (peer, over, next) = (*peer, client.is_terminated(), client.next_due());
+        push_outputs(key, peer, steps, out);
         if over {
             self.clients.remove(key);
-            if let Some(keys) = self.by_stream.get_mut(&peer) {
+            if let Some(keys) = self.clients_by_stream.get_mut(&peer) {
                 keys.remove(key);
                 if keys.is_empty() {
-                    self.by_stream.remove(&peer);
+                    self.clients_by_stream.remove(&peer);
                 }
             }
         } else if let Some(at) = next {
@@ -344,11 +349,11 @@
     }
 }
 
-fn carry_out(key: &Key, peer: Peer, steps: Vec<client::Step>, out: &mut Vec<Output>) {
+fn push_outputs(key: &Key, peer: Peer, steps: Vec<client::Step>, out: &mut Vec<Output>) {
     for step in steps {
         out.push(match step {
             client::Step::Send(request) => Output::Transmit(peer, Box::new(Message::Request(*request))),
-            client::Step::Tell(response) => Output::Response(key.clone(), response),
+            client::Step::Deliver(response) => Output::Response(key.clone(), response),
             client::Step::TimedOut => Output::TimedOut(key.clone()),
         });
     }
--- a/crates/front/sip/src/transaction/mod.rs
+++ b/crates/front/sip/src/transaction/mod.rs
@@ -22,7 +22,7 @@
 
 impl Transport {
     /// Returns the delay on an unreliable transport, and zero on a reliable one.
-    pub(crate) fn wait(self, pause: Micros) -> Micros {
-        if self == Transport::Udp { pause } else { Micros(0) }
+    pub(crate) fn unreliable_delay(self, delay: Micros) -> Micros {
+        if self == Transport::Udp { delay } else { Micros(0) }
     }
 }
--- a/crates/front/sip/src/transaction/server.rs
+++ b/crates/front/sip/src/transaction/server.rs
@@ -8,7 +8,7 @@
 
 use super::Transport;
 use crate::message::{Method, Request, Response};
-use crate::timer::{Backoff, T4, TRIES, TRYING};
+use crate::timer::{Backoff, T4, TRANSACTION_TIMEOUT, TRYING_DELAY};
 
 /// State of a server transaction.
 #[derive(Debug)]
@@ -18,9 +18,9 @@
     /// The last response sent was provisional.
     Proceeding(Box<Response>),
     /// A final response other than 2xx to an INVITE has been sent. It is retransmitted until its ACK (timers G and H).
-    Completed { response: Box<Response>, repeat: Option<(Micros, Backoff)>, until: Micros },
+    InviteCompleted { response: Box<Response>, retransmit: Option<(Micros, Backoff)>, until: Micros },
     /// The final response to a non-INVITE request has been sent (timer J).
-    Answered { response: Box<Response>, until: Micros },
+    Completed { response: Box<Response>, until: Micros },
     /// A 2xx to an INVITE has been sent. Its user retransmits it (timer L).
     Accepted { until: Micros },
     /// The ACK has arrived. Further ones are absorbed (timer I).
@@ -52,7 +52,7 @@
     /// Starts a transaction for a new request.
     pub fn new(now: Micros, request: Request, transport: Transport) -> Self {
         let method = request.method();
-        let trying = (method == Method::Invite).then_some(now + TRYING);
+        let trying = (method == Method::Invite).then_some(now + TRYING_DELAY);
         Server { method, request: Some(Box::new(request)), transport, state: State::Trying(trying) }
     }
 
@@ -63,8 +63,8 @@
     /// Handles a retransmission of the request, or the ACK of its failure.
     pub fn received(&mut self, now: Micros, method: Method, out: &mut Vec<Step>) {
         if method == Method::Ack {
-            if let State::Completed { .. } = self.state {
-                let wait = self.transport.wait(T4);
+            if let State::InviteCompleted { .. } = self.state {
+                let wait = self.transport.unreliable_delay(T4);
                 self.state = State::Confirmed { until: now + wait };
                 self.end_if(wait == Micros(0));
             }
@@ -72,8 +72,8 @@
         }
         match &self.state {
             State::Proceeding(response)
-            | State::Completed { response, .. }
-            | State::Answered { response, .. } => {
+            | State::InviteCompleted { response, .. }
+            | State::Completed { response, .. } => {
                 out.push(Step::Send(response.clone()));
             }
             State::Trying(_) | State::Accepted { .. } | State::Confirmed { .. } | State::Terminated => {}
@@ -90,17 +90,24 @@
                 self.state = State::Proceeding(response.clone());
             }
             (State::Trying(_) | State::Proceeding(_), 200..=299) if self.is_invite() => {
-                self.state = State::Accepted { until: now + TRIES + self.transport.wait(T4) };
+                self.state = State::Accepted {
+                    until: now + TRANSACTION_TIMEOUT + self.transport.unreliable_delay(T4),
+                };
             }
             (State::Accepted { .. }, 200..=299) => {}
             (State::Trying(_) | State::Proceeding(_), _) if self.is_invite() => {
                 let mut backoff = Backoff::bounded();
-                let repeat = (self.transport == Transport::Udp).then(|| (now + backoff.take(), backoff));
-                self.state = State::Completed { response: response.clone(), repeat, until: now + TRIES };
+                let retransmit =
+                    (self.transport == Transport::Udp).then(|| (now + backoff.next_interval(), backoff));
+                self.state = State::InviteCompleted {
+                    response: response.clone(),
+                    retransmit,
+                    until: now + TRANSACTION_TIMEOUT,
+                };
             }
             (State::Trying(_) | State::Proceeding(_), _) => {
-                let wait = self.transport.wait(TRIES + T4);
-                self.state = State::Answered { response: response.clone(), until: now + wait };
+                let wait = self.transport.unreliable_delay(TRANSACTION_TIMEOUT + T4);
+                self.state = State::Completed { response: response.clone(), until: now + wait };
                 self.end_if(wait == Micros(0));
             }
             _ => return false,
@@ -117,24 +124,24 @@
     }
 
     /// Runs the timers that have expired.
-    pub fn due(&mut self, now: Micros, out: &mut Vec<Step>) {
+    pub fn run_timers(&mut self, now: Micros, out: &mut Vec<Step>) {
         match &mut self.state {
             State::Trying(Some(at)) if *at <= now => {
-                let Some(trying) = self.request.take().map(|r| Box::new(r.answer(100, ""))) else { return };
+                let Some(trying) = self.request.take().map(|r| Box::new(r.response(100, ""))) else { return };
                 out.push(Step::Send(trying.clone()));
                 self.state = State::Proceeding(trying);
             }
-            State::Completed { until, .. } if *until <= now => {
+            State::InviteCompleted { until, .. } if *until <= now => {
                 out.push(Step::NoAck);
-                let wait = self.transport.wait(T4);
+                let wait = self.transport.unreliable_delay(T4);
                 self.state = State::Confirmed { until: now + wait };
                 self.end_if(wait == Micros(0));
             }
-            State::Completed { response, repeat: Some((at, backoff)), .. } if *at <= now => {
+            State::InviteCompleted { response, retransmit: Some((at, backoff)), .. } if *at <= now => {
                 out.push(Step::Send(response.clone()));
-                *at = now + backoff.take();
+                *at = now + backoff.next_interval();
             }
-            State::Answered { until, .. } | State::Accepted { until } | State::Confirmed { until }
+            State::Completed { until, .. } | State::Accepted { until } | State::Confirmed { until }
                 if *until <= now =>
             {
                 self.state = State::Terminated;
@@ -143,12 +150,14 @@
         }
     }
 
-    /// Returns the time at which [`Server::due`] must be called next.
+    /// Returns the time at which [`Server::run_timers`] must be called next.
     pub fn next_due(&self) -> Option<Micros> {
         match &self.state {
             State::Trying(at) => *at,
-            State::Completed { repeat, until, .. } => Some(repeat.map_or(*until, |r| r.0.min(*until))),
-            State::Answered { until, .. } | State::Accepted { until } | State::Confirmed { until } => {
+            State::InviteCompleted { retransmit, until, .. } => {
+                Some(retransmit.map_or(*until, |r| r.0.min(*until)))
+            }
+            State::Completed { until, .. } | State::Accepted { until } | State::Confirmed { until } => {
                 Some(*until)
             }
             State::Proceeding(_) | State::Terminated => None,
@@ -156,12 +165,12 @@
     }
 
     /// Returns whether a final response has been sent.
-    pub fn is_answered(&self) -> bool {
+    pub fn is_completed(&self) -> bool {
         !matches!(self.state, State::Trying(_) | State::Proceeding(_))
     }
 
     /// Returns whether the transaction has ended.
-    pub fn is_over(&self) -> bool {
+    pub fn is_terminated(&self) -> bool {
         matches!(self.state, State::Terminated)
     }
 }
--- a/crates/front/sip/tests/agent.rs
+++ b/crates/front/sip/tests/agent.rs
@@ -1,13 +1,12 @@
-//! The user agent and the front's core together, between scripted callers and boxes on a simulated clock and network.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
+//! Tests of the agent and the session controller between scripted callers and media servers, on a simulated clock and network.
+#![allow(clippy::cast_possible_truncation)]
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use beechloft_session::SessionController;
 use beechloft_session::api::*;
 use beechloft_session::catalog::{EndpointUpdate, MediaServerEntry, TitleEntry};
-use beechloft_session::io as core_io;
+use beechloft_session::io as controller_io;
 use beechloft_sip::agent::{Agent, Input, Output};
 use beechloft_sip::message::{Message, Method, Request, Response};
 use beechloft_sip::transaction::Transport;
@@ -52,84 +51,84 @@
     }
 }
 
-/// How a box behaves towards an INVITE.
+/// Behaviour of a media server towards an INVITE.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Manner {
-    /// 100, 180, 200.
-    Sound,
-    /// Turns away with this status.
-    Refuses(u16),
-    /// Says nothing at all.
-    Silent,
-    /// 100, then nothing.
-    Stuck,
-    /// 180 for ever; answers a CANCEL.
-    Rings,
-    /// 180; answers a CANCEL with its 200 to the INVITE.
-    Crosses,
-    /// Nobody listens.
-    Absent,
-    /// 200 with a body that makes no sense.
-    Nonsense,
-    /// Its 200 comes so late, milliseconds.
-    Late(u64),
-    /// Sound, but it never hears a BYE.
-    LosesBye,
-    /// Sound, but it has no calls any more, as a process that started anew.
-    Forgot,
+enum Behaviour {
+    /// Sends 100, 180 and 200.
+    Accepts,
+    /// Rejects with this status.
+    Rejects(u16),
+    /// Never responds.
+    Unresponsive,
+    /// Sends 100 and nothing more.
+    StopsAfterTrying,
+    /// Sends 180 and nothing more, but answers a CANCEL.
+    RingsForever,
+    /// Sends 180, and accepts the INVITE when the CANCEL arrives.
+    AcceptsOnCancel,
+    /// Refuses the connection.
+    ConnectionRefused,
+    /// Sends a 200 with a malformed body.
+    MalformedAnswer,
+    /// Sends 200 after this delay in milliseconds.
+    AcceptsAfterMs(u64),
+    /// Accepts, but every BYE to it is lost.
+    IgnoresBye,
+    /// Accepts, but loses its calls, like a process that was restarted.
+    LosesCalls,
 }
 
-/// The world around one front: a network that takes a millisecond, boxes of some manner, callers by hand.
-struct World {
-    core: SessionController,
+/// Simulated environment of one front: a network with a delay of a millisecond, media servers and scripted callers.
+struct Simulation {
+    controller: SessionController,
     agent: Agent,
     now: u64,
-    manners: Vec<Manner>,
-    /// Towards the agent: when, from whom, what.
+    behaviours: Vec<Behaviour>,
+    /// Messages in flight to the agent, with their arrival times.
     wire: Vec<(u64, Input)>,
-    /// What the caller's side received.
+    /// Messages that the caller received.
     received: Vec<Message>,
-    /// Calls that stand at a box: box and Call-ID; and those acknowledged.
-    standing: BTreeSet<(u32, String)>,
+    /// Calls established at media servers, by server and `Call-ID`, and those of them that were acknowledged.
+    established: BTreeSet<(u32, String)>,
     acked: BTreeSet<(u32, String)>,
-    /// When a box ends a call that nobody refreshes.
+    /// Time at which a media server ends a call that is not refreshed.
     expires: BTreeMap<(u32, String), u64>,
     refreshes: usize,
-    /// INVITEs out at boxes, by the session's title user and box.
-    out: BTreeMap<String, u32>,
-    most_out: usize,
+    /// Outstanding INVITEs at media servers, by connection.
+    outstanding: BTreeMap<String, u32>,
+    max_outstanding: usize,
     invites: Vec<(u32, String)>,
     rates: Vec<f64>,
 }
 
-fn udp() -> Peer {
+fn caller_peer() -> Peer {
     Peer { address: "127.0.0.1:5070".parse().expect("an address"), transport: Transport::Udp, conn: 0 }
 }
 
-impl World {
-    fn new(manners: &[Manner]) -> World {
-        World::with(settings(), manners)
+impl Simulation {
+    fn new(behaviours: &[Behaviour]) -> Simulation {
+        Simulation::with(settings(), behaviours)
     }
 
-    fn with(settings: Settings, manners: &[Manner]) -> World {
+    fn with(settings: Settings, behaviours: &[Behaviour]) -> Simulation {
         let listen = "127.0.0.1:5060".parse().expect("an address");
-        let mut world = World {
-            core: SessionController::new(settings, 1),
+        let mut simulation = Simulation {
+            controller: SessionController::new(settings, 1),
             agent: Agent::new(listen, 0, 2),
             now: 100 * S,
-            manners: manners.to_vec(),
+            behaviours: behaviours.to_vec(),
             wire: Vec::new(),
             received: Vec::new(),
-            standing: BTreeSet::new(),
+            established: BTreeSet::new(),
             acked: BTreeSet::new(),
             expires: BTreeMap::new(),
             refreshes: 0,
-            out: BTreeMap::new(),
-            most_out: 0,
+            outstanding: BTreeMap::new(),
+            max_outstanding: 0,
             invites: Vec::new(),
             rates: Vec::new(),
         };
-        let boxes = (0..manners.len() as u32).map(|n| MediaServerEntry {
+        let servers = (0..behaviours.len() as u32).map(|n| MediaServerEntry {
             id: ServerId(n),
             name: format!("box-{n}").into(),
             url: format!("127.0.0.1:{}", 8000 + n).into(),
@@ -145,88 +144,89 @@
             name: "stall".into(),
             class: ClassId(0),
             tenant: TenantId(0),
-            holders: (0..manners.len() as u32).map(ServerId).collect(),
+            holders: (0..behaviours.len() as u32).map(ServerId).collect(),
             length: None,
         };
-        let list = EndpointUpdate::Snapshot { cached: false, servers: boxes.collect(), titles: vec![title] };
-        world.core(core_io::Input::Endpoints(list));
-        world
+        let list =
+            EndpointUpdate::Snapshot { cached: false, servers: servers.collect(), titles: vec![title] };
+        simulation.send_to_controller(controller_io::Input::Endpoints(list));
+        simulation
     }
 
-    fn core(&mut self, input: core_io::Input) {
+    fn send_to_controller(&mut self, input: controller_io::Input) {
         let mut out = Vec::new();
-        self.core.handle(Micros(self.now), input, &mut out);
+        self.controller.handle(Micros(self.now), input, &mut out);
         for output in out {
-            self.agent(Input::Core(Box::new(output)));
+            self.send_to_agent(Input::Controller(Box::new(output)));
         }
     }
 
-    fn agent(&mut self, input: Input) {
+    fn send_to_agent(&mut self, input: Input) {
         let mut out = Vec::new();
         self.agent.handle(Micros(self.now), input, &mut out);
         for output in out {
             match output {
-                Output::Core(input) => self.core(*input),
+                Output::Controller(request) => self.send_to_controller(*request),
                 Output::Close(peer) => {
-                    // The connection of an attempt is closed: it is out no longer.
+                    // Closing its connection ends the attempt.
                     let conn = format!("{}", peer.conn);
-                    self.out.remove(&conn);
+                    self.outstanding.remove(&conn);
                 }
                 Output::Transmit(peer, message) if peer.transport == Transport::Udp => {
                     self.received.push(*message)
                 }
-                Output::Transmit(peer, message) => self.at_box(peer, *message),
+                Output::Transmit(peer, message) => self.media_server_receives(peer, *message),
             }
         }
     }
 
-    fn back(&mut self, after: u64, peer: Peer, message: Message) {
+    fn deliver_to_agent(&mut self, after: u64, peer: Peer, message: Message) {
         self.wire
             .push((self.now + after, Input::Received(peer, Box::new(message), Micros(self.now + after))));
     }
 
-    fn at_box(&mut self, peer: Peer, message: Message) {
+    fn media_server_receives(&mut self, peer: Peer, message: Message) {
         let n = u32::from(peer.address.port() - 9000);
         let Message::Request(request) = message else { return };
-        let manner = self.manners[n as usize];
-        if manner == Manner::Absent {
-            return self.wire.push((self.now + MS, Input::Lost(peer, true)));
+        let behaviour = self.behaviours[n as usize];
+        if behaviour == Behaviour::ConnectionRefused {
+            return self.wire.push((self.now + MS, Input::ConnectionLost(peer, true)));
         }
-        let call = (n, request.names.call.clone());
+        let call = (n, request.ids.call_id.clone());
         match request.method() {
             Method::Invite => {
                 self.invites.push(call.clone());
-                self.out.insert(format!("{}", peer.conn), n);
-                self.most_out = self.most_out.max(self.out.len());
+                self.outstanding.insert(format!("{}", peer.conn), n);
+                self.max_outstanding = self.max_outstanding.max(self.outstanding.len());
                 let body = String::from_utf8_lossy(&request.raw.body).into_owned();
                 self.rates.extend(beechloft_whep::sdp::rate_limit_kb(body.as_bytes()));
-                self.invited(peer, &request, manner);
+                self.handle_invite(peer, &request, behaviour);
             }
             Method::Ack => {
-                if self.standing.contains(&call) {
+                if self.established.contains(&call) {
                     self.acked.insert(call);
                 }
             }
-            Method::Cancel => match manner {
-                Manner::Rings => {
+            Method::Cancel => match behaviour {
+                Behaviour::RingsForever => {
                     self.answer(peer, &request, 200);
-                    self.out.remove(&format!("{}", peer.conn));
-                    let invite = as_invite(&request);
+                    self.outstanding.remove(&format!("{}", peer.conn));
+                    let invite = invite_of_cancel(&request);
                     self.answer(peer, &invite, 487);
                 }
-                Manner::Crosses => {
+                Behaviour::AcceptsOnCancel => {
                     self.answer(peer, &request, 200);
-                    self.accept(MS, peer, &as_invite(&request), SDP);
+                    self.accept(MS, peer, &invite_of_cancel(&request), SDP);
                 }
                 _ => {}
             },
-            Method::Bye if manner == Manner::LosesBye => {}
-            _ if manner == Manner::Forgot => self.answer(peer, &request, 481),
+            Method::Bye if behaviour == Behaviour::IgnoresBye => {}
+            _ if behaviour == Behaviour::LosesCalls => self.answer(peer, &request, 481),
             Method::Bye => {
-                self.standing.remove(&call);
+                self.established.remove(&call);
                 self.answer(peer, &request, 200);
             }
-            Method::Update if self.standing.contains(&call) => {
+            Method::Update if self.established.contains(&call) => {
                 self.refreshes += usize::from(request.raw.body.is_empty());
                 self.expires.insert(call, self.now + interval(&request) * S);
                 self.answer(peer, &request, 200);
@@ -237,77 +237,80 @@
     }
 
     fn answer(&mut self, peer: Peer, request: &Request, status: u16) {
-        self.back(MS, peer, Message::Response(request.answer(status, "tb")));
+        self.deliver_to_agent(MS, peer, Message::Response(request.response(status, "tb")));
     }
 
     fn accept(&mut self, after: u64, peer: Peer, invite: &Request, body: &str) {
-        let mut ok: Response = invite.answer(200, "tb");
+        let mut ok: Response = invite.response(200, "tb");
         ok.raw.headers.push(rsip::Header::Contact(format!("<sip:box@{}>", peer.address).into()));
         ok.raw.body = body.as_bytes().to_vec();
-        let call = (u32::from(peer.address.port() - 9000), invite.names.call.clone());
+        let call = (u32::from(peer.address.port() - 9000), invite.ids.call_id.clone());
         self.expires.insert(call.clone(), self.now + interval(invite) * S);
-        self.standing.insert(call);
-        self.out.remove(&format!("{}", peer.conn));
-        self.back(after, peer, Message::Response(ok));
+        self.established.insert(call);
+        self.outstanding.remove(&format!("{}", peer.conn));
+        self.deliver_to_agent(after, peer, Message::Response(ok));
     }
 
-    fn invited(&mut self, peer: Peer, invite: &Request, manner: Manner) {
-        match manner {
-            Manner::Sound | Manner::LosesBye | Manner::Forgot => {
+    fn handle_invite(&mut self, peer: Peer, invite: &Request, behaviour: Behaviour) {
+        match behaviour {
+            Behaviour::Accepts | Behaviour::IgnoresBye | Behaviour::LosesCalls => {
                 self.answer(peer, invite, 100);
                 self.answer(peer, invite, 180);
                 self.accept(5 * MS, peer, invite, SDP);
             }
-            Manner::Refuses(status) => {
-                self.out.remove(&format!("{}", peer.conn));
+            Behaviour::Rejects(status) => {
+                self.outstanding.remove(&format!("{}", peer.conn));
                 self.answer(peer, invite, status);
             }
-            Manner::Stuck => self.answer(peer, invite, 100),
-            Manner::Rings | Manner::Crosses => self.answer(peer, invite, 180),
-            Manner::Nonsense => {
-                self.accept(5 * MS, peer, invite, "nothing that makes any sense to anybody at all, no")
+            Behaviour::StopsAfterTrying => self.answer(peer, invite, 100),
+            Behaviour::RingsForever | Behaviour::AcceptsOnCancel => self.answer(peer, invite, 180),
+            Behaviour::MalformedAnswer => {
+                self.accept(5 * MS, peer, invite, "this is not a session description")
             }
-            Manner::Late(ms) => self.accept(ms * MS, peer, invite, SDP),
-            Manner::Silent | Manner::Absent => {}
+            Behaviour::AcceptsAfterMs(ms) => self.accept(ms * MS, peer, invite, SDP),
+            Behaviour::Unresponsive | Behaviour::ConnectionRefused => {}
         }
     }
 
-    /// Lets time pass.
+    /// Advances the clock, delivering messages and running timers.
     fn wait(&mut self, us: u64) {
         let end = self.now + us;
         loop {
-            let arrival = self.wire.iter().map(|w| w.0).min();
-            let due = [self.core.next_due(), self.agent.next_due()].into_iter().flatten().map(|t| t.0).min();
+            let arrival = self.wire.iter().map(|simulation| simulation.0).min();
+            let due =
+                [self.controller.next_due(), self.agent.next_due()].into_iter().flatten().map(|t| t.0).min();
             let Some(next) = arrival.into_iter().chain(due).min().filter(|t| *t <= end) else { break };
             self.now = self.now.max(next);
-            self.expire();
-            if let Some(n) = self.wire.iter().position(|w| w.0 <= self.now) {
+            self.expire_calls();
+            if let Some(n) = self.wire.iter().position(|simulation| simulation.0 <= self.now) {
                 let (_, input) = self.wire.remove(n);
-                self.agent(input);
+                self.send_to_agent(input);
             } else {
-                self.core(core_io::Input::Tick);
-                self.agent(Input::Tick);
+                self.send_to_controller(controller_io::Input::Tick);
+                self.send_to_agent(Input::Tick);
             }
         }
         self.now = end;
-        self.expire();
+        self.expire_calls();
     }
 
-    /// Boxes end the calls that nobody refreshed.
-    fn expire(&mut self) {
+    /// Ends the calls at media servers that were not refreshed.
+    fn expire_calls(&mut self) {
         let (now, expires) = (self.now, &self.expires);
-        self.standing.retain(|c| expires.get(c).is_none_or(|at| *at > now));
+        self.established.retain(|c| expires.get(c).is_none_or(|at| *at > now));
     }
 
     fn caller_sends(&mut self, request: &Request) {
         let message = Box::new(Message::Request(request.clone()));
-        self.agent(Input::Received(udp(), message, Micros(self.now)));
+        self.send_to_agent(Input::Received(caller_peer(), message, Micros(self.now)));
     }
 
-    /// Final answers to the INVITE of a caller, each status once for each time it came.
-    fn finals(&self, call: &str) -> Vec<u16> {
+    /// Returns the statuses of all final responses to a caller's INVITE, including retransmissions.
+    fn final_statuses(&self, call: &str) -> Vec<u16> {
         let of = |m: &Message| match m {
-            Message::Response(r) if r.method == Method::Invite && r.status >= 200 && r.names.call == call => {
+            Message::Response(r)
+                if r.method == Method::Invite && r.status >= 200 && r.ids.call_id == call =>
+            {
                 Some(r.status)
             }
             _ => None,
@@ -317,7 +320,9 @@
 
     fn ok_of(&self, call: &str) -> Option<Response> {
         self.received.iter().find_map(|m| match m {
-            Message::Response(r) if r.status == 200 && r.method == Method::Invite && r.names.call == call => {
+            Message::Response(r)
+                if r.status == 200 && r.method == Method::Invite && r.ids.call_id == call =>
+            {
                 Some(r.clone())
             }
             _ => None,
@@ -325,7 +330,7 @@
     }
 }
 
-/// The interval that a request sets, seconds. An INVITE that is made up from its CANCEL has none.
+/// Returns the session interval of a request in seconds. An INVITE derived from its CANCEL has none.
 fn interval(request: &Request) -> u64 {
     let text = String::from_utf8(request.encode()).expect("text");
     match text.lines().find_map(|l| l.strip_prefix("Session-Expires: ")) {
@@ -336,8 +341,8 @@
     }
 }
 
-/// The INVITE that a CANCEL is about, as far as its answer goes.
-fn as_invite(cancel: &Request) -> Request {
+/// Reconstructs the INVITE of a CANCEL, as far as a response needs it.
+fn invite_of_cancel(cancel: &Request) -> Request {
     let text = String::from_utf8(cancel.encode()).expect("text").replace("CANCEL", "INVITE");
     request(&text)
 }
@@ -363,109 +368,126 @@
 }
 
 fn tag_of(ok: &Response) -> String {
-    format!(";tag={}", ok.names.to_tag.clone().expect("a tag"))
+    format!(";tag={}", ok.ids.to_tag.clone().expect("a tag"))
 }
 
 #[test]
-fn a_call_is_placed_stands_and_ends_on_both_sides() {
-    let mut w = World::new(&[Manner::Sound]);
-    w.caller_sends(&invite("c1"));
-    w.wait(100 * MS);
-    assert_eq!(w.finals("c1"), [200]);
-    let ok = w.ok_of("c1").expect("an answer");
-    assert!(w.received.iter().any(|m| matches!(m, Message::Response(r) if r.status == 180)), "it rang");
-    assert_eq!((w.standing.len(), w.acked.len(), w.core.playing()), (1, 1, 1));
+fn call_is_established_and_ended_on_both_sides() {
+    let mut simulation = Simulation::new(&[Behaviour::Accepts]);
+    simulation.caller_sends(&invite("c1"));
+    simulation.wait(100 * MS);
+    assert_eq!(simulation.final_statuses("c1"), [200]);
+    let ok = simulation.ok_of("c1").expect("an answer");
     assert!(
-        w.rates.iter().all(|r| [200.0, 450.0].contains(r)),
-        "a rung is written into the offer: {:?}",
-        w.rates
+        simulation.received.iter().any(|m| matches!(m, Message::Response(r) if r.status == 180)),
+        "no 180 received"
     );
-    w.caller_sends(&caller("ACK", "c1", 1, &tag_of(&ok), "", ""));
-    w.caller_sends(&caller("BYE", "c1", 2, &tag_of(&ok), "", ""));
-    w.wait(S);
-    assert_eq!((w.standing.len(), w.core.playing(), w.agent.len()), (0, 0, (0, 0)));
-    assert!(w.core.is_idle());
+    assert_eq!(
+        (simulation.established.len(), simulation.acked.len(), simulation.controller.playing()),
+        (1, 1, 1)
+    );
+    assert!(
+        simulation.rates.iter().all(|r| [200.0, 450.0].contains(r)),
+        "offer rate is not that of a rung: {:?}",
+        simulation.rates
+    );
+    simulation.caller_sends(&caller("ACK", "c1", 1, &tag_of(&ok), "", ""));
+    simulation.caller_sends(&caller("BYE", "c1", 2, &tag_of(&ok), "", ""));
+    simulation.wait(S);
+    assert_eq!(
+        (simulation.established.len(), simulation.controller.playing(), simulation.agent.len()),
+        (0, 0, (0, 0))
+    );
+    assert!(simulation.controller.is_idle());
 }
 
 #[test]
-fn repeated_invites_make_one_set_up() {
-    let mut w = World::new(&[Manner::Late(200)]);
+fn repeated_invites_cause_one_set_up() {
+    let mut simulation = Simulation::new(&[Behaviour::AcceptsAfterMs(200)]);
     for _ in 0..5 {
-        w.caller_sends(&invite("c1"));
-        w.wait(20 * MS);
+        simulation.caller_sends(&invite("c1"));
+        simulation.wait(20 * MS);
     }
-    w.wait(S);
-    assert_eq!(w.invites.len(), 1);
-    // By another way: the same request with another branch.
+    simulation.wait(S);
+    assert_eq!(simulation.invites.len(), 1);
+    // The same request by another path, and thus with another branch.
     let other = String::from_utf8(invite("c1").encode()).expect("text").replace("z9hG4bKc1", "z9hG4bKx1");
-    w.caller_sends(&request(&other));
-    assert!(w.received.iter().any(|m| matches!(m, Message::Response(r) if r.status == 482)));
-    assert_eq!(w.invites.len(), 1);
+    simulation.caller_sends(&request(&other));
+    assert!(simulation.received.iter().any(|m| matches!(m, Message::Response(r) if r.status == 482)));
+    assert_eq!(simulation.invites.len(), 1);
 }
 
 #[test]
-fn each_manner_of_a_box_leads_elsewhere_and_leaves_nothing_behind() {
-    use Manner::*;
-    for manner in [
-        Refuses(486),
-        Refuses(503),
-        Refuses(500),
-        Silent,
-        Stuck,
-        Rings,
-        Crosses,
-        Absent,
-        Nonsense,
-        Late(380),
-        Late(440),
-        Late(2000),
+fn failed_attempts_are_retried_elsewhere_and_leave_no_call() {
+    use Behaviour::*;
+    for behaviour in [
+        Rejects(486),
+        Rejects(503),
+        Rejects(500),
+        Unresponsive,
+        StopsAfterTrying,
+        RingsForever,
+        AcceptsOnCancel,
+        ConnectionRefused,
+        MalformedAnswer,
+        AcceptsAfterMs(380),
+        AcceptsAfterMs(440),
+        AcceptsAfterMs(2000),
     ] {
-        let mut w = World::new(&[manner, Sound]);
+        let mut simulation = Simulation::new(&[behaviour, Accepts]);
         for n in 0..4 {
-            w.caller_sends(&invite(&format!("c{n}")));
-            w.wait(2 * S);
+            simulation.caller_sends(&invite(&format!("c{n}")));
+            simulation.wait(2 * S);
         }
         for n in 0..4 {
-            let finals = w.finals(&format!("c{n}"));
-            let kinds: BTreeSet<u16> = finals.iter().copied().collect();
-            assert_eq!(kinds, [200].into(), "{manner:?}: call {n}: {finals:?}");
+            let finals = simulation.final_statuses(&format!("c{n}"));
+            let statuses: BTreeSet<u16> = finals.iter().copied().collect();
+            assert_eq!(statuses, [200].into(), "{behaviour:?}: call {n}: {finals:?}");
         }
-        w.wait(40 * S); // nobody acknowledged: all are hung up
-        w.wait(40 * S);
-        assert_eq!(w.most_out, 1, "{manner:?}: one attempt at a time");
-        assert!(w.standing.is_empty(), "{manner:?}: left at boxes: {:?}", w.standing);
-        assert_eq!((w.agent.len(), w.core.playing()), ((0, 0), 0), "{manner:?}");
+        simulation.wait(40 * S); // the caller never acknowledges, so all calls end
+        simulation.wait(40 * S);
+        assert_eq!(simulation.max_outstanding, 1, "{behaviour:?}: one attempt at a time");
+        assert!(
+            simulation.established.is_empty(),
+            "{behaviour:?}: calls left at media servers: {:?}",
+            simulation.established
+        );
+        assert_eq!((simulation.agent.len(), simulation.controller.playing()), ((0, 0), 0), "{behaviour:?}");
     }
 }
 
 #[test]
-fn a_cancel_at_any_moment_gets_its_487_or_comes_too_late() {
-    for (manner, after) in [
-        (Manner::Late(300), 1),
-        (Manner::Rings, 50),
-        (Manner::Crosses, 50),
-        (Manner::Silent, 20),
-        (Manner::Sound, 3),
+fn cancelled_invite_gets_487_and_leaves_no_call() {
+    for (behaviour, after) in [
+        (Behaviour::AcceptsAfterMs(300), 1),
+        (Behaviour::RingsForever, 50),
+        (Behaviour::AcceptsOnCancel, 50),
+        (Behaviour::Unresponsive, 20),
+        (Behaviour::Accepts, 3),
     ] {
-        let mut w = World::new(&[manner]);
-        w.caller_sends(&invite("c1"));
-        w.wait(after * MS);
-        w.caller_sends(&invite("c1").cancel());
-        w.wait(2 * S);
-        assert_eq!(w.finals("c1").iter().copied().collect::<BTreeSet<_>>(), [487].into(), "{manner:?}");
-        w.wait(40 * S);
+        let mut simulation = Simulation::new(&[behaviour]);
+        simulation.caller_sends(&invite("c1"));
+        simulation.wait(after * MS);
+        simulation.caller_sends(&invite("c1").cancel());
+        simulation.wait(2 * S);
+        assert_eq!(
+            simulation.final_statuses("c1").iter().copied().collect::<BTreeSet<_>>(),
+            [487].into(),
+            "{behaviour:?}"
+        );
+        simulation.wait(40 * S);
         assert!(
-            w.standing.is_empty() && w.agent.len() == (0, 0),
-            "{manner:?}: {:?} {:?}",
-            w.standing,
-            w.agent.len()
+            simulation.established.is_empty() && simulation.agent.len() == (0, 0),
+            "{behaviour:?}: {:?} {:?}",
+            simulation.established,
+            simulation.agent.len()
         );
     }
 }
 
 #[test]
-fn what_cannot_be_taken_is_told_why_and_reaches_no_box() {
-    let mut w = World::new(&[Manner::Sound]);
+fn invalid_requests_are_rejected_with_their_status_and_no_attempt() {
+    let mut simulation = Simulation::new(&[Behaviour::Accepts]);
     let sdp = "Content-Type: application/sdp\r\n";
     let cases = [
         (400, caller("INVITE", "a", 1, "", sdp, "nonsense")),
@@ -495,16 +517,16 @@
         (200, caller("OPTIONS", "k", 1, "", "", "")),
     ];
     for (status, request) in cases {
-        w.caller_sends(&request);
-        let of = |m: &Message| matches!(m, Message::Response(r) if r.status == status && r.names.call == request.names.call);
-        assert!(w.received.iter().any(of), "{status}: {:?}", w.received.last());
+        simulation.caller_sends(&request);
+        let of = |m: &Message| matches!(m, Message::Response(r) if r.status == status && r.ids.call_id == request.ids.call_id);
+        assert!(simulation.received.iter().any(of), "{status}: {:?}", simulation.received.last());
     }
-    assert!(w.invites.is_empty());
-    let mut w = World::new(&[Manner::Refuses(486)]);
-    w.caller_sends(&invite("c1"));
-    w.wait(S);
-    assert_eq!(w.finals("c1").first(), Some(&503));
-    let text = w.received.iter().find_map(|m| match m {
+    assert!(simulation.invites.is_empty());
+    let mut rejecting = Simulation::new(&[Behaviour::Rejects(486)]);
+    rejecting.caller_sends(&invite("c1"));
+    rejecting.wait(S);
+    assert_eq!(rejecting.final_statuses("c1").first(), Some(&503));
+    let text = rejecting.received.iter().find_map(|m| match m {
         Message::Response(r) if r.status == 503 => Some(String::from_utf8(r.encode()).expect("text")),
         _ => None,
     });
@@ -512,116 +534,125 @@
 }
 
 #[test]
-fn a_call_that_no_box_answers_fails_in_time_and_one_that_a_box_declines_hears_why() {
-    for (manner, status) in [
-        (Manner::Silent, 504),
-        (Manner::Stuck, 504),
-        (Manner::Refuses(500), 504),
-        (Manner::Refuses(415), 415),
+fn failed_call_ends_in_time_with_its_status() {
+    for (behaviour, status) in [
+        (Behaviour::Unresponsive, 504),
+        (Behaviour::StopsAfterTrying, 504),
+        (Behaviour::Rejects(500), 504),
+        (Behaviour::Rejects(415), 415),
     ] {
-        // A set-up that must not be repeated: what is silent may have run.
+        // An at-most-once set-up isn't retried, because a media server that doesn't respond may have executed it.
         let mut once = settings();
         once.classes[0].idempotency = Idempotency::AtMostOnce;
-        let mut w = World::with(once, &[manner; 2]);
-        w.caller_sends(&invite("c1"));
-        w.wait(4 * S);
-        let kinds: BTreeSet<u16> = w.finals("c1").into_iter().collect();
-        assert_eq!(kinds, [status].into(), "{manner:?}");
+        let mut simulation = Simulation::with(once, &[behaviour; 2]);
+        simulation.caller_sends(&invite("c1"));
+        simulation.wait(4 * S);
+        let statuses: BTreeSet<u16> = simulation.final_statuses("c1").into_iter().collect();
+        assert_eq!(statuses, [status].into(), "{behaviour:?}");
     }
 }
 
 #[test]
-fn a_box_that_hangs_up_and_a_lost_box_end_the_callers_side() {
-    let mut w = World::new(&[Manner::Sound]);
-    w.caller_sends(&invite("c1"));
-    w.wait(100 * MS);
-    let ok = w.ok_of("c1").expect("an answer");
-    w.caller_sends(&caller("ACK", "c1", 1, &tag_of(&ok), "", ""));
-    w.core(core_io::Input::MediaServer(ServerId(0), core_io::MediaServerEvent::ConnectionRefused));
-    w.wait(100 * MS);
+fn lost_media_server_ends_the_callers_leg() {
+    let mut simulation = Simulation::new(&[Behaviour::Accepts]);
+    simulation.caller_sends(&invite("c1"));
+    simulation.wait(100 * MS);
+    let ok = simulation.ok_of("c1").expect("an answer");
+    simulation.caller_sends(&caller("ACK", "c1", 1, &tag_of(&ok), "", ""));
+    simulation.send_to_controller(controller_io::Input::MediaServer(
+        ServerId(0),
+        controller_io::MediaServerEvent::ConnectionRefused,
+    ));
+    simulation.wait(100 * MS);
     let bye = |m: &Message| matches!(m, Message::Request(r) if r.method() == Method::Bye);
-    assert!(w.received.iter().any(bye), "the caller is hung up");
-    assert_eq!(w.core.playing(), 0);
-    // The box only refuses new connections: its process runs on, and the call must not stay there.
-    w.wait(S);
-    assert!(w.standing.is_empty() && w.agent.len().1 == 0, "{:?}", w.standing);
+    assert!(simulation.received.iter().any(bye), "the caller gets a BYE");
+    assert_eq!(simulation.controller.playing(), 0);
+    // The media server only refuses new connections. Its process still runs, so the call must be ended there.
+    simulation.wait(S);
+    assert!(
+        simulation.established.is_empty() && simulation.agent.len().1 == 0,
+        "{:?}",
+        simulation.established
+    );
 }
 
-/// A call of `c1` that its caller keeps up for so long.
-fn kept_up(w: &mut World, seconds: u64) {
-    let ok = w.ok_of("c1").expect("an answer");
+/// Lets the caller of `c1` refresh its call for a time.
+fn refresh_call(simulation: &mut Simulation, seconds: u64) {
+    let ok = simulation.ok_of("c1").expect("an answer");
     for n in 0..seconds / 60 {
-        w.caller_sends(&caller("UPDATE", "c1", 10 + n as u32, &tag_of(&ok), "", ""));
-        w.wait(60 * S);
+        simulation.caller_sends(&caller("UPDATE", "c1", 10 + n as u32, &tag_of(&ok), "", ""));
+        simulation.wait(60 * S);
     }
 }
 
-fn stands(manner: Manner) -> World {
-    let mut w = World::new(&[manner]);
-    w.caller_sends(&invite("c1"));
-    w.wait(100 * MS);
-    let ok = w.ok_of("c1").expect("an answer");
-    w.caller_sends(&caller("ACK", "c1", 1, &tag_of(&ok), "", ""));
-    w
+fn established_call(behaviour: Behaviour) -> Simulation {
+    let mut simulation = Simulation::new(&[behaviour]);
+    simulation.caller_sends(&invite("c1"));
+    simulation.wait(100 * MS);
+    let ok = simulation.ok_of("c1").expect("an answer");
+    simulation.caller_sends(&caller("ACK", "c1", 1, &tag_of(&ok), "", ""));
+    simulation
 }
 
-fn hung_up(w: &World) -> bool {
-    w.received.iter().any(|m| matches!(m, Message::Request(r) if r.method() == Method::Bye))
+fn caller_got_bye(simulation: &Simulation) -> bool {
+    simulation.received.iter().any(|m| matches!(m, Message::Request(r) if r.method() == Method::Bye))
 }
 
 #[test]
-fn a_call_stands_at_its_box_for_as_long_as_it_is_refreshed_and_no_longer() {
-    let mut w = stands(Manner::Sound);
-    kept_up(&mut w, 1200);
-    assert_eq!((w.standing.len(), w.core.playing()), (1, 1));
-    assert!((12..=15).contains(&w.refreshes), "every 90 s: {}", w.refreshes);
-    // The front is gone from one moment to the next: its box gives the room back by itself.
-    w.expires.values_mut().for_each(|at| assert!(*at > w.now));
-    w.now += 181 * S;
-    w.expire();
-    assert!(w.standing.is_empty());
+fn call_stays_at_its_media_server_only_while_refreshed() {
+    let mut simulation = established_call(Behaviour::Accepts);
+    refresh_call(&mut simulation, 1200);
+    assert_eq!((simulation.established.len(), simulation.controller.playing()), (1, 1));
+    assert!((12..=15).contains(&simulation.refreshes), "every 90 s: {}", simulation.refreshes);
+    // After a sudden failure of the front the media server frees the call by itself.
+    simulation.expires.values_mut().for_each(|at| assert!(*at > simulation.now));
+    simulation.now += 181 * S;
+    simulation.expire_calls();
+    assert!(simulation.established.is_empty());
 }
 
 #[test]
-fn a_lost_bye_leaves_no_call_after_the_session_timer() {
-    let mut w = stands(Manner::LosesBye);
-    kept_up(&mut w, 120);
-    let ok = w.ok_of("c1").expect("an answer");
-    w.caller_sends(&caller("BYE", "c1", 99, &tag_of(&ok), "", ""));
-    w.wait(100 * MS);
-    assert_eq!((w.standing.len(), w.core.playing()), (1, 0), "the box did not hear of it");
-    w.wait(180 * S);
-    assert!(w.standing.is_empty() && w.agent.len() == (0, 0), "{:?}", w.standing);
-    assert!(w.core.is_idle());
+fn lost_bye_leaves_no_call_after_the_session_timer() {
+    let mut simulation = established_call(Behaviour::IgnoresBye);
+    refresh_call(&mut simulation, 120);
+    let ok = simulation.ok_of("c1").expect("an answer");
+    simulation.caller_sends(&caller("BYE", "c1", 99, &tag_of(&ok), "", ""));
+    simulation.wait(100 * MS);
+    assert_eq!((simulation.established.len(), simulation.controller.playing()), (1, 0), "the BYE was lost");
+    simulation.wait(180 * S);
+    assert!(
+        simulation.established.is_empty() && simulation.agent.len() == (0, 0),
+        "{:?}",
+        simulation.established
+    );
+    assert!(simulation.controller.is_idle());
 }
 
 #[test]
-fn a_box_that_does_not_have_a_call_any_more_is_found_out() {
-    // At the next refresh, or soon after its connection broke.
+fn call_lost_by_its_media_server_is_detected() {
+    let address = "127.0.0.1:9000".parse().expect("an address");
+    // By the next refresh, or earlier if the connection broke.
     for (broken, within) in [(false, 95), (true, 3)] {
-        let mut w = stands(Manner::Forgot);
+        let mut simulation = established_call(Behaviour::LosesCalls);
         if broken {
-            let address = "127.0.0.1:9000".parse().expect("an address");
-            let conn = (1..9).map(|n| beechloft_sip::agent::OWN | n);
-            for conn in conn {
+            for conn in (1..9).map(|n| beechloft_sip::agent::AGENT_ID_BIT | n) {
                 let peer = Peer { address, transport: Transport::Tcp, conn };
-                w.agent(Input::Lost(peer, false));
+                simulation.send_to_agent(Input::ConnectionLost(peer, false));
             }
         }
-        w.wait(within * S);
-        assert!(hung_up(&w) && w.core.playing() == 0, "{broken}");
-        w.wait(40 * S);
-        assert_eq!(w.agent.len(), (0, 0));
+        simulation.wait(within * S);
+        assert!(caller_got_bye(&simulation) && simulation.controller.playing() == 0, "{broken}");
+        simulation.wait(40 * S);
+        assert_eq!(simulation.agent.len(), (0, 0));
     }
-    // A sound box is asked, too, and nothing comes of it.
-    let mut w = stands(Manner::Sound);
-    let address = "127.0.0.1:9000".parse().expect("an address");
+    // A media server that still has the call is refreshed early as well, and the call continues.
+    let mut healthy = established_call(Behaviour::Accepts);
     for n in 1..9 {
-        let peer = Peer { address, transport: Transport::Tcp, conn: beechloft_sip::agent::OWN | n };
-        w.agent(Input::Lost(peer, false));
+        let peer = Peer { address, transport: Transport::Tcp, conn: beechloft_sip::agent::AGENT_ID_BIT | n };
+        healthy.send_to_agent(Input::ConnectionLost(peer, false));
     }
-    w.wait(3 * S);
-    assert_eq!((w.refreshes, w.core.playing(), hung_up(&w)), (1, 1, false));
+    healthy.wait(3 * S);
+    assert_eq!((healthy.refreshes, healthy.controller.playing(), caller_got_bye(&healthy)), (1, 1, false));
 }
 
 proptest! {
@@ -630,36 +661,36 @@
     })]
 
     #[test]
-    fn over_any_mix_of_boxes_and_callers_the_rules_hold(
-        manners in prop::collection::vec(prop_oneof![
-            3 => Just(Manner::Sound), 1 => Just(Manner::Refuses(486)), 1 => Just(Manner::Refuses(500)), 1 => Just(Manner::Silent),
-            1 => Just(Manner::Stuck), 1 => Just(Manner::Rings), 1 => Just(Manner::Crosses), 1 => Just(Manner::Absent),
-            1 => Just(Manner::Nonsense), 1 => Just(Manner::LosesBye), 1 => Just(Manner::Forgot), 2 => (1..1200u64).prop_map(Manner::Late),
+    fn invariants_hold_for_any_behaviour_of_servers_and_callers(
+        behaviours in prop::collection::vec(prop_oneof![
+            3 => Just(Behaviour::Accepts), 1 => Just(Behaviour::Rejects(486)), 1 => Just(Behaviour::Rejects(500)), 1 => Just(Behaviour::Unresponsive),
+            1 => Just(Behaviour::StopsAfterTrying), 1 => Just(Behaviour::RingsForever), 1 => Just(Behaviour::AcceptsOnCancel), 1 => Just(Behaviour::ConnectionRefused),
+            1 => Just(Behaviour::MalformedAnswer), 1 => Just(Behaviour::IgnoresBye), 1 => Just(Behaviour::LosesCalls), 2 => (1..1200u64).prop_map(Behaviour::AcceptsAfterMs),
         ], 1..5),
         calls in prop::collection::vec((0..300u64, prop::option::weighted(0.4, 0..900u64), any::<bool>(), any::<bool>()), 1..8),
     ) {
-        let mut w = World::new(&manners);
+        let mut simulation = Simulation::new(&behaviours);
         for (n, (gap, cancel, ack, bye)) in calls.iter().enumerate() {
             let call = format!("p{n}");
-            let asked = w.now;
-            w.caller_sends(&invite(&call));
+            let sent_at = simulation.now;
+            simulation.caller_sends(&invite(&call));
             if let Some(after) = cancel {
-                w.wait(after * MS);
-                w.caller_sends(&invite(&call).cancel());
+                simulation.wait(after * MS);
+                simulation.caller_sends(&invite(&call).cancel());
             }
-            w.wait(4 * S - (w.now - asked));
-            let kinds: BTreeSet<u16> = w.finals(&call).into_iter().collect();
-            prop_assert_eq!(kinds.len(), 1, "one answer in the caller's time: {}: {:?}", call, kinds);
-            if let Some(ok) = w.ok_of(&call) {
-                if *ack { w.caller_sends(&caller("ACK", &call, 1, &tag_of(&ok), "", "")); }
-                if *bye { w.caller_sends(&caller("BYE", &call, 2, &tag_of(&ok), "", "")); }
+            simulation.wait(4 * S - (simulation.now - sent_at));
+            let statuses: BTreeSet<u16> = simulation.final_statuses(&call).into_iter().collect();
+            prop_assert_eq!(statuses.len(), 1, "one final status in time: {}: {:?}", call, statuses);
+            if let Some(ok) = simulation.ok_of(&call) {
+                if *ack { simulation.caller_sends(&caller("ACK", &call, 1, &tag_of(&ok), "", "")); }
+                if *bye { simulation.caller_sends(&caller("BYE", &call, 2, &tag_of(&ok), "", "")); }
             }
-            w.wait(gap * MS);
+            simulation.wait(gap * MS);
         }
-        w.wait(300 * S); // session timers and all
-        prop_assert!(w.most_out <= 1, "{} attempts out at once", w.most_out);
-        prop_assert!(w.standing.is_empty(), "left at boxes: {:?}", w.standing);
-        prop_assert_eq!((w.agent.len(), w.core.playing()), ((0, 0), 0));
-        prop_assert!(w.core.is_idle());
+        simulation.wait(300 * S); // session timers and all
+        prop_assert!(simulation.max_outstanding <= 1, "{} outstanding attempts", simulation.max_outstanding);
+        prop_assert!(simulation.established.is_empty(), "calls left at media servers: {:?}", simulation.established);
+        prop_assert_eq!((simulation.agent.len(), simulation.controller.playing()), ((0, 0), 0));
+        prop_assert!(simulation.controller.is_idle());
     }
 }
--- a/crates/front/sip/tests/overload.rs
+++ b/crates/front/sip/tests/overload.rs
@@ -1,15 +1,14 @@
-//! Overload control on a simulated clock: a front that works calls off one by one, and neighbours of all kinds.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
+//! Tests of overload control on a simulated clock, with a front that processes calls one by one and various neighbours.
+#![allow(clippy::cast_possible_truncation)]
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
 use beechloft_session::api::Micros;
 use beechloft_sip::message::{Message, Request};
-use beechloft_sip::overload::control::{BORNE, LATE, LOOK};
-use beechloft_sip::overload::refused::{KEPT, Refused};
-use beechloft_sip::overload::{Control, Ruling};
+use beechloft_sip::overload::control::{INTERVAL, MAX_CALL_DELAY, MAX_QUEUE_DELAY};
+use beechloft_sip::overload::rejections::{RETENTION, RejectionCache};
+use beechloft_sip::overload::{Control, Decision};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand_chacha::ChaCha8Rng;
@@ -17,52 +16,52 @@
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
-/// What a call costs the simulated front, and what it costs to turn one away.
-const WORK: u64 = 600;
-const REFUSAL: u64 = 40;
-/// The front's own rate, calls a second.
-const OWN: f64 = 1e6 / WORK as f64;
+/// Time in which the simulated front processes a call, and in which it rejects one.
+const CALL_US: u64 = 600;
+const REJECTION_US: u64 = 40;
+/// Maximum throughput of the front, in calls per second.
+const CAPACITY: f64 = 1e6 / CALL_US as f64;
 
-/// One that sends calls.
+/// Neighbour that sends calls.
 #[derive(Debug, Clone, Copy)]
 struct Sender {
-    /// Calls a second that its callers want, from a time to another.
+    /// Offered calls per second, from one time to another.
     rate: f64,
     from: u64,
     to: u64,
-    claims: bool,
-    obeys: bool,
+    supports_control: bool,
+    complies: bool,
 }
 
 impl Sender {
-    fn plain(times: f64) -> Sender {
-        Sender { rate: times * OWN, from: 0, to: 10 * S, claims: false, obeys: false }
+    fn unsupported(times: f64) -> Sender {
+        Sender { rate: times * CAPACITY, from: 0, to: 10 * S, supports_control: false, complies: false }
     }
 
-    fn obeys(times: f64) -> Sender {
-        Sender { claims: true, obeys: true, ..Sender::plain(times) }
+    fn compliant(times: f64) -> Sender {
+        Sender { supports_control: true, complies: true, ..Sender::unsupported(times) }
     }
 
-    fn cheats(times: f64) -> Sender {
-        Sender { claims: true, ..Sender::plain(times) }
+    fn non_compliant(times: f64) -> Sender {
+        Sender { supports_control: true, ..Sender::unsupported(times) }
     }
 }
 
-/// What a sender's calls came to.
+/// Outcome of a sender's calls.
 #[derive(Debug, Clone, Default)]
-struct Came {
-    wanted: u64,
-    kept_back: u64,
-    taken: u64,
-    refused: u64,
-    /// Waits of taken calls until they were worked off, and the time at which each came.
+struct SenderStats {
+    offered: u64,
+    withheld: u64,
+    accepted: u64,
+    rejected: u64,
+    /// Arrival times of accepted calls, and the delays until they were processed.
     waits: Vec<(u64, u64)>,
-    /// Retry times that were named.
-    again: Vec<u64>,
+    /// Values of `Retry-After`.
+    retry_after: Vec<u64>,
 }
 
-impl Came {
-    fn worst(&self, from: u64) -> u64 {
+impl SenderStats {
+    fn max_wait(&self, from: u64) -> u64 {
         self.waits.iter().filter(|w| w.0 >= from).map(|w| w.1).max().unwrap_or(0)
     }
 }
@@ -72,35 +71,35 @@
 }
 
 fn gap(rng: &mut ChaCha8Rng, rate: f64) -> u64 {
-    let part = (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
-    (-(1.0 - part).ln() / rate * 1e6) as u64
+    let uniform = (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
+    (-(1.0 - uniform).ln() / rate * 1e6) as u64
 }
 
-/// Lets senders call a front for some seconds.
-fn run(control: &mut Control, senders: &[Sender], lasts: u64, seed: u64) -> Vec<Came> {
+/// Simulates senders and a front for a duration in microseconds.
+fn run(control: &mut Control, senders: &[Sender], duration: u64, seed: u64) -> Vec<SenderStats> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut came = vec![Came::default(); senders.len()];
+    let mut stats = vec![SenderStats::default(); senders.len()];
     let mut next: Vec<u64> = senders.iter().map(|s| s.from + gap(&mut rng, s.rate)).collect();
-    // What each was last told to keep back, and until when.
-    let mut told = vec![(0.0, 0u64); senders.len()];
+    // Fraction that each sender was last asked to withhold, and the end of its validity.
+    let mut feedback_by_sender = vec![(0.0, 0u64); senders.len()];
     let mut queue: VecDeque<(u64, usize)> = VecDeque::new();
     let mut free_at = 0;
     let mut now = 0;
-    while now < lasts {
-        let coming = next.iter().copied().enumerate().min_by_key(|n| n.1).filter(|n| n.1 < lasts);
-        let works = (!queue.is_empty()).then_some(free_at.max(now));
-        match (coming, works) {
-            (Some((n, at)), works) if works.is_none_or(|w| at <= w) => {
+    while now < duration {
+        let next_arrival = next.iter().copied().enumerate().min_by_key(|n| n.1).filter(|n| n.1 < duration);
+        let next_service = (!queue.is_empty()).then_some(free_at.max(now));
+        match (next_arrival, next_service) {
+            (Some((n, at)), next_service) if next_service.is_none_or(|w| at <= w) => {
                 now = at;
                 let s = senders[n];
                 next[n] = at + gap(&mut rng, s.rate).max(1);
                 if next[n] >= s.to {
                     next[n] = u64::MAX;
                 }
-                came[n].wanted += 1;
-                let spares = s.obeys && told[n].1 > now;
-                if spares && ((rng.next_u64() % 1000) as f64) < told[n].0 * 1000.0 {
-                    came[n].kept_back += 1;
+                stats[n].offered += 1;
+                let reduces = s.complies && feedback_by_sender[n].1 > now;
+                if reduces && ((rng.next_u64() % 1000) as f64) < feedback_by_sender[n].0 * 1000.0 {
+                    stats[n].withheld += 1;
                 } else {
                     queue.push_back((at, n));
                 }
@@ -108,114 +107,128 @@
             (_, Some(at)) => {
                 now = at;
                 let Some((arrived, n)) = queue.pop_front() else { continue };
-                let ruling = control.judge(Micros(now), Micros(arrived), address(n), senders[n].claims);
-                match ruling {
-                    Ruling::Take => {
-                        free_at = now + WORK;
-                        control.worked(Micros(free_at), Micros(arrived));
-                        came[n].taken += 1;
-                        came[n].waits.push((arrived, free_at - arrived));
+                let decision =
+                    control.decide(Micros(now), Micros(arrived), address(n), senders[n].supports_control);
+                match decision {
+                    Decision::Accept => {
+                        free_at = now + CALL_US;
+                        control.record_response(Micros(free_at), Micros(arrived));
+                        stats[n].accepted += 1;
+                        stats[n].waits.push((arrived, free_at - arrived));
                     }
-                    Ruling::TurnAway(after) => {
-                        free_at = now + REFUSAL;
-                        came[n].refused += 1;
-                        came[n].again.extend(after);
+                    Decision::Reject(after) => {
+                        free_at = now + REJECTION_US;
+                        stats[n].rejected += 1;
+                        stats[n].retry_after.extend(after);
                     }
                 }
-                if senders[n].claims
-                    && let Some(advice) = control.advice(Micros(free_at), address(n))
+                if senders[n].supports_control
+                    && let Some(feedback) = control.feedback(Micros(free_at), address(n))
                 {
-                    told[n] = (f64::from(advice.percent) / 100.0, free_at + advice.validity.0);
+                    feedback_by_sender[n] =
+                        (f64::from(feedback.percent) / 100.0, free_at + feedback.validity.0);
                 }
             }
             _ => break,
         }
     }
-    came
+    stats
 }
 
-fn held(came: &[Came], seconds: f64) -> f64 {
-    came.iter().map(|c| c.taken).sum::<u64>() as f64 / seconds / OWN
+fn throughput_ratio(stats: &[SenderStats], seconds: f64) -> f64 {
+    stats.iter().map(|c| c.accepted).sum::<u64>() as f64 / seconds / CAPACITY
 }
 
 #[test]
-fn below_its_own_rate_a_front_takes_every_call() {
+fn accepts_every_call_below_capacity() {
     for (times, seed) in [(0.3, 1), (0.6, 2), (0.85, 3)] {
-        let came = run(&mut Control::new(1, true), &[Sender::plain(times)], 10 * S, seed);
-        assert_eq!(came[0].refused, 0, "{times}");
+        let stats = run(&mut Control::new(1, true), &[Sender::unsupported(times)], 10 * S, seed);
+        assert_eq!(stats[0].rejected, 0, "{times}");
     }
 }
 
 #[test]
-fn a_burst_is_no_overload() {
-    // A hundred calls within a few milliseconds, every two seconds, on top of a third of the rate.
-    let burst =
-        |n: u64| Sender { rate: 30_000.0, from: n * 2 * S, to: n * 2 * S + 3 * MS, ..Sender::plain(1.0) };
-    let senders = [vec![Sender::plain(0.33)], (1..5).map(burst).collect()].concat();
-    let came = run(&mut Control::new(1, true), &senders, 10 * S, 4);
-    assert_eq!(came.iter().map(|c| c.refused).sum::<u64>(), 0);
-    assert!(came[1].wanted > 50, "{came:?}");
+fn burst_is_not_overload() {
+    // A hundred calls within a few milliseconds, every two seconds, on top of a third of the capacity.
+    let burst = |n: u64| Sender {
+        rate: 30_000.0,
+        from: n * 2 * S,
+        to: n * 2 * S + 3 * MS,
+        ..Sender::unsupported(1.0)
+    };
+    let senders = [vec![Sender::unsupported(0.33)], (1..5).map(burst).collect()].concat();
+    let stats = run(&mut Control::new(1, true), &senders, 10 * S, 4);
+    assert_eq!(stats.iter().map(|c| c.rejected).sum::<u64>(), 0);
+    assert!(stats[1].offered > 50, "{stats:?}");
 }
 
 #[test]
-fn at_three_times_its_rate_a_front_answers_in_time_and_keeps_working() {
-    let without = run(&mut Control::new(1, false), &[Sender::plain(3.0)], 10 * S, 5);
-    assert!(without[0].worst(0) > 2 * S, "without control the queue stands for seconds");
-    for (sender, seed) in [(Sender::plain(3.0), 5), (Sender::obeys(3.0), 6), (Sender::cheats(3.0), 7)] {
-        let came = run(&mut Control::new(1, true), &[sender], 10 * S, seed);
-        let held = held(&came, 10.0);
-        assert!(held > 0.75, "{sender:?}: {held}");
-        assert!(came[0].worst(0) <= LATE.0 + BORNE.0, "{sender:?}: {}", came[0].worst(0));
-        if sender.obeys {
+fn at_triple_capacity_delays_are_bounded_and_throughput_is_kept() {
+    let without = run(&mut Control::new(1, false), &[Sender::unsupported(3.0)], 10 * S, 5);
+    assert!(without[0].max_wait(0) > 2 * S, "without control calls wait for seconds");
+    for (sender, seed) in
+        [(Sender::unsupported(3.0), 5), (Sender::compliant(3.0), 6), (Sender::non_compliant(3.0), 7)]
+    {
+        let stats = run(&mut Control::new(1, true), &[sender], 10 * S, seed);
+        let ratio = throughput_ratio(&stats, 10.0);
+        assert!(ratio > 0.75, "{sender:?}: {ratio}");
+        assert!(
+            stats[0].max_wait(0) <= MAX_CALL_DELAY.0 + MAX_QUEUE_DELAY.0,
+            "{sender:?}: {}",
+            stats[0].max_wait(0)
+        );
+        if sender.complies {
             assert!(
-                came[0].kept_back > 10 * came[0].refused,
-                "it is told in time: {} {}",
-                came[0].kept_back,
-                came[0].refused
+                stats[0].withheld > 10 * stats[0].rejected,
+                "feedback arrives too late: {} {}",
+                stats[0].withheld,
+                stats[0].rejected
             );
         } else {
-            assert!(came[0].refused > 0 && came[0].kept_back == 0);
+            assert!(stats[0].rejected > 0 && stats[0].withheld == 0);
         }
     }
 }
 
 #[test]
-fn neighbours_are_thinned_alike_whether_they_obey_or_know_nothing() {
-    let came = run(&mut Control::new(1, true), &[Sender::plain(1.5), Sender::obeys(1.5)], 10 * S, 8);
-    let parts: Vec<f64> = came.iter().map(|c| c.taken as f64 / c.wanted as f64).collect();
-    assert!(held(&came, 10.0) > 0.75, "{parts:?}");
-    assert!(parts[0] > 0.6 * parts[1] && parts[1] > 0.6 * parts[0], "{parts:?}");
+fn neighbours_with_and_without_support_are_thinned_equally() {
+    let stats =
+        run(&mut Control::new(1, true), &[Sender::unsupported(1.5), Sender::compliant(1.5)], 10 * S, 8);
+    let fractions: Vec<f64> = stats.iter().map(|c| c.accepted as f64 / c.offered as f64).collect();
+    assert!(throughput_ratio(&stats, 10.0) > 0.75, "{fractions:?}");
+    assert!(fractions[0] > 0.6 * fractions[1] && fractions[1] > 0.6 * fractions[0], "{fractions:?}");
 }
 
 #[test]
-fn a_cheat_gains_little_by_its_claim() {
-    let came = run(&mut Control::new(1, true), &[Sender::obeys(1.5), Sender::cheats(1.5)], 10 * S, 9);
-    let parts: Vec<f64> = came.iter().map(|c| c.taken as f64 / c.wanted as f64).collect();
-    assert!(parts[0] > 0.5 * parts[1], "{parts:?}");
+fn non_compliant_neighbour_gains_little() {
+    let stats =
+        run(&mut Control::new(1, true), &[Sender::compliant(1.5), Sender::non_compliant(1.5)], 10 * S, 9);
+    let fractions: Vec<f64> = stats.iter().map(|c| c.accepted as f64 / c.offered as f64).collect();
+    assert!(fractions[0] > 0.5 * fractions[1], "{fractions:?}");
 }
 
 #[test]
-fn when_the_overload_is_over_all_calls_are_taken_again() {
-    let mut crowd = Sender::plain(3.0);
+fn accepts_all_calls_after_the_overload() {
+    let mut crowd = Sender::unsupported(3.0);
     crowd.to = 4 * S;
-    let steady = Sender { to: 20 * S, ..Sender::plain(0.5) };
+    let steady = Sender { to: 20 * S, ..Sender::unsupported(0.5) };
     let mut control = Control::new(1, true);
-    let came = run(&mut control, &[crowd, steady], 20 * S, 10);
-    assert!(came[0].refused > 0);
-    let late = came[1].waits.iter().filter(|w| w.0 >= 10 * S).count() as f64;
-    assert!(late > 0.99 * 10.0 * 0.5 * OWN * 0.95, "{late}");
-    assert_eq!(control.rate(), None, "it has let go");
+    let stats = run(&mut control, &[crowd, steady], 20 * S, 10);
+    assert!(stats[0].rejected > 0);
+    let late = stats[1].waits.iter().filter(|w| w.0 >= 10 * S).count() as f64;
+    assert!(late > 0.99 * 10.0 * 0.5 * CAPACITY * 0.95, "{late}");
+    assert_eq!(control.rate(), None, "the control has ended");
 }
 
 #[test]
-fn times_to_come_back_are_spread_and_grow_with_need() {
+fn retry_after_is_spread_and_grows_with_the_overload() {
     let of = |times: f64| {
-        let came = run(&mut Control::new(1, true), &[Sender::plain(times)], 10 * S, 11);
-        let again = &came[0].again;
-        assert!(again.iter().all(|a| (1..=8).contains(a)));
+        let stats = run(&mut Control::new(1, true), &[Sender::unsupported(times)], 10 * S, 11);
+        let retry_after = &stats[0].retry_after;
+        assert!(retry_after.iter().all(|a| (1..=8).contains(a)));
         (
-            again.iter().collect::<std::collections::BTreeSet<_>>().len(),
-            again.iter().sum::<u64>() as f64 / again.len() as f64,
+            retry_after.iter().collect::<std::collections::BTreeSet<_>>().len(),
+            retry_after.iter().sum::<u64>() as f64 / retry_after.len() as f64,
         )
     };
     let ((kinds, mild), (_, strong)) = (of(1.3), of(5.0));
@@ -234,95 +247,100 @@
 }
 
 #[test]
-fn refusals_are_remembered_while_copies_may_come_and_no_longer_than_twice() {
-    let mut refused = Refused::holding(3, 2);
-    let (a, b, c) = (refused.name(&invite("a")), refused.name(&invite("b")), refused.name(&invite("c")));
-    assert_eq!(a, refused.name(&invite("a")));
-    assert_ne!(a, Refused::holding(4, 2).name(&invite("a")), "the seed is part of it");
-    let at = |s: u64| Micros(KEPT.0 + s * S);
-    assert!(refused.remember(at(0), a, Some(3)));
-    assert!(refused.remember(at(1), b, None));
-    assert!(!refused.remember(at(2), c, None), "there is no room");
-    assert_eq!((refused.had(a), refused.had(b), refused.had(c)), (Some(Some(3)), Some(None), None));
-    // The first turn keeps what was new, the second drops it.
-    assert!(refused.remember(at(0) + KEPT, c, None));
-    assert_eq!(refused.had(a), Some(Some(3)));
-    assert!(refused.remember(at(0) + KEPT + KEPT, a, None));
-    assert_eq!((refused.had(b), refused.len()), (None, 2));
+fn rejections_are_remembered_for_one_to_two_retention_times() {
+    let mut rejections = RejectionCache::with_capacity(3, 2);
+    let (a, b, c) = (
+        rejections.fingerprint(&invite("a")),
+        rejections.fingerprint(&invite("b")),
+        rejections.fingerprint(&invite("c")),
+    );
+    assert_eq!(a, rejections.fingerprint(&invite("a")));
+    assert_ne!(
+        a,
+        RejectionCache::with_capacity(4, 2).fingerprint(&invite("a")),
+        "the hash depends on the seed"
+    );
+    let at = |s: u64| Micros(RETENTION.0 + s * S);
+    assert!(rejections.remember(at(0), a, Some(3)));
+    assert!(rejections.remember(at(1), b, None));
+    assert!(!rejections.remember(at(2), c, None), "the cache is full");
+    assert_eq!((rejections.get(a), rejections.get(b), rejections.get(c)), (Some(Some(3)), Some(None), None));
+    // The first rotation keeps the recent generation, the second drops it.
+    assert!(rejections.remember(at(0) + RETENTION, c, None));
+    assert_eq!(rejections.get(a), Some(Some(3)));
+    assert!(rejections.remember(at(0) + RETENTION + RETENTION, a, None));
+    assert_eq!((rejections.get(b), rejections.len()), (None, 2));
 }
 
 #[derive(Debug, Clone)]
 enum Step {
-    Judge { after: u32, waited: u32, from: u8, claims: bool },
-    Worked { after: u32, waited: u32 },
-    Advice { after: u32, to: u8 },
+    Decide { after: u32, waited: u32, from: u8, supports_control: bool },
+    Respond { after: u32, waited: u32 },
+    Feedback { after: u32, to: u8 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let after = || prop_oneof![0u32..2_000, 0u32..300_000];
     let waited = || prop_oneof![0u32..30_000, 0u32..2_000_000];
     prop_oneof![
-        (after(), waited(), 0u8..4, any::<bool>()).prop_map(|(after, waited, from, claims)| Step::Judge {
-            after,
-            waited,
-            from,
-            claims
+        (after(), waited(), 0u8..4, any::<bool>()).prop_map(|(after, waited, from, supports_control)| {
+            Step::Decide { after, waited, from, supports_control }
         }),
-        (after(), waited()).prop_map(|(after, waited)| Step::Worked { after, waited }),
-        (after(), 0u8..4).prop_map(|(after, to)| Step::Advice { after, to }),
+        (after(), waited()).prop_map(|(after, waited)| Step::Respond { after, waited }),
+        (after(), 0u8..4).prop_map(|(after, to)| Step::Feedback { after, to }),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever happened before: no front shuts itself for good, its shares and rates stay sound, numbers never go back.
+    /// After any history the front still accepts calls, its fraction and rate stay valid, and sequence numbers never decrease.
     #[test]
-    fn whatever_happened_calls_that_do_not_wait_are_soon_taken(steps in prop::collection::vec(step(), 0..400)) {
+    fn calls_without_delay_are_accepted_after_any_history(steps in prop::collection::vec(step(), 0..400)) {
         let mut control = Control::new(7, true);
         let (mut now, mut seq) = (10 * S, 0);
         for step in steps {
             match step {
-                Step::Judge { after, waited, from, claims } => {
+                Step::Decide { after, waited, from, supports_control } => {
                     now += u64::from(after);
-                    let ruling = control.judge(Micros(now), Micros(now - u64::from(waited)), address(from.into()), claims);
-                    if u64::from(waited) > LATE.0 {
-                        prop_assert!(matches!(ruling, Ruling::TurnAway(_)));
+                    let decision = control.decide(Micros(now), Micros(now - u64::from(waited)), address(from.into()), supports_control);
+                    if u64::from(waited) > MAX_CALL_DELAY.0 {
+                        prop_assert!(matches!(decision, Decision::Reject(_)));
                     }
-                    if let Ruling::TurnAway(after) = ruling {
-                        prop_assert_eq!(after.is_none(), claims);
+                    if let Decision::Reject(retry_after) = decision {
+                        prop_assert_eq!(retry_after.is_none(), supports_control);
                     }
                 }
-                Step::Worked { after, waited } => {
+                Step::Respond { after, waited } => {
                     now += u64::from(after);
-                    control.worked(Micros(now), Micros(now - u64::from(waited)));
+                    control.record_response(Micros(now), Micros(now - u64::from(waited)));
                 }
-                Step::Advice { after, to } => {
+                Step::Feedback { after, to } => {
                     now += u64::from(after);
-                    if let Some(advice) = control.advice(Micros(now), address(to.into())) {
-                        prop_assert!(advice.percent < 100 && advice.seq >= seq);
-                        seq = advice.seq;
+                    if let Some(feedback) = control.feedback(Micros(now), address(to.into())) {
+                        prop_assert!(feedback.percent < 100 && feedback.seq >= seq);
+                        seq = feedback.seq;
                     }
                 }
             }
-            prop_assert!(control.share() > 0.0 && control.share() <= 1.0);
+            prop_assert!(control.admitted_fraction() > 0.0 && control.admitted_fraction() <= 1.0);
             prop_assert!(control.rate().is_none_or(|r| r >= 1.0 && r.is_finite()));
         }
-        // Twenty calls a second that are worked off at once, for half a minute: the last ones are all taken.
-        let mut taken = 0;
+        // Twenty calls a second without delay for half a minute. The last ones are all accepted.
+        let mut accepted = 0;
         for n in 0..600u64 {
             now += 50 * MS;
-            if control.judge(Micros(now), Micros(now), address(9), false) == Ruling::Take {
-                control.worked(Micros(now + 100), Micros(now));
-                taken += u64::from(n >= 500);
+            if control.decide(Micros(now), Micros(now), address(9), false) == Decision::Accept {
+                control.record_response(Micros(now + 100), Micros(now));
+                accepted += u64::from(n >= 500);
             }
         }
-        prop_assert_eq!(taken, 100);
-        prop_assert!(control.share() == 1.0);
+        prop_assert_eq!(accepted, 100);
+        prop_assert!(control.admitted_fraction() == 1.0);
     }
 }
 
 #[test]
-fn an_interval_is_long_enough_for_some_calls() {
-    assert!(OWN * LOOK.secs() > 10.0);
+fn interval_covers_several_calls() {
+    assert!(CAPACITY * INTERVAL.secs() > 10.0);
 }
--- a/crates/front/sip/tests/transactions.rs
+++ b/crates/front/sip/tests/transactions.rs
@@ -1,12 +1,10 @@
-//! Transactions against the figures of RFC 3261 and RFC 6026, and over a network that loses, repeats and reorders.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::shadow_unrelated)]
+//! Tests of transactions against the figures of RFC 3261 and RFC 6026, and over a network that loses, repeats and reorders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use beechloft_session::api::Micros;
 use beechloft_sip::message::{Message, Method, Request, Response};
-use beechloft_sip::timer::{ABSORB, T1, T2, T4, TRIES};
+use beechloft_sip::timer::{T1, T2, T4, TIMER_D, TRANSACTION_TIMEOUT};
 use beechloft_sip::transaction::layer::Peer;
 use beechloft_sip::transaction::{Input, Key, Layer, Output, Transport};
 use proptest::prelude::*;
@@ -34,16 +32,16 @@
     }
 }
 
-/// A layer whose time is moved by hand.
-struct Driven {
+/// Transaction layer with a simulated clock.
+struct Fixture {
     layer: Layer,
     now: u64,
     transport: Transport,
 }
 
-impl Driven {
+impl Fixture {
     fn new(transport: Transport) -> Self {
-        Driven { layer: Layer::default(), now: S, transport }
+        Fixture { layer: Layer::default(), now: S, transport }
     }
 
     fn input(&mut self, input: Input) -> Vec<Output> {
@@ -61,16 +59,16 @@
     }
 
     fn respond(&mut self, request: &Request, status: u16) -> Vec<Output> {
-        let asked = self.receive(Message::Request(request.clone()));
+        let outputs = self.receive(Message::Request(request.clone()));
         let key =
-            asked.iter().find_map(|o| if let Output::Request(k, ..) = o { Some(k.clone()) } else { None });
+            outputs.iter().find_map(|o| if let Output::Request(k, ..) = o { Some(k.clone()) } else { None });
         match key {
-            Some(key) => self.input(Input::Respond(key, Box::new(request.answer(status, "t")))),
-            None => asked,
+            Some(key) => self.input(Input::Respond(key, Box::new(request.response(status, "t")))),
+            None => outputs,
         }
     }
 
-    /// Times of what is sent while time passes, in milliseconds from now, and what else came out.
+    /// Advances the clock and returns the times of sent messages, in milliseconds from the start, and all other outputs.
     fn wait(&mut self, us: u64) -> (Vec<u64>, Vec<Output>) {
         let (start, end) = (self.now, self.now + us);
         let (mut times, mut rest) = (Vec::new(), Vec::new());
@@ -100,227 +98,230 @@
 }
 
 #[test]
-fn an_invite_without_an_answer_is_repeated_as_timer_a_says_and_given_up_by_timer_b() {
-    let mut d = Driven::new(Transport::Udp);
-    assert_eq!(sent(&d.send(&request("INVITE", 1))), 1);
-    let (times, rest) = d.wait(40 * S);
+fn invite_is_retransmitted_by_timer_a_until_timer_b() {
+    let mut fixture = Fixture::new(Transport::Udp);
+    assert_eq!(sent(&fixture.send(&request("INVITE", 1))), 1);
+    let (times, rest) = fixture.wait(40 * S);
     assert_eq!(times, [500, 1500, 3500, 7500, 15500, 31500]);
     assert!(matches!(rest[..], [Output::TimedOut(_)]));
-    assert!(d.layer.is_empty());
+    assert!(fixture.layer.is_empty());
 
-    let mut d = Driven::new(Transport::Tcp);
-    d.send(&request("INVITE", 1));
-    let (times, rest) = d.wait(40 * S);
-    assert!(times.is_empty() && matches!(rest[..], [Output::TimedOut(_)]), "a stream repeats by itself");
+    let mut tcp = Fixture::new(Transport::Tcp);
+    tcp.send(&request("INVITE", 1));
+    let (tcp_times, tcp_rest) = tcp.wait(40 * S);
+    assert!(
+        tcp_times.is_empty() && matches!(tcp_rest[..], [Output::TimedOut(_)]),
+        "no retransmission on a stream"
+    );
 }
 
 #[test]
-fn another_request_is_repeated_as_timer_e_says_and_slower_once_it_is_tried() {
-    let mut d = Driven::new(Transport::Udp);
+fn non_invite_is_retransmitted_by_timer_e_until_timer_f() {
+    let mut fixture = Fixture::new(Transport::Udp);
     let options = request("OPTIONS", 1);
-    d.send(&options);
-    let (times, _) = d.wait(9 * S);
+    fixture.send(&options);
+    let (times, _) = fixture.wait(9 * S);
     assert_eq!(times, [500, 1500, 3500, 7500]);
-    assert_eq!(statuses(&d.receive(Message::Response(options.answer(100, "")))), [100]);
-    let (times, rest) = d.wait(40 * S);
-    assert!(times.windows(2).all(|w| w[1] - w[0] == T2.0 / MS), "{times:?}");
+    assert_eq!(statuses(&fixture.receive(Message::Response(options.response(100, "")))), [100]);
+    let (slow_times, rest) = fixture.wait(40 * S);
+    assert!(slow_times.windows(2).all(|w| w[1] - w[0] == T2.0 / MS), "{times:?}");
     assert!(matches!(rest[..], [Output::TimedOut(_)]), "timer F runs on");
 }
 
 #[test]
-fn a_failure_is_acknowledged_each_time_it_comes_and_told_once() {
-    let mut d = Driven::new(Transport::Udp);
+fn failure_is_acknowledged_each_time_and_delivered_once() {
+    let mut fixture = Fixture::new(Transport::Udp);
     let invite = request("INVITE", 1);
-    d.send(&invite);
-    let failure = Message::Response(invite.answer(486, "t"));
-    let out = d.receive(failure.clone());
+    fixture.send(&invite);
+    let failure = Message::Response(invite.response(486, "t"));
+    let out = fixture.receive(failure.clone());
     assert_eq!((statuses(&out), sent(&out)), (vec![486], 1));
     let Some(Output::Transmit(_, ack)) = out.iter().find(|o| matches!(o, Output::Transmit(..))) else {
         panic!("an ACK")
     };
     let Message::Request(ack) = &**ack else { panic!("a request") };
     assert_eq!(
-        (ack.method(), &ack.names.branch, ack.names.to_tag.as_deref()),
-        (Method::Ack, &invite.names.branch, Some("t"))
+        (ack.method(), &ack.ids.branch, ack.ids.to_tag.as_deref()),
+        (Method::Ack, &invite.ids.branch, Some("t"))
     );
-    let out = d.receive(failure.clone());
-    assert_eq!((statuses(&out), sent(&out)), (vec![], 1), "the ACK was lost");
-    let forged = Message::Response(invite.answer(486, "other"));
-    assert!(d.receive(forged).is_empty(), "another's failure");
-    d.wait(ABSORB.0);
-    assert!(d.layer.is_empty());
-    assert!(d.receive(failure).is_empty());
+    let repeated = fixture.receive(failure.clone());
+    assert_eq!((statuses(&repeated), sent(&repeated)), (vec![], 1), "the ACK was lost");
+    let forged = Message::Response(invite.response(486, "other"));
+    assert!(fixture.receive(forged).is_empty(), "a failure of another dialog");
+    fixture.wait(TIMER_D.0);
+    assert!(fixture.layer.is_empty());
+    assert!(fixture.receive(failure).is_empty());
 }
 
 #[test]
-fn a_2xx_is_told_each_time_and_a_stray_one_too() {
-    let mut d = Driven::new(Transport::Udp);
+fn success_is_delivered_each_time_even_without_a_transaction() {
+    let mut fixture = Fixture::new(Transport::Udp);
     let invite = request("INVITE", 1);
-    d.send(&invite);
+    fixture.send(&invite);
     for _ in 0..3 {
-        let out = d.receive(Message::Response(invite.answer(200, "t")));
-        assert_eq!((statuses(&out), sent(&out)), (vec![200], 0), "its ACK is the user's");
+        let out = fixture.receive(Message::Response(invite.response(200, "t")));
+        assert_eq!((statuses(&out), sent(&out)), (vec![200], 0), "its ACK is up to the user");
     }
-    d.wait(TRIES.0);
-    assert!(d.layer.is_empty());
-    let out = d.receive(Message::Response(invite.answer(200, "t")));
-    assert!(matches!(out[..], [Output::Stray(..)]));
+    fixture.wait(TRANSACTION_TIMEOUT.0);
+    assert!(fixture.layer.is_empty());
+    let out = fixture.receive(Message::Response(invite.response(200, "t")));
+    assert!(matches!(out[..], [Output::UnmatchedSuccess(..)]));
 }
 
 #[test]
-fn a_request_is_told_once_however_often_it_comes() {
-    let mut d = Driven::new(Transport::Udp);
+fn request_is_delivered_once() {
+    let mut fixture = Fixture::new(Transport::Udp);
     let invite = request("INVITE", 1);
-    assert!(matches!(d.receive(Message::Request(invite.clone()))[..], [Output::Request(..)]));
-    assert!(d.receive(Message::Request(invite.clone())).is_empty(), "nothing to repeat yet");
-    let (times, _) = d.wait(S);
-    assert_eq!(times, [200], "a 100 by itself");
-    assert_eq!(sent(&d.receive(Message::Request(invite.clone()))), 1, "the 100 again");
+    assert!(matches!(fixture.receive(Message::Request(invite.clone()))[..], [Output::Request(..)]));
+    assert!(fixture.receive(Message::Request(invite.clone())).is_empty(), "no response to retransmit yet");
+    let (times, _) = fixture.wait(S);
+    assert_eq!(times, [200], "automatic 100");
+    assert_eq!(sent(&fixture.receive(Message::Request(invite.clone()))), 1, "retransmitted 100");
 }
 
 #[test]
-fn a_failure_is_repeated_until_its_ack_as_timers_g_and_h_say() {
-    let mut d = Driven::new(Transport::Udp);
+fn failure_is_retransmitted_by_timer_g_until_ack_or_timer_h() {
+    let mut fixture = Fixture::new(Transport::Udp);
     let invite = request("INVITE", 1);
-    assert_eq!(sent(&d.respond(&invite, 503)), 1);
-    let (times, _) = d.wait(16 * S);
+    assert_eq!(sent(&fixture.respond(&invite, 503)), 1);
+    let (times, _) = fixture.wait(16 * S);
     assert_eq!(times, [500, 1500, 3500, 7500, 11500, 15500]);
-    let ack = invite.ack_for(&invite.answer(503, "t"));
-    assert!(d.receive(Message::Request(ack.clone())).is_empty(), "absorbed");
-    assert!(d.receive(Message::Request(ack)).is_empty(), "again");
-    assert_eq!(d.wait(60 * S), (vec![], vec![]));
-    assert!(d.layer.is_empty());
-
-    let mut d = Driven::new(Transport::Udp);
-    d.respond(&invite, 503);
-    let (_, rest) = d.wait(35 * S);
+    let ack = invite.ack_for(&invite.response(503, "t"));
+    assert!(fixture.receive(Message::Request(ack.clone())).is_empty(), "absorbed");
+    assert!(fixture.receive(Message::Request(ack)).is_empty(), "again");
+    assert_eq!(fixture.wait(60 * S), (vec![], vec![]));
+    assert!(fixture.layer.is_empty());
+
+    let mut unacknowledged = Fixture::new(Transport::Udp);
+    unacknowledged.respond(&invite, 503);
+    let (_, rest) = unacknowledged.wait(35 * S);
     assert!(matches!(rest[..], [Output::NoAck(_)]));
-    assert!(d.receive(Message::Request(invite)).is_empty(), "a last copy that was on the way long");
-    d.wait(5 * S);
-    assert!(d.layer.is_empty());
+    assert!(unacknowledged.receive(Message::Request(invite)).is_empty(), "a late copy is absorbed");
+    unacknowledged.wait(5 * S);
+    assert!(unacknowledged.layer.is_empty());
 }
 
 #[test]
-fn after_a_2xx_a_repeated_invite_is_absorbed_and_a_second_final_answer_dropped() {
-    let mut d = Driven::new(Transport::Udp);
+fn retransmitted_invite_and_second_final_response_after_success_are_dropped() {
+    let mut fixture = Fixture::new(Transport::Udp);
     let invite = request("INVITE", 1);
-    d.respond(&invite, 200);
-    assert!(d.receive(Message::Request(invite.clone())).is_empty());
+    fixture.respond(&invite, 200);
+    assert!(fixture.receive(Message::Request(invite.clone())).is_empty());
     let key = match Message::parse(text("INVITE", 1, "").as_bytes()) {
         Ok(Message::Request(r)) => {
-            let mut fresh = Driven::new(Transport::Udp);
-            let out = fresh.receive(Message::Request(r));
+            let mut other = Fixture::new(Transport::Udp);
+            let out = other.receive(Message::Request(r));
             out.into_iter()
                 .find_map(|o| if let Output::Request(k, ..) = o { Some(k) } else { None })
                 .expect("its key")
         }
         other => panic!("{other:?}"),
     };
-    assert!(d.input(Input::Respond(key.clone(), Box::new(invite.answer(486, "t")))).is_empty());
+    assert!(fixture.input(Input::Respond(key.clone(), Box::new(invite.response(486, "t")))).is_empty());
     assert_eq!(
-        sent(&d.input(Input::Respond(key, Box::new(invite.answer(200, "t"))))),
+        sent(&fixture.input(Input::Respond(key, Box::new(invite.response(200, "t"))))),
         1,
-        "its user repeats it"
+        "the user retransmits it"
     );
     let ack = match Message::parse(text("ACK", 1, ";tag=t").replace("z9hG4bKb1", "z9hG4bKother").as_bytes()) {
         Ok(message) => message,
         other => panic!("{other:?}"),
     };
-    assert!(matches!(d.receive(ack)[..], [Output::Ack(..)]), "it belongs to the dialog");
-    d.wait(TRIES.0 + T4.0);
-    assert!(d.layer.is_empty());
+    assert!(matches!(fixture.receive(ack)[..], [Output::Ack(..)]), "it belongs to the dialog");
+    fixture.wait(TRANSACTION_TIMEOUT.0 + T4.0);
+    assert!(fixture.layer.is_empty());
 }
 
 #[test]
-fn a_cancel_is_answered_here_and_told_only_while_there_is_something_to_cancel() {
-    let mut d = Driven::new(Transport::Udp);
+fn cancel_is_answered_and_reported_only_while_pending() {
+    let mut fixture = Fixture::new(Transport::Udp);
     let invite = request("INVITE", 1);
     let cancel = || Message::Request(request("INVITE", 1).cancel());
-    let early = d.receive(cancel());
+    let early = fixture.receive(cancel());
     assert!(
         matches!(&early[..], [Output::Transmit(_, m)] if matches!(&**m, Message::Response(r) if r.status == 481))
     );
-    let mut d = Driven::new(Transport::Udp);
-    d.receive(Message::Request(invite.clone()));
-    let out = d.receive(cancel());
+    let mut pending = Fixture::new(Transport::Udp);
+    pending.receive(Message::Request(invite.clone()));
+    let out = pending.receive(cancel());
     assert!(
         matches!(&out[..], [Output::Transmit(_, m), Output::Cancelled(_)] if matches!(&**m, Message::Response(r) if r.status == 200))
     );
-    assert_eq!(sent(&d.receive(cancel())), 1, "answered again, told once");
-    let mut d = Driven::new(Transport::Udp);
-    d.respond(&invite, 200);
-    let out = d.receive(cancel());
-    assert!(matches!(&out[..], [Output::Transmit(..)]), "too late to cancel: {out:?}");
+    assert_eq!(sent(&pending.receive(cancel())), 1, "answered again, reported once");
+    let mut answered = Fixture::new(Transport::Udp);
+    answered.respond(&invite, 200);
+    let late = answered.receive(cancel());
+    assert!(matches!(&late[..], [Output::Transmit(..)]), "too late to cancel: {out:?}");
 }
 
 #[test]
-fn a_cancel_may_go_out_only_between_a_provisional_answer_and_the_final_one() {
-    let mut d = Driven::new(Transport::Udp);
+fn cancel_is_allowed_between_provisional_and_final_response() {
+    let mut fixture = Fixture::new(Transport::Udp);
     let invite = request("INVITE", 1);
     let key = Layer::key_of(&invite);
-    d.send(&invite);
-    assert!(!d.layer.may_cancel(&key), "the other side may not know the request yet");
-    d.receive(Message::Response(invite.answer(180, "t")));
-    assert!(d.layer.may_cancel(&key));
-    d.receive(Message::Response(invite.answer(200, "t")));
-    assert!(!d.layer.may_cancel(&key));
+    fixture.send(&invite);
+    assert!(!fixture.layer.may_cancel(&key), "the peer may not have received the request yet");
+    fixture.receive(Message::Response(invite.response(180, "t")));
+    assert!(fixture.layer.may_cancel(&key));
+    fixture.receive(Message::Response(invite.response(200, "t")));
+    assert!(!fixture.layer.may_cancel(&key));
 }
 
 #[test]
-fn a_lost_stream_ends_what_waits_on_it() {
-    let mut d = Driven::new(Transport::Tcp);
-    d.send(&request("INVITE", 1));
-    d.send(&request("OPTIONS", 2));
-    let out = d.input(Input::Lost(peer(Transport::Tcp)));
+fn closed_stream_ends_its_client_transactions() {
+    let mut fixture = Fixture::new(Transport::Tcp);
+    fixture.send(&request("INVITE", 1));
+    fixture.send(&request("OPTIONS", 2));
+    let out = fixture.input(Input::ConnectionLost(peer(Transport::Tcp)));
     assert_eq!(out.iter().filter(|o| matches!(o, Output::TimedOut(_))).count(), 2);
-    assert!(d.layer.is_empty() && d.layer.next_due().is_none());
+    assert!(fixture.layer.is_empty() && fixture.layer.next_due().is_none());
 }
 
 #[test]
-fn forged_and_foreign_responses_are_nobodys() {
-    let mut d = Driven::new(Transport::Udp);
+fn forged_and_unrelated_responses_are_dropped() {
+    let mut fixture = Fixture::new(Transport::Udp);
     let invite = request("INVITE", 1);
-    d.send(&invite);
+    fixture.send(&invite);
     for (from, to) in
         [("c1@", "x1@"), ("tag=f1", "tag=x1"), ("CSeq: 7", "CSeq: 8"), ("z9hG4bKb1", "z9hG4bKb2")]
     {
         let other = text("INVITE", 1, "").replace(from, to);
         let Ok(Message::Request(other)) = Message::parse(other.as_bytes()) else { panic!("{to}") };
-        assert!(d.receive(Message::Response(other.answer(486, "t"))).is_empty(), "{to}");
+        assert!(fixture.receive(Message::Response(other.response(486, "t"))).is_empty(), "{to}");
     }
-    assert_eq!(statuses(&d.receive(Message::Response(invite.answer(486, "t")))), [486]);
+    assert_eq!(statuses(&fixture.receive(Message::Response(invite.response(486, "t")))), [486]);
 }
 
-/// A caller and a called side over a network that is told what to do with each datagram.
+/// Two transaction layers, a caller and a callee, over a network with scripted faults for each datagram.
 struct Network {
     caller: Layer,
     called: Layer,
     now: u64,
-    /// On the way: arrival, towards the called side, message.
+    /// Messages in flight: arrival time, whether it goes to the callee, message.
     wire: Vec<(u64, bool, Message)>,
-    fates: Vec<u8>,
+    actions: Vec<u8>,
     at: usize,
-    /// What the called side answers each request with, by its branch.
+    /// Status with which the callee answers each request, chosen by its branch.
     answers: Vec<u16>,
-    told: BTreeMap<String, usize>,
+    received: BTreeMap<String, usize>,
     finals: BTreeMap<Key, Vec<u16>>,
     timed_out: BTreeSet<Key>,
 }
 
 impl Network {
-    fn fate(&mut self) -> u8 {
+    fn next_action(&mut self) -> u8 {
         self.at += 1;
-        self.fates.get(self.at % self.fates.len().max(1)).copied().unwrap_or(0)
+        self.actions.get(self.at % self.actions.len().max(1)).copied().unwrap_or(0)
     }
 
-    fn transmit(&mut self, to_called: bool, message: &Message) {
-        // Through its bytes, as on the wire.
-        let bytes = match message {
+    fn transmit(&mut self, to_called: bool, sent: &Message) {
+        // Encoded and parsed as on the wire.
+        let bytes = match sent {
             Message::Request(r) => r.encode(),
             Message::Response(r) => r.encode(),
         };
         let message = Message::parse(&bytes).expect("what we write can be read");
-        match self.fate() {
+        match self.next_action() {
             0..=1 => {} // lost
             2 => {
                 self.wire.push((self.now + 5 * MS, to_called, message.clone()));
@@ -353,10 +354,10 @@
             match output {
                 Output::Transmit(_, message) => self.transmit(false, &message),
                 Output::Request(key, _, request) => {
-                    let n = self.told.entry(request.names.branch.clone()).or_default();
+                    let n = self.received.entry(request.ids.branch.clone()).or_default();
                     *n += 1;
-                    let status = self.answers[request.names.branch.len() % self.answers.len()];
-                    self.called(Input::Respond(key, Box::new(request.answer(status, "t"))));
+                    let status = self.answers[request.ids.branch.len() % self.answers.len()];
+                    self.called(Input::Respond(key, Box::new(request.response(status, "t"))));
                 }
                 _ => {}
             }
@@ -389,14 +390,14 @@
     })]
 
     #[test]
-    fn over_any_network_each_request_is_told_once_and_ends_once(
-        fates in prop::collection::vec(0..12u8, 1..40),
+    fn requests_are_delivered_and_ended_once_over_any_network(
+        actions in prop::collection::vec(0..12u8, 1..40),
         answers in prop::collection::vec(prop::sample::select(vec![200u16, 486, 503, 302, 600]), 1..4),
         kinds in prop::collection::vec(any::<bool>(), 1..8),
     ) {
         let mut net = Network {
-            caller: Layer::default(), called: Layer::default(), now: S, wire: Vec::new(), fates, at: 0, answers,
-            told: BTreeMap::new(), finals: BTreeMap::new(), timed_out: BTreeSet::new(),
+            caller: Layer::default(), called: Layer::default(), now: S, wire: Vec::new(), actions, at: 0, answers,
+            received: BTreeMap::new(), finals: BTreeMap::new(), timed_out: BTreeSet::new(),
         };
         let mut keys = Vec::new();
         for (n, invite) in (1u32..).zip(kinds) {
@@ -406,8 +407,8 @@
             net.run(net.now + 50 * MS);
         }
         net.run(net.now + 200 * S);
-        for (branch, n) in &net.told {
-            prop_assert_eq!(*n, 1, "told more than once: {}", branch);
+        for (branch, n) in &net.received {
+            prop_assert_eq!(*n, 1, "delivered more than once: {}", branch);
         }
         for key in &keys {
             let finals = net.finals.get(key).cloned().unwrap_or_default();
@@ -416,40 +417,40 @@
             let once = finals.len() == 1 || finals.iter().all(|s| (200..300).contains(s));
             prop_assert!(timed_out || once, "{key:?}: {finals:?}");
         }
-        prop_assert!(net.caller.is_empty() && net.called.is_empty(), "{} and {} left", net.caller.len(), net.called.len());
+        prop_assert!(net.caller.is_empty() && net.called.is_empty(), "{} and {} transactions left", net.caller.len(), net.called.len());
     }
 
     #[test]
-    fn any_datagrams_in_any_order_neither_panic_nor_stay_for_ever(
+    fn transactions_end_after_any_order_of_datagrams(
         steps in prop::collection::vec((0..8u8, 0..4u32, 0..9_000_000u64), 1..60),
     ) {
-        let mut d = Driven::new(Transport::Udp);
+        let mut fixture = Fixture::new(Transport::Udp);
         for (kind, n, wait) in steps {
             let invite = request("INVITE", n);
             let message = match kind {
                 0 => Message::Request(invite),
                 1 => Message::Request(request("BYE", n)),
                 2 => Message::Request(invite.cancel()),
-                3 => Message::Request(invite.ack_for(&invite.answer(486, "t"))),
-                4 => Message::Response(invite.answer(180, "t")),
-                5 => Message::Response(invite.answer(200, "t")),
-                6 => Message::Response(invite.answer(500, "u")),
+                3 => Message::Request(invite.ack_for(&invite.response(486, "t"))),
+                4 => Message::Response(invite.response(180, "t")),
+                5 => Message::Response(invite.response(200, "t")),
+                6 => Message::Response(invite.response(500, "u")),
                 _ => {
-                    d.send(&invite);
+                    fixture.send(&invite);
                     continue;
                 }
             };
-            for output in d.receive(message) {
+            for output in fixture.receive(message) {
                 if let Output::Request(key, _, request) = output {
-                    let answer: Response = request.answer(if wait % 2 == 0 { 200 } else { 404 }, "t");
-                    d.input(Input::Respond(key, Box::new(answer)));
+                    let answer: Response = request.response(if wait % 2 == 0 { 200 } else { 404 }, "t");
+                    fixture.input(Input::Respond(key, Box::new(answer)));
                 }
             }
-            d.wait(wait);
+            fixture.wait(wait);
         }
-        d.wait(100 * S);
-        d.wait(T1.0);
-        // An INVITE that rings is waited for as long as its user likes; everything else is over.
-        prop_assert!(d.layer.len() <= 4, "{}", d.layer.len());
+        fixture.wait(100 * S);
+        fixture.wait(T1.0);
+        // Only an INVITE with a provisional response may remain, since it has no timeout.
+        prop_assert!(fixture.layer.len() <= 4, "{}", fixture.layer.len());
     }
 }
