--- a/crates/testing/fakes/src/boxes/sip.rs
+++ b/crates/testing/fakes/src/boxes/sip.rs
@@ -211,10 +211,10 @@
         let method = request.method();
         if !matches!(method, Method::Invite | Method::Cancel) {
             // Whatever comes for a call shows that somebody has it, wherever it comes.
-            if let Some(call) = self.inner.calls().get_mut(&request.names.call) {
+            if let Some(call) = self.inner.calls().get_mut(&request.ids.call_id) {
                 call.streamless = None;
-                if !self.own.contains(&request.names.call) {
-                    self.own.push(request.names.call.clone());
+                if !self.own.contains(&request.ids.call_id) {
+                    self.own.push(request.ids.call_id.clone());
                 }
             }
         }
@@ -224,7 +224,7 @@
             Method::Bye => self.bye(&request),
             Method::Update => self.update(&request),
             Method::Ack => {}
-            _ => self.send(&request.answer(405, "tb")),
+            _ => self.send(&request.response(405, "tb")),
         }
     }
 
@@ -232,7 +232,7 @@
         if self.inner.stands_still() || self.inner.told(Fault::Stuck) {
             return;
         }
-        self.send(&request.answer(200, "tb"));
+        self.send(&request.response(200, "tb"));
         // Its acceptance crosses the CANCEL on the way.
         if self.inner.told(Fault::AnswerCancelled) {
             if let Some(pending) = self.pending.take() {
@@ -240,7 +240,7 @@
             }
         } else if let Some(pending) = self.pending.take() {
             self.answered(&pending, 487);
-            self.send(&pending.invite.answer(487, "tb"));
+            self.send(&pending.invite.response(487, "tb"));
         }
     }
 
@@ -248,26 +248,26 @@
         if self.inner.told(Fault::LoseBye) {
             return;
         }
-        let call = self.inner.calls().remove(&request.names.call);
-        self.send(&request.answer(if call.is_some() { 200 } else { 481 }, "tb"));
+        let call = self.inner.calls().remove(&request.ids.call_id);
+        self.send(&request.response(if call.is_some() { 200 } else { 481 }, "tb"));
         if let Some(call) = call {
             self.inner.free(&call.path, false);
         }
     }
 
     fn update(&mut self, request: &Request) {
-        let path = self.inner.calls().get_mut(&request.names.call).map(|call| {
+        let path = self.inner.calls().get_mut(&request.ids.call_id).map(|call| {
             call.expires = Instant::now() + interval(request);
             call.path.clone()
         });
-        let Some(path) = path else { return self.send(&request.answer(481, "tb")) };
+        let Some(path) = path else { return self.send(&request.response(481, "tb")) };
         if let Some(rate) = sdp::rate_limit_kb(&request.raw.body) {
             let set = self.inner.lock().sessions.set_rate(&path, rate);
             if let Some(offer) = set {
                 self.inner.recorder.note(What::Rate { server: self.inner.spec.id, offer, rate_kb: rate });
             }
         }
-        self.send(&request.answer(200, "tb"));
+        self.send(&request.response(200, "tb"));
     }
 
     fn answered(&self, pending: &Pending, status: u16) {
@@ -293,9 +293,9 @@
         let warmth = inner.lock().warmth.now().max(0.05);
         let delay = inner.spec.set_up.div_f64(warmth) + inner.delay();
         if !inner.stands_still() && !inner.has(|f| *f == Fault::NeverAnswer) {
-            self.send(&invite.answer(100, ""));
+            self.send(&invite.response(100, ""));
             if inner.has(|f| matches!(f, Fault::Ring | Fault::AnswerCancelled)) {
-                self.send(&invite.answer(180, "tb"));
+                self.send(&invite.response(180, "tb"));
             }
         }
         if inner.told(Fault::HalfClose) {
@@ -314,7 +314,7 @@
         let title = pending.invite.raw.uri.user().unwrap_or_default();
         let refuse = |status: u16| {
             self.answered(&pending, status);
-            self.send(&pending.invite.answer(status, "tb"));
+            self.send(&pending.invite.response(status, "tb"));
         };
         if self.inner.has(|f| *f == Fault::Reset) {
             self.answered(&pending, 0);
@@ -341,7 +341,7 @@
         let limit = sdp::rate_limit_kb(&invite.raw.body);
         let fitting = rates.iter().copied().take_while(|r| limit.is_none_or(|l| *r <= l * 1.0001)).last();
         let expires = Instant::now() + interval(invite);
-        let call = invite.names.call.clone();
+        let call = invite.ids.call_id.clone();
         let (path, boot) = {
             let mut state = self.inner.lock();
             let session = Session {
@@ -360,7 +360,7 @@
         self.own.push(call);
         self.inner.recorder.note(What::Began { server: self.inner.spec.id, offer: pending.offer.clone() });
         self.answered(pending, 201);
-        let mut ok = invite.answer(200, "tb");
+        let mut ok = invite.response(200, "tb");
         let local = self.socket.local_addr().unwrap_or(self.inner.address);
         ok.raw.headers.push(rsip::Header::Contact(format!("<sip:box@{local}>").into()));
         let seconds = interval(invite).as_secs();
@@ -374,7 +374,7 @@
         ok.raw.body = body.into_bytes();
         if self.inner.told(Fault::OtherPort) {
             // On a stream of its own to where the front's `Via` says that it listens (RFC 3261, section 18.2.2).
-            let to: Option<SocketAddr> = invite.names.sent_by.parse().ok();
+            let to: Option<SocketAddr> = invite.ids.sent_by.parse().ok();
             if let Some(stream) =
                 to.and_then(|to| TcpStream::connect_timeout(&to, Duration::from_secs(1)).ok())
             {
--- a/crates/testing/fakes/src/caller.rs
+++ b/crates/testing/fakes/src/caller.rs
@@ -7,8 +7,8 @@
 
 use beechloft_checker::trace::{Ending, Speaks};
 use beechloft_checker::{Recorder, What};
-use beechloft_sip::dialog::{Dialog, Local};
-use beechloft_sip::message::{COOKIE, Message, Method, Request, Response};
+use beechloft_sip::dialog::{Dialog, LocalEndpoint};
+use beechloft_sip::message::{BRANCH_COOKIE, Message, Method, Request, Response};
 
 use crate::dice::Dice;
 use crate::offer;
@@ -56,14 +56,14 @@
 
 /// An INVITE of a caller at an address to a title, on whatever transport.
 pub fn invite(
-    at: &Local,
+    at: &LocalEndpoint,
     to: SocketAddr,
     title: &str,
     id: &str,
     branch: &str,
     body: &str,
 ) -> Option<Request> {
-    let Local { transport, sent_by: own } = at;
+    let LocalEndpoint { transport, sent_by: own } = at;
     let text = format!(
         "INVITE sip:{title}@{to} SIP/2.0\r\nVia: SIP/2.0/{transport} {own};branch={branch}\r\nMax-Forwards: 70\r\n\
          From: <sip:caller@{own}>;tag={id}\r\nTo: <sip:{title}@{to}>\r\nCall-ID: {id}@{own}\r\nCSeq: 1 INVITE\r\n\
@@ -97,13 +97,13 @@
         })
     }
 
-    fn local(&self) -> Local {
+    fn local(&self) -> LocalEndpoint {
         let sent_by = self.socket.local_addr().map_or_else(|_| String::new(), |a| a.to_string());
-        Local { transport: "UDP", sent_by }
+        LocalEndpoint { transport: "UDP", sent_by }
     }
 
     fn branch(&mut self) -> String {
-        format!("{COOKIE}{:016x}", self.dice.number())
+        format!("{BRANCH_COOKIE}{:016x}", self.dice.number())
     }
 
     /// Sends a request; whether it gets through.
@@ -219,7 +219,7 @@
                 cancelled = Some(Instant::now());
             }
             let Some((at, Message::Response(response))) = self.wire() else { continue };
-            if response.method != Method::Invite || response.names.call != invite.names.call {
+            if response.method != Method::Invite || response.ids.call_id != invite.ids.call_id {
                 continue;
             }
             if response.status >= 200 {
@@ -252,7 +252,7 @@
         let end = Instant::now() + Duration::from_millis(if self.loses > 0.0 { 1200 } else { 50 });
         while Instant::now() < end {
             if let Some(Message::Response(r)) = self.receive()
-                && r.names.call == call.answer.names.call
+                && r.ids.call_id == call.answer.ids.call_id
                 && r.status == 200
                 && r.method == Method::Invite
             {
@@ -276,7 +276,7 @@
             }
             if let Some(Message::Response(r)) = self.receive()
                 && r.method == Method::Bye
-                && r.names.call == bye.names.call
+                && r.ids.call_id == bye.ids.call_id
             {
                 return r.status == 200;
             }
@@ -290,9 +290,9 @@
         while Instant::now() < end {
             if let Some(Message::Request(r)) = self.receive()
                 && r.method() == Method::Bye
-                && r.names.call == call.answer.names.call
+                && r.ids.call_id == call.answer.ids.call_id
             {
-                let _ = self.socket.send_to(&r.answer(200, "").encode(), self.front);
+                let _ = self.socket.send_to(&r.response(200, "").encode(), self.front);
                 return true;
             }
         }
