--- a/crates/front/sip/src/message.rs
+++ b/crates/front/sip/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages behind bounds: read by a kept parser, with what the layers above need taken out and checked once.
+//! SIP messages: bounded parsing, and validation of the fields that the upper layers rely on.
 
 use rsip::headers::{ToTypedHeader, UntypedHeader};
 use rsip::message::HeadersExt;
@@ -8,81 +8,83 @@
 
 pub use rsip::Method;
 
-/// Longest message, bytes: what one UDP datagram can hold.
-pub const BYTES: usize = 65_535;
-/// Header fields at most.
-pub const FIELDS: usize = 100;
-/// Longest value of a field that names something (a tag, a branch, a call), bytes.
-pub const NAME_BYTES: usize = 256;
-/// What begins every branch (section 8.1.1.7).
-pub const COOKIE: &str = "z9hG4bK";
+/// Maximum length of a message in bytes, which is what one UDP datagram can hold.
+pub const MAX_MESSAGE_BYTES: usize = 65_535;
+/// Maximum number of header fields of a message.
+pub const MAX_HEADER_FIELDS: usize = 100;
+/// Maximum length of an identifier (a tag, a branch, a `Call-ID`), in bytes.
+pub const MAX_IDENTIFIER_BYTES: usize = 256;
+/// Prefix of every branch (section 8.1.1.7).
+pub const BRANCH_COOKIE: &str = "z9hG4bK";
 
-/// Why a message can't be used.
+/// Reason why a message is rejected.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum MessageError {
-    /// Too long, or too many fields.
-    #[error("a message of more than {BYTES} bytes or {FIELDS} fields")]
+    /// The message is too long or has too many header fields.
+    #[error("message exceeds {MAX_MESSAGE_BYTES} bytes or {MAX_HEADER_FIELDS} header fields")]
     TooLong,
-    /// Not SIP.
+    /// The message can't be parsed as SIP.
     #[error("not SIP: {0}")]
     Malformed(String),
-    /// A field that must be there is missing, or makes no sense.
-    #[error("the {0} field is missing or makes no sense")]
+    /// A required header field is missing, repeated or malformed.
+    #[error("the {0} field is missing or malformed")]
     Field(&'static str),
-    /// The body is shorter than `Content-Length` says.
-    #[error("the body is shorter than its length says")]
-    Cut,
+    /// The message ends before the length that `Content-Length` states.
+    #[error("message is shorter than its Content-Length")]
+    Truncated,
 }
 
-/// What names a message's place: which call, which request, which hop.
+/// Identifiers of a message's call, dialog and transaction.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Names {
-    /// The `Call-ID`.
-    pub call: String,
-    /// The tag of `From`.
+pub struct Identifiers {
+    /// Value of `Call-ID`.
+    pub call_id: String,
+    /// Tag of `From`.
     pub from_tag: String,
-    /// The tag of `To`, if there is one yet.
+    /// Tag of `To`, or `None` before the dialog is established.
     pub to_tag: Option<String>,
-    /// The number of `CSeq`.
+    /// Sequence number of `CSeq`.
     pub seq: u32,
-    /// The branch of the topmost `Via`.
+    /// Branch of the topmost `Via`.
     pub branch: String,
-    /// The `sent-by` of the topmost `Via`.
+    /// `sent-by` of the topmost `Via`.
     pub sent_by: String,
 }
 
-/// A request.
+/// SIP request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// What names it.
-    pub names: Names,
-    /// The message as the parser has it.
+    /// Identifiers of the message.
+    pub ids: Identifiers,
+    /// The parsed message.
     pub raw: rsip::Request,
 }
 
-/// A response.
+/// SIP response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Response {
-    /// What names it.
-    pub names: Names,
-    /// The method of the request that it answers.
+    /// Identifiers of the message.
+    pub ids: Identifiers,
+    /// Method of the request that the response answers.
     pub method: Method,
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// The message as the parser has it.
+    /// The parsed message.
     pub raw: rsip::Response,
 }
 
-/// A message.
+/// SIP message.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// A request.
+    /// SIP request.
     Request(Request),
-    /// A response.
+    /// SIP response.
     Response(Response),
 }
 
-/// The value of `Content-Length` in a head, if it is there once and sound.
+/// Returns the value of `Content-Length` in a head.
+///
+/// Returns `None` if the field is missing, malformed or present with different values.
 pub fn content_length(head: &[u8]) -> Option<usize> {
     let mut found = None;
     for line in head.split(|b| *b == b'\n') {
@@ -100,8 +102,8 @@
     found
 }
 
-/// Compact names (section 7.3.3 and the registry of header fields).
-const COMPACT: [(&str, &str); 11] = [
+/// Compact forms of header names (section 7.3.3 and the registry of header fields).
+const COMPACT_NAMES: [(&str, &str); 11] = [
     ("v", "Via"),
     ("f", "From"),
     ("t", "To"),
@@ -115,8 +117,8 @@
     ("x", "Session-Expires"),
 ];
 
-/// A head as the parser wants it: continued lines joined (section 7.3.1), names in full, each `Via` on its own line.
-fn long_form(head: &[u8]) -> Vec<u8> {
+/// Normalizes a head for the parser: joins continuation lines (section 7.3.1), expands compact names and splits `Via` lists.
+fn normalize_head(head: &[u8]) -> Vec<u8> {
     let mut lines: Vec<Vec<u8>> = Vec::new();
     for line in head.split(|b| *b == b'\n') {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
@@ -137,19 +139,19 @@
             continue;
         };
         let (short, value) = (line[..colon].trim_ascii(), line[colon + 1..].trim_ascii());
-        let long = COMPACT.iter().find(|c| short.eq_ignore_ascii_case(c.0.as_bytes()));
+        let long = COMPACT_NAMES.iter().find(|c| short.eq_ignore_ascii_case(c.0.as_bytes()));
         let name = long.map_or(short, |c| c.1.as_bytes());
         let via = name.eq_ignore_ascii_case(b"via");
-        // A comma within quotation marks joins nothing.
+        // A comma within a quoted string doesn't separate values.
         let mut quoted = false;
         let ends = |b: &u8| {
             quoted ^= *b == b'"';
             via && !quoted && *b == b','
         };
-        for value in value.split(ends) {
+        for part in value.split(ends) {
             out.extend_from_slice(name);
             out.extend_from_slice(b": ");
-            out.extend_from_slice(value.trim_ascii());
+            out.extend_from_slice(part.trim_ascii());
             out.extend_from_slice(b"\r\n");
         }
     }
@@ -157,17 +159,18 @@
     out
 }
 
-fn name(text: &str, field: &'static str) -> Result<String, MessageError> {
-    let sound =
-        !text.is_empty() && text.len() <= NAME_BYTES && text.chars().all(|c| !c.is_control() && c != ' ');
-    if sound { Ok(text.to_owned()) } else { Err(MessageError::Field(field)) }
+fn identifier(text: &str, field: &'static str) -> Result<String, MessageError> {
+    let is_valid = !text.is_empty()
+        && text.len() <= MAX_IDENTIFIER_BYTES
+        && text.chars().all(|c| !c.is_control() && c != ' ');
+    if is_valid { Ok(text.to_owned()) } else { Err(MessageError::Field(field)) }
 }
 
-/// Fields that name a message must be there once: two of them would be read differently by different readers.
-fn each_once(headers: &Headers) -> Result<(), MessageError> {
-    type Is = fn(&Header) -> bool;
-    let count = |is: Is| headers.iter().filter(|h| is(h)).count();
-    let fields: [(&'static str, Is); 5] = [
+/// Checks that no identifying field is repeated, since implementations differ in which of two values they read.
+fn check_unrepeated_fields(headers: &Headers) -> Result<(), MessageError> {
+    type Predicate = fn(&Header) -> bool;
+    let count = |matches: Predicate| headers.iter().filter(|h| matches(h)).count();
+    let fields: [(&'static str, Predicate); 5] = [
         ("From", |h| matches!(h, Header::From(_))),
         ("To", |h| matches!(h, Header::To(_))),
         ("Call-ID", |h| matches!(h, Header::CallId(_))),
@@ -180,44 +183,47 @@
     }
 }
 
-fn names(message: &impl HeadersExt) -> Result<(Names, Method), MessageError> {
-    each_once(message.headers())?;
+fn identifiers(message: &impl HeadersExt) -> Result<(Identifiers, Method), MessageError> {
+    check_unrepeated_fields(message.headers())?;
     let bad = |field| move |_| MessageError::Field(field);
     let via = message.via_header().map_err(bad("Via"))?.typed().map_err(bad("Via"))?;
     let branch = via.branch().ok_or(MessageError::Field("Via"))?.value().to_owned();
-    if !branch.starts_with(COOKIE) {
-        return Err(MessageError::Field("Via")); // a branch of RFC 2543 names nothing
+    if !branch.starts_with(BRANCH_COOKIE) {
+        return Err(MessageError::Field("Via")); // a branch of RFC 2543 identifies nothing
     }
     let from = message.from_header().map_err(bad("From"))?.typed().map_err(bad("From"))?;
     let to = message.to_header().map_err(bad("To"))?.typed().map_err(bad("To"))?;
     let cseq = message.cseq_header().map_err(bad("CSeq"))?.typed().map_err(bad("CSeq"))?;
     let call = message.call_id_header().map_err(bad("Call-ID"))?.value().to_owned();
     let from_tag = from.tag().ok_or(MessageError::Field("From"))?.value().to_owned();
-    let names = Names {
-        call: name(&call, "Call-ID")?,
-        from_tag: name(&from_tag, "From")?,
-        to_tag: to.tag().map(|t| name(t.value(), "To")).transpose()?,
+    let ids = Identifiers {
+        call_id: identifier(&call, "Call-ID")?,
+        from_tag: identifier(&from_tag, "From")?,
+        to_tag: to.tag().map(|t| identifier(t.value(), "To")).transpose()?,
         seq: cseq.seq,
-        branch: name(&branch, "Via")?,
+        branch: identifier(&branch, "Via")?,
         sent_by: via.sent_by().host_with_port.to_string().to_ascii_lowercase(),
     };
-    Ok((names, cseq.method))
+    Ok((ids, cseq.method))
 }
 
 impl Message {
-    /// Reads one message, as from a datagram: bytes past `Content-Length` are dropped (section 18.3).
+    /// Parses one message, as from a datagram. Bytes past `Content-Length` are dropped (section 18.3).
+    ///
+    /// # Errors
+    /// Returns an error if the message exceeds a limit, is malformed or lacks a required field.
     pub fn parse(bytes: &[u8]) -> Result<Message, MessageError> {
-        if bytes.len() > BYTES {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong);
         }
-        let end = bytes.windows(4).position(|w| w == b"\r\n\r\n").ok_or(MessageError::Cut)?;
+        let end = bytes.windows(4).position(|w| w == b"\r\n\r\n").ok_or(MessageError::Truncated)?;
         let head = &bytes[..end];
-        if head.iter().filter(|b| **b == b'\n').count() > FIELDS {
+        if head.iter().filter(|b| **b == b'\n').count() > MAX_HEADER_FIELDS {
             return Err(MessageError::TooLong);
         }
-        // The parser takes no other than text here; a body may be anything.
+        // The parser accepts only UTF-8 here. The body may be arbitrary bytes.
         if std::str::from_utf8(head).is_err() {
-            return Err(MessageError::Malformed("the head is not text".into()));
+            return Err(MessageError::Malformed("head is not UTF-8".into()));
         }
         let body = &bytes[end + 4..];
         let length = match content_length(head) {
@@ -228,48 +234,49 @@
             None => body.len(),
         };
         if length > body.len() {
-            return Err(MessageError::Cut);
+            return Err(MessageError::Truncated);
         }
-        let whole = [&long_form(head), &body[..length]].concat();
-        let parsed =
-            SipMessage::try_from(whole.as_slice()).map_err(|e| MessageError::Malformed(e.to_string()))?;
+        let normalized = [&normalize_head(head), &body[..length]].concat();
+        let parsed = SipMessage::try_from(normalized.as_slice())
+            .map_err(|e| MessageError::Malformed(e.to_string()))?;
         match parsed {
             SipMessage::Request(raw) => {
                 if raw.uri.scheme.is_none() {
-                    return Err(MessageError::Malformed("its address has no scheme".into()));
+                    return Err(MessageError::Malformed("request URI has no scheme".into()));
                 }
-                let (names, method) = names(&raw)?;
+                let (ids, method) = identifiers(&raw)?;
                 if method != raw.method {
                     return Err(MessageError::Field("CSeq"));
                 }
-                Ok(Message::Request(Request { names, raw }))
+                Ok(Message::Request(Request { ids, raw }))
             }
             SipMessage::Response(raw) => {
-                let (names, method) = names(&raw)?;
+                let (ids, method) = identifiers(&raw)?;
                 let status = raw.status_code.code();
                 if !(100..700).contains(&status) {
                     return Err(MessageError::Malformed(format!("status {status}")));
                 }
-                Ok(Message::Response(Response { names, method, status, raw }))
+                Ok(Message::Response(Response { ids, method, status, raw }))
             }
         }
     }
 }
 
 impl Request {
-    /// Its method.
+    /// Returns the method of the request.
     pub fn method(&self) -> Method {
         self.raw.method
     }
 
-    /// The bytes on the wire.
+    /// Encodes the message as sent on the wire.
     pub fn encode(&self) -> Vec<u8> {
         self.raw.clone().into()
     }
 
-    /// A response to it (section 8.2.6): `Via`, `From`, `To`, `Call-ID`, `CSeq` and `Record-Route` are taken over, and
-    /// the tag is added to `To` where it has none.
-    pub fn answer(&self, status: u16, tag: &str) -> Response {
+    /// Builds a response to the request (section 8.2.6).
+    ///
+    /// `Via`, `From`, `To`, `Call-ID`, `CSeq` and `Record-Route` are copied, and the tag is added to `To` if it has none.
+    pub fn response(&self, status: u16, tag: &str) -> Response {
         let mut headers: Vec<Header> = Vec::new();
         for header in self.raw.headers.iter() {
             match header {
@@ -291,16 +298,16 @@
             headers: Headers::from(headers),
             body: Vec::new(),
         };
-        let mut names = self.names.clone();
-        if status > 100 && names.to_tag.is_none() {
-            names.to_tag = Some(tag.to_owned());
+        let mut ids = self.ids.clone();
+        if status > 100 && ids.to_tag.is_none() {
+            ids.to_tag = Some(tag.to_owned());
         }
-        Response { names, method: self.method(), status, raw }
+        Response { ids, method: self.method(), status, raw }
     }
 
     fn tagged(&self, to: &rsip::headers::To, status: u16, tag: &str) -> Header {
-        // A 100 goes out before there is a dialog and takes no tag.
-        if self.names.to_tag.is_some() || status == 100 {
+        // A 100 precedes the dialog and gets no tag.
+        if self.ids.to_tag.is_some() || status == 100 {
             return to.clone().into();
         }
         match to.typed() {
@@ -309,18 +316,20 @@
         }
     }
 
-    /// The ACK for a final response to this INVITE other than 2xx (section 17.1.1.3): same branch, `To` of the response.
+    /// Builds the ACK for a final response other than 2xx to this INVITE (section 17.1.1.3).
+    ///
+    /// The ACK has the branch of the INVITE and the `To` of the response.
     pub fn ack_for(&self, response: &Response) -> Request {
         let to = response.raw.to_header().ok().cloned();
         self.hop_request(Method::Ack, to)
     }
 
-    /// The CANCEL of this request (section 9.1): same branch, same number, same `To`.
+    /// Builds the CANCEL of this request (section 9.1), with the same branch, sequence number and `To`.
     pub fn cancel(&self) -> Request {
         self.hop_request(Method::Cancel, None)
     }
 
-    /// A request of another method that belongs to this one on this hop.
+    /// Builds a request of another method that belongs to this request's transaction on this hop.
     fn hop_request(&self, method: Method, to: Option<rsip::headers::To>) -> Request {
         let mut headers: Vec<Header> = Vec::new();
         let mut via = false;
@@ -331,15 +340,15 @@
                     headers.push(header.clone());
                 }
                 Header::To(own) => headers.push(to.clone().unwrap_or_else(|| own.clone()).into()),
-                Header::CSeq(_) => headers.push(typed::CSeq { seq: self.names.seq, method }.into()),
+                Header::CSeq(_) => headers.push(typed::CSeq { seq: self.ids.seq, method }.into()),
                 _ => {}
             }
         }
         headers.push(rsip::headers::ContentLength::default().into());
-        let mut names = self.names.clone();
+        let mut ids = self.ids.clone();
         if let Some(tag) = to.and_then(|t| t.typed().ok()).and_then(|t| t.tag().map(|t| t.value().to_owned()))
         {
-            names.to_tag = Some(tag);
+            ids.to_tag = Some(tag);
         }
         let raw = rsip::Request {
             method,
@@ -348,17 +357,17 @@
             headers: Headers::from(headers),
             body: Vec::new(),
         };
-        Request { names, raw }
+        Request { ids, raw }
     }
 }
 
 impl Response {
-    /// Whether it is a final one.
+    /// Returns whether the response is final.
     pub fn is_final(&self) -> bool {
         self.status >= 200
     }
 
-    /// The bytes on the wire.
+    /// Encodes the message as sent on the wire.
     pub fn encode(&self) -> Vec<u8> {
         self.raw.clone().into()
     }
--- a/crates/front/sip/src/transaction/client.rs
+++ b/crates/front/sip/src/transaction/client.rs
@@ -1,112 +1,112 @@
-//! Client transactions: figures 5 and 6 of RFC 3261, the first with RFC 6026's Accepted state.
+//! Client transactions: figures 5 and 6 of RFC 3261, with RFC 6026's Accepted state for INVITE.
 
 use beechloft_session::api::Micros;
 
 use super::Transport;
-use crate::message::{Method, Names, Request, Response};
-use crate::timer::{ABSORB, Backoff, T4, TRIES};
+use crate::message::{Identifiers, Method, Request, Response};
+use crate::timer::{Backoff, T4, TIMER_D, TRANSACTION_TIMEOUT};
 
-/// Where a client transaction is.
+/// State of a client transaction.
 #[derive(Debug)]
 enum State {
-    /// Nothing has come. Repeated at a time (timers A and E), given up at another (B and F).
-    Calling { repeat: Option<(Micros, Backoff)>, until: Micros },
-    /// A provisional response has come. An INVITE then waits as long as its user does.
-    Proceeding { repeat: Option<(Micros, Backoff)>, until: Option<Micros> },
-    /// A final response other than 2xx to INVITE has come; repeated ones are acknowledged again (timer D).
-    Completed { ack: Box<Request>, until: Micros },
-    /// The final response of a request other than INVITE has come; repeated ones are absorbed (timer K).
-    Answered { until: Micros },
-    /// A 2xx to INVITE has come; further ones are told (timer M).
+    /// No response has arrived. The request is retransmitted (timers A and E) until the timeout (timers B and F).
+    Calling { retransmit: Option<(Micros, Backoff)>, until: Micros },
+    /// A provisional response has arrived. An INVITE then waits for as long as its user does.
+    Proceeding { retransmit: Option<(Micros, Backoff)>, until: Option<Micros> },
+    /// A final response other than 2xx to an INVITE has arrived. Retransmitted ones are acknowledged again (timer D).
+    InviteCompleted { ack: Box<Request>, until: Micros },
+    /// The final response to a non-INVITE request has arrived. Retransmitted ones are absorbed (timer K).
+    Completed { until: Micros },
+    /// A 2xx to an INVITE has arrived. Further ones are delivered (timer M).
     Accepted { until: Micros },
-    /// Over.
+    /// The transaction has ended.
     Terminated,
 }
 
-/// What a client transaction wants done.
+/// Action requested by a client transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    /// Send its request or an ACK.
+    /// Send the request or an ACK.
     Send(Box<Request>),
-    /// Tell its user of a response.
-    Tell(Box<Response>),
-    /// Tell its user that no final response came.
+    /// Deliver a response to the user.
+    Deliver(Box<Response>),
+    /// Report to the user that no final response arrived.
     TimedOut,
 }
 
-/// One client transaction.
+/// Client transaction.
 #[derive(Debug)]
 pub struct Client {
-    names: Names,
+    ids: Identifiers,
     method: Method,
-    /// What it sent, until a final response has come: the transaction outlives that by half a minute.
+    /// The request, kept only until a final response arrives because the transaction lives on for half a minute.
     request: Option<Box<Request>>,
     transport: Transport,
     state: State,
 }
 
 impl Client {
-    /// Begins by sending a request.
+    /// Starts a transaction by sending its request.
     pub fn new(now: Micros, request: Request, transport: Transport, out: &mut Vec<Step>) -> Self {
         let mut backoff =
             if request.method() == Method::Invite { Backoff::invite() } else { Backoff::bounded() };
-        let repeat = (transport == Transport::Udp).then(|| (now + backoff.take(), backoff));
+        let retransmit = (transport == Transport::Udp).then(|| (now + backoff.next_interval(), backoff));
         out.push(Step::Send(Box::new(request.clone())));
-        let (names, method) = (request.names.clone(), request.method());
+        let (ids, method) = (request.ids.clone(), request.method());
         Client {
-            names,
+            ids,
             method,
             request: Some(Box::new(request)),
             transport,
-            state: State::Calling { repeat, until: now + TRIES },
+            state: State::Calling { retransmit, until: now + TRANSACTION_TIMEOUT },
         }
     }
 
-    /// What names the request that it sent.
-    pub fn names(&self) -> &Names {
-        &self.names
+    /// Returns the identifiers of the request.
+    pub fn identifiers(&self) -> &Identifiers {
+        &self.ids
     }
 
     fn is_invite(&self) -> bool {
         self.method == Method::Invite
     }
 
-    /// A response to it came.
+    /// Handles a response to the request.
     pub fn received(&mut self, now: Micros, response: Response, out: &mut Vec<Step>) {
         let (response, invite) = (Box::new(response), self.is_invite());
         let request = if response.is_final() { self.request.take() } else { None };
         match (&mut self.state, response.status) {
             (State::Calling { until, .. }, 100..=199) => {
                 let until = *until;
-                let repeat = (!invite && self.transport == Transport::Udp).then(|| {
+                let retransmit = (!invite && self.transport == Transport::Udp).then(|| {
                     let mut backoff = Backoff::slow();
-                    (now + backoff.take(), backoff)
+                    (now + backoff.next_interval(), backoff)
                 });
-                self.state = State::Proceeding { repeat, until: (!invite).then_some(until) };
-                out.push(Step::Tell(response));
+                self.state = State::Proceeding { retransmit, until: (!invite).then_some(until) };
+                out.push(Step::Deliver(response));
             }
-            (State::Proceeding { .. }, 100..=199) => out.push(Step::Tell(response)),
+            (State::Proceeding { .. }, 100..=199) => out.push(Step::Deliver(response)),
             (State::Calling { .. } | State::Proceeding { .. }, 200..=299) if invite => {
-                self.state = State::Accepted { until: now + TRIES };
-                out.push(Step::Tell(response));
+                self.state = State::Accepted { until: now + TRANSACTION_TIMEOUT };
+                out.push(Step::Deliver(response));
             }
-            (State::Accepted { .. }, 200..=299) => out.push(Step::Tell(response)),
+            (State::Accepted { .. }, 200..=299) => out.push(Step::Deliver(response)),
             (State::Calling { .. } | State::Proceeding { .. }, _) if invite => {
                 let Some(ack) = request.map(|r| Box::new(r.ack_for(&response))) else { return };
                 out.push(Step::Send(ack.clone()));
-                let wait = self.transport.wait(ABSORB);
-                self.state = State::Completed { ack, until: now + wait };
+                let wait = self.transport.unreliable_delay(TIMER_D);
+                self.state = State::InviteCompleted { ack, until: now + wait };
                 self.end_if(wait == Micros(0));
-                out.push(Step::Tell(response));
+                out.push(Step::Deliver(response));
             }
             (State::Calling { .. } | State::Proceeding { .. }, _) => {
-                let wait = self.transport.wait(T4);
-                self.state = State::Answered { until: now + wait };
+                let wait = self.transport.unreliable_delay(T4);
+                self.state = State::Completed { until: now + wait };
                 self.end_if(wait == Micros(0));
-                out.push(Step::Tell(response));
+                out.push(Step::Deliver(response));
             }
-            // A repeated failure means that the ACK was lost. One with another tag is another's, and not acknowledged.
-            (State::Completed { ack, .. }, 300..) if ack.names.to_tag == response.names.to_tag => {
+            // A retransmitted failure means that the ACK was lost. One with another tag belongs to another dialog and gets no ACK.
+            (State::InviteCompleted { ack, .. }, 300..) if ack.ids.to_tag == response.ids.to_tag => {
                 out.push(Step::Send(ack.clone()));
             }
             _ => {}
@@ -119,21 +119,21 @@
         }
     }
 
-    /// What is due by now.
-    pub fn due(&mut self, now: Micros, out: &mut Vec<Step>) {
+    /// Runs the timers that have expired.
+    pub fn run_timers(&mut self, now: Micros, out: &mut Vec<Step>) {
         match &mut self.state {
             State::Calling { until, .. } | State::Proceeding { until: Some(until), .. } if *until <= now => {
                 out.push(Step::TimedOut);
                 self.state = State::Terminated;
             }
-            State::Calling { repeat: Some((at, backoff)), .. }
-            | State::Proceeding { repeat: Some((at, backoff)), .. }
+            State::Calling { retransmit: Some((at, backoff)), .. }
+            | State::Proceeding { retransmit: Some((at, backoff)), .. }
                 if *at <= now =>
             {
                 out.extend(self.request.clone().map(Step::Send));
-                *at = now + backoff.take();
+                *at = now + backoff.next_interval();
             }
-            State::Completed { until, .. } | State::Answered { until } | State::Accepted { until }
+            State::InviteCompleted { until, .. } | State::Completed { until } | State::Accepted { until }
                 if *until <= now =>
             {
                 self.state = State::Terminated;
@@ -142,30 +142,32 @@
         }
     }
 
-    /// When [`Client::due`] is next needed.
+    /// Returns the time at which [`Client::run_timers`] must be called next.
     pub fn next_due(&self) -> Option<Micros> {
         match &self.state {
-            State::Calling { repeat, until } => Some(repeat.map_or(*until, |r| r.0.min(*until))),
-            State::Proceeding { repeat, until } => repeat.map(|r| r.0).into_iter().chain(*until).min(),
-            State::Completed { until, .. } | State::Answered { until } | State::Accepted { until } => {
+            State::Calling { retransmit, until } => Some(retransmit.map_or(*until, |r| r.0.min(*until))),
+            State::Proceeding { retransmit, until } => {
+                retransmit.map(|r| r.0).into_iter().chain(*until).min()
+            }
+            State::InviteCompleted { until, .. } | State::Completed { until } | State::Accepted { until } => {
                 Some(*until)
             }
             State::Terminated => None,
         }
     }
 
-    /// Whether a CANCEL may be sent: a provisional response has come and no final one (section 9.1).
+    /// Returns whether a CANCEL may be sent: a provisional response has arrived and no final one (section 9.1).
     pub fn may_cancel(&self) -> bool {
         self.is_invite() && matches!(self.state, State::Proceeding { .. })
     }
 
-    /// Whether a final response has come, or none will.
-    pub fn is_answered(&self) -> bool {
+    /// Returns whether a final response has arrived or the transaction has timed out.
+    pub fn is_completed(&self) -> bool {
         !matches!(self.state, State::Calling { .. } | State::Proceeding { .. })
     }
 
-    /// Whether it is over.
-    pub fn is_over(&self) -> bool {
+    /// Returns whether the transaction has ended.
+    pub fn is_terminated(&self) -> bool {
         matches!(self.state, State::Terminated)
     }
 }
--- a/crates/front/sip/src/transaction/server.rs
+++ b/crates/front/sip/src/transaction/server.rs
@@ -1,58 +1,58 @@
-//! Server transactions: figures 7 and 8 of RFC 3261, the first with RFC 6026's Accepted state.
+//! Server transactions: figures 7 and 8 of RFC 3261, with RFC 6026's Accepted state for INVITE.
 //!
-//! Over datagrams they are kept for T4 longer than the figures say. A client repeats its request for 64 T1, and the
-//! last copy may be on the way for T4 more; a transaction that ends before would take it for a new request, and a
-//! session would be set up twice.
+//! Over UDP they are kept for T4 longer than the figures say. A client retransmits its request for 64 T1, and the last
+//! copy may be in the network for T4 more. A transaction that ended before would take this copy for a new request, and
+//! the session would be set up twice.
 
 use beechloft_session::api::Micros;
 
 use super::Transport;
 use crate::message::{Method, Request, Response};
-use crate::timer::{Backoff, T4, TRIES, TRYING};
+use crate::timer::{Backoff, T4, TRANSACTION_TIMEOUT, TRYING_DELAY};
 
-/// Where a server transaction is.
+/// State of a server transaction.
 #[derive(Debug)]
 enum State {
-    /// Nothing has been answered. An INVITE gets a 100 at this time, if its user stays silent.
+    /// No response has been sent. For an INVITE, a 100 is sent at the given time.
     Trying(Option<Micros>),
-    /// A provisional response has gone out last.
+    /// The last response sent was provisional.
     Proceeding(Box<Response>),
-    /// A final response other than 2xx to INVITE has gone out and is repeated until its ACK (timers G and H).
-    Completed { response: Box<Response>, repeat: Option<(Micros, Backoff)>, until: Micros },
-    /// The final response of a request other than INVITE has gone out (timer J).
-    Answered { response: Box<Response>, until: Micros },
-    /// A 2xx to INVITE has gone out; its user repeats it (timer L).
+    /// A final response other than 2xx to an INVITE has been sent. It is retransmitted until its ACK (timers G and H).
+    InviteCompleted { response: Box<Response>, retransmit: Option<(Micros, Backoff)>, until: Micros },
+    /// The final response to a non-INVITE request has been sent (timer J).
+    Completed { response: Box<Response>, until: Micros },
+    /// A 2xx to an INVITE has been sent. Its user retransmits it (timer L).
     Accepted { until: Micros },
-    /// The ACK has come; further ones are absorbed (timer I).
+    /// The ACK has arrived. Further ones are absorbed (timer I).
     Confirmed { until: Micros },
-    /// Over.
+    /// The transaction has ended.
     Terminated,
 }
 
-/// What a server transaction wants done.
+/// Action requested by a server transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
     /// Send a response.
     Send(Box<Response>),
-    /// The ACK of a final response other than 2xx never came.
+    /// Report that no ACK arrived for a final response other than 2xx.
     NoAck,
 }
 
-/// One server transaction.
+/// Server transaction.
 #[derive(Debug)]
 pub struct Server {
     method: Method,
-    /// What was asked, until something was answered: the transaction outlives that by half a minute.
+    /// The request, kept only until the first response because the transaction lives on for half a minute.
     request: Option<Box<Request>>,
     transport: Transport,
     state: State,
 }
 
 impl Server {
-    /// Begins with a request that was not seen before.
+    /// Starts a transaction for a new request.
     pub fn new(now: Micros, request: Request, transport: Transport) -> Self {
         let method = request.method();
-        let trying = (method == Method::Invite).then_some(now + TRYING);
+        let trying = (method == Method::Invite).then_some(now + TRYING_DELAY);
         Server { method, request: Some(Box::new(request)), transport, state: State::Trying(trying) }
     }
 
@@ -60,11 +60,11 @@
         self.method == Method::Invite
     }
 
-    /// The same request came again, or the ACK of its failure.
+    /// Handles a retransmission of the request, or the ACK of its failure.
     pub fn received(&mut self, now: Micros, method: Method, out: &mut Vec<Step>) {
         if method == Method::Ack {
-            if let State::Completed { .. } = self.state {
-                let wait = self.transport.wait(T4);
+            if let State::InviteCompleted { .. } = self.state {
+                let wait = self.transport.unreliable_delay(T4);
                 self.state = State::Confirmed { until: now + wait };
                 self.end_if(wait == Micros(0));
             }
@@ -72,15 +72,17 @@
         }
         match &self.state {
             State::Proceeding(response)
-            | State::Completed { response, .. }
-            | State::Answered { response, .. } => {
+            | State::InviteCompleted { response, .. }
+            | State::Completed { response, .. } => {
                 out.push(Step::Send(response.clone()));
             }
             State::Trying(_) | State::Accepted { .. } | State::Confirmed { .. } | State::Terminated => {}
         }
     }
 
-    /// The user answers. A response after the final one is dropped, but for repeated 2xx to INVITE.
+    /// Sends a response of the user and returns whether it was sent.
+    ///
+    /// A response after the final one is dropped, except for a retransmitted 2xx to an INVITE.
     pub fn respond(&mut self, now: Micros, response: Response, out: &mut Vec<Step>) -> bool {
         let response = Box::new(response);
         match (&self.state, response.status) {
@@ -88,17 +90,24 @@
                 self.state = State::Proceeding(response.clone());
             }
             (State::Trying(_) | State::Proceeding(_), 200..=299) if self.is_invite() => {
-                self.state = State::Accepted { until: now + TRIES + self.transport.wait(T4) };
+                self.state = State::Accepted {
+                    until: now + TRANSACTION_TIMEOUT + self.transport.unreliable_delay(T4),
+                };
             }
             (State::Accepted { .. }, 200..=299) => {}
             (State::Trying(_) | State::Proceeding(_), _) if self.is_invite() => {
                 let mut backoff = Backoff::bounded();
-                let repeat = (self.transport == Transport::Udp).then(|| (now + backoff.take(), backoff));
-                self.state = State::Completed { response: response.clone(), repeat, until: now + TRIES };
+                let retransmit =
+                    (self.transport == Transport::Udp).then(|| (now + backoff.next_interval(), backoff));
+                self.state = State::InviteCompleted {
+                    response: response.clone(),
+                    retransmit,
+                    until: now + TRANSACTION_TIMEOUT,
+                };
             }
             (State::Trying(_) | State::Proceeding(_), _) => {
-                let wait = self.transport.wait(TRIES + T4);
-                self.state = State::Answered { response: response.clone(), until: now + wait };
+                let wait = self.transport.unreliable_delay(TRANSACTION_TIMEOUT + T4);
+                self.state = State::Completed { response: response.clone(), until: now + wait };
                 self.end_if(wait == Micros(0));
             }
             _ => return false,
@@ -114,25 +123,25 @@
         }
     }
 
-    /// What is due by now.
-    pub fn due(&mut self, now: Micros, out: &mut Vec<Step>) {
+    /// Runs the timers that have expired.
+    pub fn run_timers(&mut self, now: Micros, out: &mut Vec<Step>) {
         match &mut self.state {
             State::Trying(Some(at)) if *at <= now => {
-                let Some(trying) = self.request.take().map(|r| Box::new(r.answer(100, ""))) else { return };
+                let Some(trying) = self.request.take().map(|r| Box::new(r.response(100, ""))) else { return };
                 out.push(Step::Send(trying.clone()));
                 self.state = State::Proceeding(trying);
             }
-            State::Completed { until, .. } if *until <= now => {
+            State::InviteCompleted { until, .. } if *until <= now => {
                 out.push(Step::NoAck);
-                let wait = self.transport.wait(T4);
+                let wait = self.transport.unreliable_delay(T4);
                 self.state = State::Confirmed { until: now + wait };
                 self.end_if(wait == Micros(0));
             }
-            State::Completed { response, repeat: Some((at, backoff)), .. } if *at <= now => {
+            State::InviteCompleted { response, retransmit: Some((at, backoff)), .. } if *at <= now => {
                 out.push(Step::Send(response.clone()));
-                *at = now + backoff.take();
+                *at = now + backoff.next_interval();
             }
-            State::Answered { until, .. } | State::Accepted { until } | State::Confirmed { until }
+            State::Completed { until, .. } | State::Accepted { until } | State::Confirmed { until }
                 if *until <= now =>
             {
                 self.state = State::Terminated;
@@ -141,25 +150,27 @@
         }
     }
 
-    /// When [`Server::due`] is next needed.
+    /// Returns the time at which [`Server::run_timers`] must be called next.
     pub fn next_due(&self) -> Option<Micros> {
         match &self.state {
             State::Trying(at) => *at,
-            State::Completed { repeat, until, .. } => Some(repeat.map_or(*until, |r| r.0.min(*until))),
-            State::Answered { until, .. } | State::Accepted { until } | State::Confirmed { until } => {
+            State::InviteCompleted { retransmit, until, .. } => {
+                Some(retransmit.map_or(*until, |r| r.0.min(*until)))
+            }
+            State::Completed { until, .. } | State::Accepted { until } | State::Confirmed { until } => {
                 Some(*until)
             }
             State::Proceeding(_) | State::Terminated => None,
         }
     }
 
-    /// Whether a final response has been given.
-    pub fn is_answered(&self) -> bool {
+    /// Returns whether a final response has been sent.
+    pub fn is_completed(&self) -> bool {
         !matches!(self.state, State::Trying(_) | State::Proceeding(_))
     }
 
-    /// Whether it is over.
-    pub fn is_over(&self) -> bool {
+    /// Returns whether the transaction has ended.
+    pub fn is_terminated(&self) -> bool {
         matches!(self.state, State::Terminated)
     }
 }
