--- a/crates/cli/tests/verdicts.rs
+++ b/crates/cli/tests/verdicts.rs
@@ -319,7 +319,12 @@
             for n in 0..FRONTS {
                 let log = self.log(n);
                 log.lines()
-                    .filter(|l| l.contains("judged") || l.contains("trial") || l.contains("comes back"))
+                    .filter(|l| {
+                        l.contains("judged")
+                            || l.contains("despite ejection")
+                            || l.contains("trial")
+                            || l.contains("comes back")
+                    })
                     .for_each(|l| {
                         eprintln!("front {n}: {l}");
                     });
@@ -407,7 +412,8 @@
     }
     for n in 0..FRONTS {
         let log = rig.log(n);
-        let texts = ["media server ejected", "media server not ejected", "judged bad"];
+        let texts =
+            ["media server ejected", "media server not ejected", "judged bad", "offered despite ejection"];
         let is_ejection = |line: &&str| texts.iter().any(|text| line.contains(text));
         let ejections: Vec<&str> = log.lines().filter(is_ejection).collect();
         assert!(ejections.is_empty(), "front {n}: {ejections:?}");
--- a/crates/front/session/src/catalog/entries.rs
+++ b/crates/front/session/src/catalog/entries.rs
@@ -7,45 +7,45 @@
     CellId, ClassId, Endpoint, EndpointState, Micros, ServerId, ServerType, TenantId, ZoneId,
 };
 
-/// What a client speaks.
+/// The signalling protocol of a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Protocol {
-    /// WHEP: it watches.
+    /// WHEP, spoken by viewers.
     #[default]
     Whep,
-    /// WHIP: it publishes.
+    /// WHIP, spoken by publishers.
     Whip,
-    /// SIP: it calls.
+    /// SIP, spoken by callers.
     Sip,
 }
 
 /// A media server on the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MediaServerEntry {
-    /// Its id, the same for every front.
+    /// Id of the media server, the same at every front.
     pub id: ServerId,
-    /// Its name, for people.
+    /// Human-readable name of the media server.
     pub name: Arc<str>,
-    /// Where it listens: `host:port`.
+    /// The `host:port` that the media server listens on.
     pub url: Arc<str>,
-    /// Where it takes SIP calls, if it does.
+    /// The `host:port` that the media server takes SIP calls on, if it supports SIP.
     pub sip: Option<Arc<str>>,
-    /// Its state.
+    /// State of the media server.
     pub state: EndpointState,
-    /// The rack it stands in.
+    /// Index of the media server's rack.
     pub rack: u16,
-    /// Its zone.
+    /// Zone of the media server.
     pub zone: ZoneId,
-    /// Its kind.
+    /// Type of the media server.
     pub kind: ServerType,
-    /// Latest start of its process; zero: long ago or unknown.
+    /// Latest start of the media server's process. Zero stands for a start long ago or unknown.
     pub started: Micros,
-    /// Its size, as [`WeightMeaning`](beechloft::api::WeightMeaning) says.
+    /// Weight of the media server, in the sense of [`WeightMeaning`](beechloft::api::WeightMeaning).
     pub size: f64,
 }
 
 impl MediaServerEntry {
-    /// Where sessions of a protocol are set up; none: not at this media server.
+    /// Returns the address for sessions of a protocol, or `None` if the media server does not support it.
     pub fn address(&self, protocol: Protocol) -> Option<&Arc<str>> {
         match protocol {
             Protocol::Whep | Protocol::Whip => Some(&self.url),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The entry as the policy takes it. A rack is a cell there.
+    /// Converts the entry to the policy's form, in which a rack is a cell.
     pub(super) fn for_policy(&self) -> Endpoint {
         Endpoint {
             server: self.id,
@@ -70,39 +70,39 @@
 /// A title on the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TitleEntry {
-    /// Its name in addresses.
+    /// Name of the title, as used in URLs.
     pub name: Arc<str>,
-    /// Class of those who watch it.
+    /// Class of the title's sessions.
     pub class: ClassId,
-    /// The tenant that pays for it.
+    /// The tenant that owns the title.
     pub tenant: TenantId,
-    /// The media servers that hold it.
+    /// The media servers that hold the title.
     pub holders: BTreeSet<ServerId>,
-    /// How long a session of it lasts, roughly.
+    /// Approximate duration of a session of the title.
     pub length: Option<Micros>,
 }
 
-/// A message of the endpoint list's service.
+/// An update from the list service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EndpointUpdate {
     /// The complete list.
     Snapshot {
-        /// Read from a copy that this front kept, perhaps long ago.
+        /// Whether the list was read from the front's copy on disk, which may be old.
         cached: bool,
         /// All media servers.
         servers: Vec<MediaServerEntry>,
         /// All titles.
         titles: Vec<TitleEntry>,
     },
-    /// What changed. A removed media server comes with that state, a removed title by name.
+    /// A change of the list. A removed media server is sent with the state `Removed`, a removed title by its name.
     Change {
-        /// Media servers that changed.
+        /// Media servers that were added, changed or removed.
         servers: Vec<MediaServerEntry>,
-        /// Titles that changed.
+        /// Titles that were added or changed.
         titles: Vec<TitleEntry>,
-        /// Titles that were removed.
+        /// Names of removed titles.
         removed: Vec<Arc<str>>,
     },
-    /// The stream broke or a call failed.
+    /// The stream of updates broke, or a request for the list failed.
     Failed,
 }
--- a/crates/front/session/src/catalog/mod.rs
+++ b/crates/front/session/src/catalog/mod.rs
@@ -1,8 +1,12 @@
-//! The endpoint list as a front knows it: media servers, and which of them hold each title.
+//! The front's copy of the endpoint list: the media servers, and which of them hold each title.
 //!
-//! Three rules keep a faulty list service from doing harm. A failed call or a lost stream changes nothing. An empty
-//! snapshot is taken for a failure while media servers are known: a service that lost its own data sends the same. A
-//! media server named twice in one message counts in its least ready state, and the contradiction is reported.
+//! Three rules limit the harm that a faulty list service can do:
+//!
+//! - A failed call or a lost stream does not change the list.
+//! - An empty snapshot counts as a failure while media servers are known, as a service that lost its data would send
+//!   the same.
+//! - If one update lists a media server twice, the least ready state of the two applies and the contradiction is
+//!   reported.
 
 mod entries;
 
@@ -13,53 +17,53 @@
 
 pub use entries::{EndpointUpdate, MediaServerEntry, Protocol, TitleEntry};
 
-/// Media servers in one message at most; a longer one is rejected.
+/// Maximum number of media servers in one update. A larger update is rejected.
 pub const MAX_MEDIA_SERVERS: usize = 20_000;
-/// Titles at most, over all messages.
+/// Maximum number of titles, both in one update and in the list as a whole.
 pub const MAX_TITLES: usize = 200_000;
 
 /// A title that can be requested.
 #[derive(Debug, Clone)]
 pub struct Title {
-    /// Its id inside this front.
+    /// Id of the title, valid only within this front.
     pub id: TitleId,
-    /// Class of those who watch it.
+    /// Class of the title's sessions.
     pub class: ClassId,
-    /// The tenant that pays for it.
+    /// The tenant that owns the title.
     pub tenant: TenantId,
-    /// The media servers that hold it.
+    /// The media servers that hold the title.
     pub holders: Arc<BTreeSet<ServerId>>,
-    /// How long a session of it lasts, roughly.
+    /// Approximate duration of a session of the title.
     pub length: Option<Micros>,
 }
 
-/// What follows from a message.
+/// The effects of an update.
 #[derive(Debug, Default)]
 pub struct UpdateEffects {
-    /// For the policy.
+    /// Event to be passed to the policy.
     pub event: Option<Event>,
-    /// Media servers whose address is new.
+    /// Media servers that are new or have a new address.
     pub readdressed: Vec<ServerId>,
     /// Media servers that were removed from the list.
     pub removed: Vec<ServerId>,
-    /// What was wrong with the message.
+    /// Descriptions of the faults in the update.
     pub faults: Vec<String>,
 }
 
 impl UpdateEffects {
-    /// The list stays as it is, and the policy is told that a call failed.
+    /// Returns the effects of a failed update: the list is unchanged and the policy is notified of the failure.
     fn failed(faults: Vec<String>) -> Self {
         let event = Some(Event::EndpointsUpdated { kind: UpdateKind::Failed, endpoints: Vec::new() });
         UpdateEffects { event, faults, ..UpdateEffects::default() }
     }
 
-    /// The message is ignored.
+    /// Returns the effects of a rejected update: it is ignored and its fault is reported.
     fn rejected(fault: String) -> Self {
         UpdateEffects { faults: vec![fault], ..UpdateEffects::default() }
     }
 }
 
-/// The endpoint list as known now.
+/// The current endpoint list.
 #[derive(Debug, Default)]
 pub struct Catalog {
     servers: BTreeMap<ServerId, MediaServerEntry>,
@@ -68,7 +72,7 @@
     known: bool,
 }
 
-/// A rank of states: the lower, the less may be sent there.
+/// Ranks states by readiness. A media server of a lower rank may be sent less.
 fn readiness(state: EndpointState) -> u8 {
     match state {
         EndpointState::Removed => 0,
@@ -78,17 +82,17 @@
 }
 
 impl Catalog {
-    /// Applies a message.
+    /// Applies an update and returns its effects.
     pub fn apply(&mut self, update: EndpointUpdate) -> UpdateEffects {
-        let (form, servers, titles, removed_titles) = match update {
+        let (kind, servers, titles, removed_titles) = match update {
             EndpointUpdate::Failed => return UpdateEffects::failed(Vec::new()),
             EndpointUpdate::Snapshot { servers, .. } if servers.is_empty() && !self.servers.is_empty() => {
-                let fault = "an empty list is taken for a failure; the known media servers stay";
+                let fault = "an empty snapshot was treated as a failure; the known media servers are kept";
                 return UpdateEffects::failed(vec![fault.into()]);
             }
             EndpointUpdate::Snapshot { cached, servers, titles } => {
-                let form = if cached { UpdateKind::Cached } else { UpdateKind::Full };
-                (form, servers, titles, Vec::new())
+                let kind = if cached { UpdateKind::Cached } else { UpdateKind::Full };
+                (kind, servers, titles, Vec::new())
             }
             EndpointUpdate::Change { servers, titles, removed } => {
                 (UpdateKind::Delta, servers, titles, removed)
@@ -96,26 +100,27 @@
         };
         let (server_count, title_count) = (servers.len(), titles.len());
         if server_count > MAX_MEDIA_SERVERS || title_count > MAX_TITLES {
-            let fault =
-                format!("a list of {server_count} media servers and {title_count} titles is rejected");
+            let fault = format!(
+                "an update of {server_count} media servers and {title_count} titles was rejected as too large"
+            );
             return UpdateEffects::rejected(fault);
         }
         self.known = true;
         let mut effects = UpdateEffects::default();
-        self.apply_servers(form, servers, &mut effects);
-        let is_complete = form != UpdateKind::Delta;
+        self.apply_servers(kind, servers, &mut effects);
+        let is_complete = kind != UpdateKind::Delta;
         self.apply_titles(is_complete, titles, &removed_titles, &mut effects.faults);
         effects
     }
 
     fn apply_servers(
         &mut self,
-        form: UpdateKind,
+        kind: UpdateKind,
         entries: Vec<MediaServerEntry>,
         effects: &mut UpdateEffects,
     ) {
         let servers = merge_duplicates(entries, &mut effects.faults);
-        if form != UpdateKind::Delta {
+        if kind != UpdateKind::Delta {
             effects.removed.extend(self.servers.keys().filter(|id| !servers.contains_key(id)));
         }
         let removed = servers.values().filter(|entry| entry.state == EndpointState::Removed);
@@ -123,7 +128,7 @@
         let readdressed = servers.values().filter(|entry| self.is_new_address(entry));
         effects.readdressed.extend(readdressed.map(|entry| entry.id));
         let for_policy = servers.values().map(MediaServerEntry::for_policy).collect();
-        effects.event = Some(Event::EndpointsUpdated { kind: form, endpoints: for_policy });
+        effects.event = Some(Event::EndpointsUpdated { kind, endpoints: for_policy });
         self.servers.extend(servers);
         for id in &effects.removed {
             self.servers.remove(id);
@@ -147,11 +152,14 @@
             self.titles.remove(name);
         }
         for entry in entries {
-            // Ids stay with names, so that seats are counted on.
+            // A title keeps its id across snapshots, so that the policy's count of its sessions stays correct.
             let known = self.titles.get(&entry.name).map(|title| title.id);
             let known = known.or_else(|| before.remove(&entry.name).map(|title| title.id));
             if known.is_none() && self.titles.len() >= MAX_TITLES {
-                faults.push(format!("title {} is left out: {MAX_TITLES} are known", entry.name));
+                faults.push(format!(
+                    "title {} was ignored: the limit of {MAX_TITLES} titles is reached",
+                    entry.name
+                ));
                 continue;
             }
             let id = known.unwrap_or_else(|| self.new_title_id());
@@ -165,48 +173,48 @@
         TitleId(self.last_title_id)
     }
 
-    /// Whether any list has been received.
+    /// Returns whether a list has been received.
     pub fn is_known(&self) -> bool {
         self.known
     }
 
-    /// A title by name.
+    /// Returns the title of this name, or `None` if it is not on the list.
     pub fn title(&self, name: &str) -> Option<&Title> {
         self.titles.get(name)
     }
 
-    /// A title's name as it is stored here.
+    /// Returns the catalog's own copy of a title's name, or `None` if the title is not on the list.
     pub(crate) fn shared_name(&self, name: &str) -> Option<Arc<str>> {
         self.titles.get_key_value(name).map(|(name, _)| name.clone())
     }
 
-    /// A media server by id.
+    /// Returns the media server of this id, or `None` if it is not on the list.
     pub fn server(&self, id: ServerId) -> Option<&MediaServerEntry> {
         self.servers.get(&id)
     }
 
-    /// Those of a title's holders that speak a protocol.
+    /// Returns the holders of a title that support a protocol.
     pub fn holders(&self, title: &Title, protocol: Protocol) -> Arc<BTreeSet<ServerId>> {
         if protocol != Protocol::Sip {
-            return title.holders.clone(); // every media server speaks WHEP and WHIP
+            return title.holders.clone(); // every media server supports WHEP and WHIP
         }
-        let speaks_it =
+        let supports_protocol =
             |id: &&ServerId| self.server(**id).is_some_and(|entry| entry.address(protocol).is_some());
-        Arc::new(title.holders.iter().filter(speaks_it).copied().collect())
+        Arc::new(title.holders.iter().filter(supports_protocol).copied().collect())
     }
 
-    /// All media servers known.
+    /// Returns all media servers on the list.
     pub fn servers(&self) -> impl Iterator<Item = &MediaServerEntry> {
         self.servers.values()
     }
 
-    /// Names of all titles known.
+    /// Returns the names of all titles on the list.
     pub fn titles(&self) -> impl Iterator<Item = &Arc<str>> {
         self.titles.keys()
     }
 }
 
-/// The entries by id; one that is named twice counts in its least ready state and with its latest start.
+/// Indexes entries by id. Entries of the same id are merged into the least ready state and the latest start.
 fn merge_duplicates(
     entries: Vec<MediaServerEntry>,
     faults: &mut Vec<String>,
@@ -219,7 +227,7 @@
         };
         if *known != entry {
             let (id, name) = (entry.id.0, &entry.name);
-            faults.push(format!("media server {id} ({name}) is named twice; its least ready state holds"));
+            faults.push(format!("media server {id} ({name}) is listed twice; its least ready state applies"));
         }
         if readiness(entry.state) < readiness(known.state) {
             known.state = entry.state;
--- a/crates/front/session/src/controller/actions.rs
+++ b/crates/front/session/src/controller/actions.rs
@@ -1,4 +1,4 @@
-//! Running the policy: events in, actions carried out.
+//! Running the policy: passing it events and carrying out its actions.
 
 use beechloft::api::{Action, Rung, SessionId};
 
@@ -7,7 +7,7 @@
 use crate::session::{Playing, SessionState};
 
 impl SessionController {
-    /// Hands the queued events to the policy and carries out what it answers, until both are empty.
+    /// Passes the queued events to the policy and carries out its actions, until no event is left.
     pub(super) fn run_policy(&mut self, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
@@ -61,12 +61,14 @@
         out.extend(self.take_pending_answer(id).map(|pending| pending.answer(answer)));
     }
 
-    /// Makes the release attempts that are due.
+    /// Starts the release attempts that are due.
     pub(super) fn start_releases(&mut self, out: &mut Vec<Output>) {
         let due = self.releases.take_due(self.now);
         if due.given_up > 0 {
             let count = due.given_up;
-            out.push(Output::Log(format!("{count} sessions left to their media servers' own time-out")));
+            out.push(Output::Log(format!(
+                "{count} releases given up; the sessions are left to their media servers' own timeout"
+            )));
         }
         for attempt in due.attempts {
             out.push(Output::Release { id: attempt.id, server: attempt.server, resource: attempt.resource });
--- a/crates/front/session/src/controller/attempts.rs
+++ b/crates/front/session/src/controller/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at media servers, from set-up to result.
+//! Attempts at media servers, from the set-up to the result.
 
 use std::sync::Arc;
 
@@ -8,11 +8,11 @@
 use crate::io::{Answer, AttemptId, AttemptResult, MediaServerReply, Output};
 use crate::session::{Attempt, GRACE, OVERDUE_MARGIN, Playing, REPLY_RETENTION, SessionState};
 
-/// An attempt that ended without a session, for the policy.
+/// An attempt that ended, as reported to the policy.
 struct EndedAttempt {
     id: AttemptId,
     server: ServerId,
-    took: Micros,
+    elapsed: Micros,
     load: LoadReport,
 }
 
@@ -22,21 +22,21 @@
         id: AttemptId,
         server: ServerId,
         result: AttemptResult,
-        took: Micros,
+        elapsed: Micros,
         load: LoadReport,
         out: &mut Vec<Output>,
     ) {
         let session = self.sessions.get(&id.session);
         let Some(session) = session.filter(|session| session.is_in_flight(id)) else {
-            return self.stray_result(id, server, result);
+            return self.unexpected_result(id, server, result);
         };
         let client_waits = matches!(session.state, SessionState::AwaitingAnswer(..));
-        let ended = EndedAttempt { id, server, took, load };
+        let ended = EndedAttempt { id, server, elapsed, load };
         match result {
             AttemptResult::Accepted { resource, reply } if client_waits => {
                 self.start_playing(&ended, resource, reply, out);
             }
-            // Its client has left or has another answer: what was set up is undone.
+            // The client has disconnected or was already answered, so the new session is released.
             AttemptResult::Accepted { resource, .. } => {
                 self.releases.add(self.now, server, resource);
                 self.attempt_failed(&ended, Outcome::Cancelled);
@@ -63,7 +63,7 @@
         reply: Arc<MediaServerReply>,
         out: &mut Vec<Output>,
     ) {
-        let &EndedAttempt { id, server, took, load } = attempt;
+        let &EndedAttempt { id, server, elapsed, load } = attempt;
         let Some(session) = self.sessions.get_mut(&id.session) else { return };
         let playing = Playing {
             server,
@@ -83,13 +83,13 @@
         self.retained_replies.push_back((self.now + REPLY_RETENTION, id.session));
         self.playing.entry(server).or_default().insert(resource, id.session);
         let number = api::Attempt(id.number);
-        self.events.push_back(Event::Started { session: id.session, attempt: number, server, elapsed: took });
+        self.events.push_back(Event::Started { session: id.session, attempt: number, server, elapsed });
         self.events.push_back(Event::HealthChecked { server, outcome: Outcome::Ok, report: load });
     }
 
-    /// A result that was reported twice, or of a session that was forgotten. A session that nobody owns must not stay
-    /// at the media server.
-    fn stray_result(&mut self, id: AttemptId, server: ServerId, result: AttemptResult) {
+    /// Handles a result of an attempt that is not in flight: a duplicate, or the result of a session that was dropped. A
+    /// session without an owner must not stay at the media server, so it is released.
+    fn unexpected_result(&mut self, id: AttemptId, server: ServerId, result: AttemptResult) {
         let (AttemptResult::Accepted { resource, .. } | AttemptResult::Unusable { resource, .. }) = result
         else {
             return;
@@ -100,9 +100,9 @@
         }
     }
 
-    /// An attempt ended without a session.
+    /// Reports to the policy that an attempt ended without a session.
     fn attempt_failed(&mut self, attempt: &EndedAttempt, outcome: Outcome) {
-        let &EndedAttempt { id, server, took, load } = attempt;
+        let &EndedAttempt { id, server, elapsed, load } = attempt;
         let Some(session) = self.sessions.get_mut(&id.session) else { return };
         let closed = if let SessionState::AwaitingAnswer(_, in_flight) = &mut session.state {
             if let Some(in_flight) = in_flight.take() {
@@ -119,12 +119,12 @@
             server,
             outcome,
             is_final: closed,
-            elapsed: took,
+            elapsed,
             report: load,
         });
     }
 
-    /// The rate of a rung of a class, kB a second.
+    /// Returns the rate of a rung in a class, kB per second.
     pub(super) fn rate_kb(&self, class: ClassId, rung: Rung) -> f64 {
         let scale = self.settings.classes.get(usize::from(class.0)).map_or(1.0, |class| class.rate_scale);
         scale * self.settings.ladder.rates_kb.get(usize::from(rung.0)).copied().unwrap_or(0.0)
@@ -157,8 +157,7 @@
                 self.overdue.insert((overdue_at(deadline), id));
                 out.push(Output::SetUp { attempt, request, server, url, rung, rate_kb, deadline });
             }
-            // The media server's address is not known, or the title may not be played there any more: the attempt
-            // never ran.
+            // The media server's address is unknown, or the title is no longer allowed there: the attempt is not sent.
             (state, _) => {
                 let closed = !matches!(state, SessionState::AwaitingAnswer(..));
                 self.events.push_back(Event::AttemptEnded {
@@ -175,7 +174,7 @@
     }
 }
 
-/// When a client is answered whatever its attempt does.
+/// Returns when the client of an attempt with this deadline is answered even if the attempt's end is not reported.
 pub(super) fn overdue_at(deadline: Micros) -> Micros {
     deadline + GRACE + OVERDUE_MARGIN
 }
--- a/crates/front/session/src/controller/closing.rs
+++ b/crates/front/session/src/controller/closing.rs
@@ -1,4 +1,4 @@
-//! How sessions leave the table.
+//! Removal of sessions from the controller's table.
 
 use beechloft::api::{self as api, Event, LoadReport, Outcome, SessionId};
 
@@ -8,7 +8,9 @@
 use crate::session::{PendingAnswer, Playing, SessionState};
 
 impl SessionController {
-    /// Takes the pending answer out of a session, which then is over or waits for the end of its attempt.
+    /// Takes the pending answer of a session, or returns `None` if no client waits.
+    ///
+    /// The session is removed, unless an attempt is in flight. In that case it stays until the attempt ends.
     pub(super) fn take_pending_answer(&mut self, id: SessionId) -> Option<PendingAnswer> {
         let mut session = self.sessions.remove(&id)?;
         self.forget_overdue(id, &session.state);
@@ -49,14 +51,14 @@
         }
     }
 
-    /// Ends a session that plays, at its media server too.
+    /// Ends a playing session and releases it at its media server.
     pub(super) fn end_and_release(&mut self, id: SessionId, reason: EndReason, out: &mut Vec<Output>) {
         if let Some(playing) = self.stop_playing(id, reason, Outcome::Cancelled, out) {
             self.releases.add(self.now, playing.server, playing.resource);
         }
     }
 
-    /// Takes a session that plays out of the table and notifies the policy.
+    /// Removes a playing session and notifies the policy. Returns `None` if the session does not play.
     pub(super) fn stop_playing(
         &mut self,
         id: SessionId,
@@ -70,9 +72,9 @@
             return None;
         };
         self.forget_idempotency_key(id, session.idempotency_key);
-        if let Some(there) = self.playing.get_mut(&playing.server) {
-            there.remove(&playing.resource);
-            if there.is_empty() {
+        if let Some(at_server) = self.playing.get_mut(&playing.server) {
+            at_server.remove(&playing.resource);
+            if at_server.is_empty() {
                 self.playing.remove(&playing.server);
             }
         }
--- a/crates/front/session/src/controller/media_servers.rs
+++ b/crates/front/session/src/controller/media_servers.rs
@@ -1,4 +1,4 @@
-//! The endpoint list and media servers' events: which are watched, and which are lost.
+//! Updates of the endpoint list and events of media servers.
 
 use beechloft::api::{Event, Outcome, ServerId, SessionId};
 
@@ -23,7 +23,7 @@
         self.departing.extend(departed);
     }
 
-    /// Drops the streams of media servers that are off the list once none of our sessions is left there.
+    /// Closes the event streams of media servers that left the list and run no more sessions of this front.
     pub(super) fn unwatch_departed(&mut self, out: &mut Vec<Output>) {
         for server in std::mem::take(&mut self.departing) {
             if self.catalog.server(server).is_some() {
@@ -46,20 +46,20 @@
     ) {
         match event {
             MediaServerEvent::Connected { boot } => {
-                if self.liveness.connected(server, boot) == ProcessState::Gone {
-                    self.lose_media_server(server, Loss::ProcessGone, out);
+                if self.liveness.connected(server, boot) == ProcessState::Exited {
+                    self.lose_media_server(server, Loss::ProcessExited, out);
                 }
             }
             MediaServerEvent::Disconnected => self.liveness.disconnected(self.now, server),
             MediaServerEvent::ConnectionRefused => {
-                if self.liveness.connection_refused(server) == ProcessState::Gone {
-                    self.lose_media_server(server, Loss::ProcessGone, out);
+                if self.liveness.connection_refused(server) == ProcessState::Exited {
+                    self.lose_media_server(server, Loss::ProcessExited, out);
                 }
             }
-            MediaServerEvent::Feedback(note) => {
+            MediaServerEvent::Feedback(feedback) => {
                 let playing = self.playing.get(&server).and_then(|playing| playing.values().next());
                 let session = playing.copied().unwrap_or_default();
-                self.events.push_back(Event::FeedbackReceived { session, server, feedback: note });
+                self.events.push_back(Event::FeedbackReceived { session, server, feedback });
             }
             MediaServerEvent::SessionEnded { resource } => {
                 let session = self.playing.get(&server).and_then(|playing| playing.get(&resource)).copied();
@@ -70,16 +70,16 @@
         }
     }
 
-    /// Ends all sessions of a media server at once; where it may still run them, they are released too.
+    /// Ends all sessions of a lost media server, and releases them if it may still run them.
     pub(super) fn lose_media_server(&mut self, server: ServerId, loss: Loss, out: &mut Vec<Output>) {
-        if loss == Loss::ProcessGone {
+        if loss == Loss::ProcessExited {
             self.releases.forget(server);
         }
-        let there = self.playing.get(&server).into_iter().flat_map(|playing| playing.values().copied());
-        let sessions: Vec<SessionId> = there.collect();
+        let playing = self.playing.get(&server).into_iter().flat_map(|playing| playing.values().copied());
+        let sessions: Vec<SessionId> = playing.collect();
         if !sessions.is_empty() {
             let (id, count) = (server.0, sessions.len());
-            out.push(Output::Log(format!("media server {id}: lost, {count} sessions ended")));
+            out.push(Output::Log(format!("media server {id} lost: {count} sessions ended")));
         }
         for session in sessions {
             let playing = self.stop_playing(session, EndReason::ServerLost, Outcome::Reset, out);
--- a/crates/front/session/src/controller/mod.rs
+++ b/crates/front/session/src/controller/mod.rs
@@ -1,4 +1,4 @@
-//! The state machine: inputs to the policy's events, the policy's actions to outputs.
+//! The session controller, which translates inputs to events of the policy and actions of the policy to outputs.
 
 mod actions;
 mod attempts;
@@ -18,7 +18,7 @@
 use crate::release::Releases;
 use crate::session::{Session, SessionState};
 
-/// The sessions of one front.
+/// The state machine that manages the sessions of one front.
 #[derive(Debug)]
 pub struct SessionController {
     settings: Settings,
@@ -27,39 +27,39 @@
     catalog: Catalog,
     sessions: BTreeMap<SessionId, Session>,
     by_idempotency_key: BTreeMap<IdempotencyKey, SessionId>,
-    /// Sessions that play, by media server and path there.
+    /// Playing sessions, by media server and by path at the media server.
     playing: BTreeMap<ServerId, BTreeMap<String, SessionId>>,
     timers: BTreeSet<(Micros, TimerToken)>,
-    /// When an unanswered request is answered whatever its attempt does.
+    /// Times at which unanswered requests fail even if the end of their attempts was not reported.
     overdue: BTreeSet<(Micros, SessionId)>,
-    /// When the answer retained for a repeated offer is dropped.
+    /// Times at which the answers retained for repeated offers are dropped.
     retained_replies: VecDeque<(Micros, SessionId)>,
     releases: Releases,
     holder_filters: HolderFilters,
     liveness: Liveness,
     watched: BTreeSet<ServerId>,
-    /// Watched media servers that are off the endpoint list.
+    /// Watched media servers that left the endpoint list.
     departing: BTreeSet<ServerId>,
     shutting_down: bool,
-    /// Events for the policy that wait their turn.
+    /// Events queued for the policy.
     events: VecDeque<Event>,
-    /// What passed between this state machine and the policy, where it is recorded.
+    /// Recorded exchanges with the policy, if they are recorded.
     exchanges: Option<Vec<Exchange>>,
 }
 
-/// One event that the policy was fed, and what it answered.
+/// An event that was passed to the policy, with the actions that it returned.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Exchange {
-    /// When.
+    /// When the event was passed.
     pub at: Micros,
     /// The event.
     pub event: Event,
-    /// The actions, in order.
+    /// The policy's actions, in order.
     pub actions: Vec<Action>,
 }
 
 impl SessionController {
-    /// A front that knows its settings and nothing else. The endpoint list comes as the first input.
+    /// Creates a controller without an endpoint list. It rejects requests until it receives one.
     pub fn new(settings: Settings, seed: u64) -> Self {
         SessionController {
             policy: Policy::new(settings.clone(), seed),
@@ -83,18 +83,19 @@
         }
     }
 
-    /// Records from now on what passes between this state machine and the policy, for
-    /// [`SessionController::take_exchanges`].
+    /// Starts to record the exchanges with the policy, for [`SessionController::take_exchanges`].
     pub fn record_exchanges(&mut self) {
         self.exchanges.get_or_insert_default();
     }
 
-    /// What was recorded since the last call.
+    /// Returns the exchanges recorded since the last call.
     pub fn take_exchanges(&mut self) -> Vec<Exchange> {
         self.exchanges.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
-    /// Takes one input and appends what is to be done, in order. A `now` that goes back counts as the one before.
+    /// Handles one input and appends the resulting outputs in order.
+    ///
+    /// Time never goes backwards: a `now` before that of an earlier call is replaced by the latest one.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.handle_due(out);
@@ -125,7 +126,7 @@
         self.unwatch_departed(out);
     }
 
-    /// When [`Input::Tick`] is next needed, if nothing else happens before.
+    /// Returns when [`Input::Tick`] is next needed if there is no other input before, or `None` if nothing is due.
     pub fn next_due(&self) -> Option<Micros> {
         let due_times = [
             self.timers.first().map(|(at, _)| *at),
@@ -137,40 +138,40 @@
         due_times.into_iter().flatten().min()
     }
 
-    /// Whether no client waits and no attempt is in flight.
+    /// Returns whether no client waits, no attempt is in flight and no release is pending.
     pub fn is_idle(&self) -> bool {
         let all_play =
             self.sessions.values().all(|session| matches!(session.state, SessionState::Playing(_)));
         all_play && self.releases.is_empty()
     }
 
-    /// The endpoint list as known now.
+    /// Returns the current endpoint list.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// How many sessions play.
+    /// Returns the number of playing sessions.
     pub fn playing(&self) -> usize {
         self.playing.values().map(BTreeMap::len).sum()
     }
 
-    /// Whether a session is in the table: its client waits, it plays, or an attempt of it is in flight.
+    /// Returns whether the session is known: its client waits, it plays, or an attempt of it is in flight.
     pub fn has(&self, session: SessionId) -> bool {
         self.sessions.contains_key(&session)
     }
 
-    /// Whether this is an offer that came before, whose answer is still known or being worked on.
+    /// Returns whether the request repeats an earlier offer whose answer is pending or retained.
     pub fn is_repeat(&self, request: &SessionRequest) -> bool {
         let known = request.idempotency_key.and_then(|key| self.by_idempotency_key.get(&key));
         known.is_some_and(|id| self.sessions.contains_key(id))
     }
 
-    /// Whether a session is still to be ended at its media server.
+    /// Returns whether the release of this session is pending.
     pub fn is_releasing(&self, server: ServerId, resource: &str) -> bool {
         self.releases.has(server, resource)
     }
 
-    /// The highest rate that a session of a class may be given, kB a second.
+    /// Returns the highest rate that a session of a class may be given, kB per second.
     pub fn top_rate_kb(&self, class_id: ClassId, max_rate_kb: Option<f64>) -> f64 {
         let Some(class) = self.settings.classes.get(usize::from(class_id.0)) else { return 0.0 };
         let rung_count = self.settings.ladder.rates_kb.len();
@@ -178,12 +179,12 @@
         self.rate_kb(class_id, self.top_rung(class, max_rate_kb).min(top_of_ladder))
     }
 
-    /// Releases that are not done.
+    /// Returns the number of pending releases.
     pub fn releasing(&self) -> usize {
         self.releases.len()
     }
 
-    /// Handles what is due by now: the policy's timers, overdue answers, retained replies, lost media servers.
+    /// Handles everything that is due: the policy's timers, overdue answers, retained replies and lost media servers.
     fn handle_due(&mut self, out: &mut Vec<Output>) {
         self.fire_timers(out);
         self.fail_overdue(out);
@@ -201,8 +202,8 @@
         }
     }
 
-    /// Answers clients whose attempts were not reported to have ended in time. The attempt counts as in flight until
-    /// its end is reported.
+    /// Fails the requests of clients whose attempts were not reported to have ended in time. Such an attempt counts as in
+    /// flight until its end is reported.
     fn fail_overdue(&mut self, out: &mut Vec<Output>) {
         while let Some(&(at, id)) = self.overdue.first().filter(|(at, _)| *at <= self.now) {
             self.overdue.remove(&(at, id));
--- a/crates/front/session/src/controller/requests.rs
+++ b/crates/front/session/src/controller/requests.rs
@@ -1,4 +1,4 @@
-//! What clients request: a session, its end, and where it is.
+//! Client requests: to set a session up, to end it and to locate it.
 
 use beechloft::api::{Class, EndpointState, Event, Request, Rung, SessionId};
 
@@ -8,7 +8,7 @@
 use crate::io::{Answer, EndReason, Output, RequestId, Secret, SessionRequest};
 use crate::session::{PendingAnswer, Playing, Session, SessionState};
 
-/// Sessions in the table at most; past that a request is rejected.
+/// Maximum number of sessions in the table. Requests beyond it are rejected.
 const MAX_SESSIONS: usize = 1 << 20;
 
 impl SessionController {
@@ -26,22 +26,21 @@
         let Some(class) = self.settings.classes.get(usize::from(title.class.0)) else {
             return out.push(Output::Reply(request.request, Answer::Failed));
         };
-        let gives_up = self.now + class.deadline;
-        let top = self.top_rung(class, request.max_rate_kb);
+
         let policy_request = Request {
             session: request.session,
             class: title.class,
             title: title.id,
-            max_rung: top,
-            deadline: gives_up,
+            max_rung: self.top_rung(class, request.max_rate_kb),
+            deadline: self.now + class.deadline,
             expected_duration: title.length,
             tenant: title.tenant,
             ..Request::default()
         };
-        self.begin(&request, &title, policy_request, out);
+        self.start_session(&request, &title, policy_request, out);
     }
 
-    /// The answer to an offer that was sent before, if this is one.
+    /// Returns the answer to a repeated offer, or `None` if the offer is new.
     fn answer_to_repeat(&self, request: &SessionRequest) -> Option<Answer> {
         let first = *self.by_idempotency_key.get(&request.idempotency_key?)?;
         let session = self.sessions.get(&first)?;
@@ -52,15 +51,15 @@
         Some(Answer::Playing { session: first, secret, server, reply })
     }
 
-    /// Whether a new session can be taken at all.
+    /// Returns whether the controller accepts a new session.
     fn accepts(&self, request: &SessionRequest) -> bool {
         let is_full = self.sessions.len() >= MAX_SESSIONS;
         let is_taken = self.sessions.contains_key(&request.session);
         !self.shutting_down && !is_full && !is_taken && self.catalog.is_known()
     }
 
-    /// Enters a session in the table and hands its request to the policy.
-    fn begin(
+    /// Adds a session to the table and passes its request to the policy.
+    fn start_session(
         &mut self,
         request: &SessionRequest,
         title: &Title,
@@ -88,7 +87,7 @@
             .push_back(Event::Request(Request { eligible_servers: Some(offered.holders), ..policy_request }));
     }
 
-    /// The highest rung whose rate a client can use; the lowest, if it can't use any.
+    /// Returns the highest rung whose rate a client can use, or the lowest rung if it can use none.
     pub(super) fn top_rung(&self, class: &Class, max_rate_kb: Option<f64>) -> Rung {
         let Some(max) = max_rate_kb else { return Rung(u8::MAX) };
         let rates = &self.settings.ladder.rates_kb;
@@ -104,7 +103,7 @@
                 }
                 self.events.push_back(Event::Withdrawn(id));
             }
-            // The answer and the client's disconnecting crossed.
+            // The answer was sent while the client disconnected.
             Some(SessionState::Playing(_)) => self.end_and_release(id, EndReason::AnswerUndelivered, out),
             Some(SessionState::Ending(_)) | None => {}
         }
@@ -131,7 +130,7 @@
         }
     }
 
-    /// Where a session is, for a client that knows its secret.
+    /// Returns where a session plays, for a client that knows its secret.
     pub fn locate(&self, id: SessionId, secret: Secret) -> Answer {
         match self.state_for(id, secret) {
             Some(SessionState::Playing(playing)) => {
--- a/crates/front/session/src/holder_filter.rs
+++ b/crates/front/session/src/holder_filter.rs
@@ -1,77 +1,82 @@
-//! Filters on a title's holders: which media servers are offered to the policy.
+//! Filters on the holders of titles, which determine the media servers that are offered to the policy.
 //!
-//! The policy chooses among the holders it is offered and does not know why they are fewer. Two sources filter them.
-//! Outlier detection excludes media servers for now: that is advice and never takes a title's last ready holder.
-//! Placement restricts a title to some media servers: that is a rule and may leave none. With neither, the holders are
-//! those of the endpoint list, the same `Arc` as ever. `docs/design.md` lists this as a departure.
+//! The policy chooses among the holders that it is offered, without knowing why some are missing. There are two filters.
+//! Outlier detection excludes media servers temporarily. Exclusions are advisory and never remove the last ready holder
+//! of a title. Placement restricts a title to some media servers. Restrictions are binding and may leave no holder. If
+//! neither applies, the policy is offered the holders of the endpoint list, as the same `Arc`. `docs/design.md` lists this
+//! as a departure.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use beechloft::api::{ServerId, SessionId, TitleId};
 
-/// Shares of sessions and of holders are given in parts of this.
+/// The unit of shares of sessions and of holders: one thousandth.
 const PER_MILLE: u16 = 1_000;
 
-/// A media server that is excluded for now.
+/// A temporary exclusion of a media server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Exclusion {
-    /// Which.
+    /// The excluded media server.
     pub server: ServerId,
-    /// Of a thousand sessions so many are offered it nonetheless, by a hash of their ids: the media server returns in
-    /// steps, and two fronts that step at different moments send the same sessions.
+    /// Share of sessions that are offered the media server anyway, in thousandths.
+    ///
+    /// The sessions are chosen by a hash of their ids. The share is raised in steps as the media server is readmitted, and
+    /// fronts that take a step at different times still choose the same sessions.
     pub admitted_per_mille: u16,
 }
 
-/// Media servers that are excluded for now.
+/// The set of temporary exclusions.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Exclusions {
-    /// For all titles, in order of priority.
+    /// Exclusions from all titles, in order of priority.
     pub servers: Vec<Exclusion>,
-    /// For one title each.
+    /// Exclusions from single titles, by the name of the title.
     pub titles: BTreeMap<Arc<str>, Vec<Exclusion>>,
-    /// Of a thousand ready holders of a title so many are excluded at most, rounded down; never all.
+    /// Maximum share of a title's ready holders that are excluded, in thousandths, rounded down. At least one holder is
+    /// always left.
     pub max_excluded_per_mille: u16,
 }
 
-/// Changes of the media servers that titles may be played at; none: all that hold the title.
+/// Changes of the media servers that titles are restricted to, by the name of the title. `None` lifts the restriction.
 pub type Restrictions = Vec<(Arc<str>, Option<Arc<BTreeSet<ServerId>>>)>;
 
 /// A change of the filters.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HolderFilter {
-    /// From now on these are excluded, and no others.
+    /// Replaces all exclusions.
     Exclude(Exclusions),
-    /// From now on these titles are offered at these media servers alone. Other titles stay as they are. What plays is
-    /// not cut; no further attempt goes elsewhere.
+    /// Changes the restrictions of the given titles and leaves those of other titles unchanged. Sessions that play are not
+    /// interrupted, but no further attempt goes to a media server that is no longer allowed.
     Restrict(Restrictions),
 }
 
-/// A title, as a filter looks at it.
+/// A title whose holders are to be filtered.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct FilteredTitle<'a> {
     pub name: &'a str,
     pub id: TitleId,
 }
 
-/// The holders that are left.
+/// The holders that passed the filters.
 #[derive(Debug)]
 pub(crate) struct OfferedHolders {
     pub holders: Arc<BTreeSet<ServerId>>,
-    /// That media servers are offered although they should be excluded; reported once.
+    /// Warning that some media servers are offered despite their exclusion. It is given once per title until the
+    /// exclusions change.
     pub warning: Option<String>,
 }
 
-/// The filters in force.
+/// The current filters.
 #[derive(Debug, Default)]
 pub(crate) struct HolderFilters {
     exclusions: Exclusions,
     restrictions: BTreeMap<Arc<str>, Arc<BTreeSet<ServerId>>>,
-    /// Titles whose operators were warned that not all of their bad holders are excluded.
+    /// Titles for which the warning was given.
     warned: BTreeSet<TitleId>,
 }
 
-/// A hash of session and media server between 0 and 999 (`SplitMix64`'s finalizer over both ids).
+/// Hashes the ids of a session and a media server to a value from 0 to 999, with the finalizer of `SplitMix64`.
 fn admission_hash(session: SessionId, server: ServerId) -> u16 {
     let mut hash = session.0 ^ u64::from(server.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -100,12 +105,12 @@
         }
     }
 
-    /// Whether a title may be played at a media server.
+    /// Returns whether the restrictions allow a title to be played at a media server.
     pub(crate) fn allows(&self, title: &str, server: ServerId) -> bool {
         self.restrictions.get(title).is_none_or(|servers| servers.contains(&server))
     }
 
-    /// The holders to be offered to a session.
+    /// Returns the holders to be offered to a session.
     pub(crate) fn offered(
         &mut self,
         title: FilteredTitle<'_>,
@@ -142,13 +147,15 @@
         let warns = over_limit > 0 && self.warned.insert(title.id);
         let warning = warns.then(|| {
             let name = title.name;
-            format!("title {name}: {over_limit} of its {ready_holders} ready media servers are judged bad and offered nonetheless")
+            format!(
+                "title {name}: {over_limit} of {ready_holders} ready media servers offered despite ejection: limit reached"
+            )
         });
         let holders = if excluded > 0 { Arc::new(left) } else { holders };
         OfferedHolders { holders, warning }
     }
 
-    /// How many of a title's ready holders may be excluded. The last one is offered, bad or not.
+    /// Returns how many of a title's ready holders may be excluded. At least one is always offered.
     fn max_excluded(&self, ready_holders: usize) -> usize {
         let per_mille = usize::from(self.exclusions.max_excluded_per_mille.min(PER_MILLE));
         let rounded_down = ready_holders * per_mille / usize::from(PER_MILLE);
--- a/crates/front/session/src/io.rs
+++ b/crates/front/session/src/io.rs
@@ -1,4 +1,4 @@
-//! The inputs and outputs of the state machine.
+//! Inputs and outputs of the session controller.
 
 use std::sync::Arc;
 
@@ -9,283 +9,285 @@
 use crate::holder_filter::HolderFilter;
 use crate::release::ReleaseId;
 
-/// One call of a client that waits for a reply; assigned by the caller, never used twice.
+/// Identifies a client's call that waits for a reply. It is assigned by the caller and never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// The part of a session's address that only its client knows.
+/// The part of a session's URL that only its client knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Secret(pub u64);
 
-/// Identifies an offer, so that the same one sent again by a proxy is recognised.
+/// Identifies an offer, so that a copy of it resent by a proxy is recognised.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IdempotencyKey(pub u64, pub u64);
 
-/// An attempt to set a session up.
+/// Identifies an attempt to set a session up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The session.
+    /// The session to be set up.
     pub session: SessionId,
-    /// How many attempts it had before: 0 for the first.
+    /// Number of earlier attempts of this session: 0 for the first.
     pub number: u16,
 }
 
 /// A client's request for a session.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SessionRequest {
-    /// Identifies who waits for the answer.
+    /// The client's call that waits for the answer.
     pub request: RequestId,
-    /// The new session's id, drawn by the caller.
+    /// Id of the new session, drawn by the caller.
     pub session: SessionId,
-    /// The secret part of its address.
+    /// Secret part of the session's URL.
     pub secret: Secret,
-    /// The title, as named on the endpoint list.
+    /// Name of the title on the endpoint list.
     pub title: String,
-    /// What the client speaks, and so which of a media server's addresses the session is set up at.
+    /// Protocol of the client, which determines the media server's address that the session is set up at.
     pub protocol: Protocol,
-    /// The highest rate that the client can use, kB a second; none: any.
+    /// The highest rate that the client can use, kB per second. `None` stands for any rate.
     pub max_rate_kb: Option<f64>,
-    /// Recognises the same offer sent again.
+    /// Key by which a repetition of the same offer is recognised.
     pub idempotency_key: Option<IdempotencyKey>,
 }
 
-/// What a media server answered when it took a session; retained only to answer the same offer again.
+/// A media server's answer when it accepted a session, retained only to answer a repeated offer.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct MediaServerReply {
-    /// The answer.
+    /// The SDP answer.
     pub sdp: Vec<u8>,
-    /// Version of its ICE session (RFC 9725, section 4.3.1).
+    /// Entity tag of the ICE session (RFC 9725, section 4.3.1).
     pub etag: Option<String>,
-    /// `Link` values that are for the client.
+    /// `Link` header values that are meant for the client.
     pub links: Vec<String>,
-    /// Path at the media server where its layers are chosen (WHEP's layer selection extension).
+    /// Path at the media server that selects the session's layers (WHEP's layer selection extension).
     pub layers: Option<String>,
 }
 
-/// How an attempt ended, as far as the caller can tell.
+/// The result of an attempt, as far as the caller can tell.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptResult {
-    /// The media server took the session and made this resource for it.
+    /// The media server accepted the session and created this resource for it.
     Accepted {
         /// Path of the session at the media server.
         resource: String,
-        /// What it answered.
+        /// The media server's answer.
         reply: Arc<MediaServerReply>,
     },
-    /// The media server took it, but nothing of it can be used: it came after the drop, or is malformed.
+    /// The media server accepted the session, but its answer is of no use: it arrived after the attempt was cancelled,
+    /// or it is malformed.
     Unusable {
         /// Path of the session at the media server.
         resource: String,
-        /// What the attempt counts as.
+        /// The outcome that the policy is to count.
         outcome: Outcome,
     },
-    /// The media server found fault with the client's request itself, and answered with this HTTP status. It says
-    /// nothing about the media server, so that no client can get one ejected.
+    /// The media server rejected the client's request itself with this HTTP status. The result does not count against
+    /// the media server, so that no client can get one ejected.
     Declined(u16),
-    /// It ended without a session.
+    /// The attempt ended without a session.
     Ended(Outcome),
 }
 
-/// What is observed on a media server's event stream.
+/// An event on a media server's event stream.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MediaServerEvent {
-    /// The stream is up.
+    /// The stream is connected.
     Connected {
-        /// Identifies this run of the media server's process; changes with each start.
+        /// Identifies this run of the media server's process. It changes with each start.
         boot: u64,
     },
-    /// The stream broke or fell silent.
+    /// The stream broke or timed out.
     Disconnected,
-    /// Nobody listens at its address: the process is not there.
+    /// The connection was refused: no process listens at the media server's address.
     ConnectionRefused,
-    /// A figure about what plays there.
+    /// The media server reported a measurement of its sessions.
     Feedback(Feedback),
-    /// A session has ended at the media server.
+    /// A session ended at the media server.
     SessionEnded {
-        /// Its path there.
+        /// Path of the session at the media server.
         resource: String,
     },
 }
 
-/// What happened.
+/// An input of the state machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
-    /// A message of the endpoint list.
+    /// The endpoint list was updated.
     Endpoints(EndpointUpdate),
-    /// A client requests a session; one answer is due.
+    /// A client requests a session and is owed exactly one answer.
     Request(SessionRequest),
-    /// An attempt is over for certain: answered, or closed at both ends, or past its grace.
+    /// An attempt ended and can have no further effect: it was answered, its connection is closed at both ends, or its
+    /// grace period is over.
     AttemptEnded {
-        /// Which.
+        /// The attempt that ended.
         attempt: AttemptId,
-        /// The media server it went to.
+        /// The media server that the attempt was sent to.
         server: ServerId,
-        /// How it ended.
+        /// The result of the attempt.
         result: AttemptResult,
-        /// When it was sent.
+        /// When the attempt was sent.
         sent_at: Micros,
         /// The load that the media server reported with its answer.
         load: LoadReport,
     },
-    /// The client closed its connection before its answer.
+    /// The client closed its connection before it was answered.
     ClientDisconnected(SessionId),
     /// The answer that the session plays could not be written to the client.
     AnswerUndelivered(SessionId),
     /// A client ends its session.
     Delete {
-        /// Identifies who waits for the reply.
+        /// The client's call that waits for the reply.
         request: RequestId,
-        /// Which session.
+        /// The session to end.
         session: SessionId,
-        /// The secret in the address.
+        /// The secret in the session's URL.
         secret: Secret,
     },
-    /// A client wants to reach its session at the media server.
+    /// A client asks where its session is, to reach it at the media server.
     Locate {
-        /// Identifies who waits for the reply.
+        /// The client's call that waits for the reply.
         request: RequestId,
-        /// Which session.
+        /// The session to locate.
         session: SessionId,
-        /// The secret in the address.
+        /// The secret in the session's URL.
         secret: Secret,
     },
-    /// An event of a media server.
+    /// A media server's event stream reported an event.
     MediaServer(ServerId, MediaServerEvent),
-    /// The result of a health check.
+    /// A health check completed.
     HealthChecked {
-        /// Which media server.
+        /// The media server that was checked.
         server: ServerId,
-        /// How it went.
+        /// The outcome of the check.
         outcome: Outcome,
-        /// Its load.
+        /// The load that the media server reported.
         load: LoadReport,
     },
-    /// The result of an [`Output::Release`].
+    /// The call of an [`Output::Release`] completed.
     Released {
-        /// Which release.
+        /// The release that was attempted.
         id: ReleaseId,
-        /// Whether the session is known to be gone from the media server.
+        /// Whether the session is known to have ended at the media server.
         gone: bool,
     },
-    /// Other media servers are to be offered to the policy from now on.
+    /// The filter on the holders that are offered to the policy changed.
     HolderFilter(HolderFilter),
-    /// This front's slot among the fronts changed.
+    /// The slot of this front among the fronts changed.
     SlotAssigned(SlotAssignment),
-    /// Time passes.
+    /// Time passed.
     Tick,
-    /// Nothing new is taken from now on.
+    /// The front shuts down: new requests are rejected.
     Shutdown,
 }
 
-/// The one reply to a client's call.
+/// The single reply to a client's call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    /// It plays.
+    /// The session plays.
     Playing {
-        /// The session.
+        /// The session that plays.
         session: SessionId,
-        /// For its address.
+        /// Secret part of the session's URL.
         secret: Secret,
-        /// The media server.
+        /// The media server that accepted the session.
         server: ServerId,
-        /// What the media server answered.
+        /// The media server's answer.
         reply: Arc<MediaServerReply>,
     },
-    /// Rejected, perhaps with a time to retry after.
+    /// The request was rejected, with the time to retry after if there is one.
     Rejected(Option<Micros>),
-    /// It failed.
+    /// The session could not be set up.
     Failed,
-    /// The client's request was at fault; the status that the media server answered with.
+    /// The client's request was invalid. Holds the HTTP status of the media server's answer.
     Declined(u16),
-    /// No such title.
+    /// The title is not on the endpoint list.
     UnknownTitle,
-    /// The same offer is being worked on.
+    /// An earlier request with the same offer is still being processed.
     InProgress,
-    /// No such session, or not the right secret.
+    /// The session does not exist, or the secret does not match.
     UnknownSession,
     /// The session was ended.
     Deleted,
-    /// Where the session is.
+    /// The session plays at this place.
     Located {
-        /// The media server.
+        /// The media server that runs the session.
         server: ServerId,
-        /// Its path there.
+        /// Path of the session at the media server.
         resource: String,
     },
 }
 
-/// Why a session that played is over.
+/// Why a playing session ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndReason {
-    /// The client ended it.
+    /// The client ended the session.
     Deleted,
-    /// The media server ended it.
+    /// The media server ended the session.
     EndedByServer,
     /// The media server was lost.
     ServerLost,
-    /// The client never got its answer.
+    /// The client never received the answer.
     AnswerUndelivered,
-    /// The policy migrated it.
+    /// The policy migrated the session.
     Migrated,
 }
 
-/// What is to be done.
+/// An output of the state machine, to be carried out by the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Send the client's offer to a media server. Drop it at `deadline` if unanswered, then end it within
-    /// [`crate::session::GRACE`].
+    /// Send the client's offer to a media server. If it is unanswered at `deadline`, cancel the attempt and report its
+    /// end within [`crate::session::GRACE`].
     SetUp {
-        /// The attempt; its end is due as one [`Input::AttemptEnded`].
+        /// The attempt, whose end is reported with one [`Input::AttemptEnded`].
         attempt: AttemptId,
-        /// The request that waits for it.
+        /// The client's request that the attempt serves.
         request: RequestId,
-        /// The media server.
+        /// The media server to send the offer to.
         server: ServerId,
-        /// Its address.
+        /// Address of the media server.
         url: Arc<str>,
-        /// The rung.
+        /// The rung to set up.
         rung: Rung,
-        /// The rung's rate, kB a second.
+        /// The rung's rate, kB per second.
         rate_kb: f64,
-        /// When to drop it.
+        /// When to cancel the attempt.
         deadline: Micros,
     },
-    /// Drop an attempt now.
+    /// Cancel an attempt now.
     Cancel(AttemptId),
     /// Reply to a client's call.
     Reply(RequestId, Answer),
-    /// Set the rung of a session that plays.
+    /// Change the rung of a playing session.
     SetRung {
-        /// The media server.
+        /// The media server that runs the session.
         server: ServerId,
-        /// The session.
+        /// The session to change.
         session: SessionId,
-        /// Path at the media server where its layers are chosen.
+        /// Path at the media server that selects the session's layers.
         layers: String,
-        /// The rung.
+        /// The new rung.
         rung: Rung,
-        /// The rung's rate, kB a second.
+        /// The new rung's rate, kB per second.
         rate_kb: f64,
     },
     /// End a session at a media server, and report the result.
     Release {
-        /// For [`Input::Released`].
+        /// The release, to be named in [`Input::Released`].
         id: ReleaseId,
-        /// The media server.
+        /// The media server that runs the session.
         server: ServerId,
-        /// The path there.
+        /// Path of the session at the media server.
         resource: String,
     },
-    /// Check a media server's health and load.
+    /// Check the health and load of a media server.
     HealthCheck(ServerId),
-    /// Keep an event stream to this media server, at this address; replaces an earlier one.
+    /// Open an event stream to a media server at this address, in place of any earlier one.
     Watch(ServerId, Arc<str>),
-    /// The media server is off the list and nothing plays there any more: drop its stream.
+    /// Close the event stream of a media server that left the endpoint list and runs no more sessions of this front.
     Unwatch(ServerId),
     /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// A session that played is over.
+    /// A playing session ended.
     SessionEnded(SessionId, EndReason),
-    /// A line for the operators.
+    /// Log a line for the operators.
     Log(String),
 }
--- a/crates/front/session/src/lib.rs
+++ b/crates/front/session/src/lib.rs
@@ -1,14 +1,14 @@
-//! The session front as a pure state machine around the policy.
+//! The session front as a state machine without I/O.
 //!
-//! [`SessionController::handle`] takes what happened and when, and appends what is to be done. It has no socket, clock,
-//! thread or random source, so that the front on sockets, a simulated clock, a fuzzer and a replay all drive the same
-//! code.
+//! [`SessionController::handle`] takes an input with its time and appends the outputs that follow from it. It has no
+//! sockets, clock, threads or random source, so that the front on sockets, a simulated clock, a fuzzer and a replay all
+//! drive the same code.
 //!
-//! What the policy ([`beechloft::policy::Policy`]) decides, it decides here too: where a session goes, at which rung,
-//! whether it is retried and when it is rejected. The controller adds what the policy leaves to a front: one answer
-//! for each request ([`session`]), attempts that end once, sessions left behind on media servers ([`release`]), media
-//! servers that are lost ([`liveness`]), filters on holders ([`holder_filter`]) and the merging of endpoint lists
-//! ([`catalog`]).
+//! The policy ([`beechloft::policy::Policy`]) decides where a session goes, at which rung, whether it is retried and when
+//! it is rejected. The controller does the rest: it gives exactly one answer to each request and runs at most one
+//! attempt of a session at a time ([`session`]), ends orphaned sessions at media servers ([`release`]), detects lost
+//! media servers ([`liveness`]), filters the holders of titles ([`holder_filter`]) and merges updates of the endpoint
+//! list ([`catalog`]).
 #![forbid(unsafe_code)]
 
 pub mod catalog;
--- a/crates/front/session/src/liveness/tests.rs
+++ b/crates/front/session/src/liveness/tests.rs
@@ -19,8 +19,8 @@
 fn another_start_or_a_refused_connection_ends_what_ran_there() {
     let mut liveness = Liveness::default();
     liveness.connected(SERVER, 7);
-    assert_eq!(liveness.connected(SERVER, 8), ProcessState::Gone);
-    assert_eq!(liveness.connection_refused(SERVER), ProcessState::Gone);
+    assert_eq!(liveness.connected(SERVER, 8), ProcessState::Exited);
+    assert_eq!(liveness.connection_refused(SERVER), ProcessState::Exited);
     assert_eq!(
         liveness.connected(SERVER, 9),
         ProcessState::Unchanged,
--- a/crates/front/session/src/release/mod.rs
+++ b/crates/front/session/src/release/mod.rs
@@ -1,20 +1,20 @@
-//! Releases: sessions left behind on media servers, whose client never got or no longer wants them, are ended there.
+//! Releases, which end orphaned sessions at media servers.
 //!
-//! A release is retried with backoff until the media server says that the session is gone, the server's process is gone,
-//! or `GIVE_UP_AFTER` has passed: by then the media server has freed the session by itself, as no client keeps its media
-//! consent fresh (RFC 7675).
+//! A session is orphaned if its client never received it or no longer wants it. Its release is retried with backoff until
+//! the media server confirms that the session has ended, the media server's process has exited, or `GIVE_UP_AFTER` has
+//! passed. By then the media server has freed the session by itself, as no client renews its media consent (RFC 7675).
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use beechloft::api::{Micros, ServerId};
 
-/// The first pause between two attempts; each further one doubles it.
+/// Pause after the first failed attempt. It is doubled with each further failure.
 const INITIAL_BACKOFF: Micros = Micros(250_000);
-/// How often the pause is doubled.
+/// Maximum number of times that the pause is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
-/// An attempt without an answer for this long counts as failed.
+/// Time after which an unanswered attempt counts as failed.
 const ATTEMPT_TIMEOUT: Micros = Micros(3_000_000);
-/// A session not known to be gone by then is left to the media server's own time-out.
+/// Time after which an unconfirmed release is given up and the session is left to the media server's own timeout.
 const GIVE_UP_AFTER: Micros = Micros(60_000_000);
 
 /// Identifies a release.
@@ -27,31 +27,31 @@
     resource: String,
     requested_at: Micros,
     attempts: u32,
-    /// When the next attempt is made, or the running one times out.
+    /// When the next attempt is made or the current one times out.
     due: Micros,
 }
 
-/// An attempt that is to be made now.
+/// A release attempt that is due.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReleaseAttempt {
-    /// Which release.
+    /// The release to attempt.
     pub id: ReleaseId,
-    /// The media server.
+    /// The media server that runs the session.
     pub server: ServerId,
-    /// The session's path there.
+    /// Path of the session at the media server.
     pub resource: String,
 }
 
-/// What is due at a moment.
+/// The releases that are due.
 #[derive(Debug, Default)]
 pub struct DueReleases {
-    /// Attempts to be made.
+    /// Attempts to make now.
     pub attempts: Vec<ReleaseAttempt>,
-    /// How many releases were given up.
+    /// Number of releases that were given up.
     pub given_up: usize,
 }
 
-/// All releases that are not done.
+/// The set of pending releases.
 #[derive(Debug, Default)]
 pub struct Releases {
     next_id: u64,
@@ -60,7 +60,7 @@
 }
 
 impl Releases {
-    /// Takes a session to be ended; the first attempt is due at once.
+    /// Adds a release of the session at `resource`. Its first attempt is due at once.
     pub fn add(&mut self, now: Micros, server: ServerId, resource: String) {
         let id = ReleaseId(self.next_id);
         self.next_id += 1;
@@ -69,7 +69,7 @@
         self.due.insert((now, id));
     }
 
-    /// The result of an attempt. A late or repeated result of a release that is done changes nothing.
+    /// Handles the result of an attempt. A result of a release that is no longer pending has no effect.
     pub fn result(&mut self, now: Micros, id: ReleaseId, gone: bool) {
         let Some(release) = self.pending.get_mut(&id) else { return };
         self.due.remove(&(release.due, id));
@@ -82,7 +82,7 @@
         self.due.insert((release.due, id));
     }
 
-    /// Drops the releases of a media server whose process is gone, and its sessions with it.
+    /// Drops the releases of a media server whose process has exited, which ended its sessions.
     pub fn forget(&mut self, server: ServerId) {
         let due = &mut self.due;
         self.pending.retain(|&id, release| {
@@ -94,47 +94,47 @@
         });
     }
 
-    /// Starts the attempts that are due by now, and gives up releases that took too long.
+    /// Starts the attempts that are due, and gives up releases that are older than `GIVE_UP_AFTER`.
     pub fn take_due(&mut self, now: Micros) -> DueReleases {
-        let mut taken = DueReleases::default();
+        let mut due_releases = DueReleases::default();
         while let Some(&(due, id)) = self.due.first().filter(|(due, _)| *due <= now) {
             self.due.remove(&(due, id));
             let Some(release) = self.pending.get_mut(&id) else { continue };
             if now - release.requested_at >= GIVE_UP_AFTER {
                 self.pending.remove(&id);
-                taken.given_up += 1;
+                due_releases.given_up += 1;
                 continue;
             }
             release.attempts += 1;
             release.due = now + ATTEMPT_TIMEOUT;
             self.due.insert((release.due, id));
             let resource = release.resource.clone();
-            taken.attempts.push(ReleaseAttempt { id, server: release.server, resource });
+            due_releases.attempts.push(ReleaseAttempt { id, server: release.server, resource });
         }
-        taken
+        due_releases
     }
 
-    /// When the next attempt or time-out is due.
+    /// Returns when the next attempt or timeout is due, or `None` if no release is pending.
     pub fn next_due(&self) -> Option<Micros> {
         self.due.first().map(|(due, _)| *due)
     }
 
-    /// How many are not done.
+    /// Returns the number of pending releases.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether all are done.
+    /// Returns whether no release is pending.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Whether this session is still to be ended.
+    /// Returns whether the release of this session is pending.
     pub fn has(&self, server: ServerId, resource: &str) -> bool {
         self.pending.values().any(|release| release.server == server && release.resource == resource)
     }
 
-    /// Whether some session of this media server is still to be ended.
+    /// Returns whether a release at this media server is pending.
     pub fn concerns(&self, server: ServerId) -> bool {
         self.pending.values().any(|release| release.server == server)
     }
--- a/crates/front/session/src/session.rs
+++ b/crates/front/session/src/session.rs
@@ -1,4 +1,4 @@
-//! A session's life as types: an answer that is pending can be given once, an attempt ends once.
+//! The states of a session, as types that allow a pending answer to be given only once and an attempt to end only once.
 
 use std::sync::Arc;
 
@@ -6,107 +6,110 @@
 
 use crate::io::{Answer, AttemptId, IdempotencyKey, MediaServerReply, Output, Protocol, RequestId, Secret};
 
-/// How long an attempt may take to end after it was dropped, before it counts as over.
+/// Longest time that a cancelled attempt may take to end before it counts as ended.
 ///
-/// Dropping closes the sending side of the connection, which tells the media server to give the set-up up. A healthy one
-/// closes its own side at once, or its answer was on the way and is then undone; one that hangs does neither, and after
-/// this long the connection is closed hard. No further attempt goes out before.
+/// Cancelling closes the sending side of the connection, which tells the media server to abandon the set-up. A healthy
+/// media server closes its own side at once, unless its answer was already on the way; that answer is then undone. A
+/// media server that hangs does neither, so the connection is closed after this time. The next attempt of the session
+/// starts only then.
 pub const GRACE: Micros = Micros(100_000);
 
-/// How far past its end an attempt may go unreported before the client gets its answer anyway.
+/// Longest time that the report of an attempt's end may be late before the client is answered without it.
 pub const OVERDUE_MARGIN: Micros = Micros(250_000);
 
-/// How long the answer to an offer is retained for the same offer sent again.
+/// How long the answer to an offer is retained in case the same offer is repeated.
 pub const REPLY_RETENTION: Micros = Micros(10_000_000);
 
-/// The obligation to answer a client. Made with the request, consumed by the answer; it can't be copied.
+/// The obligation to answer a client.
+///
+/// It is created with the request, consumed by the answer and can't be copied.
 #[derive(Debug)]
 #[must_use]
 pub struct PendingAnswer(RequestId);
 
 impl PendingAnswer {
-    /// The obligation that comes with a request.
+    /// Creates the obligation to answer `request`.
     pub(crate) fn new(request: RequestId) -> Self {
         PendingAnswer(request)
     }
 
-    /// The request that waits for the answer.
+    /// Returns the request that waits for the answer.
     pub fn request(&self) -> RequestId {
         self.0
     }
 
-    /// Ends the obligation without an answer: the client has left.
+    /// Ends the obligation without an answer, as the client has disconnected.
     pub(crate) fn discard(self) {}
 
-    /// Gives the answer.
+    /// Fulfils the obligation and returns the reply to be sent.
     #[must_use]
     pub(crate) fn answer(self, answer: Answer) -> Output {
         Output::Reply(self.0, answer)
     }
 }
 
-/// An attempt that is in flight. Consumed by its end; it can't be copied.
+/// An attempt in flight, which is consumed when it ends and can't be copied.
 #[derive(Debug)]
 pub struct Attempt {
-    /// Its id.
+    /// Identifies the attempt.
     pub id: AttemptId,
-    /// The media server it went to.
+    /// The media server that the attempt was sent to.
     pub server: ServerId,
-    /// When it is dropped.
+    /// When the attempt is cancelled.
     pub deadline: Micros,
 }
 
-/// A session that plays.
+/// The state of a playing session.
 #[derive(Debug)]
 pub struct Playing {
-    /// The media server.
+    /// The media server that runs the session.
     pub server: ServerId,
-    /// Its path there.
+    /// Path of the session at the media server.
     pub resource: String,
-    /// Path there at which its rung is set, if the media server lets it be set.
+    /// Path at the media server that selects the session's layers, if the media server supports it.
     pub layers: Option<Box<str>>,
-    /// The number of the attempt that set it up.
+    /// Number of the attempt that set the session up.
     pub attempt_number: u16,
-    /// Since when it plays.
+    /// When the session started to play.
     pub started_at: Micros,
-    /// What the media server answered, while the offer may be repeated.
+    /// The media server's answer, retained for [`REPLY_RETENTION`] if the offer can be repeated.
     pub reply: Option<Arc<MediaServerReply>>,
 }
 
-/// Where a session is in its life.
+/// The state of a session.
 #[derive(Debug)]
 pub enum SessionState {
-    /// Its client waits for an answer; at most one attempt is in flight.
+    /// The client waits for its answer, and at most one attempt is in flight.
     AwaitingAnswer(PendingAnswer, Option<Attempt>),
-    /// Its client has an answer or has left, but an attempt is still in flight.
+    /// The client was answered or has disconnected, but an attempt is still in flight.
     Ending(Attempt),
-    /// It plays.
+    /// The session plays.
     Playing(Playing),
 }
 
-/// A session in the table.
+/// A session in the controller's table.
 #[derive(Debug)]
 pub struct Session {
-    /// The part of its address that only its client knows.
+    /// The part of the session's URL that only the client knows.
     pub secret: Secret,
-    /// What its client speaks.
+    /// Protocol of the client.
     pub protocol: Protocol,
-    /// Where it is in its life.
+    /// State of the session.
     pub state: SessionState,
-    /// Its class.
+    /// Class of the session.
     pub class: ClassId,
-    /// The rung in force, or that of the next attempt.
+    /// The current rung, or the rung of the next attempt while the client waits.
     pub rung: Rung,
-    /// Attempts made so far.
+    /// Number of attempts made so far.
     pub attempts_made: u16,
-    /// Identifies the offer it came with.
+    /// Identifies the client's offer.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// Its title, while its client waits.
+    /// Name of the title, present only until the session plays.
     pub title: Option<Arc<str>>,
 }
 
 impl Session {
-    /// The attempt that is in flight.
+    /// Returns the attempt in flight, or `None` if there is none.
     pub fn attempt(&self) -> Option<&Attempt> {
         match &self.state {
             SessionState::AwaitingAnswer(_, attempt) => attempt.as_ref(),
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Whether the attempt of this id is the one in flight.
+    /// Returns whether the attempt `id` is in flight.
     pub fn is_in_flight(&self, id: AttemptId) -> bool {
         self.attempt().is_some_and(|attempt| attempt.id == id)
     }
--- a/crates/front/session/tests/holder_filter.rs
+++ b/crates/front/session/tests/holder_filter.rs
@@ -56,7 +56,7 @@
 }
 
 fn warnings(front: &Front) -> usize {
-    front.log.iter().filter(|l| l.contains("offered nonetheless")).count()
+    front.log.iter().filter(|l| l.contains("offered despite ejection")).count()
 }
 
 #[test]
