--- a/crates/cli/src/fleet_membership.rs
+++ b/crates/cli/src/fleet_membership.rs
@@ -126,7 +126,7 @@
             .outlier_detector
             .as_ref()
             .map(|detector| -> Box<dyn Observer> { Box::new(OutlierObserver::new(Arc::clone(detector))) });
-        FleetHooks { slots: Some(self.slots()), observer, gate: self.gate() }
+        FleetHooks { slots: Some(self.slots()), observer, admission_controller: self.gate() }
     }
 
     /// Asks for the front's turn to restart, if fronts restart in turn; how long to wait for it at most.
--- a/crates/cli/src/outlier_observer.rs
+++ b/crates/cli/src/outlier_observer.rs
@@ -7,7 +7,7 @@
 
 use beechloft_coordinator::{AttemptReport, OutlierDetector};
 use beechloft_outlier_detection::{Outcome, ServerInstance, ServerLocation, title_key};
-use beechloft_server::evidence::{Evidence, Observer, Verdict};
+use beechloft_server::evidence::{AttemptOutcome, Evidence, Observer};
 use beechloft_session::api::{EndpointState, Micros, ServerId};
 use beechloft_session::catalog::Catalog;
 use beechloft_session::holder_filter::{Exclusion, Exclusions, HolderFilter};
@@ -45,14 +45,16 @@
     }
 
     fn attempt_ended(&mut self, evidence: Evidence, now: Micros) {
-        let outcome = match evidence.verdict {
-            Verdict::Accepted(took) if Duration::from_micros(took.0) > self.detector.slow_threshold() => {
+        let outcome = match evidence.outcome {
+            AttemptOutcome::Accepted(took)
+                if Duration::from_micros(took.0) > self.detector.slow_threshold() =>
+            {
                 Outcome::Slow
             }
-            Verdict::Accepted(_) => Outcome::Success,
-            Verdict::Error => Outcome::Error,
-            Verdict::Timeout => Outcome::Timeout,
-            Verdict::Declined => Outcome::Declined,
+            AttemptOutcome::Accepted(_) => Outcome::Success,
+            AttemptOutcome::Error => Outcome::Error,
+            AttemptOutcome::Timeout => Outcome::Timeout,
+            AttemptOutcome::Declined => Outcome::Declined,
         };
         let age = Duration::from_micros((now - evidence.sent_at).0);
         self.detector.attempt_ended(AttemptReport {
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -22,7 +22,7 @@
 
 /// A front's settings, and its fleet's if it is one of a fleet.
 pub fn read_sections(top: &Section<'_>) -> (FrontSettings, Option<FleetSettings>) {
-    let front = FrontSettings::of(top);
+    let front = FrontSettings::read(top);
     let fleet = top.has("fleet").then(|| {
         let section = top.section("fleet");
         let known = KnownNames { customers: &front.service.tenants, classes: &front.service.classes };
@@ -31,7 +31,7 @@
             // Calls carry no tag: what a lost front of calls left can't be asked of boxes.
             quotas.tagged = front.sip.is_none();
         }
-        if fleet.front_slot.is_some() && front.numbered {
+        if fleet.front_slot.is_some() && front.has_configured_slot {
             section.report("number", "it comes by lease; front.number and front.of say something else");
         }
         fleet
--- a/crates/front/config/src/endpoint_list.rs
+++ b/crates/front/config/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! An endpoint list written in the settings, for sites too small for a list service.
+//! A static endpoint list in the settings, for sites that are too small for a list service.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,21 +10,21 @@
 use crate::narrow::{narrow, narrow_index};
 use crate::service::Service;
 
-/// Reads `boxes` and `titles` of a section.
-pub fn written(section: &Section<'_>, service: &Service) -> (Vec<MediaServerEntry>, Vec<TitleEntry>) {
+/// Reads the media servers and titles of a static list.
+pub fn static_list(section: &Section<'_>, service: &Service) -> (Vec<MediaServerEntry>, Vec<TitleEntry>) {
     let mut servers: Vec<MediaServerEntry> = Vec::new();
-    for of_server in section.sections("boxes") {
-        let entry = media_server(&of_server, service);
+    for server_section in section.sections("boxes") {
+        let entry = media_server(&server_section, service);
         if servers.iter().any(|known| known.id == entry.id) {
-            of_server.report("id", "a second box of this number");
+            server_section.report("id", "another media server has the same id");
         }
         servers.push(entry);
     }
     let mut titles: Vec<TitleEntry> = Vec::new();
-    for of_title in section.sections("titles") {
-        let entry = title(&of_title, service, &servers);
+    for title_section in section.sections("titles") {
+        let entry = title(&title_section, service, &servers);
         if titles.iter().any(|known| known.name == entry.name) {
-            of_title.report("name", "a second title of this name");
+            title_section.report("name", "another title has the same name");
         }
         titles.push(entry);
     }
@@ -64,7 +64,7 @@
             Some(known) => {
                 holders.insert(known.id);
             }
-            None => section.report("holders", format!("no box is called '{text}'")),
+            None => section.report("holders", format!("no media server is called '{text}'")),
         }
     }
     let class = section.index("class", &service.classes, "class").unwrap_or(0);
--- a/crates/front/config/src/front/mod.rs
+++ b/crates/front/config/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! One front: where it listens, where its endpoint list comes from, its bounds and logs.
+//! The settings of a single front: its addresses, the source of its endpoint list, its limits and its logs.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -14,35 +14,35 @@
 use crate::narrow::{narrow, narrow_index};
 use crate::service::{self, Service};
 
-/// Stands in for an address that is missing or can't be read; a fault is reported then.
+/// Placeholder for an address that is missing or invalid, which is reported as a fault.
 const UNSET_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-/// How long a connection to a media server may take, if the settings say nothing.
-const DEFAULT_CONNECT_TIME: Duration = Duration::from_millis(250);
-/// How long a call to a media server may take, if the settings say nothing.
-const DEFAULT_CALL_TIME: Duration = Duration::from_millis(2000);
+/// Default time within which a connection to a media server must be established.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Default time within which a call to a media server must be answered.
+const DEFAULT_CALL_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// Where the endpoint list comes from.
+/// The source of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ListSource {
-    /// A service that pushes changes.
+    /// A list service that pushes changes.
     Pushed {
-        /// Where it listens.
+        /// Address of the list service.
         address: SocketAddr,
-        /// The path of its stream.
+        /// Path of the stream at the list service.
         path: String,
-        /// Where the copy for the next start is kept.
+        /// Path of the file that the list is cached in for the next start.
         cache: Option<PathBuf>,
     },
-    /// The settings themselves.
-    Written(Vec<MediaServerEntry>, Vec<TitleEntry>),
+    /// A static list in the settings.
+    Static(Vec<MediaServerEntry>, Vec<TitleEntry>),
 }
 
-/// How logs are written.
+/// Format and levels of the logs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogSettings {
-    /// JSON lines rather than lines for people.
+    /// Whether lines are written as JSON instead of human-readable text.
     pub json: bool,
-    /// Level, and levels of parts: `info,list=debug`.
+    /// The general level, followed by the levels of single targets, such as `info,list=debug`.
     pub filter: String,
 }
 
@@ -55,43 +55,43 @@
 /// The settings of a front.
 #[derive(Debug, Clone)]
 pub struct FrontSettings {
-    /// Where it listens.
+    /// The address that the front listens on for HTTP.
     pub listen: SocketAddr,
-    /// Where it takes SIP calls, over UDP and TCP, if it does.
+    /// The address that the front listens on for SIP over UDP and TCP, if it supports SIP.
     pub sip: Option<SocketAddr>,
-    /// Whether overload control bounds the calls that are taken; off only for comparisons.
+    /// Whether SIP overload control limits the accepted calls. It is disabled only in benchmarks.
     pub sip_control: bool,
-    /// The deployment.
+    /// Settings of the deployment.
     pub service: Service,
-    /// For the policy, complete.
+    /// Settings of the policy, with the front's slot and zone.
     pub settings: Settings,
-    /// Whether its slot, or the number of slots, is written there.
-    pub numbered: bool,
-    /// Seed of its random numbers; none: drawn at the start.
+    /// Whether the front's slot or the number of slots is configured.
+    pub has_configured_slot: bool,
+    /// Seed of the front's random numbers. If there is none, a seed is drawn at the start.
     pub seed: Option<u64>,
-    /// Where the endpoint list comes from.
+    /// Source of the endpoint list.
     pub list: ListSource,
-    /// Bounds of its sockets.
+    /// Limits of the HTTP server's sockets.
     pub sizes: Sizes,
-    /// For a connection to a media server.
-    pub connect_time: Duration,
-    /// For a call to a media server that is no set-up.
-    pub call_time: Duration,
-    /// Logs.
+    /// Time within which a connection to a media server must be established.
+    pub connect_timeout: Duration,
+    /// Time within which a call to a media server other than a set-up must be answered.
+    pub call_timeout: Duration,
+    /// Format and levels of the logs.
     pub log: LogSettings,
 }
 
-/// Reads a front's settings file.
+/// Parses a front's settings file.
 ///
 /// # Errors
-/// All faults of the file, if it has any.
+/// Returns all faults of the file.
 pub fn parse(text: &str) -> Result<FrontSettings, ConfigErrors> {
-    config_reader::read(text, FrontSettings::of)
+    config_reader::read(text, FrontSettings::read)
 }
 
 impl FrontSettings {
-    /// Reads a front's sections of a file that may have more.
-    pub fn of(top: &Section<'_>) -> FrontSettings {
+    /// Reads a front's sections from the top level of a file, which may have further sections.
+    pub fn read(top: &Section<'_>) -> FrontSettings {
         let service = service::service(&top.section("service"));
         let front = top.section("front");
         if !front.has("listen") {
@@ -103,19 +103,19 @@
             sip: front.address("sip"),
             sip_control: true,
             settings: policy_settings(&front, &service),
-            numbered: front.has("number") || front.has("of"),
+            has_configured_slot: front.has("number") || front.has("of"),
             seed: front.integer("seed", 0..=u64::MAX),
             list: list_source(&top.section("list"), &service),
             sizes: sizes(&top.section("sockets")),
-            connect_time: servers.millis("connect_ms", 1..=60_000).unwrap_or(DEFAULT_CONNECT_TIME),
-            call_time: servers.millis("call_ms", 1..=60_000).unwrap_or(DEFAULT_CALL_TIME),
+            connect_timeout: servers.millis("connect_ms", 1..=60_000).unwrap_or(DEFAULT_CONNECT_TIMEOUT),
+            call_timeout: servers.millis("call_ms", 1..=60_000).unwrap_or(DEFAULT_CALL_TIMEOUT),
             log: log(&top.section("log")),
             service,
         }
     }
 }
 
-/// The service's settings with this front's slot and zone.
+/// Returns the policy settings of the deployment, with the front's slot and zone.
 fn policy_settings(front: &Section<'_>, service: &Service) -> Settings {
     let front_count = front.integer("of", 1..=100_000).unwrap_or(1);
     let slot = front.integer("number", 0..=100_000).unwrap_or(0);
@@ -133,11 +133,11 @@
 
 fn list_source(section: &Section<'_>, service: &Service) -> ListSource {
     if !section.has("url") {
-        return written_list(section, service);
+        return static_list(section, service);
     }
     for key in ["boxes", "titles"] {
         if section.has(key) {
-            section.report(key, "the list comes from url; it can't be written here as well");
+            section.report(key, "can't be combined with url, from which the list is read");
         }
     }
     let url = section.required_text("url");
@@ -149,15 +149,15 @@
     ListSource::Pushed { address, path, cache: section.text("cache").map(PathBuf::from) }
 }
 
-fn written_list(section: &Section<'_>, service: &Service) -> ListSource {
-    let (servers, titles) = endpoint_list::written(section, service);
+fn static_list(section: &Section<'_>, service: &Service) -> ListSource {
+    let (servers, titles) = endpoint_list::static_list(section, service);
     if section.has("cache") {
-        section.report("cache", "a list written here needs no copy");
+        section.report("cache", "applies only to a list that is read from url");
     }
     if servers.is_empty() {
         section.report("", "either url or boxes is needed");
     }
-    ListSource::Written(servers, titles)
+    ListSource::Static(servers, titles)
 }
 
 fn address_and_path(url: &str) -> Option<(SocketAddr, String)> {
@@ -191,10 +191,10 @@
     let json = section.choice("format", &[("human", false), ("json", true)]).unwrap_or(false);
     let levels = ["error", "warn", "info", "debug", "trace"].map(|level| (level, level));
     let mut filter = section.choice("level", &levels).unwrap_or("info").to_owned();
-    let parts = section.section("parts");
-    for part in ["core", "list", "boxes", "http"] {
-        if let Some(level) = parts.choice(part, &levels) {
-            filter.push_str(&format!(",{part}={level}"));
+    let targets = section.section("parts");
+    for target in ["core", "list", "boxes", "http"] {
+        if let Some(level) = targets.choice(target, &levels) {
+            filter.push_str(&format!(",{target}={level}"));
         }
     }
     LogSettings { json, filter }
--- a/crates/front/config/src/front/tests.rs
+++ b/crates/front/config/src/front/tests.rs
@@ -38,7 +38,7 @@
         (f.settings.zone, f.settings.ladder.rates_kb.len(), f.settings.front_count),
         (ZoneId(1), 2, 1)
     );
-    let ListSource::Written(boxes, titles) = f.list else { panic!("written here") };
+    let ListSource::Static(boxes, titles) = f.list else { panic!("written here") };
     assert_eq!((boxes.len(), titles[0].holders.len()), (1, 1));
 }
 
@@ -60,7 +60,7 @@
     assert!(one("aim_ms: 800", "aim_ms: 5000").contains("more than patience_ms"));
     assert!(one("rate_kb: 450", "rate_kb: 150").contains("higher rate"));
     assert!(one("zone: hala-b", "zone: hala-c").contains("no zone is called 'hala-c'"));
-    assert!(one("holders: [1]", "holders: [2]").contains("no box is called '2'"));
+    assert!(one("holders: [1]", "holders: [2]").contains("no media server is called '2'"));
     assert!(
         one("  racks: 2", "  racks: 2\n  notes_late_ms: two")
             .contains("a whole number is expected, not text")
--- a/crates/front/config/src/lib.rs
+++ b/crates/front/config/src/lib.rs
@@ -1,6 +1,7 @@
-//! Settings in YAML. Every key is checked; `beechloft check` reports all errors of a file at once, each with its line.
+//! Settings of the session front, read from YAML.
 //!
-//! The settings describe a deployment and this front's place in it. What the policy decides is not in them.
+//! Every key is checked, and `beechloft check` reports all errors of a file at once with their lines. The settings describe
+//! a deployment and the front's place in it.
 #![forbid(unsafe_code)]
 
 mod endpoint_list;
--- a/crates/front/config/src/narrow.rs
+++ b/crates/front/config/src/narrow.rs
@@ -1,18 +1,20 @@
-//! Numbers of settings in the types of the policy. Settings check each number against a range that fits its type.
+//! Conversion of numbers in the settings to the types of the policy.
+//!
+//! Each number was checked against a range that fits its type before it is converted.
 
-/// A number that was checked against a range; the type's largest value, should it not fit.
+/// Converts a number to a smaller type, saturating at its largest value.
 pub fn narrow<T: TryFrom<u64> + Bounded>(number: u64) -> T {
     T::try_from(number).unwrap_or(T::LARGEST)
 }
 
-/// The index of a name in a list, which may be longer than the type counts.
+/// Converts the index of a name in a list to a smaller type, saturating at its largest value.
 pub fn narrow_index<T: TryFrom<u64> + Bounded>(index: usize) -> T {
     narrow(index as u64)
 }
 
-/// A type's largest value.
+/// A type with a largest value.
 pub trait Bounded {
-    /// That value.
+    /// The largest value of the type.
     const LARGEST: Self;
 }
 
--- a/crates/front/config/src/service.rs
+++ b/crates/front/config/src/service.rs
@@ -1,4 +1,4 @@
-//! The deployment: classes, ladder, links, rules. The same for every front of it.
+//! The settings of a deployment, which are the same for all of its fronts: classes, bitrate ladder, links and limits.
 
 use beechloft::api::{
     BitrateLadder, Capabilities, Class, DedupScope, Discovery, Idempotency, LoadReporting, Micros,
@@ -8,12 +8,12 @@
 
 use crate::narrow::narrow;
 
-/// The longest time that can be set, in milliseconds: a day.
+/// The longest duration that can be set: one day.
 const MAX_MILLIS: u64 = 86_400_000;
-/// Rungs of a ladder at most.
+/// Maximum number of rungs in the bitrate ladder.
 const MAX_RUNGS: usize = 64;
 
-/// A deployment, as the settings describe it.
+/// The settings of a deployment.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Service {
     /// Names of the zones.
@@ -24,11 +24,11 @@
     pub tenants: Vec<String>,
     /// Names of the types of media servers.
     pub kinds: Vec<String>,
-    /// For the policy; a front's own slot and zone are still to be set.
+    /// Settings of the policy, without the front's own slot and zone.
     pub settings: Settings,
 }
 
-/// How the settings name what a repeated set-up does.
+/// The value of `effect` in the settings, which describes the effect of a repeated set-up.
 #[derive(Clone, Copy)]
 enum EffectName {
     Repeatable,
@@ -52,17 +52,20 @@
     let tenant_sections = section.sections("tenants");
     let kind_sections = section.sections("kinds");
     if kind_sections.is_empty() {
-        section.report("kinds", "at least one kind of box is needed");
+        section.report("kinds", "at least one type of media server is needed");
     }
     let settings = Settings {
-        classes: class_sections.iter().map(|of_class| class(of_class, rung_count)).collect(),
+        classes: class_sections.iter().map(|class_section| class(class_section, rung_count)).collect(),
         tenants: tenant_sections.iter().map(tenant).collect(),
         max_streams_by_type: kind_sections.iter().map(max_streams).collect(),
         ladder,
         ..deployment(section)
     };
     if settings.load_reporting == LoadReporting::InHealthChecks && !settings.capabilities.health_checks {
-        section.report("reports", "boxes report with probes alone, but limits.probes does not allow any");
+        section.report(
+            "reports",
+            "media servers report load in health checks only, but limits.probes does not allow any",
+        );
     }
     Service {
         zones,
@@ -73,7 +76,7 @@
     }
 }
 
-/// What holds for the deployment as a whole.
+/// Reads the settings that apply to the deployment as a whole.
 fn deployment(section: &Section<'_>) -> Settings {
     let racks = narrow(section.integer("racks", 1..=60_000).unwrap_or(1));
     let links = section.section("links");
@@ -148,7 +151,7 @@
     for section in sections {
         let name = section.required_text("name");
         if names.contains(&name) {
-            section.report("name", format!("a second {what} of this name"));
+            section.report("name", format!("another {what} has the same name"));
         }
         names.push(name);
     }
@@ -166,7 +169,7 @@
 fn ladder(section: &Section<'_>) -> BitrateLadder {
     let rungs = section.sections("ladder");
     if rungs.is_empty() || rungs.len() > MAX_RUNGS {
-        section.report("ladder", format!("1 to {MAX_RUNGS} rungs are needed, the lowest first"));
+        section.report("ladder", format!("1 to {MAX_RUNGS} rungs are needed, in ascending order"));
     }
     let mut ladder = BitrateLadder {
         switch_cost_s: section.number("change_costs_s", 0.0..=3600.0).unwrap_or(0.5),
@@ -179,7 +182,7 @@
             rung.report("rate_kb", "each rung needs a higher rate than the one before");
         }
         if ladder.utility.last().is_some_and(|below| utility < *below) {
-            rung.report("worth", "a rung can't be worth less than the one before");
+            rung.report("worth", "each rung needs at least the worth of the one before");
         }
         ladder.rates_kb.push(rate);
         ladder.utility.push(utility);
@@ -192,8 +195,7 @@
     let latency_objective = required_micros(section, "aim_ms");
     let deadline = required_micros(section, "patience_ms");
     if latency_objective > deadline {
-        section
-            .report("aim_ms", "more than patience_ms: a session can't be wanted later than its viewer waits");
+        section.report("aim_ms", "more than patience_ms: the target can't be later than the deadline");
     }
     let min_rung = section.integer("floor", 0..=last_rung).unwrap_or(0);
     let max_rung = section.integer("top", 0..=last_rung).unwrap_or(last_rung);
@@ -242,7 +244,7 @@
     if overload_factor > 0.0 {
         for key in ["warm_ms", "span_ms"] {
             if !section.has(key) {
-                section.report(key, "missing, though multiple is given");
+                section.report(key, "missing, but required by multiple");
             }
         }
     }
--- a/crates/front/discovery/src/cache/mod.rs
+++ b/crates/front/discovery/src/cache/mod.rs
@@ -1,4 +1,4 @@
-//! The copy of the list on disk, for a start while the list service is out of reach.
+//! The copy of the list on disk, with which a front can start while the list service is unreachable.
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
@@ -6,24 +6,24 @@
 
 use crate::{MAX_MESSAGE_BYTES, Message};
 
-/// Writes the copy: to a file beside it first, then in its place, so that a start never reads half of one.
+/// Writes the copy to a temporary file and renames it, so that a starting front never reads an incomplete copy.
 ///
 /// # Errors
-/// The file can't be written.
+/// Fails if the file can't be written.
 pub fn save(path: &Path, message: &Message) -> io::Result<()> {
-    let mut beside = path.as_os_str().to_owned();
-    beside.push(".new");
-    let mut file = File::create(&beside)?;
+    let mut temporary_path = path.as_os_str().to_owned();
+    temporary_path.push(".new");
+    let mut file = File::create(&temporary_path)?;
     file.write_all(&serde_json::to_vec(message)?)?;
     file.sync_data()?;
     drop(file);
-    fs::rename(&beside, path)
+    fs::rename(&temporary_path, path)
 }
 
-/// Reads the copy; none: there is none yet.
+/// Reads the copy. Returns `None` if the file does not exist.
 ///
 /// # Errors
-/// The file can't be read, is too long or is no copy.
+/// Fails if the file can't be read, is larger than [`MAX_MESSAGE_BYTES`] or does not contain a message.
 pub fn load(path: &Path) -> io::Result<Option<Message>> {
     let file = match File::open(path) {
         Ok(file) => file,
@@ -33,7 +33,7 @@
     let mut text = Vec::new();
     file.take(MAX_MESSAGE_BYTES as u64 + 1).read_to_end(&mut text)?;
     if text.len() > MAX_MESSAGE_BYTES {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, "the copy of the list is too long"));
+        return Err(io::Error::new(io::ErrorKind::InvalidData, "the file is larger than a message may be"));
     }
     Ok(Some(serde_json::from_slice(&text)?))
 }
--- a/crates/front/discovery/src/lib.rs
+++ b/crates/front/discovery/src/lib.rs
@@ -1,7 +1,7 @@
-//! Messages of the endpoint list: JSON in server-sent events, `snapshot` (the complete list) and `change` (what changed).
+//! Messages of the list service: JSON in server-sent events named `snapshot` (the complete list) and `change`.
 //!
-//! An entry that can't be used is left out and reported, and the rest of its message holds: one operator's slip must not
-//! cost a front its list.
+//! An invalid entry is ignored and reported, and the other entries of its message are used. A single mistake of an operator
+//! must not make the list unusable for a front.
 #![forbid(unsafe_code)]
 
 pub mod cache;
@@ -17,145 +17,145 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Event name of a whole list.
+/// Event name of a complete list.
 pub const SNAPSHOT: &str = "snapshot";
 /// Event name of a change.
 pub const CHANGE: &str = "change";
 /// Path of the stream at a list service.
 pub const PATH: &str = "/list";
-/// Longest message, bytes.
+/// Maximum size of a message.
 pub const MAX_MESSAGE_BYTES: usize = 32 * 1024 * 1024;
 
 /// A media server in a message.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MediaServerJson {
-    /// Its number.
+    /// Id of the media server.
     pub id: u32,
-    /// Its name.
+    /// Name of the media server.
     pub name: String,
-    /// Where it listens, `host:port`.
+    /// The `host:port` that the media server listens on.
     pub address: String,
-    /// Where it takes SIP calls, `host:port`, if it does.
+    /// The `host:port` that the media server takes SIP calls on, if it supports SIP.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub sip: Option<String>,
-    /// `ready`, `draining` or `gone`.
+    /// State of the media server: `ready`, `draining` or `gone`.
     pub state: String,
-    /// Its rack.
+    /// Index of the media server's rack.
     #[serde(default)]
     pub rack: u16,
-    /// Name of its zone.
+    /// Name of the media server's zone.
     pub zone: String,
-    /// Name of its kind.
+    /// Name of the media server's type.
     pub kind: String,
-    /// Latest start of its process, microseconds since 1970; 0: unknown.
+    /// Latest start of the media server's process, in microseconds since 1970, or 0 if it is unknown.
     #[serde(default)]
     pub started_us: u64,
-    /// Its size.
-    #[serde(default = "one")]
+    /// Weight of the media server.
+    #[serde(default = "default_size")]
     pub size: f64,
 }
 
-fn one() -> f64 {
+fn default_size() -> f64 {
     1.0
 }
 
 /// A title in a message.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TitleJson {
-    /// Its name.
+    /// Name of the title.
     pub name: String,
-    /// Name of its class.
+    /// Name of the title's class.
     pub class: String,
-    /// Name of its tenant, if there are any.
+    /// Name of the title's tenant. It is empty if the deployment has no tenants.
     #[serde(default)]
     pub tenant: String,
-    /// Numbers of the media servers that hold it.
+    /// Ids of the media servers that hold the title.
     pub holders: BTreeSet<u32>,
-    /// How long a session lasts, roughly.
+    /// Approximate duration of a session of the title, in seconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub length_s: Option<f64>,
 }
 
-/// A message, its lines not yet looked at.
+/// A message whose entries have not been validated.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Message {
-    /// Lines of media servers.
-    #[serde(default)]
-    pub boxes: Vec<Value>,
-    /// Lines of titles.
+    /// Entries of media servers.
+    #[serde(default, rename = "boxes")]
+    pub media_servers: Vec<Value>,
+    /// Entries of titles.
     #[serde(default)]
     pub titles: Vec<Value>,
-    /// Names of titles that are gone.
-    #[serde(default)]
-    pub gone: Vec<String>,
+    /// Names of removed titles.
+    #[serde(default, rename = "gone")]
+    pub removed_titles: Vec<String>,
 }
 
-/// A message read.
+/// A validated message.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReadMessage {
-    /// For the session controller.
+    /// Update for the session controller.
     pub update: EndpointUpdate,
-    /// Lines left out, and why.
+    /// Descriptions of the ignored entries.
     pub faults: Vec<String>,
 }
 
-/// Which kind of message.
+/// The kind of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
-    /// All there is; perhaps from the copy on disk.
+pub enum MessageKind {
+    /// The complete list.
     Snapshot {
-        /// From the copy.
+        /// Whether the list was read from the copy on disk.
         cached: bool,
     },
-    /// What changed.
+    /// A change of the list.
     Change,
 }
 
-/// Reads the lines of a message, with the names of a deployment.
-pub fn read(form: Form, message: &Message, service: &Service) -> ReadMessage {
+/// Validates the entries of a message, resolving names by those of the deployment.
+pub fn read(kind: MessageKind, message: &Message, service: &Service) -> ReadMessage {
     let mut faults = Vec::new();
     let servers = message
-        .boxes
+        .media_servers
         .iter()
-        .filter_map(|value| keep_valid(media_server(value, service), "box", value, &mut faults));
+        .filter_map(|value| keep_valid(media_server(value, service), "media server", value, &mut faults));
     let servers = servers.collect();
     let titles = message
         .titles
         .iter()
         .filter_map(|value| keep_valid(title(value, service), "title", value, &mut faults));
     let titles = titles.collect();
-    let update = match form {
-        Form::Snapshot { cached } => EndpointUpdate::Snapshot { cached, servers, titles },
-        Form::Change => EndpointUpdate::Change {
+    let update = match kind {
+        MessageKind::Snapshot { cached } => EndpointUpdate::Snapshot { cached, servers, titles },
+        MessageKind::Change => EndpointUpdate::Change {
             servers,
             titles,
-            removed: message.gone.iter().map(|name| name.as_str().into()).collect(),
+            removed: message.removed_titles.iter().map(|name| name.as_str().into()).collect(),
         },
     };
     ReadMessage { update, faults }
 }
 
-/// Why an entry can't be used.
+/// The reason why an entry is invalid.
 #[derive(Debug, Error)]
 enum EntryError {
-    /// It is not the stated JSON.
+    /// The entry is not JSON of the expected structure.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A name that the deployment does not have.
-    #[error("no {what} is called '{name}'")]
+    /// The entry contains a name that the deployment does not define.
+    #[error("unknown {what} '{name}'")]
     UnknownName { what: &'static str, name: String },
-    /// A title without a name.
-    #[error("it needs a name")]
-    NoName,
-    /// Not an address.
-    #[error("'{0}' is no address with a port")]
-    Address(String),
-    /// A rack that the deployment does not have.
-    #[error("rack {rack} of {racks}")]
-    Rack { rack: u16, racks: u32 },
-    /// Not a size.
-    #[error("size {0}")]
-    Size(f64),
+    /// The title has no name.
+    #[error("the name is empty")]
+    EmptyName,
+    /// The address is not an IP address with a port.
+    #[error("'{0}' is not an IP address with a port")]
+    InvalidAddress(String),
+    /// The rack is beyond the number of racks of the deployment.
+    #[error("rack {rack} is out of range: the deployment has {racks} racks, counted from 0")]
+    RackOutOfRange { rack: u16, racks: u32 },
+    /// The size is negative or not finite.
+    #[error("size {0} is not a finite number of at least 0")]
+    InvalidSize(f64),
 }
 
 fn keep_valid<T>(
@@ -168,13 +168,13 @@
         Ok(entry) => Some(entry),
         Err(error) => {
             let name = value.get("name").and_then(Value::as_str).unwrap_or("without a name");
-            faults.push(format!("{what} {name} is left out: {error}"));
+            faults.push(format!("{what} {name} was ignored: {error}"));
             None
         }
     }
 }
 
-/// The index of a name among those of the deployment.
+/// Returns the index of a name among those of the deployment.
 fn index_of<T: TryFrom<usize>>(names: &[String], name: &str, what: &'static str) -> Result<T, EntryError> {
     let index = names.iter().position(|known| known == name);
     let narrowed = index.and_then(|index| T::try_from(index).ok());
@@ -190,13 +190,13 @@
         other => return Err(EntryError::UnknownName { what: "state", name: other.to_owned() }),
     };
     for address in [Some(&json.address), json.sip.as_ref()].into_iter().flatten() {
-        address.parse::<SocketAddr>().map_err(|_| EntryError::Address(address.clone()))?;
+        address.parse::<SocketAddr>().map_err(|_| EntryError::InvalidAddress(address.clone()))?;
     }
     if u32::from(json.rack) >= service.settings.racks {
-        return Err(EntryError::Rack { rack: json.rack, racks: service.settings.racks });
+        return Err(EntryError::RackOutOfRange { rack: json.rack, racks: service.settings.racks });
     }
     if !json.size.is_finite() || json.size < 0.0 {
-        return Err(EntryError::Size(json.size));
+        return Err(EntryError::InvalidSize(json.size));
     }
     Ok(MediaServerEntry {
         id: ServerId(json.id),
@@ -215,7 +215,7 @@
 fn title(value: &Value, service: &Service) -> Result<TitleEntry, EntryError> {
     let json = TitleJson::deserialize(value)?;
     if json.name.is_empty() {
-        return Err(EntryError::NoName);
+        return Err(EntryError::EmptyName);
     }
     let tenant = if json.tenant.is_empty() { 0 } else { index_of(&service.tenants, &json.tenant, "tenant")? };
     Ok(TitleEntry {
--- a/crates/front/discovery/src/mirror/mod.rs
+++ b/crates/front/discovery/src/mirror/mod.rs
@@ -1,4 +1,4 @@
-//! The whole list, put together from a snapshot and changes, as it was sent.
+//! The complete list as it was sent, assembled from a snapshot and its changes.
 
 use std::collections::BTreeMap;
 
@@ -6,45 +6,47 @@
 
 use crate::Message;
 
-/// The list as last heard, line by line.
+/// The entries of the latest list.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Mirror {
-    boxes: BTreeMap<u64, Value>,
+    media_servers: BTreeMap<u64, Value>,
     titles: BTreeMap<String, Value>,
 }
 
 impl Mirror {
-    /// Takes a message over. A media server without a number or a title without a name can't be kept.
-    pub fn apply(&mut self, whole: bool, message: &Message) {
-        if whole {
-            if message.boxes.is_empty() && !self.boxes.is_empty() {
-                return; // taken for a failure of the list service, see the session controller's catalog
+    /// Applies a message. A media server without an id and a title without a name are ignored.
+    pub fn apply(&mut self, is_snapshot: bool, message: &Message) {
+        if is_snapshot {
+            if message.media_servers.is_empty() && !self.media_servers.is_empty() {
+                return; // counts as a failure of the list service, as in the session controller's catalog
             }
             *self = Mirror::default();
         }
-        for line in &message.boxes {
-            let Some(id) = line.get("id").and_then(Value::as_u64) else { continue };
-            if line.get("state").and_then(Value::as_str) == Some("gone") {
-                self.boxes.remove(&id);
+        for entry in &message.media_servers {
+            let Some(id) = entry.get("id").and_then(Value::as_u64) else { continue };
+            if entry.get("state").and_then(Value::as_str) == Some("gone") {
+                self.media_servers.remove(&id);
             } else {
-                self.boxes.insert(id, line.clone());
+                self.media_servers.insert(id, entry.clone());
             }
         }
-        for name in &message.gone {
+        for name in &message.removed_titles {
             self.titles.remove(name);
         }
-        for line in &message.titles {
-            if let Some(name) = line.get("name").and_then(Value::as_str) {
-                self.titles.insert(name.to_owned(), line.clone());
+        for entry in &message.titles {
+            if let Some(name) = entry.get("name").and_then(Value::as_str) {
+                self.titles.insert(name.to_owned(), entry.clone());
             }
         }
     }
 
-    /// The whole list as one message.
+    /// Returns the complete list as one message.
     pub fn message(&self) -> Message {
-        let (boxes, titles) =
-            (self.boxes.values().cloned().collect(), self.titles.values().cloned().collect());
-        Message { boxes, titles, gone: Vec::new() }
+        Message {
+            media_servers: self.media_servers.values().cloned().collect(),
+            titles: self.titles.values().cloned().collect(),
+            removed_titles: Vec::new(),
+        }
     }
 }
 
--- a/crates/front/discovery/src/tests.rs
+++ b/crates/front/discovery/src/tests.rs
@@ -20,7 +20,7 @@
         v
     };
     let message = Message {
-        boxes: vec![
+        media_servers: vec![
             sound.clone(),
             with("state", json!("fine")),
             with("zone", json!("b")),
@@ -33,10 +33,10 @@
             json!({"name": "t", "class": "c", "holders": [1]}),
             json!({"name": "u", "class": "d", "holders": [1]}),
         ],
-        gone: vec!["v".into()],
+        removed_titles: vec!["v".into()],
     };
-    let read = read(Form::Change, &message, &service());
+    let read = read(MessageKind::Change, &message, &service());
     let EndpointUpdate::Change { servers, titles, removed } = read.update else { panic!("a change") };
     assert_eq!((servers.len(), titles.len(), removed.len(), read.faults.len()), (1, 1, 1, 7));
-    assert!(read.faults[1].contains("no zone is called 'b'"), "{:?}", read.faults);
+    assert!(read.faults[1].contains("unknown zone 'b'"), "{:?}", read.faults);
 }
--- a/crates/front/server/src/admission.rs
+++ b/crates/front/server/src/admission.rs
@@ -1,5 +1,7 @@
-//! Admission by the quotas of the whole fleet, before a session is requested and before an attempt goes to a media server.
-//! The session controller and the policy know nothing of quotas.
+//! Admission control by the quotas of the fleet.
+//!
+//! A session is checked before it is requested, and again before each attempt is sent to a media server. The session
+//! controller and the policy are not aware of quotas.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,56 +19,57 @@
 
 use crate::Shared;
 
-/// What a session holds.
+/// The permits of a session.
 struct SessionPermits {
     subject: Subject,
     session: Permit,
-    /// Of attempts, by their number; the one that plays, and those that may have left something at a media server.
+    /// Permits by the number of the attempt. Attempts that can't have left a session at a media server have none.
     attempts: BTreeMap<u16, Permit>,
-    /// Where it was set up: it is over once nothing is to be ended there any more.
+    /// Places where the session was set up. The permits are kept until no release is pending at any of them.
     resources: Vec<(ServerId, String)>,
 }
 
-/// What becomes of a set-up that is not admitted.
+/// The consequence of an attempt that was not admitted.
 pub(crate) enum Denied {
-    /// A quota of that media server is exhausted; the attempt counts as one that never ran.
+    /// A quota of the media server is exhausted. The input reports the attempt as not sent, so that another media server
+    /// can be tried.
     AtServer(Box<Input>),
-    /// No further attempt may be made: the client is answered.
+    /// Another quota is exhausted. The client is rejected, and the inputs end the session and its attempt.
     Entirely(Box<(Refusal, [Input; 2])>),
 }
 
-/// The quotas at a front.
+/// Admission control at a front.
 pub(crate) struct Admission {
-    gate: AdmissionController,
+    admission_controller: AdmissionController,
     incarnation: FrontId,
     service: Service,
     permits: BTreeMap<SessionId, SessionPermits>,
-    /// Requested and not playing yet.
+    /// Sessions that were requested and do not play yet.
     waiting: BTreeSet<SessionId>,
-    /// Over, but perhaps still to be ended at a media server.
+    /// Sessions that ended, but may still have a pending release.
     ending: BTreeSet<SessionId>,
 }
 
 impl Admission {
-    pub(crate) fn new(gate: AdmissionController, service: Service) -> Admission {
-        let incarnation = gate.front().id();
+    pub(crate) fn new(admission_controller: AdmissionController, service: Service) -> Admission {
+        let incarnation = admission_controller.front().id();
         let (permits, waiting, ending) = Default::default();
-        Admission { gate, incarnation, service, permits, waiting, ending }
+        Admission { admission_controller, incarnation, service, permits, waiting, ending }
     }
 
-    /// Whether a session may be requested.
+    /// Checks whether a session may be requested.
     pub(crate) fn admit_session(
         &mut self,
         controller: &SessionController,
         request: &SessionRequest,
         client: Option<Key>,
     ) -> Result<(), Refusal> {
-        // What is answered without a session is not counted; an offer sent again is counted once.
+        // Requests for unknown titles are answered without a session, and a repeated offer is already counted.
         let title = controller.catalog().title(&request.title);
         let Some(title) = title.filter(|_| !controller.is_repeat(request)) else { return Ok(()) };
         let subject = self.subject(controller, request, title, client);
-        let admitted = self.gate.admit(&subject, Stage::Session);
-        let session = admitted.inspect_err(|no| log_denied(request.session, no))?;
+        let admitted = self.admission_controller.admit(&subject, Stage::Session);
+        let session = admitted.inspect_err(|refusal| log_denied(request.session, refusal))?;
         let permits = SessionPermits { subject, session, attempts: BTreeMap::new(), resources: Vec::new() };
         self.permits.insert(request.session, permits);
         self.waiting.insert(request.session);
@@ -97,7 +100,8 @@
         }
     }
 
-    /// Whether an attempt may go to its media server; what the media server keeps with the session.
+    /// Checks whether an attempt may be sent to a media server. Returns the tag for the media server to store with the
+    /// session, or `None` if the session does not count against any quota.
     pub(crate) fn admit_attempt(
         &mut self,
         controller: &SessionController,
@@ -112,38 +116,38 @@
             server: entry.map(|entry| Key::of(&entry.name)),
             ..permits.subject.clone()
         };
-        match self.gate.admit(&subject, Stage::Attempt(attempt.number)) {
+        match self.admission_controller.admit(&subject, Stage::Attempt(attempt.number)) {
             Ok(permit) => {
                 let mut claims = permits.session.claims();
                 claims.extend(permit.claims());
                 permits.attempts.insert(attempt.number, permit);
                 Ok(tag::encode(self.incarnation, &claims))
             }
-            Err(no) => {
-                log_denied(attempt.session, &no);
-                Err(self.denied(no, now, attempt, server))
+            Err(refusal) => {
+                log_denied(attempt.session, &refusal);
+                Err(self.denied(refusal, now, attempt, server))
             }
         }
     }
 
-    fn denied(&self, no: Refusal, now: Micros, attempt: AttemptId, server: ServerId) -> Denied {
-        let never_ran = Input::AttemptEnded {
+    fn denied(&self, refusal: Refusal, now: Micros, attempt: AttemptId, server: ServerId) -> Denied {
+        let not_sent = Input::AttemptEnded {
             attempt,
             server,
             result: AttemptResult::Ended(Outcome::NotSent),
             sent_at: now,
             load: LoadReport::default(),
         };
-        let front = self.gate.front();
-        let is_of_server =
-            front.definitions().any(|quota| quota.name == no.limit && quota.scope.needs_media_server());
-        if is_of_server {
-            return Denied::AtServer(Box::new(never_ran));
+        let front = self.admission_controller.front();
+        let is_server_quota =
+            front.definitions().any(|quota| quota.name == refusal.limit && quota.scope.needs_media_server());
+        if is_server_quota {
+            return Denied::AtServer(Box::new(not_sent));
         }
-        Denied::Entirely(Box::new((no, [Input::ClientDisconnected(attempt.session), never_ran])))
+        Denied::Entirely(Box::new((refusal, [Input::ClientDisconnected(attempt.session), not_sent])))
     }
 
-    /// Notes what an input says of a session's attempts.
+    /// Updates the permits of a session whose attempt ended.
     pub(crate) fn observe_input(&mut self, input: &Input) {
         let Input::AttemptEnded { attempt, server, result, .. } = input else { return };
         let Some(permits) = self.permits.get_mut(&attempt.session) else { return };
@@ -157,7 +161,7 @@
         }
     }
 
-    /// Notes what an output says of sessions.
+    /// Updates the state of sessions that started to play or ended.
     pub(crate) fn observe_output(&mut self, output: &Output) {
         match output {
             Output::Reply(_, Answer::Playing { session, .. }) => {
@@ -170,10 +174,11 @@
         }
     }
 
-    /// Releases the permits of sessions that are over, at their media servers too. What one may still play counts.
+    /// Releases the permits of sessions that have ended and have no pending release. Until then a media server may still
+    /// run the session, so it counts against the quotas.
     pub(crate) fn release_finished(&mut self, controller: &SessionController) {
-        let gone: Vec<SessionId> = self.waiting.iter().filter(|id| !controller.has(**id)).copied().collect();
-        for id in gone {
+        let ended: Vec<SessionId> = self.waiting.iter().filter(|id| !controller.has(**id)).copied().collect();
+        for id in ended {
             self.waiting.remove(&id);
             self.ending.insert(id);
         }
@@ -181,17 +186,17 @@
         self.ending.retain(|id| {
             let is_releasing =
                 |(server, resource): &(ServerId, String)| controller.is_releasing(*server, resource);
-            let still_held =
+            let release_pending =
                 permits.get(id).is_some_and(|permits| permits.resources.iter().any(is_releasing));
-            if !still_held {
+            if !release_pending {
                 permits.remove(id);
             }
-            still_held
+            release_pending
         });
     }
 
-    /// This front ends; the permits of what plays are not released, as media servers still play it.
-    pub(crate) fn leave(&mut self) {
+    /// Detaches all permits when the front stops. They are not released, as the sessions keep playing.
+    pub(crate) fn detach_all(&mut self) {
         for permits in std::mem::take(&mut self.permits).into_values() {
             permits.session.detach();
             permits.attempts.into_values().for_each(Permit::detach);
@@ -199,23 +204,24 @@
     }
 }
 
-fn log_denied(session: SessionId, no: &Refusal) {
+fn log_denied(session: SessionId, refusal: &Refusal) {
     let session = format_args!("{:016x}", session.0);
-    let retry_after_ms = u64::try_from(no.retry_after.as_millis()).unwrap_or(u64::MAX);
+    let retry_after_ms = u64::try_from(refusal.retry_after.as_millis()).unwrap_or(u64::MAX);
     info!(
-        target: "core", session, limit = %no.limit, key = %no.key, why = ?no.reason, retry_after_ms, "not admitted"
+        target: "core", session, limit = %refusal.limit, key = %refusal.key, why = ?refusal.reason, retry_after_ms, "not admitted"
     );
-    debug!(target: "core", "{no}");
+    debug!(target: "core", "{refusal}");
 }
 
-/// When a rejected client is to retry, as the session controller says it.
-pub(crate) fn retry_after(no: &Refusal) -> Micros {
-    Micros(u64::try_from(no.retry_after.as_micros()).unwrap_or(u64::MAX))
+/// Returns when a rejected client is to retry, in the session controller's unit.
+pub(crate) fn retry_after(refusal: &Refusal) -> Micros {
+    Micros(u64::try_from(refusal.retry_after.as_micros()).unwrap_or(u64::MAX))
 }
 
-/// Reads the tags of a media server's sessions. One that is not there any more plays nothing.
+/// Reads the tags of a media server's sessions. Returns no tags if the connection is refused, as the media server then
+/// runs no sessions, and `None` if the call fails in another way.
 pub(crate) fn tags(shared: &Shared, address: SocketAddr) -> Option<BTreeMap<String, u64>> {
-    let until = Instant::now() + shared.settings.call_time;
+    let until = Instant::now() + shared.settings.call_timeout;
     match shared.pool.call(address, &media_server::tags(), until) {
         Ok(response) if response.status.is_success() => serde_json::from_slice(&response.body).ok(),
         Err(CallError::Refused) => Some(BTreeMap::new()),
--- a/crates/front/server/src/attempt.rs
+++ b/crates/front/server/src/attempt.rs
@@ -1,10 +1,16 @@
-//! One attempt, on the thread of its client: the offer goes to the media server, and both are watched until one acts.
+//! A single attempt, run on the thread of its client's connection.
 //!
-//! An attempt ends in one of four ways. The media server answers: its answer is the result. The time is up, or the
-//! client disconnects: the sending side of the connection is closed, which tells the media server to give the set-up
-//! up, and for [`GRACE`] its answer or its own close is waited for; an answer that still comes is undone. The
-//! connection breaks. No connection comes about. In each case the result is reported only when nothing more can come
-//! of the attempt here, so that a session never has two attempts in flight.
+//! The offer is sent to the media server, and the sockets of the media server and of the client are polled together. An
+//! attempt ends in one of four ways:
+//!
+//! - The media server answers, and its answer is the result.
+//! - The deadline passes or the client disconnects. The sending side of the connection is closed, which tells the media
+//!   server to abandon the set-up. Its answer or its own close is awaited for [`GRACE`], and a late answer is undone.
+//! - The connection breaks.
+//! - The connection can't be established.
+//!
+//! The result is reported only when the attempt can have no further effect, so that a session never has two attempts in
+//! flight.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -21,13 +27,13 @@
 use crate::Shared;
 use crate::messages::SetUp;
 
-/// How an attempt went.
+/// The end of an attempt.
 pub struct AttemptEnd {
-    /// For the session controller.
+    /// Result to be reported to the session controller.
     pub result: AttemptResult,
-    /// What the media server reported of its load.
+    /// The load that the media server reported.
     pub load: LoadReport,
-    /// The client disconnected meanwhile, and the session controller has been told.
+    /// Whether the client disconnected during the attempt. The session controller was already notified.
     pub client_disconnected: bool,
 }
 
@@ -36,7 +42,7 @@
     AttemptEnd { result, load: LoadReport::default(), client_disconnected: false }
 }
 
-/// Makes an attempt. `on_disconnect` is called at most once, as soon as the client is seen to have left.
+/// Runs an attempt until it ends. Calls `on_disconnect` at most once, as soon as the client disconnects.
 pub fn run(
     shared: &Shared,
     set_up: &SetUp,
@@ -73,7 +79,7 @@
                 }
                 break;
             }
-            // The client has sent something else meanwhile; it is read after this answer.
+            // The client sent further data, which is read after this request was answered.
             client_socket = None;
         }
     }
@@ -86,11 +92,11 @@
     request: &Request,
     deadline: Instant,
 ) -> Result<Exchange, CallError> {
-    let connect_until = deadline.min(Instant::now() + shared.settings.connect_time);
+    let connect_until = deadline.min(Instant::now() + shared.settings.connect_timeout);
     shared.pool.get(address, connect_until)?.send(request, deadline)
 }
 
-/// What a call that failed counts as; a process that is not there ends what played there.
+/// Returns the outcome of a call that failed. A refused connection is also reported as an event of the media server.
 fn outcome_of(shared: &Shared, set_up: &SetUp, error: &CallError) -> Outcome {
     debug!(target: "boxes", server = set_up.server.0, %error, "set-up failed");
     match error {
@@ -105,7 +111,7 @@
     }
 }
 
-/// Ends an attempt that is given up, and undoes what it may still have set up.
+/// Cancels an attempt and waits for its end. A session that was still set up is reported as unusable, to be released.
 fn abandon(mut exchange: Exchange) -> AttemptEnd {
     exchange.give_up();
     let until = Instant::now() + Duration::from_micros(GRACE.0);
--- a/crates/front/server/src/clock.rs
+++ b/crates/front/server/src/clock.rs
@@ -1,11 +1,11 @@
-//! The core's time, and chance where no seed is given.
+//! The front's clock, and a random seed for fronts without a configured one.
 
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
 
 pub use beechloft_clock::Clock;
 
-/// A seed where none is given. The standard library's hash keys come from the system's random source.
+/// Returns a random seed. It is derived from the standard library's hash keys, which come from the system's random source.
 pub fn entropy() -> u64 {
     RandomState::new().build_hasher().finish()
 }
--- a/crates/front/server/src/endpoint_list.rs
+++ b/crates/front/server/src/endpoint_list.rs
@@ -1,4 +1,6 @@
-//! Where the endpoint list comes from: the settings, or a service that pushes it, with a copy on disk for the start.
+//! The source of the endpoint list: the settings, or a list service that pushes updates.
+//!
+//! A list from the service is cached on disk, so that the front can start while the service is unreachable.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,7 +9,7 @@
 
 use beechloft_config::front::ListSource;
 use beechloft_discovery::mirror::Mirror;
-use beechloft_discovery::{CHANGE, Form, MAX_MESSAGE_BYTES, Message, SNAPSHOT, cache};
+use beechloft_discovery::{CHANGE, MAX_MESSAGE_BYTES, Message, MessageKind, SNAPSHOT, cache};
 use beechloft_http::client::{CallError, Conn, Stream};
 use beechloft_http::sse::{Event, Parser};
 use beechloft_http::{Method, Request, header};
@@ -20,29 +22,29 @@
 
 use crate::Shared;
 
-/// The first pause between two attempts; doubled by each failure. Each pause is drawn between half and all of it, so that
-/// fronts do not return together.
+/// Pause after the first failed connection. It is doubled with each further failure, and jitter keeps fronts from
+/// reconnecting at the same time.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest pause.
+/// The longest pause between two connection attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
-/// How long a connection and its response may take.
+/// Time within which the connection must be established and the response received.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often a read that waits polls whether the front has ended.
+/// Interval at which a blocked read checks whether the front has ended.
 const READ_POLL: Duration = Duration::from_millis(500);
-/// A stream silent for this long is broken; the service sends a comment each second.
+/// Time without data after which the stream counts as broken. The service sends a comment every second.
 const MAX_SILENCE: Duration = Duration::from_secs(4);
-/// The copy is written at most this often.
+/// Minimum interval between two writes of the cached list.
 const SAVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Makes the subscriber's random numbers differ from others of the same seed.
+/// Makes the subscriber's random numbers differ from others that are derived from the same seed.
 const SEED_SALT: u64 = 0x6c69_7374;
 
-/// Hands the session controller its first list and, where one is pushed, starts to follow it.
+/// Passes the session controller its first list and, if the list is pushed by a service, starts to follow it.
 ///
 /// # Errors
-/// No thread.
+/// Fails if a thread can't be started.
 pub fn start(shared: &Shared, seed: u64) -> io::Result<()> {
     match &shared.settings.list {
-        ListSource::Written(servers, titles) => {
+        ListSource::Static(servers, titles) => {
             let (servers, titles) = (servers.clone(), titles.clone());
             let snapshot = EndpointUpdate::Snapshot { cached: false, servers, titles };
             shared.handle.input(Input::Endpoints(snapshot));
@@ -51,13 +53,13 @@
         ListSource::Pushed { cache, .. } => {
             let mut mirror = Mirror::default();
             if let Some(path) = cache {
-                load_copy(shared, path, &mut mirror);
+                load_cached_list(shared, path, &mut mirror);
             }
             let subscriber = Subscriber {
                 shared: shared.clone(),
                 rng: ChaCha20Rng::seed_from_u64(seed ^ SEED_SALT),
                 mirror,
-                copy: cache.clone(),
+                cache_path: cache.clone(),
                 unsaved_since: None,
             };
             thread::Builder::new().name("list".into()).spawn(move || subscriber.run())?;
@@ -66,29 +68,29 @@
     }
 }
 
-fn load_copy(shared: &Shared, path: &Path, mirror: &mut Mirror) {
+fn load_cached_list(shared: &Shared, path: &Path, mirror: &mut Mirror) {
     match cache::load(path) {
         Ok(Some(message)) => {
-            let form = Form::Snapshot { cached: true };
-            let read = beechloft_discovery::read(form, &message, &shared.settings.service);
-            let (servers, titles) = (message.boxes.len(), message.titles.len());
-            info!(target: "list", servers, titles, "copy of the endpoint list read");
+            let kind = MessageKind::Snapshot { cached: true };
+            let read = beechloft_discovery::read(kind, &message, &shared.settings.service);
+            let (servers, titles) = (message.media_servers.len(), message.titles.len());
+            info!(target: "list", servers, titles, "cached endpoint list loaded");
             mirror.apply(true, &message);
             shared.handle.input(Input::Endpoints(read.update));
         }
-        Ok(None) => info!(target: "list", "no copy of the endpoint list yet"),
+        Ok(None) => info!(target: "list", "no cached endpoint list found"),
         Err(error) => {
-            warn!(target: "list", path = %path.display(), %error, "the copy of the endpoint list can't be read");
+            warn!(target: "list", path = %path.display(), %error, "failed to read the cached endpoint list");
         }
     }
 }
 
-/// Follows the list's service.
+/// Follows the updates of the list service.
 struct Subscriber {
     shared: Shared,
     rng: ChaCha20Rng,
     mirror: Mirror,
-    copy: Option<PathBuf>,
+    cache_path: Option<PathBuf>,
     unsaved_since: Option<Instant>,
 }
 
@@ -99,7 +101,7 @@
         while !self.shared.handle.ended() {
             let error = match self.connect() {
                 Ok(mut stream) => {
-                    info!(target: "list", "endpoint list's service reached");
+                    info!(target: "list", "connected to the list service");
                     backoff = INITIAL_BACKOFF;
                     was_up = true;
                     self.read(&mut stream)
@@ -110,19 +112,19 @@
                 return;
             }
             if std::mem::take(&mut was_up) {
-                warn!(target: "list", %error, "endpoint list's service lost; the known list stays");
+                warn!(target: "list", %error, "connection to the list service lost; the known endpoint list is kept");
                 self.shared.handle.input(Input::Endpoints(EndpointUpdate::Failed));
             }
-            thread::sleep(self.with_jitter(backoff));
+            thread::sleep(self.jittered(backoff));
             backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
-    /// A pause between half and all of this one.
-    fn with_jitter(&mut self, pause: Duration) -> Duration {
-        let half = pause / 2;
-        let part = self.rng.next_u64() as f64 / u64::MAX as f64;
-        half + half.mul_f64(part)
+    /// Draws a pause between half of `backoff` and all of it.
+    fn jittered(&mut self, backoff: Duration) -> Duration {
+        let half = backoff / 2;
+        let fraction = self.rng.next_u64() as f64 / u64::MAX as f64;
+        half + half.mul_f64(fraction)
     }
 
     fn connect(&self) -> Result<Stream, CallError> {
@@ -136,10 +138,10 @@
         if response.status.is_success() {
             return Ok(stream);
         }
-        Err(CallError::Broken(io::Error::other(format!("status {}", response.status))))
+        Err(CallError::Broken(io::Error::other(format!("unexpected status {}", response.status))))
     }
 
-    /// Reads until the stream breaks or falls silent.
+    /// Reads the stream until it breaks or times out, and returns the reason.
     fn read(&mut self, stream: &mut Stream) -> CallError {
         let mut parser = Parser::new(MAX_MESSAGE_BYTES);
         let mut events = Vec::new();
@@ -160,39 +162,40 @@
                 Err(error) => return error,
             }
             for event in events.drain(..) {
-                self.take(&event);
+                self.handle_event(&event);
             }
-            self.save();
+            self.save_if_due();
         }
     }
 
-    fn take(&mut self, event: &Event) {
-        let form = match event.name.as_str() {
-            SNAPSHOT => Form::Snapshot { cached: false },
-            CHANGE => Form::Change,
+    fn handle_event(&mut self, event: &Event) {
+        let kind = match event.name.as_str() {
+            SNAPSHOT => MessageKind::Snapshot { cached: false },
+            CHANGE => MessageKind::Change,
             _ => return,
         };
         let message: Message = match serde_json::from_str(&event.data) {
             Ok(message) => message,
             Err(error) => {
-                return warn!(target: "list", %error, "a message of the endpoint list that can't be read is ignored");
+                return warn!(target: "list", %error, "malformed endpoint list message ignored");
             }
         };
-        let read = beechloft_discovery::read(form, &message, &self.shared.settings.service);
+        let read = beechloft_discovery::read(kind, &message, &self.shared.settings.service);
         for fault in read.faults {
             warn!(target: "list", "{fault}");
         }
-        self.mirror.apply(form != Form::Change, &message);
+        self.mirror.apply(kind != MessageKind::Change, &message);
         self.unsaved_since.get_or_insert_with(Instant::now);
         self.shared.handle.input(Input::Endpoints(read.update));
     }
 
-    fn save(&mut self) {
-        let Some(path) = &self.copy else { return };
+    /// Writes the cached list if it has changed and [`SAVE_INTERVAL`] has passed since the change.
+    fn save_if_due(&mut self) {
+        let Some(path) = &self.cache_path else { return };
         if self.unsaved_since.is_some_and(|since| since.elapsed() >= SAVE_INTERVAL) {
             self.unsaved_since = None;
             if let Err(error) = cache::save(path, &self.mirror.message()) {
-                warn!(target: "list", path = %path.display(), %error, "the copy of the endpoint list can't be written");
+                warn!(target: "list", path = %path.display(), %error, "failed to write the cached endpoint list");
             }
         }
     }
--- a/crates/front/server/src/engine/event_loop.rs
+++ b/crates/front/server/src/engine/event_loop.rs
@@ -1,4 +1,4 @@
-//! The engine's thread: messages in, outputs carried out.
+//! The engine's event loop, which handles messages and carries out the session controller's outputs.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -19,9 +19,9 @@
 use crate::messages::{EngineMessage, EngineReply, Recording, SetUp, SlotSource, Status};
 use crate::server_calls::{Job, ServerCalls};
 
-/// Streams of one session's events at once; a further one takes the place of the last.
+/// Maximum number of subscribers to the events of one session. A further one replaces the latest.
 const MAX_FOLLOWERS: usize = 2;
-/// The longest wait for a message when nothing is due.
+/// The longest wait for a message if nothing is due.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
 pub(super) struct EventLoop {
@@ -38,7 +38,7 @@
     pub(super) slot: Option<SlotAssignment>,
     pub(super) evidence: Option<EvidenceCollector>,
     pub(super) admission: Option<Admission>,
-    /// What became of attempts that were not admitted, for the controller.
+    /// Inputs that tell the controller about attempts that were not admitted.
     pub(super) denied: VecDeque<Input>,
 }
 
@@ -52,21 +52,21 @@
             let wait = due.map_or(MAX_WAIT, |at| at.saturating_duration_since(Instant::now()));
             match receiver.recv_timeout(wait) {
                 Ok(EngineMessage::Stop) => break,
-                Ok(message) => self.take(message),
+                Ok(message) => self.handle_message(message),
                 Err(_) => self.input(Input::Tick),
             }
         }
         self.event_streams.stop();
         self.calls.stop();
         if let Some(admission) = &mut self.admission {
-            admission.leave();
+            admission.detach_all();
         }
         let mut recording = self.recording.unwrap_or_default();
         recording.exchanges = self.controller.take_exchanges();
         recording
     }
 
-    fn take(&mut self, message: EngineMessage) {
+    fn handle_message(&mut self, message: EngineMessage) {
         match message {
             EngineMessage::Input(Input::Request(request)) => self.call_request(request),
             EngineMessage::Input(input) => self.input(input),
@@ -90,26 +90,28 @@
         }
     }
 
-    /// A request over HTTP: its thread waits for the reply.
+    /// Handles a request over HTTP, whose thread waits for the replies.
     fn client_request(&mut self, request: SessionRequest, client: Option<Key>, sender: Sender<EngineReply>) {
         let admission = self.admission.as_mut();
         let denied =
             admission.and_then(|admission| admission.admit_session(&self.controller, &request, client).err());
-        if let Some(no) = denied {
-            let _ = sender.send(EngineReply::QuotaExceeded(no));
+        if let Some(refusal) = denied {
+            let _ = sender.send(EngineReply::QuotaExceeded(refusal));
             return;
         }
         self.waiting.insert(request.request, sender);
         self.input(Input::Request(request));
     }
 
-    /// A call over SIP: its agent is told of an exhausted quota as of any other rejection.
+    /// Handles a call over SIP. The agent sees an exhausted quota as an ordinary rejection.
     fn call_request(&mut self, request: SessionRequest) {
         let admission = self.admission.as_mut();
         let denied =
             admission.and_then(|admission| admission.admit_session(&self.controller, &request, None).err());
         match denied {
-            Some(no) => self.reply(request.request, Answer::Rejected(Some(admission::retry_after(&no)))),
+            Some(refusal) => {
+                self.reply(request.request, Answer::Rejected(Some(admission::retry_after(&refusal))))
+            }
             None => self.input(Input::Request(request)),
         }
     }
@@ -117,7 +119,7 @@
     fn status(&self) -> Status {
         let catalog = self.controller.catalog();
         Status {
-            listed: catalog.is_known(),
+            has_endpoint_list: catalog.is_known(),
             media_servers: catalog.servers().count(),
             titles: catalog.titles().count(),
             playing: self.controller.playing(),
@@ -126,10 +128,10 @@
         }
     }
 
-    /// Hands what concerns SIP to its agent; whether that was all that is to be done.
+    /// Passes an output to the SIP agent if it concerns SIP. Returns whether the agent carries it out completely.
     fn handled_by_sip(&self, output: &Output) -> bool {
         let Some(agent) = &self.sip else { return false };
-        let (concerns_sip, is_all) = match output {
+        let (concerns_sip, is_complete) = match output {
             Output::SetUp { request, .. } | Output::Reply(request, _) => (request.0 & agent::OWN != 0, true),
             Output::SetRung { layers, .. } => (layers.starts_with(agent::RESOURCE), true),
             Output::Release { resource, .. } => (resource.starts_with(agent::RESOURCE), true),
@@ -139,20 +141,20 @@
         if concerns_sip {
             let _ = agent.send(agent::Input::Core(Box::new(output.clone())));
         }
-        concerns_sip && is_all
+        concerns_sip && is_complete
     }
 
-    /// Sends an event to those who follow a session; one that does not keep up is dropped.
+    /// Sends an event to the subscribers of a session. A subscriber whose buffer is full is dropped.
     fn notify_followers(&mut self, session: SessionId, event: PlayerEvent) {
         if let Some(followers) = self.followers.get_mut(&session) {
             followers.retain(|follower| follower.try_send(event).is_ok());
         }
     }
 
-    /// Hands the controller its slot right before any other input: a lease may have expired since.
+    /// Updates the controller's slot. This is done before each input, as the slot's lease may have expired.
     fn update_slot(&mut self) {
-        let now = self.slots.as_ref().and_then(|slots| slots());
-        if let Some(slot) = now.filter(|slot| Some(*slot) != self.slot) {
+        let current = self.slots.as_ref().and_then(|slots| slots());
+        if let Some(slot) = current.filter(|slot| Some(*slot) != self.slot) {
             info!(target: "core", number = slot.slot, of = slot.slot_count, fronts = slot.live_fronts, "numbered");
             self.slot = Some(slot);
             self.handle(Input::SlotAssigned(slot));
@@ -230,8 +232,9 @@
         }
     }
 
-    /// Whether a set-up may go out, and then what the media server is to keep with it. If a quota is exhausted, the
-    /// controller is told that the attempt never ran.
+    /// Checks whether an attempt may be sent, and returns the tag for the media server if there is one.
+    ///
+    /// Returns `None` if a quota is exhausted. The controller is then notified that the attempt was not sent.
     fn admit_attempt(
         &mut self,
         attempt: beechloft_session::io::AttemptId,
@@ -241,13 +244,13 @@
         let Some(admission) = &mut self.admission else { return Some(None) };
         match admission.admit_attempt(&self.controller, self.clock.now(), attempt, server) {
             Ok(tag) => return Some(tag),
-            Err(Denied::AtServer(never_ran)) => self.denied.push_back(*never_ran),
+            Err(Denied::AtServer(not_sent)) => self.denied.push_back(*not_sent),
             Err(Denied::Entirely(denied)) => {
-                let (no, inputs) = *denied;
+                let (refusal, inputs) = *denied;
                 self.denied.extend(inputs);
                 match self.waiting.remove(&request) {
-                    Some(waiting) => drop(waiting.send(EngineReply::QuotaExceeded(no))),
-                    None => self.reply(request, Answer::Rejected(Some(admission::retry_after(&no)))),
+                    Some(waiting) => drop(waiting.send(EngineReply::QuotaExceeded(refusal))),
+                    None => self.reply(request, Answer::Rejected(Some(admission::retry_after(&refusal)))),
                 }
             }
         }
@@ -268,7 +271,7 @@
                     let _ = waiting.send(EngineReply::Answer(answer));
                 }
             }
-            // The client's own thread dropped the attempt when it saw the client disconnect.
+            // The client's own thread cancelled the attempt when the client disconnected.
             Output::Cancel(_) => {}
             Output::SetRung { server, session, layers, rung, .. } => {
                 self.calls.push(server, Job::SetRung { path: layers, rung });
@@ -283,9 +286,9 @@
                 self.calls.forget(server);
                 self.event_streams.close(server);
             }
-            Output::Subscribe => {} // the endpoint list is pushed
+            Output::Subscribe => {} // the endpoint list is pushed without a subscription
             Output::SessionEnded(session, reason) => {
-                info!(target: "core", session = format_args!("{:016x}", session.0), ?reason, "over");
+                info!(target: "core", session = format_args!("{:016x}", session.0), ?reason, "session ended");
                 self.notify_followers(session, PlayerEvent::Inactive);
                 self.followers.remove(&session);
             }
@@ -298,12 +301,12 @@
             self.calls.set_address(server, address);
             self.event_streams.open(server, address);
         } else {
-            warn!(target: "list", server = server.0, %url, "a media server's address can't be read");
+            warn!(target: "list", server = server.0, %url, "invalid media server address");
         }
     }
 }
 
-/// Logs what is done for sessions, whatever they speak.
+/// Logs the outputs that act on a session at a media server, for all protocols.
 fn log(output: &Output) {
     match output {
         Output::SetUp { attempt, server, rung, .. } => info!(
@@ -311,7 +314,7 @@
             server = server.0, rung = rung.0, "set-up"
         ),
         Output::SetRung { server, session, rung, .. } => debug!(
-            target: "core", session = format_args!("{:016x}", session.0), server = server.0, rung = rung.0, "rung"
+            target: "core", session = format_args!("{:016x}", session.0), server = server.0, rung = rung.0, "rung changed"
         ),
         _ => {}
     }
--- a/crates/front/server/src/engine/mod.rs
+++ b/crates/front/server/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the session controller: inputs in, outputs carried to those who wait.
+//! The engine: the thread that owns the session controller and carries out its outputs.
 
 mod event_loop;
 
@@ -22,17 +22,17 @@
 use crate::messages::{EngineMessage, FleetHooks, Recording};
 use crate::server_calls::ServerCalls;
 
-/// The engine's thread and its helpers.
+/// The engine's thread.
 pub struct Engine {
     sender: Sender<EngineMessage>,
     thread: JoinHandle<Recording>,
 }
 
 impl Engine {
-    /// Starts it.
+    /// Starts the engine and its workers, and returns it with a handle for the other threads.
     ///
     /// # Errors
-    /// No thread.
+    /// Fails if a thread can't be started.
     pub fn start(
         controller: SessionController,
         clock: Clock,
@@ -44,12 +44,12 @@
         let (sender, receiver) = unbounded();
         let handle = EngineHandle::new(sender.clone());
         let ended = handle.ended.clone();
-        let FleetHooks { slots, observer, gate } = hooks;
+        let FleetHooks { slots, observer, admission_controller } = hooks;
         let event_loop = EventLoop {
             controller,
             clock,
-            calls: ServerCalls::start(handle.clone(), pool, settings.call_time)?,
-            event_streams: EventStreams::new(handle.clone(), settings.connect_time),
+            calls: ServerCalls::start(handle.clone(), pool, settings.call_timeout)?,
+            event_streams: EventStreams::new(handle.clone(), settings.connect_timeout),
             waiting: BTreeMap::new(),
             followers: BTreeMap::new(),
             outputs: Vec::new(),
@@ -58,7 +58,8 @@
             slots,
             slot: None,
             evidence: observer.map(EvidenceCollector::new),
-            admission: gate.map(|gate| Admission::new(gate, settings.service.clone())),
+            admission: admission_controller
+                .map(|admission_controller| Admission::new(admission_controller, settings.service.clone())),
             denied: VecDeque::new(),
         };
         let thread = thread::Builder::new().name("core".into()).spawn(move || {
@@ -69,7 +70,7 @@
         Ok((Engine { sender, thread }, handle))
     }
 
-    /// Ends the thread; what it recorded, if it did.
+    /// Stops the engine and returns its recording, which is empty if nothing was recorded.
     pub fn stop(self) -> Recording {
         let _ = self.sender.send(EngineMessage::Stop);
         self.thread.join().unwrap_or_default()
--- a/crates/front/server/src/event_streams.rs
+++ b/crates/front/server/src/event_streams.rs
@@ -1,4 +1,4 @@
-//! Event streams of media servers: one thread for each reads its events and reports how the stream fares.
+//! Event streams of media servers. A thread per media server reads the events and reports the state of the stream.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,38 +17,38 @@
 
 use crate::handle::EngineHandle;
 
-/// The first pause between two attempts to connect; doubled by each failure.
+/// Pause after the first failed connection. It is doubled with each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest pause. A media server that returns is known within this time.
+/// The longest pause between two connection attempts, and so the time within which a restarted media server is noticed.
 const MAX_BACKOFF: Duration = Duration::from_millis(1600);
-/// How often a pause polls whether the stream is to be closed.
+/// Interval at which a pause checks whether the stream was closed.
 const CLOSE_POLL: Duration = Duration::from_millis(100);
-/// How often a read that waits polls the same.
+/// Interval at which a blocked read checks whether the stream was closed.
 const READ_POLL: Duration = Duration::from_millis(250);
-/// The stack of a stream's thread, bytes.
-const THREAD_STACK: usize = 128 * 1024;
-/// How long the response to the request for events may take. A media server that is up but busy may take its time; its
-/// sessions play on.
+/// Stack size of a stream's thread.
+const THREAD_STACK_BYTES: usize = 128 * 1024;
+/// Time within which the request for events must be answered. It is longer than the connection timeout, as the sessions of
+/// a busy media server continue to play.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A stream without an event for this many beats is broken.
-const SILENT_BEATS: u64 = 3;
-/// A media server that sends more is taken for broken: its events would crowd out those of others.
+/// Number of missed heartbeats after which a stream counts as broken.
+const MAX_MISSED_HEARTBEATS: u64 = 3;
+/// Maximum rate of events. A stream that exceeds it counts as broken, as its events would delay those of other streams.
 const MAX_EVENTS_PER_SECOND: usize = 20_000;
 
-/// The streams that are open.
+/// The open event streams.
 pub struct EventStreams {
     handle: EngineHandle,
-    connect_time: Duration,
+    connect_timeout: Duration,
     closed_flags: BTreeMap<ServerId, Arc<AtomicBool>>,
 }
 
 impl EventStreams {
-    /// None yet.
-    pub fn new(handle: EngineHandle, connect_time: Duration) -> Self {
-        EventStreams { handle, connect_time, closed_flags: BTreeMap::new() }
+    /// Creates an empty set of streams.
+    pub fn new(handle: EngineHandle, connect_timeout: Duration) -> Self {
+        EventStreams { handle, connect_timeout, closed_flags: BTreeMap::new() }
     }
 
-    /// Keeps a stream to a media server at this address, in place of an earlier one.
+    /// Opens a stream to a media server at this address, in place of any earlier one.
     pub fn open(&mut self, server: ServerId, address: SocketAddr) {
         self.close(server);
         let closed = Arc::new(AtomicBool::new(false));
@@ -57,27 +57,27 @@
             address,
             handle: self.handle.clone(),
             closed: closed.clone(),
-            connect_time: self.connect_time,
+            connect_timeout: self.connect_timeout,
         };
-        let thread = thread::Builder::new().name("watch".into()).stack_size(THREAD_STACK);
+        let thread = thread::Builder::new().name("watch".into()).stack_size(THREAD_STACK_BYTES);
         match thread.spawn(move || stream.run()) {
             Ok(_) => {
                 self.closed_flags.insert(server, closed);
             }
             Err(error) => {
-                warn!(target: "boxes", server = server.0, %error, "no thread for a media server's event stream");
+                warn!(target: "boxes", server = server.0, %error, "failed to start the thread of an event stream");
             }
         }
     }
 
-    /// Closes the stream to a media server. Its thread ends within a poll.
+    /// Closes the stream to a media server. Its thread ends after at most one poll interval.
     pub fn close(&mut self, server: ServerId) {
         if let Some(closed) = self.closed_flags.remove(&server) {
             closed.store(true, Ordering::SeqCst);
         }
     }
 
-    /// Closes all.
+    /// Closes all streams.
     pub fn stop(&mut self) {
         for closed in std::mem::take(&mut self.closed_flags).into_values() {
             closed.store(true, Ordering::SeqCst);
@@ -90,7 +90,7 @@
     address: SocketAddr,
     handle: EngineHandle,
     closed: Arc<AtomicBool>,
-    connect_time: Duration,
+    connect_timeout: Duration,
 }
 
 impl EventStream {
@@ -106,7 +106,7 @@
 
     fn run(&self) {
         let mut backoff = INITIAL_BACKOFF;
-        // Repeating the same event would only keep the engine busy.
+        // A refused connection is reported only once, as repeating the event would load the engine for nothing.
         let mut refusal_reported = false;
         while !self.is_closed() {
             let error = match self.connect() {
@@ -117,7 +117,7 @@
                 }
                 Err(error) => error,
             };
-            debug!(target: "boxes", server = self.server.0, %error, "event stream");
+            debug!(target: "boxes", server = self.server.0, %error, "event stream ended");
             match error {
                 CallError::Refused if refusal_reported => {}
                 CallError::Refused => {
@@ -143,18 +143,18 @@
 
     fn connect(&self) -> Result<Stream, CallError> {
         let request = Request::new(Method::GET, server_events::PATH).with(header::ACCEPT, EVENTS);
-        let until = Instant::now() + self.connect_time;
+        let until = Instant::now() + self.connect_timeout;
         let exchange = Conn::open(self.address, until)?.send(&request, until)?;
         let (response, stream) = exchange.into_stream(Instant::now() + RESPONSE_TIMEOUT)?;
         if response.status.is_success() {
             return Ok(stream);
         }
-        Err(CallError::Broken(std::io::Error::other(format!("status {}", response.status))))
+        Err(CallError::Broken(std::io::Error::other(format!("unexpected status {}", response.status))))
     }
 
-    /// Reads until the stream breaks or falls silent.
+    /// Reads the stream until it breaks, times out or is closed, and returns the reason.
     fn read(&self, stream: &mut Stream) -> CallError {
-        let max_silence = Duration::from_micros(server_events::HEARTBEAT.0 * SILENT_BEATS);
+        let max_silence = Duration::from_micros(server_events::HEARTBEAT.0 * MAX_MISSED_HEARTBEATS);
         let mut parser = Parser::new(server_events::MAX_EVENT_BYTES);
         let mut events = Vec::new();
         let mut received_at = Instant::now();
@@ -178,8 +178,8 @@
             }
             events_in_second += events.len();
             if events_in_second > MAX_EVENTS_PER_SECOND {
-                let flood = "more events a second than a healthy media server sends";
-                return CallError::Broken(std::io::Error::other(flood));
+                let error = format!("more than {MAX_EVENTS_PER_SECOND} events per second");
+                return CallError::Broken(std::io::Error::other(error));
             }
             for event in events.drain(..).filter_map(|event| server_events::read(&event)) {
                 self.report(event);
--- a/crates/front/server/src/evidence.rs
+++ b/crates/front/server/src/evidence.rs
@@ -1,9 +1,9 @@
-//! Evidence of media servers from a front's attempts, for outlier detection.
+//! Evidence about media servers, collected from a front's attempts for outlier detection.
 //!
-//! The engine passes every input and output of the session controller by here. Only what says something of a media server
-//! becomes evidence: an attempt that was dropped as its client left, was rejected unseen, or never ran says nothing. An
-//! error may be the request's own fault: it becomes evidence once the same session plays elsewhere, or is over with
-//! that one error (as the policy counts, `docs/design.md`, Health).
+//! The engine passes all inputs and outputs of the session controller to the collector. Attempts that were cancelled
+//! because the client disconnected, were rejected by an overloaded media server, or were never sent are not evidence. An
+//! error response may be caused by the request itself. It becomes evidence once the same session plays at another media
+//! server, or ends with that single error, which is how the policy counts errors too (`docs/design.md`, Health).
 
 use std::collections::BTreeMap;
 
@@ -12,61 +12,61 @@
 use beechloft_session::holder_filter::HolderFilter;
 use beechloft_session::io::{Answer, AttemptId, AttemptResult, Input, MediaServerEvent, Output, RequestId};
 
-/// Sessions that are followed at once, at most; others give no evidence.
-const MAX_FOLLOWED: usize = 1 << 16;
-/// An attempt that was dropped this long before its deadline, or later, counts as timed out.
+/// Maximum number of sessions that are tracked at once. Further sessions yield no evidence.
+const MAX_TRACKED_SESSIONS: usize = 1 << 16;
+/// An attempt that was cancelled at most this long before its deadline counts as timed out.
 const DEADLINE_TOLERANCE: Micros = Micros(5_000);
 
-/// How an attempt ended, as far as it says something of a media server.
+/// The outcome of an attempt, as far as it is evidence about the media server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
-    /// The media server accepted it, after this long.
+pub enum AttemptOutcome {
+    /// The media server accepted the session after this time.
     Accepted(Micros),
-    /// It answered with an error, or there was no connection.
+    /// The media server answered with an error, or the connection failed.
     Error,
-    /// No answer in time.
+    /// The media server did not answer in time.
     Timeout,
-    /// It found fault with the request.
+    /// The media server rejected the request itself.
     Declined,
 }
 
-/// An attempt that is over.
+/// Evidence about a media server from an attempt that ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Evidence {
-    /// The media server it went to.
+    /// The media server that the attempt was sent to.
     pub server: ServerId,
-    /// The title, as it was requested.
+    /// Name of the requested title.
     pub title: String,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
-    /// How it ended.
-    pub verdict: Verdict,
+    /// The outcome of the attempt.
+    pub outcome: AttemptOutcome,
 }
 
-/// Takes evidence. It is called on the engine's thread and must not block.
+/// Receives evidence. Its methods are called on the engine's thread and must not block.
 pub trait Observer: Send {
-    /// The endpoint list changed.
+    /// Handles a change of the endpoint list.
     fn endpoints_changed(&mut self, catalog: &Catalog);
-    /// A media server's event stream is up; `boot` identifies the run of its process.
+    /// Handles a connected event stream of a media server, whose process start is identified by `boot`.
     fn connected(&mut self, server: ServerId, boot: u64);
-    /// An attempt is over.
+    /// Handles the evidence from an attempt that ended.
     fn attempt_ended(&mut self, evidence: Evidence, now: Micros);
-    /// The filter on holders from now on, if it changed.
+    /// Returns the new filter on holders, or `None` if it has not changed.
     fn holder_filter(&mut self) -> Option<HolderFilter>;
 }
 
-/// A session whose client waits for its answer.
+/// A session whose client waits for the answer.
 #[derive(Debug)]
 struct WaitingSession {
     request: RequestId,
     title: String,
-    /// The deadline of its latest attempt.
+    /// Deadline of the latest attempt.
     deadline: Micros,
-    /// Errors that may be the request's own fault.
+    /// Error responses, which may have been caused by the request itself.
     errors: Vec<Evidence>,
 }
 
-/// The observer and the sessions that it is told of.
+/// Derives evidence from the inputs and outputs of the session controller and passes it to the observer.
 pub(crate) struct EvidenceCollector {
     observer: Box<dyn Observer>,
     waiting: BTreeMap<SessionId, WaitingSession>,
@@ -85,7 +85,8 @@
     pub(crate) fn input(&mut self, now: Micros, input: &Input) {
         match input {
             Input::Request(request)
-                if self.waiting.len() < MAX_FOLLOWED && !self.waiting.contains_key(&request.session) =>
+                if self.waiting.len() < MAX_TRACKED_SESSIONS
+                    && !self.waiting.contains_key(&request.session) =>
             {
                 self.by_request.insert(request.request, request.session);
                 let session = WaitingSession {
@@ -120,19 +121,19 @@
         sent_at: Micros,
     ) {
         let Some(session) = self.waiting.get_mut(&attempt.session) else { return };
-        let had_its_time = now + DEADLINE_TOLERANCE >= session.deadline;
-        let verdict = match result {
-            AttemptResult::Accepted { .. } => Some(Verdict::Accepted(now - sent_at)),
-            AttemptResult::Declined(_) => Some(Verdict::Declined),
+        let deadline_reached = now + DEADLINE_TOLERANCE >= session.deadline;
+        let outcome = match result {
+            AttemptResult::Accepted { .. } => Some(AttemptOutcome::Accepted(now - sent_at)),
+            AttemptResult::Declined(_) => Some(AttemptOutcome::Declined),
             AttemptResult::Unusable { outcome, .. } | AttemptResult::Ended(outcome) => match outcome {
-                Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => Some(Verdict::Error),
-                // One that was dropped as its client left counts as a time-out for the policy, too.
-                Outcome::Timeout => had_its_time.then_some(Verdict::Timeout),
+                Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => Some(AttemptOutcome::Error),
+                // An attempt that was cancelled because its client disconnected has the same outcome for the policy.
+                Outcome::Timeout => deadline_reached.then_some(AttemptOutcome::Timeout),
                 Outcome::Ok | Outcome::Overloaded | Outcome::Cancelled | Outcome::NotSent => None,
             },
         };
-        let Some(verdict) = verdict else { return };
-        let evidence = Evidence { server, title: session.title.clone(), sent_at, verdict };
+        let Some(outcome) = outcome else { return };
+        let evidence = Evidence { server, title: session.title.clone(), sent_at, outcome };
         if matches!(result, AttemptResult::Ended(Outcome::Error)) {
             session.errors.push(evidence);
         } else {
--- a/crates/front/server/src/handle.rs
+++ b/crates/front/server/src/handle.rs
@@ -1,4 +1,4 @@
-//! The way to the engine's thread, for all other threads.
+//! The handle by which all other threads reach the engine's thread.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,14 +16,14 @@
 
 use crate::messages::{EngineMessage, EngineReply, Status};
 
-/// Events that a stream may be behind.
+/// Maximum number of events that are buffered for a subscriber.
 const MAX_UNREAD_EVENTS: usize = 64;
-/// How long a call that is answered at once may take.
+/// Time within which the engine answers a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often a wait for the front to become idle polls.
+/// Interval at which a wait for the front to become idle polls its status.
 const IDLE_POLL: Duration = Duration::from_millis(5);
 
-/// The way to the engine.
+/// A handle to the engine.
 #[derive(Clone)]
 pub struct EngineHandle {
     sender: Sender<EngineMessage>,
@@ -33,44 +33,44 @@
 }
 
 impl EngineHandle {
-    /// The way to an engine that receives these messages.
+    /// Creates a handle that sends messages to the engine through `sender`.
     pub(crate) fn new(sender: Sender<EngineMessage>) -> EngineHandle {
         let (next_request, addresses, ended) = Default::default();
         EngineHandle { sender, next_request, addresses, ended }
     }
 
-    /// Sends a message. The engine ends last; what comes after concerns nobody any more.
+    /// Sends a message. It is lost if the engine has ended, which happens only after everything else.
     fn send(&self, message: EngineMessage) {
         let _ = self.sender.send(message);
     }
 
-    /// Hands the session controller an input.
+    /// Passes an input to the session controller.
     pub fn input(&self, input: Input) {
         self.send(EngineMessage::Input(input));
     }
 
-    /// Whether the front has ended: nobody receives any more.
+    /// Returns whether the engine has ended.
     pub fn ended(&self) -> bool {
         self.ended.load(Ordering::SeqCst)
     }
 
-    /// A new id for a client's call.
+    /// Returns a new id for a client's call.
     pub fn next_request(&self) -> RequestId {
         RequestId(self.next_request.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Requests a session, for a client if it is known which; what is to be done for it comes out of the receiver.
+    /// Requests a session, on behalf of `client` if it is known. The engine's replies arrive at the receiver.
     pub fn request_session(&self, request: SessionRequest, client: Option<Key>) -> Receiver<EngineReply> {
         let (sender, receiver) = unbounded();
         self.send(EngineMessage::Request(Box::new(request), client, sender));
         receiver
     }
 
-    /// A call that is answered at once.
-    pub fn call(&self, make: impl FnOnce(RequestId) -> Input) -> Answer {
+    /// Makes a call that the engine answers immediately. Returns [`Answer::Failed`] if there is no answer in time.
+    pub fn call(&self, input: impl FnOnce(RequestId) -> Input) -> Answer {
         let (sender, receiver) = bounded(1);
         let request = self.next_request();
-        self.send(EngineMessage::Call(make(request), request, sender));
+        self.send(EngineMessage::Call(input(request), request, sender));
         match receiver.recv_timeout(CALL_TIMEOUT) {
             Ok(EngineReply::Answer(answer)) => answer,
             _ => Answer::Failed,
@@ -86,36 +86,37 @@
         };
     }
 
-    /// Where a media server listens.
+    /// Returns the address of a media server, or `None` if it is unknown.
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
         self.addresses.read().unwrap_or_else(PoisonError::into_inner).get(&server).copied()
     }
 
-    /// Where all known media servers listen.
+    /// Returns the addresses of all known media servers.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.addresses.read().unwrap_or_else(PoisonError::into_inner).values().copied().collect()
     }
 
-    /// What concerns SIP goes to its agent from now on.
+    /// Attaches the SIP agent, which takes over all outputs that concern SIP.
     pub fn attach_sip(&self, agent: Sender<agent::Input>) {
         self.send(EngineMessage::AttachSip(agent));
     }
 
-    /// A playing session's events, until it is over; nothing comes if there is no such session.
+    /// Subscribes to the events of a playing session. The receiver is disconnected when the session ends, or at once if
+    /// there is no such session.
     pub fn follow(&self, session: SessionId, secret: Secret) -> Receiver<PlayerEvent> {
         let (sender, receiver) = bounded(MAX_UNREAD_EVENTS);
         self.send(EngineMessage::Follow(session, secret, sender));
         receiver
     }
 
-    /// What the front knows and holds.
+    /// Returns the status of the front.
     pub fn status(&self) -> Status {
         let (sender, receiver) = bounded(1);
         self.send(EngineMessage::Status(sender));
         receiver.recv_timeout(CALL_TIMEOUT).unwrap_or_default()
     }
 
-    /// Waits until no client waits and nothing is left to be ended at media servers.
+    /// Waits until the front is idle, but not longer than `until`.
     pub fn wait_idle(&self, until: Instant) {
         while !self.status().idle && Instant::now() < until {
             thread::sleep(IDLE_POLL);
--- a/crates/front/server/src/http.rs
+++ b/crates/front/server/src/http.rs
@@ -1,4 +1,4 @@
-//! Clients over HTTP: WHEP and WHIP requests in, one answer each out.
+//! The HTTP side of the front, which answers WHEP and WHIP requests of clients.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -26,54 +26,54 @@
 use crate::attempt;
 use crate::messages::{EngineReply, SetUp};
 
-/// How far past the longest deadline a thread waits for the engine, which answers long before.
+/// Time beyond the longest deadline that a thread waits for the engine, which normally answers long before.
 const ANSWER_MARGIN: Duration = Duration::from_secs(5);
 
-/// A player's stream is sent a comment this often.
+/// Interval at which a comment is sent on an event stream without events.
 const HEARTBEAT: Duration = Duration::from_secs(5);
 
-/// When a rejected client is to retry if the settings say nothing.
+/// Time after which a rejected client is to retry if the settings do not contain one.
 const DEFAULT_RETRY_AFTER: Micros = Micros(1_000_000);
-/// Makes the ids of sessions differ from other random numbers of the same seed.
+/// Makes session ids differ from other random numbers that are derived from the same seed.
 const SEED_SALT: u64 = 0x6e61_6d65;
 
-/// What became of a client's request.
+/// The end of a client's request.
 enum Served {
-    /// The session controller's answer.
+    /// The session controller answered.
     Answer(Answer),
     /// A quota of the fleet is exhausted.
     QuotaExceeded(Refusal),
-    /// The client has left.
-    ClientLeft,
+    /// The client disconnected.
+    ClientDisconnected,
 }
 
-/// A client's key, by the token that it shows (FNV-1a): the same at each front, and not to be read back out of logs.
+/// Derives a client's key from its token by FNV-1a. The key is the same at each front, and logs do not reveal the token.
 fn client_key(token: &str) -> Key {
     let hash = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     Key::of(&format!("{:016x}", token.bytes().fold(0xcbf2_9ce4_8422_2325, hash)))
 }
 
-/// A rejection that names the quota (RFC 9457).
-fn quota_exceeded(no: &Refusal) -> Response {
-    let retry_after_ms = u64::try_from(no.retry_after.as_millis()).unwrap_or(u64::MAX);
+/// Returns a rejection with details of the exhausted quota (RFC 9457).
+fn quota_exceeded(refusal: &Refusal) -> Response {
+    let retry_after_ms = u64::try_from(refusal.retry_after.as_millis()).unwrap_or(u64::MAX);
     let problem = serde_json::json!({
         "type": "about:blank", "title": "a limit is reached", "status": 503,
-        "limit": no.limit.to_string(), "key": no.key.as_str(), "retry_after_ms": retry_after_ms,
+        "limit": refusal.limit.to_string(), "key": refusal.key.as_str(), "retry_after_ms": retry_after_ms,
     });
-    answer::response(&Answer::Rejected(Some(admission::retry_after(no))))
+    answer::response(&Answer::Rejected(Some(admission::retry_after(refusal))))
         .body("application/problem+json", format!("{problem}\n"))
 }
 
-/// Answers the front's clients.
+/// Handles the HTTP requests of clients.
 pub struct HttpHandler {
     shared: Shared,
     ids: Mutex<ChaCha20Rng>,
 }
 
 impl HttpHandler {
-    /// Session ids follow from the seed and the time of the start.
+    /// Creates a handler whose session ids are derived from the seed and the time of the start.
     pub fn new(shared: Shared, seed: u64) -> Self {
-        let seed = shared.seed_of_this_start(seed) ^ SEED_SALT;
+        let seed = shared.seed_for_this_start(seed) ^ SEED_SALT;
         HttpHandler { shared, ids: Mutex::new(ChaCha20Rng::seed_from_u64(seed)) }
     }
 
@@ -109,35 +109,35 @@
         };
         let replies = self.shared.handle.request_session(session_request, token.map(client_key));
         let served = self.serve(session, &replies, link, |set_up| {
-            let number = self.shared.settings.settings.slot;
+            let slot = self.shared.settings.settings.slot;
             let offer = offer.limited(set_up.rate_kb);
             media_server::tagged(
-                media_server::set_up(&title, publishes, offer, token, number),
+                media_server::set_up(&title, publishes, offer, token, slot),
                 set_up.tag.as_deref(),
             )
         });
         let answer = match served {
             Served::Answer(answer) => answer,
-            Served::QuotaExceeded(no) => return Reply::Complete(quota_exceeded(&no)),
-            Served::ClientLeft => return Reply::Disconnect,
+            Served::QuotaExceeded(refusal) => return Reply::Complete(quota_exceeded(&refusal)),
+            Served::ClientDisconnected => return Reply::Disconnect,
         };
         let response = answer::response(&answer);
         let took_us = u64::try_from(received_at.elapsed().as_micros()).unwrap_or(u64::MAX);
         info!(
             target: "http", peer = %link.peer, title, status = response.status.as_u16(), took_us, "answered"
         );
-        let Answer::Playing { session: plays, .. } = answer else { return Reply::Complete(response) };
+        let Answer::Playing { session: playing, .. } = answer else { return Reply::Complete(response) };
         let handle = self.shared.handle.clone();
         let on_written = move |written: bool| {
-            // The answer to an offer sent again belongs to the first request as well.
-            if !written && plays == session {
+            // The answer to a repeated offer names the session of the first request, which is not ended.
+            if !written && playing == session {
                 handle.input(Input::AnswerUndelivered(session));
             }
         };
         Reply::CompleteThen(response, Box::new(on_written))
     }
 
-    /// Makes the attempts that the session controller wants until it has an answer.
+    /// Makes the attempts that the session controller requests, until it answers or the client disconnects.
     fn serve(
         &self,
         session: SessionId,
@@ -151,7 +151,7 @@
         loop {
             match replies.recv_deadline(until) {
                 Ok(EngineReply::Answer(answer)) => return Served::Answer(answer),
-                Ok(EngineReply::QuotaExceeded(no)) => return Served::QuotaExceeded(no),
+                Ok(EngineReply::QuotaExceeded(refusal)) => return Served::QuotaExceeded(refusal),
                 Ok(EngineReply::SetUp(set_up)) => {
                     let sent_at = self.shared.clock.now();
                     let handle = &self.shared.handle;
@@ -165,7 +165,7 @@
                         load: end.load,
                     });
                     if end.client_disconnected {
-                        return Served::ClientLeft;
+                        return Served::ClientDisconnected;
                     }
                 }
                 Err(_) => return Served::Answer(Answer::Failed),
@@ -197,17 +197,17 @@
         let Some(address) = self.shared.handle.address(server) else {
             return Response::text(StatusCode::NOT_FOUND, "no such session");
         };
-        let until = Instant::now() + self.shared.settings.call_time;
+        let until = Instant::now() + self.shared.settings.call_timeout;
         match self.shared.pool.call(address, request, until) {
             Ok(response) => answer::forwarded(&response),
             Err(error) => {
-                info!(target: "http", server = server.0, resource, %error, "change not forwarded");
+                info!(target: "http", server = server.0, resource, %error, "failed to forward a PATCH request");
                 Response::text(StatusCode::BAD_GATEWAY, "the streaming server did not take the change")
             }
         }
     }
 
-    /// A player subscribes to its session's events, or reads them.
+    /// Handles requests for a session's events: subscribing to them, reading them and unsubscribing.
     fn events(&self, request: &Request, session: SessionId, secret: Secret, names: Option<&str>) -> Reply {
         let locate = || self.shared.handle.call(|id| Input::Locate { request: id, session, secret });
         let if_playing = |response| {
@@ -243,15 +243,15 @@
     fn ready(&self) -> Response {
         let status = self.shared.handle.status();
         let body = serde_json::json!({
-            "listed": status.listed, "boxes": status.media_servers, "titles": status.titles,
+            "listed": status.has_endpoint_list, "boxes": status.media_servers, "titles": status.titles,
             "playing": status.playing, "releasing": status.releasing,
         });
-        let code = if status.listed { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        let code = if status.has_endpoint_list { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         Response::new(code).body("application/json", format!("{body}\n"))
     }
 }
 
-/// Writes a session's events until it is over or the player has left.
+/// Writes a session's events until the session ends or the player disconnects.
 fn follow(mut socket: &TcpStream, session_events: &Receiver<PlayerEvent>, wanted: &[&str]) {
     loop {
         let bytes = match session_events.recv_timeout(HEARTBEAT) {
--- a/crates/front/server/src/lib.rs
+++ b/crates/front/server/src/lib.rs
@@ -1,10 +1,10 @@
-//! The session front on sockets.
+//! The session front on sockets and threads.
 //!
-//! One thread owns the session controller (`engine`); everything else sends it messages. A client's connection has a
-//! thread of its own (`http`), and the attempts of its session run on that thread (`attempt`): it waits for the media
-//! server and watches its client at once, with no hand-over in between. Each media server has a thread that reads its
-//! events (`event_streams`), the endpoint list has one (`endpoint_list`), and short calls to media servers run on a few
-//! workers (`server_calls`).
+//! One thread owns the session controller (`engine`), and all other threads send it messages. Each client connection has a
+//! thread (`http`), which also runs the attempts of its session (`attempt`). It waits for the media server and the client
+//! at the same time, so that neither has to be handed to another thread. One thread per media server reads its event
+//! stream (`event_streams`), one thread follows the endpoint list (`endpoint_list`), and a pool of workers makes short
+//! calls to media servers (`server_calls`). SIP has threads of its own (`sip`).
 #![forbid(unsafe_code)]
 
 mod admission;
@@ -36,7 +36,7 @@
 use crate::handle::EngineHandle;
 pub use crate::messages::{FleetHooks, Recording, SlotSource, Status};
 
-/// What the parts of a front share.
+/// State shared by the modules of a front.
 #[derive(Clone)]
 struct Shared {
     handle: EngineHandle,
@@ -46,29 +46,31 @@
 }
 
 impl Shared {
-    /// A seed for ids that must not repeat: two starts with one seed in their settings must not give a new call or
-    /// session the id of one that is still active somewhere.
-    fn seed_of_this_start(&self, seed: u64) -> u64 {
+    /// Returns a seed for ids that must be unique across restarts.
+    ///
+    /// Two starts with the same configured seed must not give a new call or session the id of one that is still active.
+    fn seed_for_this_start(&self, seed: u64) -> u64 {
         seed ^ self.clock.started_at().0.rotate_left(16)
     }
 }
 
-/// The media servers that a front knows.
+/// Access to the media servers on a front's endpoint list.
 #[derive(Clone)]
 pub struct MediaServers(Shared);
 
 impl MediaServers {
-    /// Reads the tags of each one's sessions, and how many have each; none: one of them did not answer, or no endpoint
-    /// list is known yet.
+    /// Reads the tags of the sessions at each media server, with the number of sessions of each tag.
+    ///
+    /// Returns `None` if a media server did not answer, or if the front has no endpoint list yet.
     pub fn tags(&self) -> Option<Vec<std::collections::BTreeMap<String, u64>>> {
-        if !self.0.handle.status().listed {
+        if !self.0.handle.status().has_endpoint_list {
             return None;
         }
         self.0.handle.addresses().into_iter().map(|address| admission::tags(&self.0, address)).collect()
     }
 }
 
-/// A front that serves.
+/// A running front.
 pub struct Front {
     shared: Shared,
     server: Server,
@@ -77,32 +79,33 @@
 }
 
 impl Front {
-    /// Starts a front on its listener's port, or on one that is given.
+    /// Starts a front on `listener`, or on the address in its settings if there is none.
     ///
     /// # Errors
-    /// No socket or no thread.
+    /// Fails if a socket can't be bound or a thread can't be started.
     pub fn start(settings: FrontSettings, listener: Option<TcpListener>) -> io::Result<Front> {
-        Front::begin(settings, listener, false, FleetHooks::default())
+        Front::start_with(settings, listener, false, FleetHooks::default())
     }
 
-    /// The same, as one of a fleet.
+    /// Starts a front that belongs to a fleet.
     ///
     /// # Errors
-    /// No socket or no thread.
+    /// Fails if a socket can't be bound or a thread can't be started.
     pub fn start_in_fleet(settings: FrontSettings, hooks: FleetHooks) -> io::Result<Front> {
-        Front::begin(settings, None, false, hooks)
+        Front::start_with(settings, None, false, hooks)
     }
 
-    /// The same, recording all inputs and outputs of its session controller for [`Front::stop`] to return. Its memory
-    /// grows as long as it runs.
+    /// Starts a front that records all inputs and outputs of its session controller, which [`Front::stop`] returns.
+    ///
+    /// The memory of the recording grows for as long as the front runs.
     ///
     /// # Errors
-    /// No socket or no thread.
+    /// Fails if a socket can't be bound or a thread can't be started.
     pub fn start_recorded(settings: FrontSettings) -> io::Result<Front> {
-        Front::begin(settings, None, true, FleetHooks::default())
+        Front::start_with(settings, None, true, FleetHooks::default())
     }
 
-    fn begin(
+    fn start_with(
         settings: FrontSettings,
         listener: Option<TcpListener>,
         record: bool,
@@ -126,42 +129,44 @@
         };
         let handler = Arc::new(http::HttpHandler::new(shared.clone(), seed));
         let server = Server::start(listener, shared.settings.sizes.clone(), handler)?;
-        info!(target: "core", address = %server.address(), "front is up");
+        info!(target: "core", address = %server.address(), "front started");
         Ok(Front { shared, server, engine, sip })
     }
 
-    /// Where it listens.
+    /// Returns the address that the front listens on for HTTP.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Where it takes SIP calls, if it does.
+    /// Returns the address that the front listens on for SIP, or `None` if SIP is not configured.
     pub fn sip_address(&self) -> Option<SocketAddr> {
         self.sip
     }
 
-    /// The media servers that it knows.
+    /// Returns access to the media servers on the endpoint list.
     pub fn media_servers(&self) -> MediaServers {
         MediaServers(self.shared.clone())
     }
 
-    /// What it knows and holds now.
+    /// Returns the current status of the front.
     pub fn status(&self) -> Status {
         self.shared.handle.status()
     }
 
-    /// Takes nothing new, answers what it took, ends what it may have left at media servers, and then itself.
+    /// Shuts the front down gracefully and returns its recording, which is empty unless the front was started with
+    /// [`Front::start_recorded`].
     ///
-    /// Sessions that play are left alone: their media does not pass through here.
+    /// New requests are rejected. Pending requests are answered and pending releases are completed, for at most `wait`.
+    /// Sessions that play are not ended, as their media does not pass through the front.
     pub fn stop(self, wait: Duration) -> Recording {
-        info!(target: "core", "front stops");
+        info!(target: "core", "front stopping");
         let until = Instant::now() + wait;
         self.shared.handle.input(Input::Shutdown);
-        // Requests that come while the last ones are answered are rejected; then the listener is closed.
+        // The listener stays open until all requests are answered, so that new ones receive a rejection.
         self.shared.handle.wait_idle(until);
         self.server.stop(until.saturating_duration_since(Instant::now()).max(Duration::from_millis(50)));
         let recording = self.engine.stop();
-        info!(target: "core", "front is down");
+        info!(target: "core", "front stopped");
         recording
     }
 }
--- a/crates/front/server/src/messages.rs
+++ b/crates/front/server/src/messages.rs
@@ -1,4 +1,4 @@
-//! What passes between the engine's thread and the threads around it.
+//! Messages between the engine's thread and the other threads.
 
 use std::net::SocketAddr;
 
@@ -14,88 +14,90 @@
 
 /// A message to the engine's thread.
 pub(crate) enum EngineMessage {
-    /// An input of the session controller that nobody waits for.
+    /// An input of the session controller that is not answered.
     Input(Input),
-    /// A request for a session, by a client with this key if it is known.
+    /// A request for a session, with the client's key if the client is known.
     Request(Box<SessionRequest>, Option<Key>, Sender<EngineReply>),
-    /// An input that is answered at once.
+    /// An input that is answered immediately.
     Call(Input, RequestId, Sender<EngineReply>),
-    /// The front's status is wanted.
+    /// A query of the front's status.
     Status(Sender<Status>),
-    /// A client follows the events of its session.
+    /// A client's subscription to the events of its session.
     Follow(SessionId, Secret, Sender<PlayerEvent>),
-    /// What concerns SIP goes to this agent from now on.
+    /// The SIP agent, which takes over all outputs that concern SIP.
     AttachSip(Sender<agent::Input>),
-    /// The thread ends.
+    /// A command to end the thread.
     Stop,
 }
 
-/// An attempt to be made by the thread of its client.
+/// An attempt to be made by the client's thread.
 #[derive(Debug, Clone)]
 pub struct SetUp {
-    /// Which.
+    /// Identifies the attempt.
     pub attempt: AttemptId,
-    /// The media server.
+    /// The media server to send the offer to.
     pub server: ServerId,
-    /// Its address.
+    /// Address of the media server, or `None` if it can't be parsed.
     pub address: Option<SocketAddr>,
-    /// The rung's rate, kB a second.
+    /// The rung's rate, kB per second.
     pub rate_kb: f64,
-    /// When to drop it.
+    /// When to cancel the attempt.
     pub deadline: Micros,
-    /// For the media server to keep with the session, if quotas of the fleet count it.
+    /// Tag for the media server to store with the session, if the session counts against quotas of the fleet.
     pub tag: Option<String>,
 }
 
-/// What the engine replies to a thread that waits.
+/// The engine's reply to a waiting thread.
 #[derive(Debug, Clone)]
 pub enum EngineReply {
-    /// Make an attempt.
+    /// An attempt is to be made. Further replies follow.
     SetUp(SetUp),
-    /// The answer; nothing comes after it.
+    /// The answer, which is the last reply.
     Answer(Answer),
-    /// A quota of the fleet is exhausted; nothing comes after it.
+    /// A rejection because a quota of the fleet is exhausted, which is the last reply.
     QuotaExceeded(Refusal),
 }
 
-/// What a front knows and holds.
+/// The status of a front.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Status {
-    /// It has received an endpoint list.
-    pub listed: bool,
-    /// Media servers on it.
+    /// Whether the front has received an endpoint list.
+    pub has_endpoint_list: bool,
+    /// Number of media servers on the endpoint list.
     pub media_servers: usize,
-    /// Titles on it.
+    /// Number of titles on the endpoint list.
     pub titles: usize,
-    /// Sessions that play.
+    /// Number of playing sessions.
     pub playing: usize,
-    /// Sessions still to be ended at media servers.
+    /// Number of sessions that are still to be ended at media servers.
     pub releasing: usize,
-    /// No client waits.
+    /// Whether no client waits, no attempt is in flight and no release is pending.
     pub idle: bool,
 }
 
 /// All inputs and outputs of a front's session controller, in order.
 #[derive(Debug, Clone, Default)]
 pub struct Recording {
-    /// The inputs, and when they came.
+    /// The inputs with their times.
     pub inputs: Vec<(Micros, Input)>,
     /// The outputs.
     pub outputs: Vec<Output>,
-    /// What passed between the controller and the policy.
+    /// The exchanges between the controller and the policy.
     pub exchanges: Vec<Exchange>,
 }
 
-/// A front's slot among others, now; none: as its settings say. It is called before each input and must not block.
+/// Returns a front's current slot, or `None` if the slot in its settings applies.
+///
+/// The function is called before each input and must not block.
 pub type SlotSource = Box<dyn Fn() -> Option<SlotAssignment> + Send>;
 
-/// What connects a front with its fleet.
+/// Hooks that connect a front to its fleet.
 #[derive(Default)]
 pub struct FleetHooks {
-    /// Its slot among the fronts; none: as its settings say.
+    /// Source of the front's slot. If there is none, the slot in its settings applies.
     pub slots: Option<SlotSource>,
-    /// Takes evidence of media servers, and filters by it what the policy is offered.
+    /// Observer that collects evidence about media servers and filters the holders offered to the policy.
     pub observer: Option<Box<dyn Observer>>,
-    /// Admits by quotas that hold for all fronts.
-    pub gate: Option<AdmissionController>,
+    /// Admission control by the quotas of the fleet.
+    pub admission_controller: Option<AdmissionController>,
 }
--- a/crates/front/server/src/server_calls.rs
+++ b/crates/front/server/src/server_calls.rs
@@ -1,5 +1,7 @@
-//! Short calls to media servers: releases, rungs, health checks. They run on a few workers, with a bound for each media
-//! server, so that one that hangs holds up only its own.
+//! Short calls to media servers: releases, changes of rungs and health checks.
+//!
+//! The calls run on a pool of workers. The number of concurrent calls per media server is limited, so that a media server
+//! that hangs delays only its own calls.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -19,31 +21,31 @@
 use crate::handle::EngineHandle;
 
 const WORKERS: usize = 16;
-/// The stack of a worker, bytes.
-const WORKER_STACK: usize = 256 * 1024;
-/// Calls that run at one media server at once.
+/// Stack size of a worker thread.
+const WORKER_STACK_BYTES: usize = 256 * 1024;
+/// Maximum number of concurrent calls to one media server.
 const MAX_RUNNING_PER_SERVER: usize = 2;
-/// Calls that wait for one media server; past it the oldest one is dropped.
+/// Maximum number of queued calls to one media server. The oldest call is dropped when the queue is full.
 const MAX_WAITING_PER_SERVER: usize = 4096;
 
-/// A call to be made.
+/// A call to a media server.
 #[derive(Debug)]
 pub enum Job {
-    /// End a session.
+    /// Ends a session.
     Release {
-        /// For the result.
+        /// The release, to be named in its result.
         id: ReleaseId,
-        /// Its path.
+        /// Path of the session at the media server.
         resource: String,
     },
-    /// Set a rung.
+    /// Changes the rung of a session.
     SetRung {
-        /// Where.
+        /// Path at the media server that selects the session's layers.
         path: String,
-        /// The rung.
+        /// The new rung.
         rung: Rung,
     },
-    /// Read the load.
+    /// Reads the media server's health and load.
     HealthCheck,
 }
 
@@ -57,12 +59,12 @@
 #[derive(Default)]
 struct Queues {
     servers: BTreeMap<ServerId, ServerQueue>,
-    /// Media servers that have a call to be made and may run one more, each at most once for each such call.
+    /// Media servers with a waiting call, each listed at most once per waiting call.
     ready: VecDeque<ServerId>,
     stopped: bool,
 }
 
-/// A call that a worker takes.
+/// A call taken off the queue by a worker.
 struct NextCall {
     server: ServerId,
     address: Option<SocketAddr>,
@@ -74,7 +76,7 @@
         while let Some(server) = self.ready.pop_front() {
             let Some(queue) = self.servers.get_mut(&server) else { continue };
             if queue.running >= MAX_RUNNING_PER_SERVER {
-                continue; // it is ready again when one of its calls ends
+                continue; // the media server becomes ready again when one of its calls ends
             }
             if let Some(job) = queue.waiting.pop_front() {
                 queue.running += 1;
@@ -85,31 +87,32 @@
     }
 }
 
-struct Shared {
+/// State shared by all workers.
+struct WorkerPool {
     queues: Mutex<Queues>,
-    work: Condvar,
+    call_queued: Condvar,
     handle: EngineHandle,
     pool: Arc<Pool>,
-    call_time: Duration,
+    call_timeout: Duration,
 }
 
-/// The workers.
-pub struct ServerCalls(Arc<Shared>);
+/// The queues of calls to media servers, with the workers that make them.
+pub struct ServerCalls(Arc<WorkerPool>);
 
 impl ServerCalls {
-    /// Starts them.
+    /// Starts the workers.
     ///
     /// # Errors
-    /// No thread.
-    pub fn start(handle: EngineHandle, pool: Arc<Pool>, call_time: Duration) -> io::Result<ServerCalls> {
-        let (queues, work) = Default::default();
-        let shared = Arc::new(Shared { queues, work, handle, pool, call_time });
+    /// Fails if a thread can't be started.
+    pub fn start(handle: EngineHandle, pool: Arc<Pool>, call_timeout: Duration) -> io::Result<ServerCalls> {
+        let (queues, call_queued) = Default::default();
+        let workers = Arc::new(WorkerPool { queues, call_queued, handle, pool, call_timeout });
         for _ in 0..WORKERS {
-            let of_worker = shared.clone();
-            let thread = thread::Builder::new().name("calls".into()).stack_size(WORKER_STACK);
-            thread.spawn(move || of_worker.work())?;
+            let worker = workers.clone();
+            let thread = thread::Builder::new().name("calls".into()).stack_size(WORKER_STACK_BYTES);
+            thread.spawn(move || worker.run_calls())?;
         }
-        Ok(ServerCalls(shared))
+        Ok(ServerCalls(workers))
     }
 
     /// Sets a media server's address.
@@ -118,7 +121,7 @@
         self.0.lock().servers.entry(server).or_default().address = Some(address);
     }
 
-    /// Forgets a media server. Calls that run end by themselves.
+    /// Forgets a media server and fails its queued calls. Calls in progress are completed.
     pub fn forget(&self, server: ServerId) {
         self.0.handle.set_address(server, None);
         let removed = self.0.lock().servers.remove(&server);
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Queues a call.
+    /// Queues a call to a media server.
     pub fn push(&self, server: ServerId, job: Job) {
         let mut queues = self.0.lock();
         let queue = queues.servers.entry(server).or_default();
@@ -138,35 +141,35 @@
             queues.ready.push_back(server);
         }
         drop(queues);
-        self.0.work.notify_one();
+        self.0.call_queued.notify_one();
         if let Some(oldest) = dropped {
             self.0.fail(&oldest);
         }
     }
 
-    /// Ends the workers; calls that run end by themselves.
+    /// Stops the workers. Calls in progress are completed.
     pub fn stop(&self) {
         self.0.lock().stopped = true;
-        self.0.work.notify_all();
+        self.0.call_queued.notify_all();
     }
 }
 
-impl Shared {
+impl WorkerPool {
     fn lock(&self) -> MutexGuard<'_, Queues> {
         self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn work(&self) {
+    fn run_calls(&self) {
         while let Some(NextCall { server, address, job }) = self.wait_for_call() {
             match address {
-                Some(address) => self.make(server, address, job),
+                Some(address) => self.run(server, address, job),
                 None => self.fail(&job),
             }
             self.finish(server);
         }
     }
 
-    /// The next call; none: the workers are to end.
+    /// Waits for the next call. Returns `None` if the workers were stopped.
     fn wait_for_call(&self) -> Option<NextCall> {
         let mut queues = self.lock();
         loop {
@@ -176,7 +179,7 @@
             if let Some(call) = queues.next() {
                 return Some(call);
             }
-            queues = self.work.wait(queues).unwrap_or_else(PoisonError::into_inner);
+            queues = self.call_queued.wait(queues).unwrap_or_else(PoisonError::into_inner);
         }
     }
 
@@ -184,22 +187,22 @@
         let mut queues = self.lock();
         let Some(queue) = queues.servers.get_mut(&server) else { return };
         queue.running = queue.running.saturating_sub(1);
-        // A call that found its media server busy was passed over; now it has its turn.
+        // Calls were skipped while the media server had the maximum number of calls running, so it is made ready again.
         if queue.waiting.len() > queue.running {
             queues.ready.push_back(server);
             drop(queues);
-            self.work.notify_one();
+            self.call_queued.notify_one();
         }
     }
 
-    /// Reports a call that was never made.
+    /// Reports the failure of a call that was not made.
     fn fail(&self, job: &Job) {
         if let Job::Release { id, .. } = job {
             self.handle.input(Input::Released { id: *id, gone: false });
         }
     }
 
-    fn make(&self, server: ServerId, address: SocketAddr, job: Job) {
+    fn run(&self, server: ServerId, address: SocketAddr, job: Job) {
         match job {
             Job::Release { id, resource } => {
                 let result = self.call(server, address, &media_server::release(&resource));
@@ -220,7 +223,7 @@
     }
 
     fn call(&self, server: ServerId, address: SocketAddr, request: &Request) -> Result<Response, CallError> {
-        let result = self.pool.call(address, request, Instant::now() + self.call_time);
+        let result = self.pool.call(address, request, Instant::now() + self.call_timeout);
         if matches!(result, Err(CallError::Refused)) {
             self.handle.input(Input::MediaServer(server, MediaServerEvent::ConnectionRefused));
         }
--- a/crates/front/server/src/sip/mod.rs
+++ b/crates/front/server/src/sip/mod.rs
@@ -1,6 +1,7 @@
-//! SIP on sockets: datagrams and streams in, the agent's messages out.
+//! SIP on sockets.
 //!
-//! One thread owns the agent, as one owns the session controller; one owns all streams; some read datagrams.
+//! One thread owns the SIP agent, one thread owns all streams, one thread accepts streams and several threads read
+//! datagrams.
 
 mod queues;
 mod streams;
@@ -23,28 +24,28 @@
 use self::streams::Streams;
 use crate::Shared;
 
-/// Streams that callers may hold open.
+/// Maximum number of open streams of callers.
 const MAX_CALLER_STREAMS: usize = 1024;
-/// Ports that are tried where the system may choose one.
+/// Number of ports that are tried if the system may choose the port.
 const MAX_PORT_ATTEMPTS: u32 = 32;
-/// How often a thread polls whether the front has ended.
+/// Interval at which a thread checks whether the front has ended.
 const END_POLL: Duration = Duration::from_millis(200);
-/// Threads that read datagrams: reading a message costs as much as half of all else that is done for a call.
+/// Number of threads that read datagrams. Reading and parsing takes half as much time as all other work for a call.
 const UDP_READERS: usize = 2;
 
-/// The pause after a failed accept.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
-/// The stack of a thread, bytes.
-const THREAD_STACK: usize = 256 * 1024;
-/// Makes the agent's random numbers differ from others of the same seed.
+/// Stack size of a thread.
+const THREAD_STACK_BYTES: usize = 256 * 1024;
+/// Makes the agent's random numbers differ from others that are derived from the same seed.
 const SEED_SALT: u64 = 0x0073_6970;
-/// Keep-alives of so many bytes are no messages (RFC 5626, section 3.5.1).
-const KEEP_ALIVE_BYTES: usize = 4;
+/// Maximum size of a datagram that is ignored as a keep-alive (RFC 5626, section 3.5.1).
+const MAX_KEEP_ALIVE_BYTES: usize = 4;
 
-/// Starts to take calls at an address, over UDP and TCP alike; the address, as its port may have been free to choose.
+/// Starts to take calls over UDP and TCP on one port, and returns the address with the port that was chosen.
 ///
 /// # Errors
-/// No socket or no thread.
+/// Fails if a socket can't be bound or a thread can't be started.
 pub fn start(shared: &Shared, listen: SocketAddr, seed: u64) -> io::Result<SocketAddr> {
     let (tcp, udp) = bind(listen)?;
     let (address, udp) = (tcp.local_addr()?, Arc::new(udp));
@@ -52,27 +53,27 @@
     tcp.set_nonblocking(true)?;
     let (sender, queues) = queues();
     shared.handle.attach_sip(sender.for_engine());
-    let agent_seed = shared.seed_of_this_start(seed) ^ SEED_SALT;
-    let number = shared.settings.settings.slot;
+    let agent_seed = shared.seed_for_this_start(seed) ^ SEED_SALT;
+    let slot = shared.settings.settings.slot;
     let control = Control::new(agent_seed, shared.settings.sip_control);
-    let agent = Agent::with(address, number, agent_seed, control);
+    let agent = Agent::with(address, slot, agent_seed, control);
     let streams = Streams::start(shared, sender.clone())?;
     let agent_loop = AgentLoop { shared: shared.clone(), agent, udp: udp.clone(), streams: streams.clone() };
     let spawn = |name: &str, run: Box<dyn FnOnce() + Send>| {
-        thread::Builder::new().name(name.into()).stack_size(THREAD_STACK).spawn(run).map(drop)
+        thread::Builder::new().name(name.into()).stack_size(THREAD_STACK_BYTES).spawn(run).map(drop)
     };
     for _ in 0..UDP_READERS {
-        let (of_reader, udp, sender) = (shared.clone(), udp.clone(), sender.clone());
-        spawn("sip-udp", Box::new(move || read_datagrams(&of_reader, &udp, &sender)))?;
+        let (reader_shared, udp, sender) = (shared.clone(), udp.clone(), sender.clone());
+        spawn("sip-udp", Box::new(move || read_datagrams(&reader_shared, &udp, &sender)))?;
     }
-    let of_acceptor = shared.clone();
-    spawn("sip-tcp", Box::new(move || accept(&of_acceptor, &tcp, &streams)))?;
+    let acceptor_shared = shared.clone();
+    spawn("sip-tcp", Box::new(move || accept(&acceptor_shared, &tcp, &streams)))?;
     spawn("sip", Box::new(move || agent_loop.run(&queues)))?;
-    info!(target: "core", %address, "SIP is up");
+    info!(target: "core", %address, "SIP started");
     Ok(address)
 }
 
-/// Both sockets on one port. A port that the system chose for one may be taken for the other.
+/// Binds both sockets to the same port. Retries if the port that the system chose for TCP is in use for UDP.
 fn bind(listen: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
     let mut attempts_left = if listen.port() == 0 { MAX_PORT_ATTEMPTS } else { 1 };
     loop {
@@ -99,7 +100,7 @@
             let due = self.agent.next_due().map(|at| self.shared.clock.instant(at));
             let wait = due.map_or(END_POLL, |at| at.saturating_duration_since(Instant::now()).min(END_POLL));
             let input = queues.next(wait).unwrap_or(Input::Tick);
-            debug!(target: "core", ?input, "sip");
+            debug!(target: "core", ?input, "SIP input");
             self.agent.handle(self.shared.clock.now(), input, &mut outputs);
             for output in outputs.drain(..) {
                 self.carry_out(output);
@@ -132,8 +133,8 @@
         let peer = Peer { address, transport: Transport::Udp, conn: 0 };
         match Message::parse(&buffer[..length]) {
             Ok(message) => agent.datagram(peer, message, shared.clock.now()),
-            Err(error) if length > KEEP_ALIVE_BYTES => {
-                debug!(target: "http", peer = %address, %error, "datagram dropped")
+            Err(error) if length > MAX_KEEP_ALIVE_BYTES => {
+                debug!(target: "http", peer = %address, %error, "malformed datagram dropped")
             }
             Err(_) => {}
         }
@@ -144,14 +145,14 @@
     let mut last_conn = 0;
     while !shared.handle.ended() {
         match listener.accept() {
-            // One too many is closed as it is: no request was taken.
+            // A stream beyond the limit is closed before anything is read from it.
             Ok((stream, _)) if streams.callers() >= MAX_CALLER_STREAMS => drop(stream),
             Ok((stream, address)) => {
                 last_conn += 1;
                 streams.adopt(Peer { address, transport: Transport::Tcp, conn: last_conn }, stream);
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => wait::acceptable(listener, END_POLL),
-            // Out of descriptors, or a connection that broke at once.
+            // The process is out of file descriptors, or the connection broke immediately.
             Err(_) => thread::sleep(ACCEPT_PAUSE),
         }
     }
--- a/crates/front/server/src/sip/queues/mod.rs
+++ b/crates/front/server/src/sip/queues/mod.rs
@@ -1,5 +1,7 @@
-//! The queues to the SIP agent's thread. New calls wait behind everything else: what is within a dialog ends a call or
-//! frees its capacity, and a call that waits too long is rejected by the agent.
+//! Queues to the SIP agent's thread.
+//!
+//! New calls have the lowest priority. Messages within dialogs may end a call and free its capacity, and the agent rejects
+//! calls that waited too long.
 
 use std::time::Duration;
 
@@ -9,29 +11,30 @@
 use beechloft_sip::transaction::layer::Peer;
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded, select, unbounded};
 
-/// Messages within dialogs that wait for the agent.
+/// Maximum number of queued messages within dialogs.
 const MAX_IN_DIALOG: usize = 16_384;
-/// New calls that wait for it: more than it handles in the time that a caller waits.
+/// Maximum number of queued new calls, which is more than the agent handles in the time that a caller waits.
 const MAX_NEW_CALLS: usize = 4_096;
 
-/// The sending ends.
+/// The sending ends of the queues.
 #[derive(Clone)]
 pub(crate) struct AgentSender {
-    /// What must not be lost: the session controller's outputs, media servers' answers, streams that end.
+    /// Inputs that must not be lost: the session controller's outputs, media servers' answers and lost streams.
     reliable: Sender<Input>,
-    /// Callers' messages within dialogs.
+    /// Messages of callers within dialogs.
     in_dialog: Sender<Input>,
+    /// Requests of callers for new calls.
     new_calls: Sender<Input>,
 }
 
-/// The receiving ends.
+/// The receiving ends of the queues.
 pub(crate) struct AgentQueues {
     reliable: Receiver<Input>,
     in_dialog: Receiver<Input>,
     new_calls: Receiver<Input>,
 }
 
-/// All queues, empty.
+/// Creates the queues.
 pub(crate) fn queues() -> (AgentSender, AgentQueues) {
     let (reliable, reliable_receiver) = unbounded();
     let (in_dialog, in_dialog_receiver) = bounded(MAX_IN_DIALOG);
@@ -45,7 +48,7 @@
 }
 
 impl AgentQueues {
-    /// The next input, waited for at most so long.
+    /// Returns the next input by priority. Waits at most `wait` for one, and then returns `None`.
     pub(crate) fn next(&self, wait: Duration) -> Option<Input> {
         let ready = self
             .reliable
@@ -76,28 +79,28 @@
         }
     }
 
-    /// Queues a caller's datagram. One that finds its queue full is lost, as it is when the socket's buffer is: its
-    /// sender retransmits it.
+    /// Queues a message received in a datagram. The message is dropped if its queue is full, as its sender retransmits it.
     pub(crate) fn datagram(&self, peer: Peer, message: Message, at: Micros) {
         let input = Input::Received(peer, Box::new(message), at);
         let _ = self.queue_of(&input).try_send(input);
     }
 
-    /// Queues a message of a caller's stream, which nobody retransmits; it is returned if its queue is full.
+    /// Queues a message received on a caller's stream. Such messages are not retransmitted, so the message is returned as
+    /// the error if its queue is full.
     pub(crate) fn streamed(&self, input: Input) -> Result<(), Input> {
         match self.queue_of(&input).try_send(input) {
             Err(TrySendError::Full(input)) => Err(input),
-            // The agent's thread ends last; what comes after concerns nobody any more.
+            // The agent's thread has ended, so the message has no effect.
             Ok(()) | Err(TrySendError::Disconnected(_)) => Ok(()),
         }
     }
 
-    /// Queues what must not be lost.
+    /// Queues an input that must not be lost.
     pub(crate) fn reliable(&self, input: Input) {
         let _ = self.reliable.send(input);
     }
 
-    /// The queue for what must not be lost, for the engine's thread.
+    /// Returns the queue of inputs that must not be lost, for the engine's thread.
     pub(crate) fn for_engine(&self) -> Sender<Input> {
         self.reliable.clone()
     }
--- a/crates/front/server/src/sip/streams/event_loop.rs
+++ b/crates/front/server/src/sip/streams/event_loop.rs
@@ -1,4 +1,4 @@
-//! The thread of all streams: one wait for all of them.
+//! The event loop of all streams.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{self, Read};
@@ -19,22 +19,22 @@
 use tracing::debug;
 
 use super::super::queues::AgentSender;
-use super::stream::{Closed, Stream};
+use super::stream::{LossReason, Stream};
 use super::waker::Waker;
-use super::{Command, WAKE};
+use super::{Command, WAKER_TOKEN};
 use crate::Shared;
 
-/// A caller's stream that is silent for this long is closed.
+/// Time without data after which a caller's stream is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// How often the thread polls whether the front has ended.
+/// Interval at which the thread checks whether the front has ended.
 const END_POLL: Duration = Duration::from_millis(200);
-/// How soon a stream whose messages did not fit into the agent's queue retries.
+/// Pause before messages that did not fit into the agent's queue are delivered again.
 const RETRY_PAUSE: Duration = Duration::from_millis(5);
-/// Bytes read of one stream before the others have their turn.
-const MAX_READ_PER_TURN: usize = 64 * 1024;
-/// Bytes of one read.
-const READ_BUFFER: usize = 8192;
-/// Events taken at once.
+/// Maximum number of bytes that are read from one stream before other streams are served.
+const MAX_BYTES_PER_EVENT: usize = 64 * 1024;
+/// Size of the buffer of a single read.
+const READ_BUFFER_BYTES: usize = 8192;
+/// Maximum number of events that are received in one wait.
 const MAX_EVENTS: usize = 256;
 
 pub(super) struct EventLoop {
@@ -43,10 +43,10 @@
     pub(super) epoll: OwnedFd,
     pub(super) waker: Arc<Waker>,
     pub(super) commands: Receiver<Command>,
-    /// By the number of their connection.
+    /// Open streams, by the numbers of their connections.
     pub(super) open: BTreeMap<u64, Stream>,
     pub(super) deadlines: BTreeSet<(Instant, u64)>,
-    /// Streams whose messages wait for the agent.
+    /// Streams with messages that did not fit into the agent's queue.
     pub(super) stalled: BTreeSet<u64>,
     pub(super) callers: Arc<AtomicUsize>,
 }
@@ -58,11 +58,11 @@
             let wait = self.wait();
             let tv_sec = i64::try_from(wait.as_secs()).unwrap_or(i64::MAX);
             let timeout = Timespec { tv_sec, tv_nsec: wait.subsec_nanos().into() };
-            // An interrupted wait is one without events.
+            // An interrupted wait counts as one without events.
             let _ = epoll::wait(&self.epoll, spare_capacity(&mut events), Some(&timeout));
             for event in events.drain(..) {
                 match event.data.u64() {
-                    WAKE => self.waker.clear(),
+                    WAKER_TOKEN => self.waker.clear(),
                     conn => self.ready(conn, event.flags),
                 }
             }
@@ -114,10 +114,10 @@
     pub(super) fn send(&mut self, peer: Peer, bytes: &[u8]) {
         if !self.open.contains_key(&peer.conn) {
             if peer.conn < OWN {
-                return; // its caller closed it
+                return; // the caller closed the stream
             }
             if let Err(error) = self.connect(peer) {
-                debug!(target: "boxes", peer = %peer.address, %error, "no stream");
+                debug!(target: "boxes", peer = %peer.address, %error, "failed to open a stream");
                 let refused = error.kind() == io::ErrorKind::ConnectionRefused;
                 return self.agent.reliable(Input::Lost(peer, refused));
             }
@@ -125,7 +125,7 @@
         let Some(stream) = self.open.get_mut(&peer.conn) else { return };
         stream.unsent.extend(bytes);
         if !stream.connecting && stream.flush().is_err() {
-            return self.lose(peer.conn, Closed::Lost);
+            return self.lose(peer.conn, LossReason::Broken);
         }
         self.update_interest(peer.conn);
     }
@@ -138,7 +138,7 @@
             Err(error) if error.raw_os_error() == Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => true,
             Err(error) => return Err(error),
         };
-        self.add(peer, socket.into(), connecting, Instant::now() + self.shared.settings.connect_time);
+        self.add(peer, socket.into(), connecting, Instant::now() + self.shared.settings.connect_timeout);
         Ok(())
     }
 
@@ -157,7 +157,7 @@
         stream.interest = stream.wanted_events();
         let data = EventData::new_u64(peer.conn);
         if let Err(error) = epoll::add(&self.epoll, &stream.socket, data, stream.interest) {
-            debug!(target: "boxes", peer = %peer.address, %error, "no stream");
+            debug!(target: "boxes", peer = %peer.address, %error, "failed to open a stream");
             self.close(stream);
             return self.agent.reliable(Input::Lost(peer, false));
         }
@@ -173,22 +173,22 @@
             stream.interest = wanted;
             let data = EventData::new_u64(conn);
             if epoll::modify(&self.epoll, &stream.socket, data, wanted).is_err() {
-                self.lose(conn, Closed::Lost);
+                self.lose(conn, LossReason::Broken);
             }
         }
     }
 
-    fn lose(&mut self, conn: u64, reason: Closed) {
+    fn lose(&mut self, conn: u64, reason: LossReason) {
         let Some(mut stream) = self.open.remove(&conn) else { return };
         stream.unsent.clear();
         let (peer, undelivered) = (stream.peer, std::mem::take(&mut stream.undelivered));
         self.close(stream);
         self.stalled.remove(&conn);
-        // What it sent before it ended was sent.
+        // Messages that were received before the stream ended are still delivered.
         for input in undelivered {
             self.agent.reliable(input);
         }
-        self.agent.reliable(Input::Lost(peer, matches!(reason, Closed::Refused)));
+        self.agent.reliable(Input::Lost(peer, matches!(reason, LossReason::Refused)));
     }
 
     fn ready(&mut self, conn: u64, flags: EventFlags) {
@@ -197,14 +197,14 @@
             return self.connected(conn);
         }
         if flags.contains(EventFlags::OUT) && stream.flush().is_err() {
-            return self.lose(conn, Closed::Lost);
+            return self.lose(conn, LossReason::Broken);
         }
         if flags.intersects(EventFlags::IN | EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR) {
             match self.read(conn) {
                 Ok(()) => self.deliver(conn),
                 Err(error) => {
                     debug!(target: "http", conn, %error, "stream ended");
-                    return self.lose(conn, Closed::Lost);
+                    return self.lose(conn, LossReason::Broken);
                 }
             }
         }
@@ -216,25 +216,25 @@
         match stream.socket.take_error() {
             Ok(None) => {
                 stream.connecting = false;
-                // From now on it stays open for as long as the call wants it.
+                // A connected stream has no deadline and stays open until the agent closes it.
                 self.deadlines.remove(&(stream.deadline, conn));
                 if stream.flush().is_err() {
-                    return self.lose(conn, Closed::Lost);
+                    return self.lose(conn, LossReason::Broken);
                 }
                 self.update_interest(conn);
             }
             Ok(Some(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
-                self.lose(conn, Closed::Refused)
+                self.lose(conn, LossReason::Refused)
             }
-            _ => self.lose(conn, Closed::Lost),
+            _ => self.lose(conn, LossReason::Broken),
         }
     }
 
-    /// Reads what is there, up to the bound of a turn. The stream's end is an error: nothing can be answered on it any
-    /// more.
+    /// Reads available data, up to [`MAX_BYTES_PER_EVENT`]. The end of the stream is an error, as nothing can be answered on
+    /// it any more.
     pub(super) fn read(&mut self, conn: u64) -> io::Result<()> {
         let Some(stream) = self.open.get_mut(&conn) else { return Ok(()) };
-        let (mut buffer, mut framed, mut left) = ([0; READ_BUFFER], Vec::new(), MAX_READ_PER_TURN);
+        let (mut buffer, mut framed, mut left) = ([0; READ_BUFFER_BYTES], Vec::new(), MAX_BYTES_PER_EVENT);
         let mut end = Ok(());
         while left > 0 {
             match stream.socket.read(&mut buffer) {
@@ -253,7 +253,7 @@
             }
             break;
         }
-        if conn < OWN && left < MAX_READ_PER_TURN {
+        if conn < OWN && left < MAX_BYTES_PER_EVENT {
             self.deadlines.remove(&(stream.deadline, conn));
             stream.deadline = Instant::now() + IDLE_TIMEOUT;
             self.deadlines.insert((stream.deadline, conn));
@@ -271,8 +271,7 @@
         end
     }
 
-    /// Delivers a stream's messages to the agent. A caller's new call may find the queue full; then the stream is not
-    /// read meanwhile.
+    /// Delivers a stream's messages to the agent. If the queue is full, the stream is not read until the rest is delivered.
     fn deliver(&mut self, conn: u64) {
         let Some(stream) = self.open.get_mut(&conn) else { return };
         while let Some(input) = stream.undelivered.pop_front() {
@@ -287,12 +286,12 @@
         self.update_interest(conn);
     }
 
-    /// Closes streams that did not connect in time, and those of callers that have been silent for too long.
+    /// Closes streams that did not connect in time and streams of callers that were idle for [`IDLE_TIMEOUT`].
     fn close_overdue(&mut self) {
         let now = Instant::now();
         while let Some((_, conn)) = self.deadlines.first().copied().filter(|(at, _)| *at <= now) {
             self.deadlines.pop_first();
-            self.lose(conn, Closed::Lost);
+            self.lose(conn, LossReason::Broken);
         }
     }
 }
--- a/crates/front/server/src/sip/streams/mod.rs
+++ b/crates/front/server/src/sip/streams/mod.rs
@@ -1,8 +1,8 @@
-//! All SIP streams of a front on one thread: those that callers opened and those that this front opens to media servers.
+//! All SIP streams of a front on one thread, both those opened by callers and those opened to media servers.
 //!
-//! An active call holds a stream to its media server for as long as it lasts, so that a thread or two for each would be
-//! tens of thousands. Sockets here never block; what a peer does not read waits in a bounded buffer, and what the agent does
-//! not take yet keeps only its own stream waiting.
+//! Each active call keeps a stream to its media server open, so that a thread per stream would add up to tens of thousands
+//! of threads. The sockets are non-blocking. Data that a peer does not read is kept in a bounded buffer, and messages that
+//! do not fit into the agent's queue stall only their own stream.
 
 mod event_loop;
 mod stream;
@@ -25,10 +25,10 @@
 use super::queues::AgentSender;
 use crate::Shared;
 
-/// The stack of the thread, bytes.
-const THREAD_STACK: usize = 256 * 1024;
-/// The number of the waker among the streams' numbers.
-const WAKE: u64 = u64::MAX;
+/// Stack size of the thread.
+const THREAD_STACK_BYTES: usize = 256 * 1024;
+/// The waker's token in the epoll set, in which streams use the numbers of their connections.
+const WAKER_TOKEN: u64 = u64::MAX;
 
 /// A command to the thread.
 enum Command {
@@ -37,7 +37,7 @@
     Adopt(Peer, TcpStream),
 }
 
-/// The way to the thread.
+/// A handle to the thread.
 #[derive(Clone)]
 pub(crate) struct Streams {
     commands: Sender<Command>,
@@ -51,7 +51,7 @@
         let fd = eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?;
         let waker = Arc::new(Waker { fd, pending: AtomicBool::new(false) });
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
-        epoll::add(&epoll, &waker.fd, EventData::new_u64(WAKE), EventFlags::IN)?;
+        epoll::add(&epoll, &waker.fd, EventData::new_u64(WAKER_TOKEN), EventFlags::IN)?;
         let (commands, receiver) = unbounded();
         let callers = Arc::new(AtomicUsize::new(0));
         let event_loop = EventLoop {
@@ -67,23 +67,23 @@
         };
         thread::Builder::new()
             .name("sip-streams".into())
-            .stack_size(THREAD_STACK)
+            .stack_size(THREAD_STACK_BYTES)
             .spawn(move || event_loop.run())?;
         Ok(Streams { commands, waker, callers })
     }
 
     fn command(&self, command: Command) {
-        // The thread ends with the front; what comes after concerns nobody any more.
+        // The thread has ended only if the front has, and then the command has no effect.
         let _ = self.commands.send(command);
         self.waker.wake();
     }
 
-    /// Writes to a peer. A stream to a media server that is not open is opened; a caller's is gone for good.
+    /// Writes to a peer. A stream to a media server is opened if necessary, but a stream that a caller closed is not.
     pub(crate) fn send(&self, peer: Peer, bytes: Vec<u8>) {
         self.command(Command::Send(peer, bytes));
     }
 
-    /// Closes a stream, after what was written to it as far as the peer takes it.
+    /// Closes a stream, after writing as much of its buffered data as the peer accepts at once.
     pub(crate) fn close(&self, peer: Peer) {
         self.command(Command::Close(peer));
     }
@@ -94,7 +94,7 @@
         self.command(Command::Adopt(peer, stream));
     }
 
-    /// Streams of callers that are open.
+    /// Returns the number of open streams of callers.
     pub(crate) fn callers(&self) -> usize {
         self.callers.load(Ordering::SeqCst)
     }
--- a/crates/front/server/src/sip/streams/stream.rs
+++ b/crates/front/server/src/sip/streams/stream.rs
@@ -1,4 +1,4 @@
-//! One stream: its socket, what waits on both sides, and the events it waits for.
+//! A single SIP stream with its socket, its buffers and the events that it waits for.
 
 use std::collections::VecDeque;
 use std::io::{self, Write};
@@ -10,25 +10,25 @@
 use beechloft_sip::transaction::layer::Peer;
 use rustix::event::epoll::EventFlags;
 
-/// Bytes that may wait for a peer to read them.
+/// Maximum number of buffered bytes that a peer has not read.
 const MAX_UNREAD_BYTES: usize = 256 * 1024;
 
 pub(super) struct Stream {
     pub(super) peer: Peer,
     pub(super) socket: TcpStream,
     pub(super) connecting: bool,
-    /// What the peer has not taken yet.
+    /// Data that the peer has not accepted yet.
     pub(super) unsent: VecDeque<u8>,
     pub(super) framer: Framer,
-    /// What did not fit into the agent's queue.
+    /// Messages that did not fit into the agent's queue.
     pub(super) undelivered: VecDeque<Input>,
-    /// When it must have connected, or its caller must have sent something.
+    /// When the stream is closed if it has not connected, or if its caller has not sent anything.
     pub(super) deadline: Instant,
     pub(super) interest: EventFlags,
 }
 
 impl Stream {
-    /// The events that it waits for now.
+    /// Returns the events that the stream waits for now.
     pub(super) fn wanted_events(&self) -> EventFlags {
         let mut wanted = EventFlags::empty();
         if !self.connecting && self.undelivered.is_empty() {
@@ -40,7 +40,7 @@
         wanted
     }
 
-    /// Writes what the peer takes.
+    /// Writes as much buffered data as the peer accepts. Fails if more than [`MAX_UNREAD_BYTES`] are left.
     pub(super) fn flush(&mut self) -> io::Result<()> {
         while !self.unsent.is_empty() {
             match self.socket.write(self.unsent.as_slices().0) {
@@ -55,10 +55,10 @@
     }
 }
 
-/// Why a stream is over.
-pub(super) enum Closed {
+/// Why a stream was lost.
+pub(super) enum LossReason {
     /// The connection was refused.
     Refused,
-    /// It broke, or timed out.
-    Lost,
+    /// The connection broke or timed out.
+    Broken,
 }
--- a/crates/front/server/tests/faults.rs
+++ b/crates/front/server/tests/faults.rs
@@ -262,7 +262,7 @@
         serde_json::json!({"id": 2, "name": "box-2.a", "address": rig.fleet.listed()[1].address, "state": "ready",
             "zone": "a", "kind": "small"}),
     ];
-    rig.fleet.list.publish(beechloft_discovery::Message { boxes: lines, ..Default::default() });
+    rig.fleet.list.publish(beechloft_discovery::Message { media_servers: lines, ..Default::default() });
     // Named twice: its least ready state holds.
     until("box 2 drains", || {
         rig.play("pair");
--- a/crates/testing/fakes/src/list.rs
+++ b/crates/testing/fakes/src/list.rs
@@ -73,7 +73,7 @@
     /// Publishes boxes.
     pub fn boxes(&self, boxes: &[MediaServerJson]) {
         let boxes = boxes.iter().filter_map(|b| serde_json::to_value(b).ok()).collect();
-        self.publish(Message { boxes, ..Message::default() });
+        self.publish(Message { media_servers: boxes, ..Message::default() });
     }
 
     /// Publishes titles.
@@ -134,7 +134,7 @@
 
     /// Notes what a front is told of boxes' states.
     fn note(&self, front: u32, message: &Message) {
-        for line in &message.boxes {
+        for line in &message.media_servers {
             let (Some(id), Some(state)) = (line.get("id").and_then(|i| i.as_u64()), line.get("state")) else {
                 continue;
             };
@@ -168,7 +168,7 @@
                 due.iter().for_each(|m| mirror.apply(false, m));
                 let all = mirror.message();
                 // A service that knows of nothing yet has nothing to say.
-                if !all.boxes.is_empty() {
+                if !all.media_servers.is_empty() {
                     begun = true;
                     events.push((SNAPSHOT, all));
                 }
