--- a/crates/front/session/src/controller/media_servers.rs
+++ b/crates/front/session/src/controller/media_servers.rs
@@ -75,8 +75,9 @@
         if loss == Loss::ProcessExited {
             self.releases.forget(server);
         }
-        let playing = self.playing.get(&server).into_iter().flat_map(|playing| playing.values().copied());
-        let sessions: Vec<SessionId> = playing.collect();
+        let playing_sessions =
+            self.playing.get(&server).into_iter().flat_map(|playing| playing.values().copied());
+        let sessions: Vec<SessionId> = playing_sessions.collect();
         if !sessions.is_empty() {
             let (id, count) = (server.0, sessions.len());
             out.push(Output::Log(format!("media server {id} lost: {count} sessions ended")));
--- a/crates/front/session/src/controller/mod.rs
+++ b/crates/front/session/src/controller/mod.rs
@@ -115,7 +115,7 @@
             Input::HealthChecked { server, outcome, load } => {
                 self.events.push_back(Event::HealthChecked { server, outcome, report: load });
             }
-            Input::Released { id, gone } => self.releases.result(self.now, id, gone),
+            Input::Released { id, ended } => self.releases.result(self.now, id, ended),
             Input::HolderFilter(change) => self.holder_filters.change(change),
             Input::SlotAssigned(slot) => self.events.push_back(Event::SlotAssigned(slot)),
             Input::Tick => {}
--- a/crates/front/session/src/io.rs
+++ b/crates/front/session/src/io.rs
@@ -167,7 +167,7 @@
         /// The release that was attempted.
         id: ReleaseId,
         /// Whether the session is known to have ended at the media server.
-        gone: bool,
+        ended: bool,
     },
     /// The filter on the holders that are offered to the policy changed.
     HolderFilter(HolderFilter),
--- a/crates/front/session/src/liveness/tests.rs
+++ b/crates/front/session/src/liveness/tests.rs
@@ -1,11 +1,11 @@
-//! What ends the sessions of a media server, and what does not.
+//! Tests of the detection of lost media servers.
 
 use super::*;
 
 const SERVER: ServerId = ServerId(3);
 
 #[test]
-fn a_broken_stream_alone_loses_nothing_for_a_while() {
+fn broken_stream_does_not_lose_media_server_before_timeout() {
     let mut liveness = Liveness::default();
     assert_eq!(liveness.connected(SERVER, 7), ProcessState::Unchanged);
     liveness.disconnected(Micros(5), SERVER);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn another_start_or_a_refused_connection_ends_what_ran_there() {
+fn new_boot_or_refused_connection_means_process_exited() {
     let mut liveness = Liveness::default();
     liveness.connected(SERVER, 7);
     assert_eq!(liveness.connected(SERVER, 8), ProcessState::Exited);
@@ -24,12 +24,12 @@
     assert_eq!(
         liveness.connected(SERVER, 9),
         ProcessState::Unchanged,
-        "the first start that is seen ends nothing"
+        "the first observed start is not a restart"
     );
 }
 
 #[test]
-fn a_server_unreachable_for_too_long_is_lost_once() {
+fn unreachable_media_server_is_lost_once() {
     let mut liveness = Liveness::default();
     liveness.disconnected(Micros(0), SERVER);
     assert_eq!(liveness.next_due(), Some(UNREACHABLE_TIMEOUT));
--- a/crates/front/session/src/release/mod.rs
+++ b/crates/front/session/src/release/mod.rs
@@ -70,10 +70,10 @@
     }
 
     /// Handles the result of an attempt. A result of a release that is no longer pending has no effect.
-    pub fn result(&mut self, now: Micros, id: ReleaseId, gone: bool) {
+    pub fn result(&mut self, now: Micros, id: ReleaseId, ended: bool) {
         let Some(release) = self.pending.get_mut(&id) else { return };
         self.due.remove(&(release.due, id));
-        if gone {
+        if ended {
             self.pending.remove(&id);
             return;
         }
--- a/crates/front/session/src/release/tests.rs
+++ b/crates/front/session/src/release/tests.rs
@@ -1,17 +1,17 @@
-//! Releases are retried with backoff, and end.
+//! Tests of the retries and the end of releases.
 
 use super::*;
 
 const SECOND: u64 = 1_000_000;
 
 #[test]
-fn a_release_is_retried_until_the_media_server_says_gone() {
+fn retries_with_backoff_until_end_is_confirmed() {
     let mut releases = Releases::default();
     releases.add(Micros(0), ServerId(1), "/r/1".into());
     let first = releases.take_due(Micros(0)).attempts;
     assert_eq!(first.len(), 1);
     releases.result(Micros(1000), first[0].id, false);
-    assert!(releases.take_due(Micros(1000)).attempts.is_empty(), "not before its backoff");
+    assert!(releases.take_due(Micros(1000)).attempts.is_empty(), "the backoff has not passed");
     let second = releases.take_due(Micros(SECOND)).attempts;
     assert_eq!(second, first);
     releases.result(Micros(SECOND), first[0].id, true);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_attempt_without_an_answer_is_repeated_and_the_release_is_given_up_at_last() {
+fn retries_unanswered_attempts_and_finally_gives_up() {
     let mut releases = Releases::default();
     releases.add(Micros(0), ServerId(1), "/r/1".into());
     let (mut attempts, mut given_up) = (0, 0);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_media_server_that_is_gone_takes_its_releases_with_it() {
+fn forget_drops_only_the_releases_of_that_media_server() {
     let mut releases = Releases::default();
     releases.add(Micros(0), ServerId(1), "/r/1".into());
     releases.add(Micros(0), ServerId(2), "/r/2".into());
--- a/crates/front/session/tests/any_order.rs
+++ b/crates/front/session/tests/any_order.rs
@@ -1,4 +1,4 @@
-//! Any order of inputs, late and repeated ones included: the outputs keep the rules.
+//! Property tests: for any order of inputs, including late and duplicate ones, the outputs keep the invariants.
 
 mod support;
 
@@ -10,18 +10,18 @@
 use proptest::test_runner::RngSeed;
 use support::*;
 
-/// What happens next.
+/// A step of the simulation.
 #[derive(Debug, Clone)]
 enum Step {
     Request {
         title: u8,
         repeat: Option<u8>,
     },
-    /// An attempt that is in flight, or one that ended long ago, gets this result.
+    /// An attempt in flight, or one that has already ended, receives a result.
     AttemptEnded {
         which: u8,
         kind: u8,
-        repeated: bool,
+        duplicate: bool,
     },
     Disconnect(u8),
     Delete(u8, bool),
@@ -38,20 +38,20 @@
     prop_oneof![
         6 => (0..4u8, prop::option::weighted(0.2, 0..4u8)).prop_map(|(title, repeat)| Step::Request { title, repeat }),
         8 => (any::<u8>(), 0..9u8, prop::bool::weighted(0.2))
-            .prop_map(|(which, kind, repeated)| Step::AttemptEnded { which, kind, repeated }),
+            .prop_map(|(which, kind, duplicate)| Step::AttemptEnded { which, kind, duplicate }),
         2 => any::<u8>().prop_map(Step::Disconnect),
-        2 => (any::<u8>(), any::<bool>()).prop_map(|(n, right)| Step::Delete(n, right)),
+        2 => (any::<u8>(), any::<bool>()).prop_map(|(n, correct_secret)| Step::Delete(n, correct_secret)),
         1 => any::<u8>().prop_map(Step::AnswerUndelivered),
         2 => (0..4u8, 0..6u8).prop_map(|(b, n)| Step::MediaServer(b, n)),
         1 => any::<u8>().prop_map(Step::SessionEnded),
         1 => (0..7u8).prop_map(Step::Endpoints),
-        3 => (any::<u8>(), any::<bool>()).prop_map(|(n, gone)| Step::Released(n, gone)),
+        3 => (any::<u8>(), any::<bool>()).prop_map(|(n, ended)| Step::Released(n, ended)),
         6 => prop_oneof![0..2_000u32, 0..400_000u32, 0..6_000_000u32].prop_map(Step::Wait),
         1 => Just(Step::Shutdown),
     ]
 }
 
-/// Everything that may be checked from outside.
+/// The state of clients and media servers, derived from inputs and outputs.
 #[derive(Default)]
 struct Observed {
     requests: BTreeMap<RequestId, (SessionId, u64)>,
@@ -63,11 +63,10 @@
     releasing: BTreeMap<beechloft_session::release::ReleaseId, (ServerId, String)>,
     playing: BTreeMap<SessionId, (ServerId, Secret)>,
     boots: BTreeMap<ServerId, u64>,
-    stopped: bool,
 }
 
 impl Observed {
-    fn take(&mut self, now: u64, outputs: Vec<Output>) -> Result<(), TestCaseError> {
+    fn check_outputs(&mut self, now: u64, outputs: Vec<Output>) -> Result<(), TestCaseError> {
         for output in outputs {
             match output {
                 Output::SetUp { attempt, request, server, deadline, .. } => {
@@ -75,20 +74,26 @@
                         !self.in_flight.contains_key(&attempt.session),
                         "two attempts in flight: {attempt:?}"
                     );
-                    prop_assert!(!self.answered.contains_key(&request), "set up after its answer");
-                    prop_assert!(!self.disconnected.contains(&request), "set up for a client that left");
+                    prop_assert!(!self.answered.contains_key(&request), "set up after the answer");
+                    prop_assert!(
+                        !self.disconnected.contains(&request),
+                        "set up after the client disconnected"
+                    );
                     prop_assert!(deadline.0 > now);
                     self.in_flight.insert(attempt.session, (attempt, server, deadline.0));
                 }
                 Output::Reply(request, answer) => {
                     prop_assert!(self.answered.insert(request, now).is_none(), "answered twice: {request:?}");
-                    prop_assert!(!self.disconnected.contains(&request), "answered after the client left");
+                    prop_assert!(
+                        !self.disconnected.contains(&request),
+                        "answered after the client disconnected"
+                    );
                     if let Answer::Playing { session, secret, server, .. } = answer {
                         self.playing.insert(session, (server, secret));
                     }
                 }
                 Output::SessionEnded(session, _) => {
-                    prop_assert!(self.playing.remove(&session).is_some(), "ended, but never played");
+                    prop_assert!(self.playing.remove(&session).is_some(), "ended without having played");
                 }
                 Output::Release { id, server, resource } => {
                     self.releasing.insert(id, (server, resource));
@@ -124,10 +129,10 @@
 impl Simulation {
     fn input(&mut self, input: Input) -> Result<(), TestCaseError> {
         let outputs = self.front.input(input);
-        self.observed.take(self.front.now, outputs)
+        self.observed.check_outputs(self.front.now, outputs)
     }
 
-    /// An attempt ends by its deadline and grace, as the caller guarantees.
+    /// Advances the time. Attempts end by their deadlines plus grace periods, as the controller requires.
     fn wait(&mut self, us: u64) -> Result<(), TestCaseError> {
         let end = self.front.now + us;
         loop {
@@ -137,8 +142,8 @@
             let next = ends.into_iter().chain(due).min().filter(|t| *t <= end);
             let Some(next) = next else { break };
             self.front.now = self.front.now.max(next);
-            let late = self.observed.in_flight.values().find(|o| o.2 + grace <= self.front.now).copied();
-            match late {
+            let overdue = self.observed.in_flight.values().find(|o| o.2 + grace <= self.front.now).copied();
+            match overdue {
                 Some((id, server, _)) => {
                     self.attempt_ended(id, server, AttemptResult::Ended(Outcome::Timeout))?
                 }
@@ -176,21 +181,21 @@
                 self.observed.requests.insert(request.request, (request.session, self.front.now));
                 self.input(Input::Request(request))
             }
-            Step::AttemptEnded { which, kind, repeated } => {
+            Step::AttemptEnded { which, kind, duplicate } => {
                 let past = observed.past.iter().copied();
-                let live = observed.in_flight.values().map(|o| (o.0, o.1));
-                let Some((id, server)) = (if repeated { pick(past, which) } else { pick(live, which) })
+                let in_flight = observed.in_flight.values().map(|o| (o.0, o.1));
+                let Some((id, server)) = (if duplicate { pick(past, which) } else { pick(in_flight, which) })
                 else {
                     return Ok(());
                 };
                 let resource = format!("/r/{}-{}", id.session.0, id.number);
-                let verdict = match kind {
+                let result = match kind {
                     0 | 1 | 8 => AttemptResult::Accepted { resource, reply: Default::default() },
                     6 => AttemptResult::Unusable { resource, outcome: Outcome::Timeout },
                     7 => AttemptResult::Declined(401),
                     kind => AttemptResult::Ended(outcome(kind)),
                 };
-                self.attempt_ended(id, server, verdict)
+                self.attempt_ended(id, server, result)
             }
             Step::Disconnect(n) => {
                 let waiting =
@@ -202,15 +207,15 @@
                 self.observed.disconnected.insert(request);
                 self.input(Input::ClientDisconnected(session))
             }
-            Step::Delete(n, right) => {
+            Step::Delete(n, correct_secret) => {
                 let Some((session, secret)) = pick(observed.playing.iter().map(|(s, p)| (*s, p.1)), n) else {
                     return Ok(());
                 };
                 self.next += 1;
-                let secret = if right { secret } else { Secret(secret.0 ^ 1) };
+                let secret = if correct_secret { secret } else { Secret(secret.0 ^ 1) };
                 self.input(Input::Delete { request: RequestId(self.next), session, secret })?;
                 prop_assert!(self.observed.answered.contains_key(&RequestId(self.next)));
-                prop_assert_eq!(right, !self.observed.playing.contains_key(&session));
+                prop_assert_eq!(correct_secret, !self.observed.playing.contains_key(&session));
                 Ok(())
             }
             Step::AnswerUndelivered(n) => {
@@ -249,29 +254,26 @@
                 self.observed.at_servers.remove(&(server, resource.clone()));
                 self.input(Input::MediaServer(server, MediaServerEvent::SessionEnded { resource }))
             }
-            Step::Endpoints(n) => self.input(Input::Endpoints(list_change(n))),
-            Step::Released(n, gone) => {
+            Step::Endpoints(n) => self.input(Input::Endpoints(endpoint_update(n))),
+            Step::Released(n, ended) => {
                 let Some(id) = pick(observed.releasing.keys().copied(), n) else { return Ok(()) };
-                if gone && let Some(place) = self.observed.releasing.remove(&id) {
-                    self.observed.at_servers.remove(&place);
+                if ended && let Some(location) = self.observed.releasing.remove(&id) {
+                    self.observed.at_servers.remove(&location);
                 }
-                self.input(Input::Released { id, gone })
+                self.input(Input::Released { id, ended })
             }
             Step::Wait(us) => self.wait(u64::from(us)),
-            Step::Shutdown => {
-                self.observed.stopped = true;
-                self.input(Input::Shutdown)
-            }
+            Step::Shutdown => self.input(Input::Shutdown),
         }
     }
 
-    /// Lets everything run out, and checks what must hold then.
+    /// Runs until all attempts and releases have ended, and checks the final state.
     fn finish(&mut self) -> Result<(), TestCaseError> {
         for _ in 0..40 {
             self.wait(2_000_000)?;
-            for (id, place) in std::mem::take(&mut self.observed.releasing) {
-                self.observed.at_servers.remove(&place);
-                self.input(Input::Released { id, gone: true })?;
+            for (id, location) in std::mem::take(&mut self.observed.releasing) {
+                self.observed.at_servers.remove(&location);
+                self.input(Input::Released { id, ended: true })?;
             }
         }
         let observed = &self.observed;
@@ -279,7 +281,7 @@
             let answered = observed.answered.get(request);
             prop_assert!(
                 answered.is_some() != observed.disconnected.contains(request),
-                "one answer each: {request:?}"
+                "not exactly one answer: {request:?}"
             );
             prop_assert!(answered.is_none_or(|at| at - since < 4_000_000), "answered too late");
         }
@@ -287,7 +289,7 @@
         for ((server, resource), session) in &observed.at_servers {
             prop_assert!(
                 observed.playing.get(session).is_some_and(|p| p.0 == *server),
-                "left behind: {server:?} {resource}"
+                "orphaned session: {server:?} {resource}"
             );
         }
         prop_assert_eq!(observed.playing.len(), self.front.controller.playing());
@@ -305,7 +307,7 @@
     })]
 
     #[test]
-    fn any_order_of_inputs_keeps_the_rules(seed in any::<u64>(), steps in prop::collection::vec(step(), 1..120)) {
+    fn outputs_keep_invariants_for_any_input_order(seed in any::<u64>(), steps in prop::collection::vec(step(), 1..120)) {
         let mut simulation = Simulation { front: Front::new(seed), observed: Observed::default(), next: 0 };
         for step in steps {
             simulation.step(step)?;
@@ -314,13 +316,13 @@
     }
 
     #[test]
-    fn the_same_inputs_give_the_same_outputs(seed in any::<u64>(), steps in prop::collection::vec(step(), 1..60)) {
+    fn same_inputs_give_same_outputs(seed in any::<u64>(), steps in prop::collection::vec(step(), 1..60)) {
         let run = || -> Result<Vec<String>, TestCaseError> {
             let mut simulation = Simulation { front: Front::new(seed), observed: Observed::default(), next: 0 };
             for step in &steps {
                 simulation.step(step.clone())?;
             }
-            Ok(simulation.front.log)
+            Ok(simulation.front.output_log)
         };
         prop_assert_eq!(run()?, run()?);
     }
--- a/crates/front/session/tests/support/mod.rs
+++ b/crates/front/session/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A front with four media servers and three titles, driven by hand.
+//! A session controller with four media servers and three titles, driven with explicit inputs and times.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -80,7 +80,7 @@
     }
 }
 
-/// All four media servers; nobody holds `title-2`.
+/// Returns a complete list of four media servers. No media server holds `title-2`.
 pub fn snapshot(cached: bool) -> EndpointUpdate {
     let servers = (0..4).map(|n| media_server(n, EndpointState::Ready)).collect();
     let titles =
@@ -92,7 +92,8 @@
     EndpointUpdate::Change { servers, titles: vec![], removed: vec![] }
 }
 
-pub fn list_change(n: u8) -> EndpointUpdate {
+/// Returns one of several valid and faulty updates of the endpoint list.
+pub fn endpoint_update(n: u8) -> EndpointUpdate {
     match n {
         0 => change(vec![media_server(1, EndpointState::Draining)]),
         1 => change(vec![media_server(1, EndpointState::Ready)]),
@@ -119,19 +120,22 @@
 pub struct Front {
     pub controller: SessionController,
     pub now: u64,
-    /// All outputs so far, as text.
-    pub log: Vec<String>,
+    /// All outputs so far with their times, as text.
+    pub output_log: Vec<String>,
 }
 
 impl Front {
-    /// In service: its endpoint list is known, and long enough for its media servers to be warm.
+    /// Creates a front that has known its endpoint list for longer than its media servers warm up.
     pub fn new(seed: u64) -> Self {
         Front::with(settings(), seed)
     }
 
     pub fn with(settings: Settings, seed: u64) -> Self {
-        let mut front =
-            Front { controller: SessionController::new(settings, seed), now: 100 * SECOND, log: Vec::new() };
+        let mut front = Front {
+            controller: SessionController::new(settings, seed),
+            now: 100 * SECOND,
+            output_log: Vec::new(),
+        };
         front.input(Input::Endpoints(snapshot(true)));
         front.now += 20 * SECOND;
         front.input(Input::Endpoints(snapshot(false)));
@@ -139,10 +143,10 @@
     }
 
     pub fn input(&mut self, input: Input) -> Vec<Output> {
-        let mut out = Vec::new();
-        self.controller.handle(Micros(self.now), input, &mut out);
-        self.log.extend(out.iter().map(|o| format!("{} {o:?}", self.now)));
-        out
+        let mut outputs = Vec::new();
+        self.controller.handle(Micros(self.now), input, &mut outputs);
+        self.output_log.extend(outputs.iter().map(|output| format!("{} {output:?}", self.now)));
+        outputs
     }
 
     pub fn request(&mut self, n: u64, title: &str) -> Vec<Output> {
@@ -164,7 +168,7 @@
         self.attempt_ended(attempt, server, AttemptResult::Accepted { resource, reply: Arc::default() })
     }
 
-    /// Requests a title and has the first media server take it.
+    /// Requests a title, lets the first media server accept it and returns that media server.
     pub fn play(&mut self, n: u64, title: &str) -> ServerId {
         let (attempt, server, _) = set_up(&self.request(n, title)).expect("a set-up");
         self.accept(attempt, server);
@@ -172,21 +176,24 @@
     }
 }
 
-/// The first set-up among outputs: attempt, media server, when it is dropped.
+/// Returns the attempt, media server and deadline of the first set-up among outputs.
 pub fn set_up(outputs: &[Output]) -> Option<(AttemptId, ServerId, u64)> {
-    outputs.iter().find_map(|o| match o {
+    outputs.iter().find_map(|output| match output {
         Output::SetUp { attempt, server, deadline, .. } => Some((*attempt, *server, deadline.0)),
         _ => None,
     })
 }
 
-/// The replies among outputs.
-pub fn replies(outputs: &[Output]) -> Vec<&Answer> {
-    outputs.iter().filter_map(|o| if let Output::Reply(_, a) = o { Some(a) } else { None }).collect()
+/// Returns the answers among outputs.
+pub fn answers(outputs: &[Output]) -> Vec<&Answer> {
+    outputs
+        .iter()
+        .filter_map(|output| if let Output::Reply(_, answer) = output { Some(answer) } else { None })
+        .collect()
 }
 
-/// Paths released among outputs.
-pub fn released(outputs: &[Output]) -> Vec<&str> {
+/// Returns the paths of the sessions that are released among outputs.
+pub fn released_resources(outputs: &[Output]) -> Vec<&str> {
     let mut paths = Vec::new();
     for output in outputs {
         if let Output::Release { resource, .. } = output {
--- a/crates/front/sip/src/agent/boxes.rs
+++ b/crates/front/sip/src/agent/boxes.rs
@@ -248,7 +248,7 @@
         }
         self.out.push(Output::Close(placed.peer));
         if let Some(ticket) = placed.release {
-            self.tell(core_io::Input::Released { id: ticket, gone: true });
+            self.tell(core_io::Input::Released { id: ticket, ended: true });
         }
     }
 }
--- a/crates/front/sip/src/agent/mod.rs
+++ b/crates/front/sip/src/agent/mod.rs
@@ -271,7 +271,7 @@
                     }
                     self.on_box(leg, callee::In::End);
                 }
-                _ => self.tell(core_io::Input::Released { id: ticket, gone: true }),
+                _ => self.tell(core_io::Input::Released { id: ticket, ended: true }),
             },
             core_io::Output::SessionEnded(session, _) => {
                 self.on_caller(session, caller::In::End, None);
