--- a/crates/front/config/src/front/tests.rs
+++ b/crates/front/config/src/front/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of the front settings.
+//! Tests of a front's settings.
 
 use super::*;
 
-const SOUND: &str = "\
+const VALID_SETTINGS: &str = "\
 service:
   zones: [hala-a, hala-b]
   racks: 2
@@ -24,26 +24,26 @@
 ";
 
 fn faults(from: &str, to: &str) -> Vec<String> {
-    assert!(SOUND.contains(from), "{from}");
-    match parse(&SOUND.replacen(from, to, 1)) {
+    assert!(VALID_SETTINGS.contains(from), "{from}");
+    match parse(&VALID_SETTINGS.replacen(from, to, 1)) {
         Ok(_) => Vec::new(),
         Err(faults) => faults.0.iter().map(ToString::to_string).collect(),
     }
 }
 
 #[test]
-fn a_sound_file_is_read_whole() {
-    let f = parse(SOUND).expect("sound");
+fn reads_valid_file() {
+    let front = parse(VALID_SETTINGS).expect("valid settings");
     assert_eq!(
-        (f.settings.zone, f.settings.ladder.rates_kb.len(), f.settings.front_count),
+        (front.settings.zone, front.settings.ladder.rates_kb.len(), front.settings.front_count),
         (ZoneId(1), 2, 1)
     );
-    let ListSource::Static(boxes, titles) = f.list else { panic!("written here") };
-    assert_eq!((boxes.len(), titles[0].holders.len()), (1, 1));
+    let ListSource::Static(servers, titles) = front.list else { panic!("a static list") };
+    assert_eq!((servers.len(), titles[0].holders.len()), (1, 1));
 }
 
 #[test]
-fn each_fault_is_said_with_its_line_and_key() {
+fn reports_each_fault_with_line_and_key() {
     let one = |from, to| match faults(from, to).as_slice() {
         [one] => one.clone(),
         other => panic!("{from} to {to}: {other:?}"),
@@ -70,17 +70,19 @@
 }
 
 #[test]
-fn all_faults_come_at_once_and_in_order() {
-    let text =
-        SOUND.replace("racks: 2", "racks: 0").replace("streams: 20", "streams: x").replace("hala-b\n", "q\n");
-    let faults = parse(&text).expect_err("three faults").0;
-    let lines: Vec<usize> = faults.iter().map(|f| f.position.line).collect();
+fn reports_all_faults_in_order() {
+    let text = VALID_SETTINGS
+        .replace("racks: 2", "racks: 0")
+        .replace("streams: 20", "streams: x")
+        .replace("hala-b\n", "q\n");
+    let faults = parse(&text).expect_err("several faults").0;
+    let lines: Vec<usize> = faults.iter().map(|fault| fault.position.line).collect();
     assert_eq!(lines.len(), 4, "{faults:?}");
     assert!(lines.is_sorted());
 }
 
 #[test]
-fn text_that_is_no_settings_is_said_to_be_none() {
+fn rejects_text_that_is_not_settings() {
     for text in
         ["", "- 1\n", "a: [1\n", "a: 1\na: 2\n", "x\n", "a: &b [*b]\n", "---\na: 1\n---\nb: 1\n", "\u{0}"]
     {
--- a/crates/front/discovery/src/cache/tests.rs
+++ b/crates/front/discovery/src/cache/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the cached copy.
+//! Tests of the copy of the list on disk.
 
 use super::*;
 
 #[test]
-fn the_copy_is_read_as_saved_and_a_cut_one_is_an_error() {
+fn loads_saved_copy_and_rejects_truncated_one() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("list.json");
     assert!(load(&path).expect("readable").is_none());
--- a/crates/front/discovery/src/tests.rs
+++ b/crates/front/discovery/src/tests.rs
@@ -1,27 +1,27 @@
-//! Tests of the messages of the endpoint list.
+//! Tests of the validation of messages.
 
 use super::*;
 use beechloft_session::api::Settings;
 use serde_json::json;
 
 pub(crate) fn service() -> Service {
-    let names = |n: &str| vec![n.to_owned()];
+    let names = |name: &str| vec![name.to_owned()];
     let settings = Settings { racks: 2, ..Settings::default() };
     Service { zones: names("a"), classes: names("c"), tenants: vec![], kinds: names("k"), settings }
 }
 
 #[test]
-fn a_bad_line_costs_only_itself() {
-    let sound =
+fn ignores_only_invalid_entries() {
+    let valid =
         json!({"id": 1, "name": "one", "address": "127.0.0.1:1", "state": "ready", "zone": "a", "kind": "k"});
     let with = |key: &str, value: Value| {
-        let mut v = sound.clone();
-        v[key] = value;
-        v
+        let mut entry = valid.clone();
+        entry[key] = value;
+        entry
     };
     let message = Message {
         media_servers: vec![
-            sound.clone(),
+            valid.clone(),
             with("state", json!("fine")),
             with("zone", json!("b")),
             with("address", json!("nowhere")),
--- a/crates/front/server/src/server_calls.rs
+++ b/crates/front/server/src/server_calls.rs
@@ -198,7 +198,7 @@
     /// Reports the failure of a call that was not made.
     fn fail(&self, job: &Job) {
         if let Job::Release { id, .. } = job {
-            self.handle.input(Input::Released { id: *id, gone: false });
+            self.handle.input(Input::Released { id: *id, ended: false });
         }
     }
 
@@ -207,8 +207,8 @@
             Job::Release { id, resource } => {
                 let result = self.call(server, address, &media_server::release(&resource));
                 debug!(target: "boxes", server = server.0, resource, ok = result.is_ok(), "release");
-                let gone = result.is_ok_and(|response| media_server::is_gone(&response));
-                self.handle.input(Input::Released { id, gone });
+                let ended = result.is_ok_and(|response| media_server::is_gone(&response));
+                self.handle.input(Input::Released { id, ended });
             }
             Job::SetRung { path, rung } => {
                 if let Err(error) = self.call(server, address, &media_server::set_rung(&path, rung)) {
--- a/crates/front/server/src/sip/queues/tests.rs
+++ b/crates/front/server/src/sip/queues/tests.rs
@@ -1,4 +1,4 @@
-//! The order of the agent's queues, and what is kept out when one is full.
+//! Tests of the priorities and limits of the agent's queues.
 
 use super::*;
 use beechloft_sip::transaction::Transport;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn new_calls_wait_behind_all_else_and_when_full_keep_nobody_else_out() {
+fn new_calls_have_lowest_priority_and_do_not_block_other_messages() {
     let (sender, queues) = queues();
     let (new_call, reinvite, bye) =
         (received("INVITE", ""), received("INVITE", ";tag=2"), received("BYE", ";tag=2"));
@@ -24,7 +24,7 @@
     assert_eq!(
         sender.streamed(new_call.clone()),
         Err(new_call.clone()),
-        "it is returned, for its stream to keep"
+        "the message is returned to its stream"
     );
     assert_eq!((sender.streamed(reinvite.clone()), sender.streamed(bye.clone())), (Ok(()), Ok(())));
     sender.reliable(Input::Tick);
--- a/crates/front/server/tests/rules.rs
+++ b/crates/front/server/tests/rules.rs
@@ -1,6 +1,4 @@
-//! Terms, budget and cold boxes on sockets, and what a class that must not be set up twice is told.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::shadow_unrelated)]
+//! Tests of class limits, retry budget, slow start and classes whose set-up must not be repeated, on sockets.
 
 mod support;
 
@@ -18,17 +16,17 @@
 use beechloft_server::Front;
 use support::*;
 
-/// Settings with terms: two seats and a floor, set-ups that must not be repeated, a budget, a rule for cold boxes.
-fn strict(list: &str, terms: &str) -> beechloft_config::FrontSettings {
+/// Returns settings with a minimum rung, further class settings, a retry budget and slow start.
+fn limited_settings(list: &str, class_settings: &str) -> beechloft_config::FrontSettings {
     let text = format!(
         "service:\n  zones: [a]\n  racks: 2\n  ladder:\n    - {{rate_kb: 200, worth: 0.2}}\n    - {{rate_kb: 450, worth: 0.6}}\n    \
          - {{rate_kb: 1000, worth: 1}}\n  classes:\n    - {{name: video, aim_ms: 800, patience_ms: 4000, floor: 1, \
-         {terms}}}\n  kinds:\n    - {{name: small, streams: 20}}\n  links: {{unit_kb: 20000, guard: 1.2}}\n  \
+         {class_settings}}}\n  kinds:\n    - {{name: small, streams: 20}}\n  links: {{unit_kb: 20000, guard: 1.2}}\n  \
          limits: {{attempts: 3, retry_after_ms: 500}}\n  budget: {{free: 2, share: 0.1, window_ms: 10000}}\n  \
          cold: {{warm_ms: 6000, from: 0.4, multiple: 2.5, span_ms: 2000}}\n\
          front:\n  listen: 127.0.0.1:0\n  seed: 7\nlist:\n  url: {list}\n"
     );
-    front::parse(&text).unwrap_or_else(|e| panic!("{e}\n{text}"))
+    front::parse(&text).unwrap_or_else(|error| panic!("{error}\n{text}"))
 }
 
 fn rules(repeat: Repeat) -> Rules {
@@ -47,16 +45,21 @@
     }
 }
 
-struct Strict {
+/// A front with limits on its class, and its fleet.
+struct LimitedHarness {
     recorder: Recorder,
     fleet: Fleet,
     front: Front,
     dice: Dice,
 }
 
-impl Strict {
-    fn new(boxes: u32, terms: &str, change: impl FnOnce(&mut beechloft_fakes::fleet::FleetSpec)) -> Strict {
-        let mut spec = fleet_spec(boxes);
+impl LimitedHarness {
+    fn new(
+        media_servers: u32,
+        class_settings: &str,
+        change: impl FnOnce(&mut beechloft_fakes::fleet::FleetSpec),
+    ) -> LimitedHarness {
+        let mut spec = fleet_spec(media_servers);
         spec.warming = Some(Warming {
             after: Duration::from_secs(6),
             from: 0.4,
@@ -67,35 +70,41 @@
         change(&mut spec);
         let recorder = Recorder::default();
         let fleet = Fleet::start(&spec, &recorder).expect("a fleet");
-        let front = Front::start(strict(&fleet.list.url(), terms), None).expect("a front");
-        until("the list is known", || front.status().media_servers == boxes as usize);
-        Strict { recorder, fleet, front, dice: Dice::new(3) }
+        let front = Front::start(limited_settings(&fleet.list.url(), class_settings), None).expect("a front");
+        until("the endpoint list is known", || front.status().media_servers == media_servers as usize);
+        LimitedHarness { recorder, fleet, front, dice: Dice::new(3) }
     }
 
-    fn ask(&mut self, title: &str) -> u16 {
-        let wish = Wish::new(self.front.address(), 0, title);
-        player::ask(&wish, &mut self.dice, &self.recorder).response.map_or(0, |r| r.status.as_u16())
+    /// Requests a title and returns the HTTP status of the answer, or 0 if there was none.
+    fn status(&mut self, title: &str) -> u16 {
+        let request = Wish::new(self.front.address(), 0, title);
+        player::ask(&request, &mut self.dice, &self.recorder)
+            .response
+            .map_or(0, |response| response.status.as_u16())
     }
 
-    fn crowd(&mut self, players: u64, title: &str) -> BTreeMap<u16, usize> {
+    /// Requests a title for many players at once and returns the number of answers by HTTP status.
+    fn concurrent_requests(&mut self, players: u64, title: &str) -> BTreeMap<u16, usize> {
         let threads: Vec<_> = (0..players)
             .map(|n| {
-                let (wish, recorder) = (Wish::new(self.front.address(), 0, title), self.recorder.clone());
-                // Each player's offer is its own: the same offer twice would be the same session.
+                let (request, recorder) = (Wish::new(self.front.address(), 0, title), self.recorder.clone());
+                // Each player needs an offer of its own, as equal offers share a session.
                 let mut dice = Dice::new(self.dice.number() ^ n);
-                std::thread::spawn(move || player::ask(&wish, &mut dice, &recorder))
+                std::thread::spawn(move || player::ask(&request, &mut dice, &recorder))
             })
             .collect();
         let mut by_status = BTreeMap::new();
-        for t in threads {
-            let asked = t.join().expect("a player");
-            *by_status.entry(asked.response.map_or(0, |r| r.status.as_u16())).or_default() += 1;
+        for thread in threads {
+            let requested = thread.join().expect("a player");
+            *by_status
+                .entry(requested.response.map_or(0, |response| response.status.as_u16()))
+                .or_default() += 1;
         }
         by_status
     }
 
     fn finish(self, repeat: Repeat) -> Report {
-        until("the boxes' sessions are over", || self.fleet.sessions() == 0);
+        until("all sessions have ended", || self.fleet.sessions() == 0);
         let report = check(&self.recorder.trace(), &rules(repeat));
         assert!(report.kept(), "{report:#?}");
         report
@@ -103,84 +112,85 @@
 }
 
 #[test]
-fn seats_are_kept_under_a_crowd_and_free_again_when_sessions_end() {
-    let mut s = Strict::new(3, "effect: repeatable, seats: 2", |_| {});
-    let came = s.crowd(30, "all");
-    assert_eq!(came.get(&201), Some(&2), "{came:?}");
-    assert_eq!(came.get(&503), Some(&28), "{came:?}");
-    until("a seat is free again", || s.ask("all") == 201);
-    s.finish(Repeat::Repeatable);
+fn session_limit_of_title_holds_under_concurrent_requests() {
+    let mut harness = LimitedHarness::new(3, "effect: repeatable, seats: 2", |_| {});
+    let statuses = harness.concurrent_requests(30, "all");
+    assert_eq!(statuses.get(&201), Some(&2), "{statuses:?}");
+    assert_eq!(statuses.get(&503), Some(&28), "{statuses:?}");
+    until("a session has ended", || harness.status("all") == 201);
+    harness.finish(Repeat::Repeatable);
 }
 
 #[test]
-fn nobody_plays_under_the_floor_on_a_link_too_small_for_it() {
-    let mut s = Strict::new(1, "effect: repeatable, seats: 2", |spec| spec.boxes[0].link_kb = 300.0);
-    // The listed size promises more than the link gives; what is set must be at the floor all the same.
+fn no_session_plays_below_minimum_rung() {
+    let mut harness =
+        LimitedHarness::new(1, "effect: repeatable, seats: 2", |spec| spec.boxes[0].link_kb = 300.0);
+    // The link is smaller than the listed size, but the sessions must still have the minimum rung.
     for _ in 0..6 {
-        s.ask("one");
+        harness.status("one");
         std::thread::sleep(Duration::from_millis(300));
     }
-    s.finish(Repeat::Repeatable);
-    // A viewer whose own limit is under the floor is refused.
-    let mut s = Strict::new(1, "effect: repeatable, seats: 2", |_| {});
-    let wish = Wish { max_rate_kb: Some(210.0), ..Wish::new(s.front.address(), 0, "one") };
-    let asked = player::ask(&wish, &mut s.dice, &s.recorder);
-    assert_eq!(asked.response.expect("an answer").status, 503);
-    s.finish(Repeat::Repeatable);
+    harness.finish(Repeat::Repeatable);
+    // A viewer whose own rate limit is below the minimum rung is rejected.
+    let mut full_link_harness = LimitedHarness::new(1, "effect: repeatable, seats: 2", |_| {});
+    let request = Wish { max_rate_kb: Some(210.0), ..Wish::new(full_link_harness.front.address(), 0, "one") };
+    let requested = player::ask(&request, &mut full_link_harness.dice, &full_link_harness.recorder);
+    assert_eq!(requested.response.expect("an answer").status, 503);
+    full_link_harness.finish(Repeat::Repeatable);
 }
 
 #[test]
-fn a_set_up_that_may_have_run_is_not_repeated_but_failed() {
-    let mut s = Strict::new(2, "effect: once, seats: 2", |_| {});
-    s.fleet.boxes().for_each(|(_, b)| b.fault(Fault::Fail { share: 1.0 }));
-    assert_eq!(s.ask("pair"), 504);
-    s.fleet.boxes().for_each(|(_, b)| b.clear());
+fn at_most_once_set_up_fails_instead_of_retry() {
+    let mut harness = LimitedHarness::new(2, "effect: once, seats: 2", |_| {});
+    harness.fleet.boxes().for_each(|(_, b)| b.fault(Fault::Fail { share: 1.0 }));
+    assert_eq!(harness.status("pair"), 504);
+    harness.fleet.boxes().for_each(|(_, b)| b.clear());
     std::thread::sleep(Duration::from_millis(700));
-    s.fleet.boxes().for_each(|(_, b)| b.fault(Fault::NeverAnswer));
-    assert_eq!(s.ask("pair"), 504);
-    let report = s.finish(Repeat::Once);
+    harness.fleet.boxes().for_each(|(_, b)| b.fault(Fault::NeverAnswer));
+    assert_eq!(harness.status("pair"), 504);
+    let report = harness.finish(Repeat::Once);
     assert_eq!((report.further_attempts, report.failed), (0, 2));
 }
 
 #[test]
-fn a_set_up_that_never_ran_may_go_elsewhere_whatever_its_class() {
-    let mut s = Strict::new(2, "effect: once, seats: 2", |_| {});
-    s.fleet.fault(1, Fault::Refuse);
+fn at_most_once_set_up_is_retried_if_it_was_not_sent() {
+    let mut harness = LimitedHarness::new(2, "effect: once, seats: 2", |_| {});
+    harness.fleet.fault(1, Fault::Refuse);
     for _ in 0..2 {
-        assert_eq!(s.ask("pair"), 201);
+        assert_eq!(harness.status("pair"), 201);
     }
-    s.finish(Repeat::Once);
+    harness.finish(Repeat::Once);
 }
 
 #[test]
-fn further_attempts_stay_in_the_budget_while_all_boxes_fail() {
-    let mut s = Strict::new(3, "effect: repeatable, seats: 2", |_| {});
-    s.fleet.boxes().for_each(|(_, b)| b.fault(Fault::Fail { share: 1.0 }));
+fn retries_stay_within_budget_while_all_media_servers_fail() {
+    let mut harness = LimitedHarness::new(3, "effect: repeatable, seats: 2", |_| {});
+    harness.fleet.boxes().for_each(|(_, b)| b.fault(Fault::Fail { share: 1.0 }));
     for _ in 0..4 {
-        let came = s.crowd(20, "all");
-        assert_eq!(came.values().sum::<usize>(), 20);
-        assert!(!came.contains_key(&0), "each has its answer: {came:?}");
+        let statuses = harness.concurrent_requests(20, "all");
+        assert_eq!(statuses.values().sum::<usize>(), 20);
+        assert!(!statuses.contains_key(&0), "a player was not answered: {statuses:?}");
     }
-    let report = s.finish(Repeat::Repeatable);
+    let report = harness.finish(Repeat::Repeatable);
     assert!((1..=10).contains(&report.further_attempts), "{report:?}");
 }
 
 #[test]
-fn a_cold_box_is_not_pushed_over_by_the_crowd_that_waits_for_it() {
-    let mut s = Strict::new(1, "effect: repeatable", |_| {});
-    assert_eq!(s.ask("one"), 201);
-    s.fleet.fault(1, Fault::Die);
+fn warming_media_server_is_not_overloaded() {
+    let mut harness = LimitedHarness::new(1, "effect: repeatable", |_| {});
+    assert_eq!(harness.status("one"), 201);
+    harness.fleet.fault(1, Fault::Die);
     std::thread::sleep(Duration::from_millis(200));
-    s.fleet.mend(1);
+    harness.fleet.mend(1);
     for _ in 0..20 {
-        s.crowd(20, "one");
+        harness.concurrent_requests(20, "one");
         std::thread::sleep(Duration::from_millis(100));
     }
-    assert!(s.fleet.get(1).is_some_and(|b| b.is_up()), "it stands");
-    until("the boxes' sessions are over", || s.fleet.sessions() == 0);
+    assert!(harness.fleet.get(1).is_some_and(|b| b.is_up()), "the media server exited under overload");
+    until("all sessions have ended", || harness.fleet.sessions() == 0);
     let mut rules = rules(Repeat::Repeatable);
     rules.classes[0].seats = None;
-    let report = check(&s.recorder.trace(), &rules);
+    let report = check(&harness.recorder.trace(), &rules);
     assert!(report.kept(), "{report:#?}");
     assert!(report.playing > 1, "{report:?}");
 }
--- a/crates/front/server/tests/sip.rs
+++ b/crates/front/server/tests/sip.rs
@@ -1,6 +1,4 @@
-//! SIP on sockets: callers over datagrams, the front, boxes over streams; one front serves both protocols.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
+//! Tests of SIP on sockets, with callers over UDP and media servers over TCP.
 
 mod support;
 
@@ -15,22 +13,23 @@
 use beechloft_server::Front;
 use support::*;
 
-struct Sip {
+/// A front with SIP and its fleet.
+struct SipHarness {
     recorder: Recorder,
     fleet: Fleet,
     front: Front,
     seed: u64,
 }
 
-impl Sip {
-    fn new(boxes: u32) -> Sip {
+impl SipHarness {
+    fn new(media_servers: u32) -> SipHarness {
         let recorder = Recorder::default();
-        let fleet = Fleet::start(&fleet_spec(boxes), &recorder).expect("a fleet");
+        let fleet = Fleet::start(&fleet_spec(media_servers), &recorder).expect("a fleet");
         let mut settings = settings(&format!("url: {}", fleet.list.url()), "");
         settings.sip = Some("127.0.0.1:0".parse().expect("an address"));
         let front = Front::start(settings, None).expect("a front");
-        until("the list is known", || front.status().media_servers == boxes as usize);
-        Sip { recorder, fleet, front, seed: 10 }
+        until("the endpoint list is known", || front.status().media_servers == media_servers as usize);
+        SipHarness { recorder, fleet, front, seed: 10 }
     }
 
     fn caller(&mut self) -> Caller {
@@ -38,12 +37,14 @@
         Caller::new(self.front.sip_address().expect("SIP is up"), 0, self.seed).expect("a caller")
     }
 
-    /// Calls that all stand, though one of two boxes is in trouble: some, and until that box has been tried.
-    fn calls_past(&mut self, fault: Fault) {
-        let tried =
-            |s: &Sip| s.recorder.trace().iter().any(|s| matches!(s.what, What::Offered { server: 1, .. }));
+    /// Asserts that calls are established although media server 1 has a fault. Makes at least four calls, and further ones
+    /// until that media server was tried.
+    fn assert_calls_succeed_despite(&mut self, fault: Fault) {
+        let was_tried = |harness: &SipHarness| {
+            harness.recorder.trace().iter().any(|seen| matches!(seen.what, What::Offered { server: 1, .. }))
+        };
         for n in 0..24 {
-            if n >= 4 && (tried(self) || fault == Fault::Die) {
+            if n >= 4 && (was_tried(self) || fault == Fault::Die) {
                 return;
             }
             let mut caller = self.caller();
@@ -52,11 +53,11 @@
             caller.acknowledge(&call);
             assert!(caller.hang_up(&mut call, &self.recorder), "{fault:?}");
         }
-        panic!("{fault:?}: the box in trouble was never tried");
+        panic!("{fault:?}: the faulty media server was never tried");
     }
 
     fn finish(self) -> Report {
-        until("the boxes' calls are over", || self.fleet.sessions() == 0);
+        until("all calls have ended", || self.fleet.sessions() == 0);
         let report = check(&self.recorder.trace(), &Rules { drain_grace_us: 1_000_000, ..Rules::default() });
         assert!(report.kept(), "{report:#?}");
         report
@@ -64,29 +65,30 @@
 }
 
 #[test]
-fn a_call_is_placed_plays_and_ends() {
-    let mut s = Sip::new(2);
-    let mut caller = s.caller();
-    let mut call = caller.call("all", None, &s.recorder).standing.expect("a call");
+fn call_plays_and_ends() {
+    let mut harness = SipHarness::new(2);
+    let mut caller = harness.caller();
+    let mut call = caller.call("all", None, &harness.recorder).standing.expect("a call");
     caller.acknowledge(&call);
-    assert_eq!((s.fleet.sessions(), s.front.status().playing), (1, 1));
-    assert!(caller.hang_up(&mut call, &s.recorder));
-    until("it is over", || s.front.status().playing == 0);
-    assert_eq!(s.finish().playing, 1);
+    assert_eq!((harness.fleet.sessions(), harness.front.status().playing), (1, 1));
+    assert!(caller.hang_up(&mut call, &harness.recorder));
+    until("the call has ended", || harness.front.status().playing == 0);
+    assert_eq!(harness.finish().playing, 1);
 }
 
 #[test]
-fn unknown_titles_and_titles_without_holders_are_refused() {
-    let mut s = Sip::new(1);
-    let status =
-        |s: &mut Sip, title: &str| s.caller().call(title, None, &s.recorder).response.map(|r| r.status);
-    assert_eq!(status(&mut s, "nothing"), Some(404));
-    assert_eq!(status(&mut s, "none"), Some(503));
-    s.finish();
+fn rejects_unknown_title_and_title_without_holders() {
+    let mut harness = SipHarness::new(1);
+    let status = |called: &mut SipHarness, title: &str| {
+        called.caller().call(title, None, &called.recorder).response.map(|response| response.status)
+    };
+    assert_eq!(status(&mut harness, "nothing"), Some(404));
+    assert_eq!(status(&mut harness, "none"), Some(503));
+    harness.finish();
 }
 
 #[test]
-fn calls_go_past_boxes_in_trouble() {
+fn calls_succeed_despite_faulty_media_server() {
     for fault in [
         Fault::NeverAnswer,
         Fault::StandStill,
@@ -95,73 +97,73 @@
         Fault::Late { ms: 700 },
         Fault::Die,
     ] {
-        let mut s = Sip::new(2);
-        s.fleet.get(1).expect("box 1").fault(fault);
-        s.calls_past(fault);
-        s.finish();
+        let mut harness = SipHarness::new(2);
+        harness.fleet.get(1).expect("media server 1").fault(fault);
+        harness.assert_calls_succeed_despite(fault);
+        harness.finish();
     }
 }
 
 #[test]
-fn calls_go_past_boxes_with_troubles_that_only_sip_has() {
+fn calls_succeed_despite_sip_specific_faults() {
     for fault in [Fault::Stuck, Fault::Ring, Fault::AnswerCancelled, Fault::HalfClose] {
-        let mut s = Sip::new(2);
-        s.fleet.get(1).expect("box 1").fault(fault);
-        s.calls_past(fault);
-        until("no call is left at the box in trouble", || s.fleet.sessions() == 0);
+        let mut harness = SipHarness::new(2);
+        harness.fleet.get(1).expect("media server 1").fault(fault);
+        harness.assert_calls_succeed_despite(fault);
+        until("no call is left at a media server", || harness.fleet.sessions() == 0);
         let began =
             |seen: &&beechloft_checker::trace::Seen| matches!(seen.what, What::Began { server: 1, .. });
-        let at_box = s.recorder.trace().iter().filter(began).count();
-        assert_eq!(at_box > 0, fault == Fault::AnswerCancelled, "{fault:?}: {at_box}");
-        s.finish();
+        let began_count = harness.recorder.trace().iter().filter(began).count();
+        assert_eq!(began_count > 0, fault == Fault::AnswerCancelled, "{fault:?}: {began_count}");
+        harness.finish();
     }
 }
 
 #[test]
-fn an_acceptance_from_another_port_counts_and_is_acknowledged() {
-    let mut s = Sip::new(1);
-    s.fleet.get(1).expect("box 1").fault(Fault::OtherPort);
-    let mut caller = s.caller();
-    let mut call = caller.call("one", None, &s.recorder).standing.expect("a call");
+fn acknowledges_acceptance_from_another_port() {
+    let mut harness = SipHarness::new(1);
+    harness.fleet.get(1).expect("media server 1").fault(Fault::OtherPort);
+    let mut caller = harness.caller();
+    let mut call = caller.call("one", None, &harness.recorder).standing.expect("a call");
     caller.acknowledge(&call);
-    assert_eq!((s.fleet.sessions(), s.front.status().playing), (1, 1));
-    assert!(caller.hang_up(&mut call, &s.recorder));
-    s.finish();
+    assert_eq!((harness.fleet.sessions(), harness.front.status().playing), (1, 1));
+    assert!(caller.hang_up(&mut call, &harness.recorder));
+    harness.finish();
 }
 
 #[test]
-fn a_bye_that_the_box_does_not_hear_keeps_neither_the_caller_nor_the_room_waiting() {
-    let mut s = Sip::new(1);
-    let mut caller = s.caller();
-    let mut call = caller.call("one", None, &s.recorder).standing.expect("a call");
+fn unanswered_bye_delays_neither_caller_nor_capacity() {
+    let mut harness = SipHarness::new(1);
+    let mut caller = harness.caller();
+    let mut call = caller.call("one", None, &harness.recorder).standing.expect("a call");
     caller.acknowledge(&call);
-    s.fleet.get(1).expect("box 1").fault(Fault::LoseBye);
+    harness.fleet.get(1).expect("media server 1").fault(Fault::LoseBye);
     let began = std::time::Instant::now();
-    assert!(caller.hang_up(&mut call, &s.recorder));
-    assert!(began.elapsed() < Duration::from_secs(5), "its 200 does not wait for the box");
-    until("nobody plays", || s.front.status().playing == 0);
-    // The box still has it; when it is well again, the front's stream ends and the call with it.
-    assert_eq!(s.fleet.sessions(), 1);
+    assert!(caller.hang_up(&mut call, &harness.recorder));
+    assert!(began.elapsed() < Duration::from_secs(5), "the response does not wait for the media server");
+    until("no session plays", || harness.front.status().playing == 0);
+    // The media server keeps the call until the fault ends and the front's stream is closed.
+    assert_eq!(harness.fleet.sessions(), 1);
 }
 
 #[test]
-fn a_call_outlives_its_connection_if_the_box_has_it_and_not_if_it_started_anew() {
-    let mut s = Sip::new(1);
-    let mut caller = s.caller();
-    let call = caller.call("one", None, &s.recorder).standing.expect("a call");
+fn call_survives_lost_connection_only_if_media_server_still_has_it() {
+    let mut harness = SipHarness::new(1);
+    let mut caller = harness.caller();
+    let call = caller.call("one", None, &harness.recorder).standing.expect("a call");
     caller.acknowledge(&call);
-    s.fleet.get(1).expect("box 1").drop_streams();
-    assert!(!caller.is_hung_up(&call, Duration::from_secs(7)), "the front asked, and the box has it");
-    assert_eq!((s.fleet.sessions(), s.front.status().playing), (1, 1));
-    s.fleet.get(1).expect("box 1").drop_calls();
-    s.fleet.get(1).expect("box 1").drop_streams();
-    assert!(caller.is_hung_up(&call, Duration::from_secs(7)), "the box does not know it any more");
-    until("nobody plays", || s.front.status().playing == 0);
-    s.finish();
+    harness.fleet.get(1).expect("media server 1").drop_streams();
+    assert!(!caller.is_hung_up(&call, Duration::from_secs(7)), "the media server still has the call");
+    assert_eq!((harness.fleet.sessions(), harness.front.status().playing), (1, 1));
+    harness.fleet.get(1).expect("media server 1").drop_calls();
+    harness.fleet.get(1).expect("media server 1").drop_streams();
+    assert!(caller.is_hung_up(&call, Duration::from_secs(7)), "the media server has dropped the call");
+    until("no session plays", || harness.front.status().playing == 0);
+    harness.finish();
 }
 
 #[test]
-fn fronts_of_one_seed_and_starts_of_one_front_name_no_two_calls_alike() {
+fn fronts_with_same_seed_create_distinct_calls() {
     let recorder = Recorder::default();
     let fleet = Fleet::start(&fleet_spec(1), &recorder).expect("a fleet");
     let start = || {
@@ -169,14 +171,14 @@
         settings.sip = Some("127.0.0.1:0".parse().expect("an address"));
         settings.seed = Some(1);
         let front = Front::start(settings, None).expect("a front");
-        until("the list is known", || front.status().media_servers == 1);
+        until("the endpoint list is known", || front.status().media_servers == 1);
         front
     };
     let fronts = [start(), start()];
     let mut calls = Vec::new();
-    for (n, front) in [0, 1, 0, 1].into_iter().enumerate() {
-        let to = fronts[front].sip_address().expect("SIP is up");
-        let mut caller = Caller::new(to, front as u32, n as u64 + 1).expect("a caller");
+    for (seed, front) in (1..).zip([0u32, 1, 0, 1]) {
+        let to = fronts[front as usize].sip_address().expect("SIP is up");
+        let mut caller = Caller::new(to, front, seed).expect("a caller");
         let call = caller.call("one", None, &recorder).standing.expect("a call");
         caller.acknowledge(&call);
         calls.push((caller, call));
@@ -185,38 +187,38 @@
     for (caller, call) in &mut calls {
         assert!(caller.hang_up(call, &recorder));
     }
-    until("all are over at the box", || fleet.sessions() == 0);
+    until("all calls have ended", || fleet.sessions() == 0);
 }
 
 #[test]
-fn a_cancelled_call_gets_its_487_and_leaves_nothing_at_the_box() {
-    let mut s = Sip::new(1);
-    s.fleet.fault(1, Fault::Late { ms: 600 });
-    let mut caller = s.caller();
+fn cancelled_call_gets_487_and_leaves_no_session() {
+    let mut harness = SipHarness::new(1);
+    harness.fleet.fault(1, Fault::Late { ms: 600 });
+    let mut caller = harness.caller();
     caller.cancels = Some(Duration::from_millis(100));
-    assert_eq!(caller.call("one", None, &s.recorder).finals, [487]);
-    let report = s.finish();
+    assert_eq!(caller.call("one", None, &harness.recorder).finals, [487]);
+    let report = harness.finish();
     assert_eq!((report.hung_up, report.playing), (1, 0));
 }
 
 #[test]
-fn a_lost_box_hangs_up_on_its_callers() {
-    let mut s = Sip::new(1);
-    let mut caller = s.caller();
-    let call = caller.call("one", None, &s.recorder).standing.expect("a call");
+fn lost_media_server_ends_calls() {
+    let mut harness = SipHarness::new(1);
+    let mut caller = harness.caller();
+    let call = caller.call("one", None, &harness.recorder).standing.expect("a call");
     caller.acknowledge(&call);
-    s.fleet.get(1).expect("box 1").fault(Fault::Die);
+    harness.fleet.get(1).expect("media server 1").fault(Fault::Die);
     assert!(caller.is_hung_up(&call, Duration::from_secs(10)));
-    s.finish();
+    harness.finish();
 }
 
 #[test]
-fn over_a_network_that_loses_a_fifth_each_call_has_one_answer_and_one_set_up() {
-    let mut s = Sip::new(2);
-    let mut callers: Vec<Caller> = (0..12).map(|_| s.caller()).collect();
+fn packet_loss_causes_no_duplicate_answers_or_set_ups() {
+    let mut harness = SipHarness::new(2);
+    let mut callers: Vec<Caller> = (0..12).map(|_| harness.caller()).collect();
     std::thread::scope(|scope| {
         for caller in &mut callers {
-            let recorder = &s.recorder;
+            let recorder = &harness.recorder;
             scope.spawn(move || {
                 caller.loses = 0.2;
                 let called = caller.call("all", None, recorder);
@@ -228,20 +230,20 @@
             });
         }
     });
-    let seen = s.recorder.trace();
+    let seen = harness.recorder.trace();
     let offered = seen.iter().filter(|s| matches!(s.what, What::Offered { .. })).count();
-    assert!(offered <= 12, "a repeated INVITE made a second set-up: {offered}");
-    let report = s.finish();
+    assert!(offered <= 12, "a retransmitted INVITE caused a second set-up: {offered}");
+    let report = harness.finish();
     assert!(report.playing >= 10, "{report:?}");
 }
 
 #[test]
-fn datagrams_that_overtake_each_other_change_nothing() {
-    let mut s = Sip::new(2);
-    let mut callers: Vec<Caller> = (0..12).map(|_| s.caller()).collect();
+fn reordered_datagrams_cause_no_duplicate_answers_or_set_ups() {
+    let mut harness = SipHarness::new(2);
+    let mut callers: Vec<Caller> = (0..12).map(|_| harness.caller()).collect();
     std::thread::scope(|scope| {
         for (n, caller) in callers.iter_mut().enumerate() {
-            let recorder = &s.recorder;
+            let recorder = &harness.recorder;
             scope.spawn(move || {
                 (caller.loses, caller.swaps) = (0.05, 0.4);
                 caller.cancels = (n % 3 == 0).then_some(Duration::from_millis(1));
@@ -254,31 +256,31 @@
             });
         }
     });
-    let offered = s.recorder.trace().iter().filter(|s| matches!(s.what, What::Offered { .. })).count();
-    assert!(offered <= 12, "a repeated INVITE made a second set-up: {offered}");
-    s.finish();
+    let offered = harness.recorder.trace().iter().filter(|s| matches!(s.what, What::Offered { .. })).count();
+    assert!(offered <= 12, "a retransmitted INVITE caused a second set-up: {offered}");
+    harness.finish();
 }
 
 #[test]
-fn both_protocols_share_one_module_and_its_seats() {
+fn sip_and_whep_share_session_limit() {
     let recorder = Recorder::default();
     let fleet = Fleet::start(&fleet_spec(1), &recorder).expect("a fleet");
     let mut settings = settings(&format!("url: {}", fleet.list.url()), "");
     settings.sip = Some("127.0.0.1:0".parse().expect("an address"));
     settings.settings.classes[0].max_sessions_per_title = Some(2);
     let front = Front::start(settings, None).expect("a front");
-    until("the list is known", || front.status().media_servers == 1);
-    let mut s = Sip { recorder, fleet, front, seed: 10 };
-    let mut caller = s.caller();
-    let mut call = caller.call("one", None, &s.recorder).standing.expect("a call");
+    until("the endpoint list is known", || front.status().media_servers == 1);
+    let mut harness = SipHarness { recorder, fleet, front, seed: 10 };
+    let mut caller = harness.caller();
+    let mut call = caller.call("one", None, &harness.recorder).standing.expect("a call");
     caller.acknowledge(&call);
     let mut dice = Dice::new(5);
-    let wish = Wish::new(s.front.address(), 0, "one");
-    let first = player::ask(&wish, &mut dice, &s.recorder);
+    let request = Wish::new(harness.front.address(), 0, "one");
+    let first = player::ask(&request, &mut dice, &harness.recorder);
     assert!(first.playing.is_some());
-    assert_eq!(s.front.status().playing, 2);
-    let third = player::ask(&wish, &mut dice, &s.recorder).response.expect("an answer");
-    assert_eq!(third.status, 503, "two seats are taken, one by a call, one by a player");
-    assert!(caller.hang_up(&mut call, &s.recorder));
-    s.finish();
+    assert_eq!(harness.front.status().playing, 2);
+    let third = player::ask(&request, &mut dice, &harness.recorder).response.expect("an answer");
+    assert_eq!(third.status, 503, "both allowed sessions play, one by SIP and one by WHEP");
+    assert!(caller.hang_up(&mut call, &harness.recorder));
+    harness.finish();
 }
--- a/crates/front/server/tests/streams.rs
+++ b/crates/front/server/tests/streams.rs
@@ -1,6 +1,4 @@
-//! Callers over streams: messages in pieces, keep-alives, nonsense, callers that do not read, and more than fit.
-// Not reworked yet, see docs/ROADMAP.md.
-#![allow(clippy::shadow_unrelated)]
+//! Tests of SIP over streams: fragmented messages, keep-alives, malformed data, slow readers and the limit of streams.
 
 mod support;
 
@@ -16,20 +14,21 @@
 use beechloft_sip::message::{Message, Method, Response};
 use support::*;
 
-struct Rig {
+struct Harness {
     fleet: Fleet,
     front: Front,
 }
 
-fn rig() -> Rig {
+fn start_front() -> Harness {
     let fleet = Fleet::start(&fleet_spec(2), &Recorder::default()).expect("a fleet");
     let mut settings = settings(&format!("url: {}", fleet.list.url()), "");
     settings.sip = Some("127.0.0.1:0".parse().expect("an address"));
     let front = Front::start(settings, None).expect("a front");
-    until("the list is known", || front.status().media_servers == 2);
-    Rig { fleet, front }
+    until("the endpoint list is known", || front.status().media_servers == 2);
+    Harness { fleet, front }
 }
 
+/// A minimal SIP caller over TCP.
 struct Caller {
     socket: TcpStream,
     framer: Framer,
@@ -57,27 +56,28 @@
         )
     }
 
-    fn says(&mut self, text: &str) {
+    fn send(&mut self, text: &str) {
         self.socket.write_all(text.as_bytes()).expect("written");
     }
 
-    /// What comes next; none: the stream ended.
-    fn hears(&mut self) -> Option<Framed> {
+    /// Receives the next message or keep-alive. Returns `None` if the stream ended.
+    fn receive(&mut self) -> Option<Framed> {
         let mut buf = [0; 4096];
         while self.framed.is_empty() {
             match self.socket.read(&mut buf) {
                 Ok(0) => return None,
                 Ok(n) => self.framer.push(&buf[..n], &mut self.framed).expect("SIP"),
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => return None,
-                Err(e) => panic!("nothing came: {e}"),
+                Err(e) => panic!("nothing was received: {e}"),
             }
         }
         Some(self.framed.remove(0))
     }
 
-    fn answer(&mut self, method: Method) -> Response {
+    /// Receives messages until the final response to a request of this method.
+    fn final_response(&mut self, method: Method) -> Response {
         loop {
-            match self.hears().expect("the stream stands") {
+            match self.receive().expect("the stream is open") {
                 Framed::Message(m) => match *m {
                     Message::Response(r) if r.method == method && r.status >= 200 => return r,
                     _ => {}
@@ -87,90 +87,90 @@
         }
     }
 
-    /// A whole call, which has to go well.
-    fn calls(&mut self) {
+    /// Makes a call and ends it. Both must succeed.
+    fn complete_call(&mut self) {
         let invite = self.text("INVITE", 1);
-        self.says(&invite);
-        let ok = self.answer(Method::Invite);
+        self.send(&invite);
+        let ok = self.final_response(Method::Invite);
         assert_eq!(ok.status, 200);
         self.tag = format!(";tag={}", ok.names.to_tag.expect("a tag"));
         let rest = format!("{}{}", self.text("ACK", 1), self.text("BYE", 2));
-        self.says(&rest);
-        assert_eq!(self.answer(Method::Bye).status, 200);
+        self.send(&rest);
+        assert_eq!(self.final_response(Method::Bye).status, 200);
         self.tag.clear();
         self.id += 1000;
     }
 }
 
 #[test]
-fn a_call_in_pieces_of_a_few_bytes_and_with_keep_alives_between() {
-    let rig = rig();
-    let mut c = Caller::new(rig.front.sip_address().expect("SIP is up"), 1);
-    let invite = c.text("INVITE", 1);
+fn accepts_fragmented_messages_and_keep_alives() {
+    let harness = start_front();
+    let mut caller = Caller::new(harness.front.sip_address().expect("SIP is up"), 1);
+    let invite = caller.text("INVITE", 1);
     for piece in invite.as_bytes().chunks(7) {
-        c.socket.write_all(piece).expect("written");
-        c.socket.flush().expect("written");
+        caller.socket.write_all(piece).expect("written");
+        caller.socket.flush().expect("written");
         std::thread::sleep(Duration::from_micros(200));
     }
-    assert_eq!(c.answer(Method::Invite).status, 200);
-    let mut other = Caller::new(rig.front.sip_address().expect("SIP is up"), 2);
-    other.says("\r\n\r\n");
-    // One line end comes back (RFC 5626, section 3.5.1), which is no message and no ping of its own.
+    assert_eq!(caller.final_response(Method::Invite).status, 200);
+    let mut other = Caller::new(harness.front.sip_address().expect("SIP is up"), 2);
+    other.send("\r\n\r\n");
+    // A ping is answered with a single line end (RFC 5626, section 3.5.1).
     let mut pong = [0; 2];
     other.socket.read_exact(&mut pong).expect("a pong");
     assert_eq!(&pong, b"\r\n");
-    other.calls();
-    until("the first call alone is left", || rig.fleet.sessions() == 1);
+    other.complete_call();
+    until("only the first call is left", || harness.fleet.sessions() == 1);
 }
 
 #[test]
-fn nonsense_ends_its_own_stream_and_no_other() {
-    let rig = rig();
-    let to = rig.front.sip_address().expect("SIP is up");
-    let mut sound = Caller::new(to, 1);
-    for nonsense in
+fn malformed_data_closes_only_its_own_stream() {
+    let harness = start_front();
+    let to = harness.front.sip_address().expect("SIP is up");
+    let mut valid_caller = Caller::new(to, 1);
+    for malformed in
         ["INVITE nothing at all\r\n\r\n", "INVITE sip:a@b SIP/2.0\r\nContent-Length: 99999999\r\n\r\n"]
     {
-        let mut c = Caller::new(to, 2);
-        c.says(nonsense);
-        assert_eq!(c.hears(), None, "{nonsense}");
-        sound.calls();
+        let mut caller = Caller::new(to, 2);
+        caller.send(malformed);
+        assert_eq!(caller.receive(), None, "{malformed}");
+        valid_caller.complete_call();
     }
 }
 
 #[test]
-fn a_caller_that_does_not_read_loses_its_stream_and_holds_up_nobody() {
-    let rig = rig();
-    let to = rig.front.sip_address().expect("SIP is up");
-    let mut deaf = Caller::new(to, 1);
-    deaf.socket.set_write_timeout(Some(Duration::from_millis(200))).expect("a time");
+fn stream_of_caller_that_does_not_read_is_closed() {
+    let harness = start_front();
+    let to = harness.front.sip_address().expect("SIP is up");
+    let mut stalled_caller = Caller::new(to, 1);
+    stalled_caller.socket.set_write_timeout(Some(Duration::from_millis(200))).expect("a time");
     let (began, mut seq, mut ended) = (Instant::now(), 0, false);
     while !ended && began.elapsed() < Duration::from_secs(20) {
         seq += 1;
-        let options = deaf.text("OPTIONS", seq);
-        ended = deaf.socket.write_all(options.as_bytes()).is_err();
+        let options = stalled_caller.text("OPTIONS", seq);
+        ended = stalled_caller.socket.write_all(options.as_bytes()).is_err();
     }
-    assert!(ended, "{seq} requests and their answers wait somewhere");
-    let began = Instant::now();
-    Caller::new(to, 2).calls();
-    assert!(began.elapsed() < Duration::from_secs(4));
+    assert!(ended, "the stream is still open after {seq} requests");
+    let call_began = Instant::now();
+    Caller::new(to, 2).complete_call();
+    assert!(call_began.elapsed() < Duration::from_secs(4));
 }
 
 #[test]
-fn streams_are_bounded_and_make_room_when_they_end() {
-    let rig = rig();
-    let to = rig.front.sip_address().expect("SIP is up");
+fn streams_beyond_limit_are_closed_until_others_end() {
+    let harness = start_front();
+    let to = harness.front.sip_address().expect("SIP is up");
     let mut open: Vec<Caller> = (0..1024).map(|n| Caller::new(to, n)).collect();
-    open[1023].calls();
-    // One too many is closed before anything is taken of it.
-    let mut late = Caller::new(to, 5000);
-    let invite = late.text("INVITE", 1);
-    let _ = late.socket.write_all(invite.as_bytes());
-    assert_eq!(late.hears(), None);
-    open[0].calls();
+    open[1023].complete_call();
+    // A stream beyond the limit is closed before anything is read from it.
+    let mut rejected = Caller::new(to, 5000);
+    let invite = rejected.text("INVITE", 1);
+    let _ = rejected.socket.write_all(invite.as_bytes());
+    assert_eq!(rejected.receive(), None);
+    open[0].complete_call();
     drop(open);
-    until("there is room again", || {
-        let mut c = Caller::new(to, 6000);
-        c.socket.write_all(b"\r\n\r\n").is_ok() && matches!(c.socket.read(&mut [0; 2]), Ok(2))
+    until("a stream can be opened", || {
+        let mut caller = Caller::new(to, 6000);
+        caller.socket.write_all(b"\r\n\r\n").is_ok() && matches!(caller.socket.read(&mut [0; 2]), Ok(2))
     });
 }
--- a/crates/front/server/tests/support/mod.rs
+++ b/crates/front/server/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A front in this process against a fleet of stand-ins, and the rules checked from what they saw.
+//! A front in the test process with a fleet of simulated media servers, whose observations are checked against the rules.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -17,8 +17,9 @@
 
 pub const RATES: [f64; 3] = [200.0, 450.0, 1000.0];
 
-/// Titles: `all` lies on every box, `one` on box 1, `pair` on boxes 1 and 2, `none` nowhere.
-pub fn fleet_spec(boxes: u32) -> FleetSpec {
+/// Returns a fleet in which all media servers hold the title `all`, the first holds `one`, the first two hold `pair` and
+/// none holds `none`.
+pub fn fleet_spec(media_servers: u32) -> FleetSpec {
     let title = |name: &str, holders: Vec<u32>| TitleSpec {
         name: name.into(),
         class: "video".into(),
@@ -26,7 +27,7 @@
         holders: holders.into_iter().collect(),
     };
     FleetSpec {
-        boxes: (0..boxes)
+        boxes: (0..media_servers)
             .map(|n| FleetBox {
                 rack: (n % 2) as u16,
                 zone: "a".into(),
@@ -39,7 +40,7 @@
             .collect(),
         uplinks_kb: vec![1e6, 1e6],
         titles: vec![
-            title("all", (1..=boxes).collect()),
+            title("all", (1..=media_servers).collect()),
             title("one", vec![1]),
             title("pair", vec![1, 2]),
             title("none", vec![]),
@@ -51,17 +52,19 @@
     }
 }
 
-pub fn settings(list: &str, more: &str) -> FrontSettings {
+/// Returns settings with the given source of the endpoint list and further sections.
+pub fn settings(list: &str, more_sections: &str) -> FrontSettings {
     let text = format!(
         "service:\n  zones: [a]\n  racks: 2\n  ladder:\n    - {{rate_kb: 200, worth: 0.2}}\n    - {{rate_kb: 450, worth: 0.6}}\n    \
          - {{rate_kb: 1000, worth: 1}}\n  classes:\n    - {{name: video, aim_ms: 800, patience_ms: 4000}}\n  kinds:\n    \
          - {{name: small, streams: 100}}\n  links: {{unit_kb: 20000, guard: 1.2}}\n  limits: {{attempts: 3, retry_after_ms: 500}}\n\
-         front:\n  listen: 127.0.0.1:0\n  seed: 7\nlist:\n  {list}\n{more}"
+         front:\n  listen: 127.0.0.1:0\n  seed: 7\nlist:\n  {list}\n{more_sections}"
     );
-    front::parse(&text).unwrap_or_else(|e| panic!("{e}\n{text}"))
+    front::parse(&text).unwrap_or_else(|error| panic!("{error}\n{text}"))
 }
 
-pub struct Rig {
+/// A running front with its fleet, and a player of its own.
+pub struct Harness {
     pub recorder: Recorder,
     pub fleet: Fleet,
     pub front: Option<Front>,
@@ -70,52 +73,62 @@
     pub pool: Pool,
 }
 
-impl Rig {
-    pub fn new(boxes: u32) -> Rig {
-        Rig::with(fleet_spec(boxes), "")
+impl Harness {
+    pub fn new(media_servers: u32) -> Harness {
+        Harness::with(fleet_spec(media_servers), "")
     }
 
-    pub fn with(spec: FleetSpec, more: &str) -> Rig {
+    pub fn with(spec: FleetSpec, more_sections: &str) -> Harness {
         let recorder = Recorder::default();
         let fleet = Fleet::start(&spec, &recorder).expect("a fleet");
-        let front =
-            Front::start(settings(&format!("url: {}", fleet.list.url()), more), None).expect("a front");
+        let front = Front::start(settings(&format!("url: {}", fleet.list.url()), more_sections), None)
+            .expect("a front");
         let address = front.address();
-        let rig =
-            Rig { recorder, fleet, front: Some(front), address, dice: Dice::new(3), pool: Pool::default() };
-        let boxes = rig.fleet.boxes().count();
-        until("the list is known", || rig.front().status().media_servers == boxes);
-        rig
+        let harness = Harness {
+            recorder,
+            fleet,
+            front: Some(front),
+            address,
+            dice: Dice::new(3),
+            pool: Pool::default(),
+        };
+        let media_servers = harness.fleet.boxes().count();
+        until("the endpoint list is known", || harness.front().status().media_servers == media_servers);
+        harness
     }
 
     pub fn front(&self) -> &Front {
         self.front.as_ref().expect("the front runs")
     }
 
-    pub fn wish(&self, title: &str) -> Wish {
+    /// Returns the request of a player for a title.
+    pub fn request(&self, title: &str) -> Wish {
         Wish::new(self.address, 0, title)
     }
 
-    pub fn ask(&mut self, title: &str) -> Asked {
-        let wish = self.wish(title);
-        player::ask(&wish, &mut self.dice, &self.recorder)
+    /// Requests a title and returns how the request ended.
+    pub fn request_session(&mut self, title: &str) -> Asked {
+        let request = self.request(title);
+        player::ask(&request, &mut self.dice, &self.recorder)
     }
 
+    /// Requests a title, which must play.
     pub fn play(&mut self, title: &str) -> Playing {
-        let asked = self.ask(title);
-        asked.playing.unwrap_or_else(|| panic!("{:?} {:?}", asked.ending, asked.response))
+        let requested = self.request_session(title);
+        requested.playing.unwrap_or_else(|| panic!("{:?} {:?}", requested.ending, requested.response))
     }
 
+    /// Requests a title and returns the HTTP status of the answer, or 0 if there was none.
     pub fn status(&mut self, title: &str) -> u16 {
-        self.ask(title).response.map_or(0, |r| r.status.as_u16())
+        self.request_session(title).response.map_or(0, |response| response.status.as_u16())
     }
 
-    /// Waits until the boxes run this many sessions.
-    pub fn settle(&self, sessions: usize) {
-        until("the boxes' sessions settle", || self.fleet.sessions() == sessions);
+    /// Waits until the media servers run this many sessions.
+    pub fn wait_for_sessions(&self, sessions: usize) {
+        until("the media servers run the expected number of sessions", || self.fleet.sessions() == sessions);
     }
 
-    /// The rules, from what was seen; all sessions must be gone.
+    /// Checks the recorded observations against the rules.
     pub fn report(&self) -> Report {
         let rules = Rules {
             titles: BTreeMap::new(),
@@ -127,7 +140,7 @@
         check(&self.recorder.trace(), &rules)
     }
 
-    /// Checks that all rules were kept and nothing is left anywhere.
+    /// Asserts that all rules were kept and no session is left.
     pub fn finish(self) -> Report {
         let report = self.report();
         assert!(report.kept(), "{report:#?}");
@@ -135,28 +148,28 @@
     }
 }
 
-/// Waits for something that must come about.
-pub fn until(what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + Duration::from_secs(20);
-    while !done() {
-        assert!(Instant::now() < end, "in vain: {what}");
+/// Waits until a condition holds. Panics if it does not hold within 20 seconds.
+pub fn until(condition: &str, mut holds: impl FnMut() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while !holds() {
+        assert!(Instant::now() < deadline, "timed out: {condition}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Consents to a session's media for a while, as players do; parts delivered, as told.
-pub fn watch(playing: &Playing, time: Duration) -> Vec<f64> {
+/// Renews a session's media consent for a while, as players do, and returns the delivered fractions of the media.
+pub fn watch(playing: &Playing, duration: Duration) -> Vec<f64> {
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     socket.set_read_timeout(Some(Duration::from_millis(50))).expect("a socket");
-    let end = Instant::now() + time;
-    let mut shares = Vec::new();
+    let end = Instant::now() + duration;
+    let mut delivered_fractions = Vec::new();
     while Instant::now() < end {
         socket.send_to(&media::consent(&playing.name), playing.media).expect("sent");
-        let mut buf = [0; 256];
-        if let Ok((n, _)) = socket.recv_from(&mut buf) {
-            shares.extend(media::framed(&buf[..n]).map(|f| f.1));
+        let mut buffer = [0; 256];
+        if let Ok((length, _)) = socket.recv_from(&mut buffer) {
+            delivered_fractions.extend(media::framed(&buffer[..length]).map(|frame| frame.1));
         }
         std::thread::sleep(Duration::from_millis(100));
     }
-    shares
+    delivered_fractions
 }
--- a/crates/front/server/tests/trunk.rs
+++ b/crates/front/server/tests/trunk.rs
@@ -1,4 +1,4 @@
-//! A front that is called by a gateway at more than it bears: the rules hold, and nobody hears two answers.
+//! Tests of a front under overload from a SIP gateway.
 
 mod support;
 
@@ -10,14 +10,15 @@
 use beechloft_server::Front;
 use support::*;
 
-/// Calls a front of its own for two seconds; in a build without optimisation this is several times what it holds.
-fn called(claims: bool, obeys: bool) -> Tally {
+/// Calls a front for two seconds at several times the rate that an unoptimised build can handle. Checks the rules and that
+/// each call has exactly one answer.
+fn run_gateway(claims: bool, obeys: bool) -> Tally {
     let recorder = Recorder::default();
     let fleet = Fleet::start(&fleet_spec(4), &recorder).expect("a fleet");
     let mut settings = settings(&format!("url: {}", fleet.list.url()), "");
     settings.sip = Some("127.0.0.1:0".parse().expect("an address"));
     let front = Front::start(settings, None).expect("a front");
-    until("the list is known", || front.status().media_servers == 4);
+    until("the endpoint list is known", || front.status().media_servers == 4);
     let plan = Plan {
         front: front.sip_address().expect("SIP is up"),
         number: 0,
@@ -32,29 +33,29 @@
         seed: 4,
     };
     let tally = Trunk::new(plan, Some(recorder.clone())).and_then(Trunk::run).expect("a trunk");
-    until("the boxes' calls are over", || fleet.sessions() == 0);
+    until("all calls have ended", || fleet.sessions() == 0);
     let report = check(&recorder.trace(), &Rules { drain_grace_us: 1_000_000, ..Rules::default() });
     assert!(report.kept(), "{report:#?}");
     assert_eq!((tally.twice, tally.timed_out), (0, 0), "{tally:?}");
     assert!(tally.accepted > 20, "{tally:?}");
-    // Every call that was taken had its answer, and none was forgotten.
+    // Every call is accounted for.
     let refused: u64 = tally.refused.values().sum();
     assert_eq!(tally.accepted + refused + tally.kept_back + tally.not_taken, tally.wanted, "{tally:?}");
     tally
 }
 
 #[test]
-fn callers_that_know_nothing_of_overload_control() {
-    let tally = called(false, false);
+fn gateway_without_overload_control() {
+    let tally = run_gateway(false, false);
     assert_eq!(tally.kept_back, 0);
 }
 
 #[test]
-fn a_gateway_that_keeps_calls_back() {
-    called(true, true);
+fn gateway_that_obeys_overload_control() {
+    run_gateway(true, true);
 }
 
 #[test]
-fn a_gateway_that_claims_to_and_does_not() {
-    called(true, false);
+fn gateway_that_only_claims_overload_control() {
+    run_gateway(true, false);
 }
