--- a/crates/front/discovery/src/cache/tests.rs
+++ b/crates/front/discovery/src/cache/tests.rs
@@ -1,13 +1,13 @@
-//! Tests of the cached copy.
+//! Tests of the copy of the list on disk.
 
 use super::*;
 
 #[test]
-fn the_copy_is_read_as_saved_and_a_cut_one_is_an_error() {
+fn loads_saved_copy_and_rejects_truncated_one() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("list.json");
     assert!(load(&path).expect("readable").is_none());
-    let message = Message { gone: vec!["x".into()], ..Message::default() };
+    let message = Message { removed_titles: vec!["x".into()], ..Message::default() };
     save(&path, &message).expect("written");
     assert_eq!(load(&path).expect("readable"), Some(message));
     let text = fs::read(&path).expect("readable");
--- a/crates/front/discovery/src/tests.rs
+++ b/crates/front/discovery/src/tests.rs
@@ -1,27 +1,27 @@
-//! Tests of the messages of the endpoint list.
+//! Tests of the validation of messages.
 
 use super::*;
 use beechloft_session::api::Settings;
 use serde_json::json;
 
 pub(crate) fn service() -> Service {
-    let names = |n: &str| vec![n.to_owned()];
+    let names = |name: &str| vec![name.to_owned()];
     let settings = Settings { racks: 2, ..Settings::default() };
     Service { zones: names("a"), classes: names("c"), tenants: vec![], kinds: names("k"), settings }
 }
 
 #[test]
-fn a_bad_line_costs_only_itself() {
-    let sound =
+fn ignores_only_invalid_entries() {
+    let valid =
         json!({"id": 1, "name": "one", "address": "127.0.0.1:1", "state": "ready", "zone": "a", "kind": "k"});
     let with = |key: &str, value: Value| {
-        let mut v = sound.clone();
-        v[key] = value;
-        v
+        let mut entry = valid.clone();
+        entry[key] = value;
+        entry
     };
     let message = Message {
-        boxes: vec![
-            sound.clone(),
+        media_servers: vec![
+            valid.clone(),
             with("state", json!("fine")),
             with("zone", json!("b")),
             with("address", json!("nowhere")),
@@ -33,10 +33,10 @@
             json!({"name": "t", "class": "c", "holders": [1]}),
             json!({"name": "u", "class": "d", "holders": [1]}),
         ],
-        gone: vec!["v".into()],
+        removed_titles: vec!["v".into()],
     };
-    let read = read(Form::Change, &message, &service());
+    let read = read(MessageKind::Change, &message, &service());
     let EndpointUpdate::Change { servers, titles, removed } = read.update else { panic!("a change") };
     assert_eq!((servers.len(), titles.len(), removed.len(), read.faults.len()), (1, 1, 1, 7));
-    assert!(read.faults[1].contains("no zone is called 'b'"), "{:?}", read.faults);
+    assert!(read.faults[1].contains("unknown zone 'b'"), "{:?}", read.faults);
 }
--- a/crates/front/sip/src/agent/mod.rs
+++ b/crates/front/sip/src/agent/mod.rs
@@ -274,7 +274,7 @@
                     }
                     self.on_outbound(leg, callee::Input::End);
                 }
-                _ => self.send_to_controller(controller_io::Input::Released { id: release, gone: true }),
+                _ => self.send_to_controller(controller_io::Input::Released { id: release, ended: true }),
             },
             controller_io::Output::SessionEnded(session, _) => {
                 self.on_inbound(session, caller::Input::End, None);
--- a/crates/front/sip/src/agent/outbound.rs
+++ b/crates/front/sip/src/agent/outbound.rs
@@ -254,7 +254,7 @@
         }
         self.outputs.push(Output::Close(call.peer));
         if let Some(release) = call.release {
-            self.send_to_controller(controller_io::Input::Released { id: release, gone: true });
+            self.send_to_controller(controller_io::Input::Released { id: release, ended: true });
         }
     }
 }
