--- a/crates/testing/checker/src/check/calls.rs
+++ b/crates/testing/checker/src/check/calls.rs
@@ -1,9 +1,10 @@
-//! What a trace tells of players' calls, of attempts at boxes and of fronts' processes.
+//! Extraction of players' calls, attempts at media servers and starts and kills of fronts from a trace.
 
 use std::collections::BTreeMap;
 
 use crate::trace::{Ending, Seen, Speaks, What};
 
+/// Call of a player to a front, with its start and timeout in microseconds.
 #[derive(Debug, Clone)]
 pub(super) struct Call {
     pub(super) offer: String,
@@ -11,22 +12,27 @@
     pub(super) at: u64,
     pub(super) patience: u64,
     pub(super) speaks: Speaks,
+    /// Time, outcome and number of surplus responses, or `None` if the call did not end.
     pub(super) end: Option<(u64, Ending, u32)>,
 }
 
+/// Set-up that a front sent to a media server.
 #[derive(Debug, Clone)]
 pub(super) struct Attempt {
     pub(super) server: u32,
     pub(super) front: u32,
     pub(super) title: String,
     pub(super) at: u64,
-    pub(super) over: Option<u64>,
+    /// Time at which the attempt ended, or `None` if it did not.
+    pub(super) ended_at: Option<u64>,
+    /// Status of the answer, or `None` if there was none.
     pub(super) status: Option<u16>,
 }
 
-pub(super) fn calls(trace: &[&Seen]) -> Vec<Call> {
+/// Returns the players' calls in the order in which they began.
+pub(super) fn player_calls(trace: &[&Seen]) -> Vec<Call> {
     let mut calls: Vec<Call> = Vec::new();
-    // The same offer may be posted again by a proxy: the latest call without an end is the one that ends.
+    // A proxy may post the same offer more than once. An end belongs to the earliest call of the offer that is open.
     let mut open: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
     for seen in trace {
         match &seen.what {
@@ -39,7 +45,7 @@
             What::Ended { offer, ending, extra } => {
                 if let Some(call) = open
                     .get_mut(offer.as_str())
-                    .and_then(|o| if o.is_empty() { None } else { Some(o.remove(0)) })
+                    .and_then(|calls| if calls.is_empty() { None } else { Some(calls.remove(0)) })
                 {
                     calls[call].end = Some((seen.at, *ending, *extra));
                 }
@@ -50,7 +56,8 @@
     calls
 }
 
-pub(super) fn attempts(trace: &[&Seen]) -> BTreeMap<String, Vec<Attempt>> {
+/// Returns the attempts of each offer in the order in which media servers received them.
+pub(super) fn attempts_by_offer(trace: &[&Seen]) -> BTreeMap<String, Vec<Attempt>> {
     let mut all: BTreeMap<String, Vec<Attempt>> = BTreeMap::new();
     for seen in trace {
         let (server, offer, status) = match &seen.what {
@@ -60,7 +67,7 @@
                     front: *front,
                     title: title.clone(),
                     at: seen.at,
-                    over: None,
+                    ended_at: None,
                     status: None,
                 };
                 all.entry(offer.clone()).or_default().push(attempt);
@@ -69,24 +76,32 @@
             What::Answered { server, offer, status } => (server, offer, Some(*status)),
             What::Dropped { server, offer } => (server, offer, None),
             What::Died { server } | What::Toppled { server } => {
-                // With its process, whatever was out there is over.
-                for attempt in all.values_mut().flatten().filter(|a| a.server == *server && a.over.is_none())
+                // Attempts that are outstanding at a process end with it.
+                for attempt in all
+                    .values_mut()
+                    .flatten()
+                    .filter(|attempt| attempt.server == *server && attempt.ended_at.is_none())
                 {
-                    attempt.over = Some(seen.at);
+                    attempt.ended_at = Some(seen.at);
                 }
                 continue;
             }
             _ => continue,
         };
-        let out = all.get_mut(offer).into_iter().flatten().find(|a| a.server == *server && a.over.is_none());
-        if let Some(attempt) = out {
-            (attempt.over, attempt.status) = (Some(seen.at), status);
+        let outstanding = all
+            .get_mut(offer)
+            .into_iter()
+            .flatten()
+            .find(|attempt| attempt.server == *server && attempt.ended_at.is_none());
+        if let Some(attempt) = outstanding {
+            (attempt.ended_at, attempt.status) = (Some(seen.at), status);
         }
     }
     all
 }
 
-pub(super) fn killings(trace: &[&Seen]) -> BTreeMap<u32, Vec<u64>> {
+/// Returns the times at which each front was killed.
+pub(super) fn front_kills(trace: &[&Seen]) -> BTreeMap<u32, Vec<u64>> {
     let mut killed: BTreeMap<u32, Vec<u64>> = BTreeMap::new();
     for seen in trace {
         if let What::FrontKilled { front } = seen.what {
@@ -96,12 +111,13 @@
     killed
 }
 
-pub(super) fn starts(trace: &[&Seen]) -> BTreeMap<u32, Vec<u64>> {
-    let mut up: BTreeMap<u32, Vec<u64>> = BTreeMap::new();
+/// Returns the times at which each front started.
+pub(super) fn front_starts(trace: &[&Seen]) -> BTreeMap<u32, Vec<u64>> {
+    let mut started: BTreeMap<u32, Vec<u64>> = BTreeMap::new();
     for seen in trace {
         if let What::FrontUp { front } = seen.what {
-            up.entry(front).or_default().push(seen.at);
+            started.entry(front).or_default().push(seen.at);
         }
     }
-    up
+    started
 }
--- a/crates/testing/checker/src/check/leases.rs
+++ b/crates/testing/checker/src/check/leases.rs
@@ -1,28 +1,35 @@
-//! Who acts under a lease, by its tokens.
+//! Check of the operations on a resource that a lease guards, by their fencing tokens.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::report::Report;
 use crate::trace::{Seen, What};
 
-/// A process that was stopped may act once more when it goes on, before whoever watches over it runs again; by then what it
-/// acts on has seen a higher token. So long after it went on that is no overlap, but a stale act if it is done.
-const WAKES_US: u64 = 2_000_000;
+/// Time after the resumption of a suspended process in which its operations are not counted as overlaps.
+///
+/// Such a process may operate once more before the supervisor that guards its lease runs, and by then the resource has seen
+/// a higher token. The operation still counts as stale if it is carried out.
+const RESUME_GRACE_US: u64 = 2_000_000;
 
-pub(super) fn leases(trace: &[&Seen], report: &mut Report) {
-    let (mut highest, mut tokens, mut last): (u64, BTreeSet<u64>, Option<u64>) = Default::default();
-    // Until when a holder that was stopped is excused; for as long as it is stopped, for ever.
-    let mut excused: BTreeMap<&str, u64> = BTreeMap::new();
+/// Counts operations with superseded tokens, and measures the longest time without an operation.
+pub(super) fn check_leases(trace: &[&Seen], report: &mut Report) {
+    let mut highest_token = 0;
+    let mut tokens: BTreeSet<u64> = BTreeSet::new();
+    let mut last_done_at: Option<u64> = None;
+    // Time until which a holder is excused because it was suspended, `u64::MAX` while it is.
+    let mut excused_until: BTreeMap<&str, u64> = BTreeMap::new();
     for seen in trace {
         match &seen.what {
-            What::Stopped { holder } => drop(excused.insert(holder, u64::MAX)),
-            What::WentOn { holder } => drop(excused.insert(holder, seen.at + WAKES_US)),
+            What::Stopped { holder } => drop(excused_until.insert(holder, u64::MAX)),
+            What::WentOn { holder } => drop(excused_until.insert(holder, seen.at + RESUME_GRACE_US)),
             What::Acted { token, holder, done } => {
                 tokens.insert(*token);
-                if *token < highest {
-                    let text =
-                        format!("{holder} by {token} at {} us, after {highest} had been seen", seen.at);
-                    if excused.get(holder.as_str()).is_none_or(|until| seen.at > *until) {
+                if *token < highest_token {
+                    let text = format!(
+                        "{holder} with token {token} at {} us, after {highest_token} had been seen",
+                        seen.at
+                    );
+                    if excused_until.get(holder.as_str()).is_none_or(|until| seen.at > *until) {
                         report.lease_overlaps += 1;
                         report.describe("two holders", text.clone());
                     }
@@ -33,16 +40,16 @@
                         report.refused_acts += 1;
                     }
                 }
-                highest = highest.max(*token);
+                highest_token = highest_token.max(*token);
                 if *done {
-                    let gap = last.map_or(0, |l| seen.at.saturating_sub(l)) / 1_000;
-                    report.longest_without_holder_ms = report.longest_without_holder_ms.max(gap);
-                    last = Some(seen.at);
+                    let gap_ms = last_done_at.map_or(0, |done_at| seen.at.saturating_sub(done_at)) / 1_000;
+                    report.longest_without_holder_ms = report.longest_without_holder_ms.max(gap_ms);
+                    last_done_at = Some(seen.at);
                 }
             }
             What::ActsEnd => {
-                let gap = last.map_or(0, |l| seen.at.saturating_sub(l)) / 1_000;
-                report.longest_without_holder_ms = report.longest_without_holder_ms.max(gap);
+                let gap_ms = last_done_at.map_or(0, |done_at| seen.at.saturating_sub(done_at)) / 1_000;
+                report.longest_without_holder_ms = report.longest_without_holder_ms.max(gap_ms);
             }
             _ => {}
         }
--- a/crates/testing/checker/src/check/rules.rs
+++ b/crates/testing/checker/src/check/rules.rs
@@ -1,57 +1,60 @@
-//! The rules in figures.
+//! Parameters of the rules.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// What must not happen twice, and how far.
+/// Whether a set-up may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeat {
-    /// Set-ups may be repeated, one after the other.
+    /// Set-ups may be repeated one after the other.
     #[default]
     Repeatable,
     /// A set-up that may have run must not be repeated.
     Once,
 }
 
-/// A class's terms.
+/// Parameters of a class.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ClassRules {
-    /// What a repeated set-up does.
+    /// Whether set-ups of the class may be repeated.
     pub repeat: Repeat,
-    /// The lowest rate that may be set, kB a second.
+    /// Lowest rate that may be set, in kB/s.
     pub floor_kb: f64,
-    /// Sessions of one title that a front may hold; none: no cap.
+    /// Number of sessions of one title that a front may hold, or `None` for no limit.
     pub seats: Option<u32>,
 }
 
-/// How a cold box must be treated.
+/// Limits on the set-ups that a media server may be sent during its warm-up.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct ColdRules {
-    /// It is warm after this long.
+    /// Length of the warm-up, in microseconds.
     pub warm_us: u64,
-    /// It begins at this share of its pace.
+    /// Share of the full set-up rate that the media server takes at the start of the warm-up.
     pub from: f64,
-    /// It must not be sent this multiple of its pace...
+    /// Multiple of the present set-up rate that it must not be sent within `span_us`.
     pub multiple: f64,
-    /// ...over this long.
+    /// Window over which set-ups are counted, in microseconds.
     pub span_us: u64,
-    /// Streams that a warm box runs.
+    /// Number of streams that a warm media server runs.
     pub streams: f64,
 }
 
-/// The rules in figures.
+/// Parameters of all rules.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Rules {
-    /// Class of each title.
+    /// Class of each title as an index into `classes`.
     pub titles: BTreeMap<String, usize>,
-    /// The classes' terms.
+    /// Parameters of the classes.
     pub classes: Vec<ClassRules>,
-    /// How long after a front was told of a drain it may still send.
+    /// Time for which a front may still send set-ups after it was informed of a drain, in microseconds.
     pub drain_grace_us: u64,
-    /// Cold boxes; none: no rule.
+    /// Limits during a warm-up, or `None` if they are not checked.
     pub cold: Option<ColdRules>,
-    /// Further attempts: always allowed, for each session taken, and the window; none: no limit.
+    /// Retry budget, or `None` if it is not checked.
+    ///
+    /// The values are the number of retries that are always allowed, the number allowed for each session, and the window
+    /// in microseconds.
     pub budget: Option<(f64, f64, u64)>,
 }
--- a/crates/testing/checker/src/check/seats.rs
+++ b/crates/testing/checker/src/check/seats.rs
@@ -1,4 +1,4 @@
-//! Seats of a title at a front.
+//! Check of the number of sessions of a title at a front.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,31 +7,40 @@
 use crate::report::Report;
 use crate::trace::{Seen, What};
 
-/// Seats are counted as boxes see them: from an offer to its refusal, its drop or the end of its session.
-pub(super) fn seats(
+/// Occupied seats, each as an offer and a media server, by front and title.
+type OccupiedSeats<'a> = BTreeMap<(u32, &'a str), BTreeSet<(&'a str, u32)>>;
+
+/// Front and title of each offer at a media server.
+type SeatOwners<'a> = BTreeMap<(&'a str, u32), (u32, &'a str)>;
+
+/// Counts set-ups by which a front exceeds its seats for a title.
+///
+/// Seats are counted from the view of the media servers: from an offer to its refusal, its drop or the end of its session.
+pub(super) fn check_seats(
     trace: &[&Seen],
     attempts: &BTreeMap<String, Vec<Attempt>>,
     rules: &Rules,
     report: &mut Report,
 ) {
-    if rules.classes.iter().all(|c| c.seats.is_none()) {
+    if rules.classes.iter().all(|class| class.seats.is_none()) {
         return;
     }
-    let mut held: BTreeMap<(u32, &str), BTreeSet<(&str, u32)>> = BTreeMap::new();
-    let mut place: BTreeMap<(&str, u32), (u32, &str)> = BTreeMap::new();
+    let mut occupied: OccupiedSeats<'_> = BTreeMap::new();
+    let mut seat_owners: SeatOwners<'_> = BTreeMap::new();
     for seen in trace {
         let (offer, server) = match &seen.what {
             What::Offered { server, offer, front, title, .. } => {
                 let key = (*front, title.as_str());
-                let held = held.entry(key).or_default();
-                held.insert((offer, *server));
-                place.insert((offer, *server), key);
-                let seats = rules.titles.get(title).and_then(|c| rules.classes.get(*c)).and_then(|c| c.seats);
-                if seats.is_some_and(|s| held.len() > s as usize) {
+                let seats_in_use = occupied.entry(key).or_default();
+                seats_in_use.insert((offer, *server));
+                seat_owners.insert((offer, *server), key);
+                let class = rules.titles.get(title).and_then(|class| rules.classes.get(*class));
+                let seats = class.and_then(|class| class.seats);
+                if seats.is_some_and(|seats| seats_in_use.len() > seats as usize) {
                     report.seat_breaks += 1;
                     report.describe(
                         "over the seats",
-                        format!("{offer}: front {front} holds {} of {title}", held.len()),
+                        format!("{offer}: front {front} holds {} of {title}", seats_in_use.len()),
                     );
                 }
                 continue;
@@ -39,33 +48,27 @@
             What::Answered { server, offer, status } if *status != 201 => (offer, *server),
             What::Dropped { server, offer } | What::Freed { server, offer, .. } => (offer, *server),
             What::Left { offer } => {
-                let gone: Vec<_> = attempts.get(offer).into_iter().flatten().map(|a| a.server).collect();
-                for server in gone {
-                    free(&mut held, &place, offer, server);
+                for attempt in attempts.get(offer).into_iter().flatten() {
+                    free_seat(&mut occupied, &seat_owners, offer, attempt.server);
                 }
                 continue;
             }
             What::Died { server } | What::Toppled { server } => {
-                held.values_mut().for_each(|h| h.retain(|s| s.1 != *server));
+                occupied.values_mut().for_each(|seats| seats.retain(|seat| seat.1 != *server));
                 continue;
             }
             What::FrontKilled { front } => {
-                held.retain(|k, _| k.0 != *front);
+                occupied.retain(|owner, _| owner.0 != *front);
                 continue;
             }
             _ => continue,
         };
-        free(&mut held, &place, offer, server);
+        free_seat(&mut occupied, &seat_owners, offer, server);
     }
 }
 
-pub(super) fn free<'a>(
-    held: &mut BTreeMap<(u32, &'a str), BTreeSet<(&'a str, u32)>>,
-    place: &BTreeMap<(&'a str, u32), (u32, &'a str)>,
-    offer: &'a str,
-    server: u32,
-) {
-    if let Some(held) = place.get(&(offer, server)).and_then(|key| held.get_mut(key)) {
-        held.remove(&(offer, server));
+fn free_seat<'a>(occupied: &mut OccupiedSeats<'a>, owners: &SeatOwners<'a>, offer: &'a str, server: u32) {
+    if let Some(seats) = owners.get(&(offer, server)).and_then(|owner| occupied.get_mut(owner)) {
+        seats.remove(&(offer, server));
     }
 }
--- a/crates/testing/checker/src/lib.rs
+++ b/crates/testing/checker/src/lib.rs
@@ -1,6 +1,5 @@
-//! The six rules, checked from a trace of what went over the sockets: at players, at boxes and at the list service.
-//! A front's own word is never read.
-// Not reworked yet, see docs/ROADMAP.md.
+//! Checks the balancer's six rules against a trace of what went over the sockets of players, media servers and the
+//! endpoint list service. What a front reports about itself is never read.
 #![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
--- a/crates/testing/checker/src/report.rs
+++ b/crates/testing/checker/src/report.rs
@@ -1,4 +1,4 @@
-//! What a check comes to.
+//! Counts and rule violations that a check finds in a trace.
 
 use std::collections::BTreeMap;
 
@@ -7,110 +7,110 @@
 use crate::topic::Verdict;
 use crate::trace::Speaks;
 
-/// Times from asking to the answer, milliseconds.
+/// Quantiles of the time from a request to its answer, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize)]
-pub struct Times {
-    /// Half took at most so long.
+pub struct LatencyQuantiles {
+    /// Median.
     pub p50: f64,
-    /// 99 in 100 did.
+    /// 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// Maximum.
     pub max: f64,
 }
 
-/// Counts of those who speak one protocol.
+/// Counts of the players that use one signalling protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize)]
-pub struct Part {
-    /// Requests that a running front took.
+pub struct ProtocolCounts {
+    /// Number of requests that a running front took.
     pub sessions: u64,
-    /// Those that came to play.
+    /// Number of requests that were answered with 201.
     pub playing: u64,
-    /// Those turned away.
+    /// Number of requests that were answered with 503.
     pub refused: u64,
-    /// Those that failed.
+    /// Number of requests that were answered with 504.
     pub failed: u64,
-    /// From asking to the answer.
-    pub answer_ms: Times,
+    /// Time from a request to its answer.
+    pub answer_ms: LatencyQuantiles,
 }
 
-/// Counts of a run.
+/// Counts and rule violations of a run.
 #[derive(Debug, Clone, PartialEq, Default, Serialize)]
 pub struct Report {
-    /// Requests that a running front took.
+    /// Number of requests that a running front took.
     pub sessions: u64,
-    /// Those that came to play.
+    /// Number of requests that were answered with 201.
     pub playing: u64,
-    /// Those turned away.
+    /// Number of requests that were answered with 503.
     pub refused: u64,
-    /// Those that failed.
+    /// Number of requests that were answered with 504.
     pub failed: u64,
-    /// Those answered otherwise: the request itself was at fault.
+    /// Number of requests that were answered with another status because the request itself was invalid.
     pub declined: u64,
-    /// Those whose player left before an answer.
+    /// Number of requests whose player left before the answer.
     pub hung_up: u64,
-    /// Those held by a front that was killed.
+    /// Number of requests that were pending at a front when it was killed.
     pub lost_with_front: u64,
-    /// Requests that no front took.
+    /// Number of requests that no front took.
     pub not_taken: u64,
-    /// Rule 1: no answer in the viewer's time.
+    /// Rule 1: requests without an answer before the viewer's timeout.
     pub unanswered: u64,
-    /// Rule 1: more than one answer.
+    /// Rule 1: requests with more than one answer.
     pub duplicate_answers: u64,
-    /// Rule 2: two attempts of a session out at once, or a set-up repeated that must not be.
+    /// Rule 2: attempts made while another one of the session was outstanding, and repeats of a set-up that must run only once.
     pub overlapping_attempts: u64,
-    /// Rule 3: set-ups sent to a box after its drain was known for longer than the grace.
+    /// Rule 3: set-ups sent to a media server after the front had known of its drain for longer than the grace period.
     pub drain_breaks: u64,
-    /// Rule 4: cold boxes sent more than they bear.
+    /// Rule 4: media servers that were sent more set-ups during their warm-up than they can take.
     pub cold_breaks: u64,
-    /// Rule 5: rates under the floor.
+    /// Rule 5: rates below the floor of the class.
     pub floor_breaks: u64,
-    /// Rule 5: more sessions of a title and class than seats.
+    /// Rule 5: set-ups by which a front exceeded its seats for a title.
     pub seat_breaks: u64,
-    /// Rule 6: further attempts past the budget.
+    /// Rule 6: retries beyond the retry budget.
     pub budget_breaks: u64,
-    /// Sessions left at a box at the end that no player plays.
+    /// Number of sessions that a media server still holds at the end although no player plays them.
     pub phantom_sessions: u64,
-    /// Sessions that a box freed by itself, as their player never came or went without a word.
+    /// Number of sessions that expired at a media server because their player never arrived or left without ending them.
     pub expired_sessions: u64,
-    /// Attempts beyond the first.
+    /// Number of attempts beyond the first of each session.
     pub further_attempts: u64,
-    /// Grants by which somebody acted at what a lease guards.
+    /// Number of lease grants under which a process operated on the guarded resource.
     pub leases_granted: u64,
-    /// Leases: acts by a token under one that had been seen, by a process that was not stopped before.
+    /// Leases: operations with a superseded token by a process that had not been suspended shortly before.
     pub lease_overlaps: u64,
-    /// Leases: acts by such a token that were done.
+    /// Leases: operations with a superseded token that were carried out.
     pub stale_acts: u64,
-    /// Acts by such a token that were refused where it was checked, whoever they were of.
+    /// Number of operations with a superseded token that the resource refused, from any process.
     pub refused_acts: u64,
-    /// The longest time between two acts that were done, milliseconds.
+    /// Longest time between two operations that were carried out, in milliseconds.
     pub longest_without_holder_ms: u64,
-    /// Topics: messages that were acknowledged.
+    /// Number of acknowledged topic messages.
     pub topic_acknowledged: u64,
-    /// Messages that a subscriber saw, over all of them.
+    /// Number of events that the subscribers of topics observed, over all subscribers.
     pub topic_seen: u64,
-    /// How often a subscriber was caught up.
+    /// Number of times that a subscriber caught up with a topic.
     pub topic_caught_up: u64,
-    /// Messages that a subscriber missed while it was caught up.
+    /// Topics: messages that a subscriber missed while it was caught up.
     pub topic_gaps: u64,
-    /// What was deleted or overtaken and came back.
+    /// Topics: deleted or superseded values that a subscriber received again.
     pub topic_revived: u64,
-    /// Acknowledged messages that a subscriber does not have.
+    /// Topics: acknowledged messages that a subscriber does not have.
     pub topic_lost: u64,
-    /// Messages at two offsets, and offsets with two messages.
+    /// Topics: messages at two offsets and offsets with two messages.
     pub topic_twice: u64,
-    /// From asking to the answer.
-    pub answer_ms: Times,
-    /// The same by protocol.
-    pub by: BTreeMap<Speaks, Part>,
-    /// The first few breaks of each rule, for people.
+    /// Time from a request to its answer.
+    pub answer_ms: LatencyQuantiles,
+    /// Counts by signalling protocol.
+    pub by: BTreeMap<Speaks, ProtocolCounts>,
+    /// Descriptions of the first few violations of each rule.
     pub breaks: BTreeMap<&'static str, Vec<String>>,
 }
 
-/// How many breaks of a rule are described.
-const DESCRIBED: usize = 5;
+/// Number of violations of a rule that are described.
+const MAX_DESCRIPTIONS_PER_RULE: usize = 5;
 
 impl Report {
-    /// Breaks by rule, each with its name.
+    /// Returns the name of each rule with its number of violations.
     pub fn broken(&self) -> [(&'static str, u64); 15] {
         [
             ("unanswered", self.unanswered),
@@ -131,12 +131,12 @@
         ]
     }
 
-    /// Whether all rules were kept.
+    /// Returns whether no rule was violated.
     pub fn kept(&self) -> bool {
-        self.broken().iter().all(|(_, n)| *n == 0)
+        self.broken().iter().all(|(_, count)| *count == 0)
     }
 
-    /// Takes what the judge of a topic found.
+    /// Adds the result of checking a topic.
     pub fn topic(&mut self, verdict: &Verdict) {
         self.topic_acknowledged += verdict.acknowledged;
         self.topic_seen += verdict.seen;
@@ -151,16 +151,16 @@
             ("topic lost", &verdict.lost),
             ("topic twice", &verdict.twice),
         ];
-        for (rule, list) in lists {
-            list.iter().for_each(|text| self.describe(rule, text.clone()));
+        for (rule, descriptions) in lists {
+            descriptions.iter().for_each(|text| self.describe(rule, text.clone()));
         }
     }
 
-    /// Describes a break.
+    /// Adds the description of a violation, up to the limit for its rule.
     pub(crate) fn describe(&mut self, rule: &'static str, text: String) {
-        let list = self.breaks.entry(rule).or_default();
-        if list.len() < DESCRIBED {
-            list.push(text);
+        let descriptions = self.breaks.entry(rule).or_default();
+        if descriptions.len() < MAX_DESCRIPTIONS_PER_RULE {
+            descriptions.push(text);
         }
     }
 }
--- a/crates/testing/checker/src/topic.rs
+++ b/crates/testing/checker/src/topic.rs
@@ -1,338 +1,367 @@
-//! What publishers were told and what subscribers saw of a topic, judged: no message that was acknowledged is lost, none is there
-//! twice, no subscriber misses one, and nothing that was deleted or overtaken comes back.
+//! Checks a topic by what its publishers were answered and its subscribers received.
 //!
-//! It goes by what came out of publishers and subscribers alone. Each value that is ever written has a number of its own, so that a
-//! message is known wherever it is seen.
+//! No acknowledged message may be lost, no message may exist twice, no subscriber may miss one, and no deleted or superseded
+//! value may come back. Only the output of publishers and subscribers is used. Each value that is ever written has a unique
+//! number, which identifies its message wherever it is received.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use serde::Serialize;
 
-/// What was to be written to a key.
+/// Write that a publisher sends for a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Write {
-    /// The value with this number.
+    /// Sets the value with this number.
     Value(u64),
-    /// None: the key is deleted.
+    /// Deletes the key.
     Delete,
 }
 
-/// What a publisher was told of a message, if anything.
+/// Result that a publisher received for a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Told {
-    /// It is written at this offset.
+    /// The message is written at this offset.
     Written(u64),
-    /// It is not, and never will be.
+    /// The message is not written and never will be.
     Refused,
-    /// It may be.
+    /// The message may have been written, as no result arrived.
     Unsure,
 }
 
-/// What a subscriber saw.
+/// Event that a subscriber received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Saw {
-    /// A key has the value with this number, written at this offset.
+    /// A key was set.
     Changed {
-        /// Which.
+        /// Key that was set.
         key: Vec<u8>,
-        /// Where.
+        /// Offset of the message.
         offset: u64,
-        /// The value's number.
+        /// Number of the value.
         value: u64,
     },
-    /// A key has none, for all that is known at this offset.
+    /// A key has no value.
     Gone {
-        /// Which.
+        /// Key without a value.
         key: Vec<u8>,
-        /// Known there.
+        /// Offset as of which the key has no value.
         at: u64,
     },
-    /// It has the latest of each key as of this offset.
+    /// The subscriber has the latest value of each key as of this offset.
     CaughtUp(u64),
-    /// It may miss something until it is caught up again.
+    /// The subscriber may miss messages until it has caught up again.
     Behind,
 }
 
+/// Message that a publisher sent, with its result so far.
 #[derive(Debug, Clone)]
-struct Sent {
+struct SentMessage {
     key: Vec<u8>,
     write: Write,
     told: Told,
 }
 
-/// All that publishers and subscribers of one topic have said.
+/// Messages that publishers of one topic sent and events that its subscribers received.
 #[derive(Debug, Clone, Default)]
 pub struct Record {
-    sent: Vec<Sent>,
+    sent: Vec<SentMessage>,
     seen: BTreeMap<String, Vec<Saw>>,
-    /// Of subscribers that were caught up at the end: up to where.
+    /// End offset, exclusive, of each subscriber that was caught up at the end.
     complete: BTreeMap<String, u64>,
 }
 
-/// What was found wrong, in words; each list is empty where all is well.
+/// Violations that were found, as descriptions, and counts of messages and events.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize)]
 pub struct Verdict {
-    /// A subscriber that was caught up did not see a message that came after.
+    /// Messages that a subscriber missed while it was caught up.
     pub gaps: Vec<String>,
-    /// Something deleted, or older than what was known, came back.
+    /// Deleted or superseded values that a subscriber received again or still holds.
     pub revived: Vec<String>,
-    /// An acknowledged message is not there.
+    /// Acknowledged messages that a subscriber does not have.
     pub lost: Vec<String>,
-    /// A message is there at two offsets, or two at one.
+    /// Messages at two offsets, offsets with two messages, and refused messages that were received.
     pub twice: Vec<String>,
-    /// Messages that were acknowledged.
+    /// Number of acknowledged messages.
     pub acknowledged: u64,
-    /// Messages of which nobody knows what became.
+    /// Number of messages without a result.
     pub unsure: u64,
-    /// What subscribers saw, in all.
+    /// Number of events that all subscribers received.
     pub seen: u64,
-    /// How often one of them was caught up.
+    /// Number of times that a subscriber caught up.
     pub caught_up: u64,
 }
 
 impl Verdict {
-    /// Whether nothing is wrong.
+    /// Returns whether no violation was found.
     pub fn is_clean(&self) -> bool {
-        [&self.gaps, &self.revived, &self.lost, &self.twice].iter().all(|v| v.is_empty())
+        [&self.gaps, &self.revived, &self.lost, &self.twice].iter().all(|violations| violations.is_empty())
     }
 }
 
-/// What is known for certain of a topic, by the publishers' answers.
-struct Known<'a> {
+/// Content of a topic as far as the results of publishers prove it.
+struct KnownContent<'a> {
     /// Acknowledged messages by offset.
-    at: BTreeMap<u64, &'a Sent>,
-    /// Of each key, the offsets of acknowledged messages.
-    of: BTreeMap<&'a [u8], BTreeSet<u64>>,
-    /// Keys that something may have been written to, nobody knows when.
-    doubtful: BTreeSet<&'a [u8]>,
+    by_offset: BTreeMap<u64, &'a SentMessage>,
+    /// Offsets of the acknowledged messages of each key.
+    offsets_by_key: BTreeMap<&'a [u8], BTreeSet<u64>>,
+    /// Keys with a message whose result is unknown.
+    uncertain_keys: BTreeSet<&'a [u8]>,
 }
 
-impl Known<'_> {
-    /// The last acknowledged message of a key before an offset.
-    fn last(&self, key: &[u8], before: u64) -> Option<(u64, Write)> {
-        let offset = *self.of.get(key)?.range(..before).next_back()?;
-        Some((offset, self.at.get(&offset)?.write))
+impl KnownContent<'_> {
+    /// Returns the offset and content of the last acknowledged message of a key before an offset.
+    fn last_write(&self, key: &[u8], before: u64) -> Option<(u64, Write)> {
+        let offset = *self.offsets_by_key.get(key)?.range(..before).next_back()?;
+        Some((offset, self.by_offset.get(&offset)?.write))
     }
 }
 
 impl Record {
-    /// How often a subscriber was caught up so far.
+    /// Returns how often a subscriber has caught up so far.
     pub fn caught_up(&self, subscriber: &str) -> usize {
-        let all = self.seen.get(subscriber).into_iter().flatten();
-        all.filter(|saw| matches!(saw, Saw::CaughtUp(_))).count()
+        let events = self.seen.get(subscriber).into_iter().flatten();
+        events.filter(|event| matches!(event, Saw::CaughtUp(_))).count()
     }
 
-    /// How often a subscriber fell behind after it had been caught up.
+    /// Returns how often a subscriber has fallen behind after it had caught up.
     pub fn fell_behind(&self, subscriber: &str) -> usize {
-        let all = self.seen.get(subscriber).into_iter().flatten();
-        all.filter(|saw| matches!(saw, Saw::Behind)).count()
+        let events = self.seen.get(subscriber).into_iter().flatten();
+        events.filter(|event| matches!(event, Saw::Behind)).count()
     }
 
-    /// Values under keys with this prefix that were acknowledged at this offset or after it.
+    /// Returns the number of values acknowledged at `offset` or later under keys with this prefix.
     pub fn values_since(&self, key_prefix: &str, offset: u64) -> usize {
-        let counts = |sent: &&Sent| {
-            let is_since = matches!(sent.told, Told::Written(at) if at >= offset);
-            is_since && sent.key.starts_with(key_prefix.as_bytes()) && matches!(sent.write, Write::Value(_))
+        let counts = |sent: &&SentMessage| {
+            let is_acknowledged = matches!(sent.told, Told::Written(at) if at >= offset);
+            is_acknowledged
+                && sent.key.starts_with(key_prefix.as_bytes())
+                && matches!(sent.write, Write::Value(_))
         };
         self.sent.iter().filter(counts).count()
     }
 
-    /// A message is to be written: what it is called from now on.
+    /// Records that a message is sent, and returns the index that identifies it from then on.
     pub fn sends(&mut self, key: &[u8], write: Write) -> usize {
-        self.sent.push(Sent { key: key.to_vec(), write, told: Told::Unsure });
+        self.sent.push(SentMessage { key: key.to_vec(), write, told: Told::Unsure });
         self.sent.len() - 1
     }
 
-    /// What became of a message.
+    /// Records the result of a message.
     pub fn told(&mut self, message: usize, told: Told) {
         if let Some(sent) = self.sent.get_mut(message) {
             sent.told = told;
         }
     }
 
-    /// A subscriber saw something.
+    /// Records an event that a subscriber received.
     pub fn saw(&mut self, subscriber: &str, saw: Saw) {
         self.seen.entry(subscriber.to_owned()).or_default().push(saw);
     }
 
-    /// At the end a subscriber has everything up to an offset, without it.
+    /// Records that a subscriber ends with all messages before the offset `complete`.
     pub fn ends(&mut self, subscriber: &str, complete: u64) {
         self.complete.insert(subscriber.to_owned(), complete);
     }
 
-    /// Messages that were acknowledged so far.
+    /// Returns the number of messages acknowledged so far.
     pub fn acknowledged(&self) -> usize {
-        self.sent.iter().filter(|s| matches!(s.told, Told::Written(_))).count()
+        self.sent.iter().filter(|sent| matches!(sent.told, Told::Written(_))).count()
     }
 
-    /// The highest offset that was acknowledged so far.
+    /// Returns the highest acknowledged offset, or `None` if no message was acknowledged.
     pub fn highest(&self) -> Option<u64> {
-        let offset = |s: &Sent| if let Told::Written(offset) = s.told { Some(offset) } else { None };
+        let offset =
+            |sent: &SentMessage| if let Told::Written(offset) = sent.told { Some(offset) } else { None };
         self.sent.iter().filter_map(offset).max()
     }
 
-    /// Judges all of it.
+    /// Checks the record and returns all violations.
     pub fn judge(&self) -> Verdict {
         let mut verdict = Verdict::default();
-        let mut known = Known { at: BTreeMap::new(), of: BTreeMap::new(), doubtful: BTreeSet::new() };
+        let mut known = KnownContent {
+            by_offset: BTreeMap::new(),
+            offsets_by_key: BTreeMap::new(),
+            uncertain_keys: BTreeSet::new(),
+        };
         for sent in &self.sent {
             match sent.told {
                 Told::Written(offset) => {
                     verdict.acknowledged += 1;
-                    if let Some(other) = known.at.insert(offset, sent) {
-                        verdict.twice.push(format!("{offset} was acknowledged for {other:?} and {sent:?}"));
+                    if let Some(other) = known.by_offset.insert(offset, sent) {
+                        verdict
+                            .twice
+                            .push(format!("offset {offset} was acknowledged for {other:?} and {sent:?}"));
                     }
-                    known.of.entry(&sent.key).or_default().insert(offset);
+                    known.offsets_by_key.entry(&sent.key).or_default().insert(offset);
                 }
                 Told::Unsure => {
                     verdict.unsure += 1;
-                    known.doubtful.insert(&sent.key);
+                    known.uncertain_keys.insert(&sent.key);
                 }
                 Told::Refused => {}
             }
         }
-        self.places(&known, &mut verdict);
+        self.check_unique_offsets(&known, &mut verdict);
         for (name, seen) in &self.seen {
-            let mut one = Walk::new(name, &known);
-            seen.iter().for_each(|saw| one.step(saw, &mut verdict));
+            let mut replay = SubscriberReplay::new(name, &known);
+            seen.iter().for_each(|event| replay.apply(event, &mut verdict));
             if let Some(complete) = self.complete.get(name) {
-                one.ends(*complete, &mut verdict);
+                replay.finish(*complete, &mut verdict);
             }
         }
         verdict
     }
 
-    /// Each value stands at one offset, wherever it is seen, and that is the one that was acknowledged.
-    fn places(&self, known: &Known<'_>, verdict: &mut Verdict) {
-        let mut places: BTreeMap<u64, u64> = BTreeMap::new();
-        let mut values: BTreeMap<u64, u64> = BTreeMap::new();
-        for (offset, sent) in &known.at {
+    /// Checks that each value has one offset in all events, and that it is the acknowledged one.
+    fn check_unique_offsets(&self, known: &KnownContent<'_>, verdict: &mut Verdict) {
+        let mut offsets_by_value: BTreeMap<u64, u64> = BTreeMap::new();
+        let mut values_by_offset: BTreeMap<u64, u64> = BTreeMap::new();
+        for (offset, sent) in &known.by_offset {
             if let Write::Value(value) = sent.write {
-                places.insert(value, *offset);
-                values.insert(*offset, value);
+                offsets_by_value.insert(value, *offset);
+                values_by_offset.insert(*offset, value);
             }
         }
         let refused: BTreeSet<u64> = self
             .sent
             .iter()
-            .filter(|s| s.told == Told::Refused)
-            .filter_map(|s| if let Write::Value(value) = s.write { Some(value) } else { None })
+            .filter(|sent| sent.told == Told::Refused)
+            .filter_map(|sent| if let Write::Value(value) = sent.write { Some(value) } else { None })
             .collect();
         for (name, seen) in &self.seen {
-            for saw in seen {
-                let Saw::Changed { offset, value, .. } = saw else { continue };
-                let place = *places.entry(*value).or_insert(*offset);
-                let there = *values.entry(*offset).or_insert(*value);
-                if place != *offset || there != *value || refused.contains(value) {
-                    let why = format!(
-                        "{name} saw value {value} at {offset}; it stands at {place}, and {there} stands there"
+            for event in seen {
+                let Saw::Changed { offset, value, .. } = event else { continue };
+                let known_offset = *offsets_by_value.entry(*value).or_insert(*offset);
+                let known_value = *values_by_offset.entry(*offset).or_insert(*value);
+                if known_offset != *offset || known_value != *value || refused.contains(value) {
+                    let description = format!(
+                        "{name} received value {value} at offset {offset}, but the value has offset {known_offset} and the offset has value {known_value}"
                     );
-                    verdict.twice.push(why);
+                    verdict.twice.push(description);
                 }
             }
         }
     }
 }
 
-/// One subscriber's way through what it saw.
-struct Walk<'a> {
+/// Period in which a subscriber must receive every message.
+struct CaughtUpPeriod {
+    /// Offset of the first message that it must receive.
+    start: u64,
+    /// Offsets of the messages that it received.
+    received: BTreeSet<u64>,
+}
+
+/// Replay of the events of one subscriber.
+struct SubscriberReplay<'a> {
     name: &'a str,
-    known: &'a Known<'a>,
-    /// What it holds: of each key, where its value was written.
+    known: &'a KnownContent<'a>,
+    /// Offset of the value that the subscriber holds for each key.
     holds: BTreeMap<Vec<u8>, u64>,
-    /// Of each key, the newest that it ever knew of it: nothing below may come.
+    /// Highest offset that the subscriber has received for each key, below which no event of the key may follow.
     newest: BTreeMap<Vec<u8>, u64>,
-    /// While it is caught up: from where on it must see all, and what it saw.
-    since: Option<(u64, BTreeSet<u64>)>,
+    /// Period since the subscriber caught up, or `None` while it is behind.
+    caught_up: Option<CaughtUpPeriod>,
 }
 
-impl<'a> Walk<'a> {
-    fn new(name: &'a str, known: &'a Known<'a>) -> Walk<'a> {
-        Walk { name, known, holds: BTreeMap::new(), newest: BTreeMap::new(), since: None }
+impl<'a> SubscriberReplay<'a> {
+    fn new(name: &'a str, known: &'a KnownContent<'a>) -> SubscriberReplay<'a> {
+        SubscriberReplay { name, known, holds: BTreeMap::new(), newest: BTreeMap::new(), caught_up: None }
     }
 
-    fn step(&mut self, saw: &Saw, verdict: &mut Verdict) {
+    fn apply(&mut self, event: &Saw, verdict: &mut Verdict) {
         verdict.seen += 1;
-        match saw {
+        match event {
             Saw::Changed { key, offset, .. } => {
                 let newest = self.newest.get(key).copied();
-                if newest.is_some_and(|n| *offset < n) {
-                    let why =
-                        format!("{} saw {} at {offset} after {newest:?}", self.name, key.escape_ascii());
-                    verdict.revived.push(why);
+                if newest.is_some_and(|newest| *offset < newest) {
+                    let description = format!(
+                        "{} received {} at offset {offset} after {newest:?}",
+                        self.name,
+                        key.escape_ascii()
+                    );
+                    verdict.revived.push(description);
                 }
                 self.newest.insert(key.clone(), *offset);
                 self.holds.insert(key.clone(), *offset);
-                self.sees(*offset);
+                self.record_offset(*offset);
             }
             Saw::Gone { key, at } => {
                 self.newest.insert(key.clone(), *at);
                 self.holds.remove(key);
-                self.sees(*at);
+                self.record_offset(*at);
             }
             Saw::CaughtUp(to) => {
                 verdict.caught_up += 1;
-                self.check(*to, verdict);
-                self.since = Some((*to, BTreeSet::new()));
+                self.check_held_values(*to, verdict);
+                self.caught_up = Some(CaughtUpPeriod { start: *to, received: BTreeSet::new() });
             }
-            Saw::Behind => self.close(None, verdict),
+            Saw::Behind => self.end_caught_up_period(None, verdict),
         }
     }
 
-    fn sees(&mut self, offset: u64) {
-        if let Some((_, seen)) = &mut self.since {
-            seen.insert(offset);
+    fn record_offset(&mut self, offset: u64) {
+        if let Some(period) = &mut self.caught_up {
+            period.received.insert(offset);
         }
     }
 
-    /// Ends a time in which it was caught up: whatever was acknowledged from its beginning to the last that it saw, or to where it
-    /// says that it is complete, it must have seen.
-    fn close(&mut self, complete: Option<u64>, verdict: &mut Verdict) {
-        let Some((from, seen)) = self.since.take() else { return };
-        let to = complete.unwrap_or_else(|| seen.last().map_or(from, |last| last + 1));
-        for (offset, sent) in self.known.at.range(from..to.max(from)) {
-            if !seen.contains(offset) {
-                verdict.gaps.push(format!("{} did not see {offset}, {sent:?}", self.name));
+    /// Ends a period in which the subscriber was caught up, and checks that it received every message acknowledged in it.
+    ///
+    /// The period extends to the offset `complete` if that is known, otherwise to the last offset that was received.
+    fn end_caught_up_period(&mut self, complete: Option<u64>, verdict: &mut Verdict) {
+        let Some(CaughtUpPeriod { start, received }) = self.caught_up.take() else { return };
+        let end = complete.unwrap_or_else(|| received.last().map_or(start, |last| last + 1));
+        for (offset, sent) in self.known.by_offset.range(start..end.max(start)) {
+            if !received.contains(offset) {
+                verdict.gaps.push(format!("{} did not receive offset {offset}, {sent:?}", self.name));
             }
         }
     }
 
-    /// As of this offset it must hold the latest of each key and nothing that was deleted.
-    fn check(&self, to: u64, verdict: &mut Verdict) {
-        for key in self.known.of.keys().filter(|key| !self.known.doubtful.contains(*key)) {
-            let Some((offset, write)) = self.known.last(key, to) else { continue };
-            let holds = self.holds.get(*key).copied();
+    /// Checks that the subscriber holds the latest value of each key as of this offset, and no deleted value.
+    ///
+    /// Keys with a message whose result is unknown are skipped.
+    fn check_held_values(&self, to: u64, verdict: &mut Verdict) {
+        for key in self.known.offsets_by_key.keys().filter(|key| !self.known.uncertain_keys.contains(*key)) {
+            let Some((offset, write)) = self.known.last_write(key, to) else { continue };
+            let held_offset = self.holds.get(*key).copied();
             let (name, key) = (self.name, key.escape_ascii());
             match write {
-                Write::Value(_) if holds.is_none_or(|h| h < offset) => {
-                    verdict.lost.push(format!("{name} holds {key} at {holds:?} as of {to}, not {offset}"));
+                Write::Value(_) if held_offset.is_none_or(|held| held < offset) => {
+                    verdict.lost.push(format!(
+                        "{name} holds {key} at {held_offset:?} as of offset {to}, not at {offset}"
+                    ));
                 }
-                Write::Delete if holds.is_some_and(|h| h < offset) => {
-                    let why = format!("{name} holds {key} at {holds:?} as of {to}, deleted at {offset}");
-                    verdict.revived.push(why);
+                Write::Delete if held_offset.is_some_and(|held| held < offset) => {
+                    let description = format!(
+                        "{name} holds {key} at {held_offset:?} as of offset {to}, but it was deleted at {offset}"
+                    );
+                    verdict.revived.push(description);
                 }
                 _ => {}
             }
         }
     }
 
-    fn ends(&mut self, complete: u64, verdict: &mut Verdict) {
-        let highest = self.known.at.last_key_value().map_or(0, |last| last.0 + 1);
-        if complete < highest {
-            verdict.lost.push(format!("{} is complete to {complete} of {highest}", self.name));
+    /// Checks the state of a subscriber that ends with all messages before the offset `complete`.
+    fn finish(&mut self, complete: u64, verdict: &mut Verdict) {
+        let end = self.known.by_offset.last_key_value().map_or(0, |last| last.0 + 1);
+        if complete < end {
+            verdict.lost.push(format!("{} is complete to offset {complete} of {end}", self.name));
         }
-        self.close(Some(complete), verdict);
-        self.check(complete, verdict);
+        self.end_caught_up_period(Some(complete), verdict);
+        self.check_held_values(complete, verdict);
     }
 }
 
-/// A record that many write to.
+/// Record that several publishers and subscribers share.
 #[derive(Debug, Clone, Default)]
 pub struct Recorded(Arc<Mutex<Record>>);
 
 impl Recorded {
-    /// The record, for the moment.
+    /// Locks the record.
     pub fn lock(&self) -> MutexGuard<'_, Record> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/testing/checker/src/topic/tests.rs
+++ b/crates/testing/checker/src/topic/tests.rs
@@ -1,96 +1,105 @@
 use super::*;
 
-fn changed(key: &str, offset: u64, value: u64) -> Saw {
+fn value_set(key: &str, offset: u64, value: u64) -> Saw {
     Saw::Changed { key: key.into(), offset, value }
 }
 
-fn gone(key: &str, at: u64) -> Saw {
+fn removed(key: &str, at: u64) -> Saw {
     Saw::Gone { key: key.into(), at }
 }
 
-/// Three messages: a at 0, b at 1, a deleted at 2, b again at 3; one follows from the start, one comes late.
-fn sound() -> Record {
-    let mut r = Record::default();
+/// Returns a record without violations: a set at 0, b set at 1, a deleted at 2, b set at 3 and one refused write.
+///
+/// The subscriber `early` follows from the start, and `late` subscribes at the end.
+fn valid_record() -> Record {
+    let mut record = Record::default();
     let writes =
         [("a", Write::Value(1)), ("b", Write::Value(2)), ("a", Write::Delete), ("b", Write::Value(3))];
     for (offset, (key, write)) in (0..).zip(writes) {
-        let message = r.sends(key.as_bytes(), write);
-        r.told(message, Told::Written(offset));
+        let message = record.sends(key.as_bytes(), write);
+        record.told(message, Told::Written(offset));
     }
-    let refused = r.sends(b"c", Write::Value(4));
-    r.told(refused, Told::Refused);
-    for saw in [Saw::CaughtUp(0), changed("a", 0, 1), changed("b", 1, 2), gone("a", 2), changed("b", 3, 3)] {
-        r.saw("early", saw);
+    let refused = record.sends(b"c", Write::Value(4));
+    record.told(refused, Told::Refused);
+    for event in
+        [Saw::CaughtUp(0), value_set("a", 0, 1), value_set("b", 1, 2), removed("a", 2), value_set("b", 3, 3)]
+    {
+        record.saw("early", event);
     }
-    for saw in [changed("b", 3, 3), Saw::CaughtUp(4)] {
-        r.saw("late", saw);
+    for event in [value_set("b", 3, 3), Saw::CaughtUp(4)] {
+        record.saw("late", event);
     }
-    r.ends("early", 4);
-    r.ends("late", 4);
-    r
+    record.ends("early", 4);
+    record.ends("late", 4);
+    record
 }
 
 #[test]
-fn what_is_sound_is_found_so() {
-    let verdict = sound().judge();
+fn accepts_valid_record() {
+    let verdict = valid_record().judge();
     assert!(verdict.is_clean(), "{verdict:#?}");
     assert_eq!((verdict.acknowledged, verdict.seen, verdict.caught_up), (4, 7, 2));
 }
 
-/// Each thing that can be wrong, done to the sound record, is found in its list.
+/// Makes one change to the valid record for each kind of violation, and checks in which lists it is reported.
 #[test]
-fn each_breach_is_found() {
-    let found = |change: &dyn Fn(&mut Record)| {
-        let mut r = sound();
-        change(&mut r);
-        let v = r.judge();
-        [v.gaps.len(), v.revived.len(), v.lost.len(), v.twice.len()].map(|n| n > 0)
+fn reports_each_violation_in_its_list() {
+    let violations = |change: &dyn Fn(&mut Record)| {
+        let mut record = valid_record();
+        change(&mut record);
+        let verdict = record.judge();
+        [verdict.gaps.len(), verdict.revived.len(), verdict.lost.len(), verdict.twice.len()]
+            .map(|count| count > 0)
     };
-    let early = |r: &mut Record, n: usize, saw: Option<Saw>| {
-        let seen = r.seen.get_mut("early").expect("it is there");
-        match saw {
-            Some(saw) => seen.insert(n, saw),
-            None => drop(seen.remove(n)),
+    let change_early = |record: &mut Record, index: usize, event: Option<Saw>| {
+        let events = record.seen.get_mut("early").expect("the subscriber is recorded");
+        match event {
+            Some(event) => events.insert(index, event),
+            None => drop(events.remove(index)),
         }
     };
-    // One that was caught up misses a message, though a later one of the same key covers it.
-    assert_eq!(found(&|r| early(r, 2, None)), [true, false, false, false]);
-    // ... and misses it up to where it falls behind.
+    // A subscriber that has caught up misses a message, although a later one of the same key replaces it.
+    assert_eq!(violations(&|record| change_early(record, 2, None)), [true, false, false, false]);
+    // The message is also missing if the subscriber falls behind later.
     assert_eq!(
-        found(&|r| {
-            early(r, 2, None);
-            early(r, 4, Some(Saw::Behind));
+        violations(&|record| {
+            change_early(record, 2, None);
+            change_early(record, 4, Some(Saw::Behind));
         }),
         [true, false, false, false]
     );
-    // A deletion is missed: what was deleted is held at the end.
-    assert_eq!(found(&|r| early(r, 3, None)), [true, true, false, false]);
-    // What was deleted comes back.
-    assert_eq!(found(&|r| early(r, 4, Some(changed("a", 0, 1)))), [false, true, false, false]);
-    // An older value after a newer one.
-    assert_eq!(found(&|r| r.saw("late", changed("b", 1, 2))), [false, true, true, false]);
-    // Caught up without a key, or too early.
-    let without = |r: &mut Record| r.seen.get_mut("late").map(|s| s.remove(0)).map_or((), drop);
-    assert_eq!(found(&without), [false, false, true, false]);
-    assert_eq!(found(&|r| r.ends("late", 3)), [false, false, true, false]);
-    // A message at two offsets, a refused one, and an offset acknowledged twice.
-    assert_eq!(found(&|r| r.saw("late", changed("b", 5, 3))), [false, false, false, true]);
-    assert_eq!(found(&|r| r.saw("late", changed("c", 5, 4))), [false, false, false, true]);
-    let again = |r: &mut Record| {
-        let message = r.sends(b"d", Write::Delete);
-        r.told(message, Told::Written(3));
+    // A subscriber misses a deletion, so it still holds the deleted value at the end.
+    assert_eq!(violations(&|record| change_early(record, 3, None)), [true, true, false, false]);
+    // A deleted value is received again.
+    assert_eq!(
+        violations(&|record| change_early(record, 4, Some(value_set("a", 0, 1)))),
+        [false, true, false, false]
+    );
+    // An older value is received after a newer one.
+    assert_eq!(violations(&|record| record.saw("late", value_set("b", 1, 2))), [false, true, true, false]);
+    // A subscriber has caught up without a key, or ends before the last message.
+    let remove_first =
+        |record: &mut Record| record.seen.get_mut("late").map(|events| events.remove(0)).map_or((), drop);
+    assert_eq!(violations(&remove_first), [false, false, true, false]);
+    assert_eq!(violations(&|record| record.ends("late", 3)), [false, false, true, false]);
+    // A message is received at two offsets, a refused message is received, and an offset is acknowledged twice.
+    assert_eq!(violations(&|record| record.saw("late", value_set("b", 5, 3))), [false, false, false, true]);
+    assert_eq!(violations(&|record| record.saw("late", value_set("c", 5, 4))), [false, false, false, true]);
+    let acknowledge_twice = |record: &mut Record| {
+        let message = record.sends(b"d", Write::Delete);
+        record.told(message, Told::Written(3));
     };
-    assert!(found(&again)[3]);
+    assert!(violations(&acknowledge_twice)[3]);
 }
 
-/// What nobody knows the end of may be there or not, but not at two offsets.
+/// A message without a result may be received or not, but not at two offsets.
 #[test]
-fn what_is_unsure_may_be_there_once_or_not_at_all() {
-    let mut r = sound();
-    r.sends(b"e", Write::Value(9));
-    assert!(r.judge().is_clean());
-    r.saw("late", changed("e", 4, 9));
-    assert!(r.judge().is_clean(), "{:#?}", r.judge());
-    r.saw("early", changed("e", 5, 9));
-    assert!(!r.judge().twice.is_empty());
+fn accepts_message_without_result_at_one_offset_only() {
+    let mut record = valid_record();
+    record.sends(b"e", Write::Value(9));
+    assert!(record.judge().is_clean());
+    record.saw("late", value_set("e", 4, 9));
+    assert!(record.judge().is_clean(), "{:#?}", record.judge());
+    record.saw("early", value_set("e", 5, 9));
+    assert!(!record.judge().twice.is_empty());
 }
--- a/crates/testing/checker/src/trace.rs
+++ b/crates/testing/checker/src/trace.rs
@@ -1,4 +1,6 @@
-//! What was seen, by whom and when. All times are microseconds of one clock.
+//! Events that players, media servers and the endpoint list service observed, and the recorder that collects them.
+//!
+//! All times are microseconds since the recorder was created.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -6,23 +8,23 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How a player's call ended, as the player saw it.
+/// Outcome of a player's call as the player observed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
-    /// A response with this status came.
+    /// The player received a response with this status.
     Status(u16),
-    /// The connection was refused: nobody took the request.
+    /// The connection was refused, so no front took the request.
     NotTaken,
-    /// The connection closed or broke without a response.
+    /// The connection was closed or reset without a response.
     Broken,
-    /// No response in the player's time.
+    /// No response arrived before the player's timeout.
     TimedOut,
-    /// The player hung up by itself.
+    /// The player ended the call itself.
     HungUp,
 }
 
-/// What a player speaks.
+/// Signalling protocol of a player.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Speaks {
@@ -33,176 +35,182 @@
     Sip,
 }
 
-/// One thing seen.
+/// Observed event.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum What {
-    /// Somebody acted at something that a lease guards.
+    /// A process operated on the resource that a lease guards.
     Acted {
-        /// By which token.
+        /// Fencing token that the process presented.
         token: u64,
-        /// Who.
+        /// Name of the process.
         holder: String,
-        /// It was done; otherwise a higher token had been seen, and nothing happened.
+        /// Whether the operation was carried out. It is refused, without effect, once the resource has seen a higher token.
         done: bool,
     },
-    /// A holder's process was stopped, with all that it runs.
+    /// A lease holder's process was suspended together with its children.
     Stopped {
-        /// Whose.
+        /// Name of the process.
         holder: String,
     },
-    /// It was let go on.
+    /// A suspended process was resumed.
     WentOn {
-        /// Whose.
+        /// Name of the process.
         holder: String,
     },
-    /// From here on nobody is to act any more.
+    /// The period in which processes are expected to operate on the resource ended.
     ActsEnd,
-    /// A player's offer went to a front. An offer is named by its ICE user fragment.
+    /// A player sent its offer to a front. Offers are identified by their ICE user fragment.
     Asked {
-        /// The offer.
+        /// ICE user fragment of the offer.
         offer: String,
-        /// The front.
+        /// Number of the front.
         front: u32,
-        /// The title.
+        /// Title that the offer asks for.
         title: String,
-        /// How long the player waits.
+        /// Player's timeout in microseconds.
         patience_us: u64,
-        /// What it speaks.
+        /// Signalling protocol of the player.
         #[serde(default)]
         speaks: Speaks,
     },
-    /// Its call ended.
+    /// A player's call ended.
     Ended {
-        /// The offer.
+        /// ICE user fragment of the offer.
         offer: String,
-        /// How.
+        /// Outcome of the call.
         ending: Ending,
-        /// Responses that came on the connection after the first.
+        /// Number of responses that followed the first on the connection.
         extra: u32,
     },
-    /// A player ended its session, or left without a word.
+    /// A player ended its session or left without ending it.
     Left {
-        /// The offer.
+        /// ICE user fragment of the offer.
         offer: String,
     },
-    /// An offer reached a box.
+    /// A media server received an offer.
     Offered {
-        /// The box.
+        /// Number of the media server.
         server: u32,
-        /// The offer.
+        /// ICE user fragment of the offer.
         offer: String,
-        /// The front that sent it.
+        /// Number of the front that sent the offer.
         front: u32,
-        /// The title.
+        /// Title that the offer asks for.
         title: String,
-        /// The rate that the offer is limited to, kB a second.
+        /// Rate that the offer is limited to, in kB/s.
         rate_kb: f64,
     },
-    /// The box answered it.
+    /// A media server answered an offer.
     Answered {
-        /// The box.
+        /// Number of the media server.
         server: u32,
-        /// The offer.
+        /// ICE user fragment of the offer.
         offer: String,
-        /// The status; 0: it closed the connection without an answer.
+        /// Status of the answer, or 0 if the media server closed the connection without one.
         status: u16,
     },
-    /// The front closed its side before an answer.
+    /// The front closed its side of the connection before the media server answered.
     Dropped {
-        /// The box.
+        /// Number of the media server.
         server: u32,
-        /// The offer.
+        /// ICE user fragment of the offer.
         offer: String,
     },
-    /// A session began at a box.
+    /// A session began at a media server.
     Began {
-        /// The box.
+        /// Number of the media server.
         server: u32,
-        /// The offer.
+        /// ICE user fragment of the offer.
         offer: String,
     },
-    /// A session's rate was set at a box.
+    /// The rate of a session was set at a media server.
     Rate {
-        /// The box.
+        /// Number of the media server.
         server: u32,
-        /// The offer.
+        /// ICE user fragment of the offer.
         offer: String,
-        /// Its rate, kB a second.
+        /// Rate of the session in kB/s.
         rate_kb: f64,
     },
-    /// A session ended at a box.
+    /// A session ended at a media server.
     Freed {
-        /// The box.
+        /// Number of the media server.
         server: u32,
-        /// The offer.
+        /// ICE user fragment of the offer.
         offer: String,
-        /// By itself, as no player kept it alive.
+        /// Whether the session expired because no player kept it alive.
         expired: bool,
     },
-    /// A box's process started.
+    /// The process of a media server started.
     Started {
-        /// The box.
+        /// Number of the media server.
         server: u32,
-        /// It was taken to be warm.
+        /// Whether the media server takes its full load from the start, without a warm-up.
         warm: bool,
     },
-    /// A box's process ended.
+    /// The process of a media server ended.
     Died {
-        /// The box.
+        /// Number of the media server.
         server: u32,
     },
-    /// A cold box was sent more than it bears, and fell over.
+    /// A media server failed because it received too many set-ups during its warm-up.
     Toppled {
-        /// The box.
+        /// Number of the media server.
         server: u32,
     },
-    /// The list service told a front the state of a box.
+    /// The endpoint list service sent the state of a media server to a front.
     Listed {
-        /// The front.
+        /// Number of the front.
         front: u32,
-        /// The box.
+        /// Number of the media server.
         server: u32,
-        /// It takes sessions.
+        /// Whether the media server takes new sessions.
         ready: bool,
     },
-    /// A front's process started.
+    /// The process of a front started.
     FrontUp {
-        /// The front.
+        /// Number of the front.
         front: u32,
     },
-    /// A front's process was killed.
+    /// The process of a front was killed.
     FrontKilled {
-        /// The front.
+        /// Number of the front.
         front: u32,
     },
 }
 
-/// One thing seen, and when.
+/// Observed event with its time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Seen {
-    /// When.
+    /// Time of the event, in microseconds since the recorder was created.
     pub at: u64,
-    /// What.
+    /// The event.
     #[serde(flatten)]
     pub what: What,
 }
 
-/// Whether the front has closed its side of a set-up's connection, as the socket tells it.
-type Closed = Box<dyn Fn() -> bool + Send>;
+/// Reads from the socket whether the front has closed its side of a set-up's connection.
+type ClosedProbe = Box<dyn Fn() -> bool + Send>;
 
 #[derive(Default)]
-struct Book {
-    seen: Vec<Seen>,
-    /// Set-ups that are out, by offer: the box, and what its socket tells.
-    out: BTreeMap<String, Vec<(u32, Closed)>>,
+struct RecorderState {
+    events: Vec<Seen>,
+    /// Set-ups without an outcome so far, by offer.
+    outstanding: BTreeMap<String, Vec<OutstandingSetUp>>,
 }
 
-/// Collects what is seen by all stand-ins of a process.
+/// Set-up that a media server has received and neither answered nor seen dropped.
+struct OutstandingSetUp {
+    server: u32,
+    is_closed: ClosedProbe,
+}
+
+/// Collects the events that all fakes of a process observe.
 #[derive(Clone)]
 pub struct Recorder {
     start: Instant,
-    book: Arc<Mutex<Book>>,
+    state: Arc<Mutex<RecorderState>>,
 }
 
 impl std::fmt::Debug for Recorder {
@@ -213,68 +221,72 @@
 
 impl Default for Recorder {
     fn default() -> Self {
-        Recorder { start: Instant::now(), book: Arc::default() }
+        Recorder { start: Instant::now(), state: Arc::default() }
     }
 }
 
 impl Recorder {
-    /// Now, in the trace's time.
+    /// Returns the microseconds since the recorder was created.
     pub fn now(&self) -> u64 {
         self.start.elapsed().as_micros() as u64
     }
 
-    fn book(&self) -> std::sync::MutexGuard<'_, Book> {
-        self.book.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> std::sync::MutexGuard<'_, RecorderState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes something seen now.
+    /// Records an event with the present time.
     pub fn note(&self, what: What) {
-        let mut book = self.book();
+        let mut state = self.state();
         if let What::Answered { server, offer, .. } | What::Dropped { server, offer } = &what
-            && let Some(out) = book.out.get_mut(offer)
+            && let Some(set_ups) = state.outstanding.get_mut(offer)
         {
-            out.retain(|(at, _)| at != server);
-            if out.is_empty() {
-                book.out.remove(offer);
+            set_ups.retain(|set_up| set_up.server != *server);
+            if set_ups.is_empty() {
+                state.outstanding.remove(offer);
             }
         }
-        book.seen.push(Seen { at: self.now(), what });
+        state.events.push(Seen { at: self.now(), what });
     }
 
-    /// Notes that a set-up has reached a box. Whether the front had given up another of the same offer before is what that
-    /// one's socket tells at this moment, not when its thread comes to look: on a machine that is short of cores that may
-    /// be much later. One whose own connection is closed already was given up before anybody read it, and is over at once.
+    /// Records that a set-up has reached a media server, and that earlier set-ups of the same offer were dropped if the
+    /// front has closed their connections.
+    ///
+    /// The sockets of the earlier set-ups are read here, because on a machine that is short of cores the threads that
+    /// serve them may notice the close much later. A set-up whose own connection is closed already was abandoned before
+    /// the media server read it, so it is recorded as dropped at once.
     pub fn offered(&self, what: What, closed: impl Fn() -> bool + Send + 'static) {
         let What::Offered { server, offer, .. } = &what else { return self.note(what) };
         let (server, offer) = (*server, offer.clone());
-        let mut book = self.book();
+        let dropped = |server| What::Dropped { server, offer: offer.clone() };
+        let mut state = self.state();
         let at = self.now();
-        let mut out = book.out.remove(&offer).unwrap_or_default();
-        out.retain(|(server, closed)| {
-            let over = closed();
-            if over {
-                book.seen.push(Seen { at, what: What::Dropped { server: *server, offer: offer.clone() } });
+        let mut set_ups = state.outstanding.remove(&offer).unwrap_or_default();
+        set_ups.retain(|set_up| {
+            let is_closed = (set_up.is_closed)();
+            if is_closed {
+                state.events.push(Seen { at, what: dropped(set_up.server) });
             }
-            !over
+            !is_closed
         });
-        book.seen.push(Seen { at, what });
+        state.events.push(Seen { at, what });
         if closed() {
-            book.seen.push(Seen { at, what: What::Dropped { server, offer: offer.clone() } });
+            state.events.push(Seen { at, what: dropped(server) });
         } else {
-            out.push((server, Box::new(closed)));
+            set_ups.push(OutstandingSetUp { server, is_closed: Box::new(closed) });
         }
-        if !out.is_empty() {
-            book.out.insert(offer, out);
+        if !set_ups.is_empty() {
+            state.outstanding.insert(offer, set_ups);
         }
     }
 
-    /// Notes something that was seen at an earlier time.
+    /// Records an event with an earlier time.
     pub fn note_at(&self, at: u64, what: What) {
-        self.book().seen.push(Seen { at, what });
+        self.state().events.push(Seen { at, what });
     }
 
-    /// All that was seen so far, in order of time.
+    /// Returns a copy of all events so far in the order in which they were recorded.
     pub fn trace(&self) -> Vec<Seen> {
-        self.book().seen.clone()
+        self.state().events.clone()
     }
 }
--- a/crates/testing/checker/tests/formats.rs
+++ b/crates/testing/checker/tests/formats.rs
@@ -1,20 +1,26 @@
-//! The report of `day --json` and the lines of a trace, byte for byte: names in the code may change, these may not.
+//! Checks the JSON of the report of `day --json` and of the lines of a trace byte for byte, since other programs read them.
 
 use std::collections::BTreeMap;
 
-use beechloft_checker::report::{Part, Report, Times};
+use beechloft_checker::report::{LatencyQuantiles, ProtocolCounts, Report};
 use beechloft_checker::trace::{Ending, Seen, Speaks, What};
 
 const REPORT: &str = include_str!("fixtures/report.json");
 const TRACE: &str = include_str!("fixtures/trace.jsonl");
 
-fn times(first: f64) -> Times {
-    Times { p50: first, p99: first + 0.5, max: first + 1.25 }
+fn latency_quantiles(first: f64) -> LatencyQuantiles {
+    LatencyQuantiles { p50: first, p99: first + 0.5, max: first + 1.25 }
 }
 
 /// A report with a different value in each field.
 fn report() -> Report {
-    let part = Part { sessions: 33, playing: 34, refused: 35, failed: 36, answer_ms: times(37.0) };
+    let part = ProtocolCounts {
+        sessions: 33,
+        playing: 34,
+        refused: 35,
+        failed: 36,
+        answer_ms: latency_quantiles(37.0),
+    };
     Report {
         sessions: 1,
         playing: 2,
@@ -47,13 +53,13 @@
         topic_revived: 29,
         topic_lost: 30,
         topic_twice: 31,
-        answer_ms: times(32.0),
-        by: BTreeMap::from([(Speaks::Whep, part), (Speaks::Sip, Part::default())]),
+        answer_ms: latency_quantiles(32.0),
+        by: BTreeMap::from([(Speaks::Whep, part), (Speaks::Sip, ProtocolCounts::default())]),
         breaks: BTreeMap::from([("overlapping", vec!["one".to_owned(), "two".to_owned()])]),
     }
 }
 
-/// Each kind of event once, and each way in which a call ends.
+/// A trace with each kind of event and each outcome of a call.
 fn trace() -> Vec<Seen> {
     let offer = || "ufrag".to_owned();
     let holder = || "front 1".to_owned();
@@ -65,7 +71,7 @@
         patience_us: 2_000_000,
         speaks,
     };
-    let all = vec![
+    let events = vec![
         What::Acted { token: 7, holder: holder(), done: true },
         What::Stopped { holder: holder() },
         What::WentOn { holder: holder() },
@@ -91,20 +97,22 @@
         What::FrontUp { front: 1 },
         What::FrontKilled { front: 1 },
     ];
-    (1..).zip(all).map(|(at, what)| Seen { at, what }).collect()
+    (1..).zip(events).map(|(at, what)| Seen { at, what }).collect()
 }
 
 #[test]
-fn a_report_keeps_its_json_form() {
-    assert_eq!(serde_json::to_string(&report()).expect("it is encoded") + "\n", REPORT);
+fn report_json_is_stable() {
+    assert_eq!(serde_json::to_string(&report()).expect("the value is encoded") + "\n", REPORT);
 }
 
 #[test]
-fn a_trace_keeps_its_json_form_in_both_directions() {
-    let lines: Vec<String> =
-        trace().iter().map(|seen| serde_json::to_string(seen).expect("it is encoded") + "\n").collect();
+fn trace_json_is_stable_in_both_directions() {
+    let lines: Vec<String> = trace()
+        .iter()
+        .map(|seen| serde_json::to_string(seen).expect("the value is encoded") + "\n")
+        .collect();
     assert_eq!(lines.concat(), TRACE);
     let read: Vec<Seen> =
-        TRACE.lines().map(|line| serde_json::from_str(line).expect("it is decoded")).collect();
+        TRACE.lines().map(|line| serde_json::from_str(line).expect("the line is decoded")).collect();
     assert_eq!(read, trace());
 }
