--- a/crates/testing/scenario/src/keepers/group.rs
+++ b/crates/testing/scenario/src/coordinator/process_group.rs
@@ -1,4 +1,4 @@
-//! A process with all that it runs.
+//! Process with its children, as a process group.
 
 use std::fs;
 use std::io;
@@ -8,22 +8,24 @@
 
 use rustix::process::{Pid, Signal, kill_process_group};
 
-/// A process in a group of its own, ended with all that it runs.
-pub(super) struct Group(pub(super) Child);
+/// Leader of a process group, which is killed as a whole on drop.
+pub(super) struct ProcessGroup(pub(super) Child);
 
-impl Group {
-    pub(super) fn start(command: &mut Command, log: &Path) -> io::Result<Group> {
+impl ProcessGroup {
+    /// Starts the command in a new process group and appends its standard error to the log.
+    pub(super) fn start(command: &mut Command, log: &Path) -> io::Result<ProcessGroup> {
         let log = fs::OpenOptions::new().create(true).append(true).open(log)?;
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).process_group(0);
-        Ok(Group(command.spawn()?))
+        Ok(ProcessGroup(command.spawn()?))
     }
 
+    /// Sends a signal to all processes of the group.
     pub(super) fn signal(&self, signal: Signal) {
         let _ = kill_process_group(Pid::from_child(&self.0), signal);
     }
 }
 
-impl Drop for Group {
+impl Drop for ProcessGroup {
     fn drop(&mut self) {
         self.signal(Signal::KILL);
         let _ = self.0.wait();
--- a/crates/testing/scenario/src/fronts.rs
+++ b/crates/testing/scenario/src/fronts.rs
@@ -1,4 +1,4 @@
-//! Fronts as processes: started, killed outright, stopped.
+//! Front processes of a day, which can be started, killed and stopped.
 
 use std::fs;
 use std::io;
@@ -15,27 +15,29 @@
 
 use crate::script::Day;
 
-/// How long a front may take to serve.
-const UP_WITHIN: Duration = Duration::from_secs(10);
-/// How long a front may take to end.
-const DOWN_WITHIN: Duration = Duration::from_secs(8);
+/// Time within which a front must be ready after its start.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time within which a front must exit after a request to stop.
+const STOP_TIMEOUT: Duration = Duration::from_secs(8);
+/// Time after the first SIGTERM at which a front that is still running gets a second one.
+const SECOND_SIGNAL_DELAY: Duration = Duration::from_millis(300);
 
-/// What all fronts of a day have in common.
+/// Parameters that all fronts of a day share.
 #[derive(Clone, Copy)]
-pub struct Place<'a> {
-    /// The list's address.
+pub struct FrontEnvironment<'a> {
+    /// URL of the endpoint list service.
     pub list: &'a str,
-    /// The program.
+    /// Path of the balancer program.
     pub program: &'a Path,
-    /// Where settings and logs lie.
+    /// Folder of settings and logs.
     pub folder: &'a Path,
-    /// The day's seed.
+    /// Seed of the day.
     pub seed: u64,
-    /// Where what is seen is noted.
+    /// Recorder of the observed events.
     pub recorder: &'a Recorder,
 }
 
-/// A front's process.
+/// Process of a front, which is killed on drop.
 pub struct FrontProcess {
     number: u32,
     address: SocketAddr,
@@ -49,18 +51,18 @@
 }
 
 impl FrontProcess {
-    /// Writes a front's settings into a folder. It does not run yet.
+    /// Reserves the ports of a front and writes its settings. The process is not started.
     ///
     /// # Errors
-    /// No port, or the file can't be written.
+    /// Returns an error if no port is free or the settings can't be written.
     pub fn new(
         day: &Day,
         number: u32,
-        place: &Place<'_>,
+        environment: &FrontEnvironment<'_>,
         fleet: Option<serde_json::Value>,
     ) -> io::Result<Self> {
-        let Place { list, program, folder, seed, recorder } = *place;
-        // Kept for the front while it is down as well.
+        let FrontEnvironment { list, program, folder, seed, recorder } = *environment;
+        // The ports stay reserved for the front while it is down.
         let ports = [ReservedPort::reserve()?, ReservedPort::reserve()?];
         let [address, sip] = [ports[0].address(), ports[1].address()];
         let settings = folder.join(format!("front-{number}.yaml"));
@@ -100,17 +102,17 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address of the front for HTTP.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where it takes calls.
+    /// Returns the address of the front for SIP.
     pub fn sip(&self) -> SocketAddr {
         self.sip
     }
 
-    /// Starts the process and waits until it serves.
+    /// Starts the process and waits until it is ready.
     pub fn start(&mut self) -> io::Result<()> {
         let log = fs::OpenOptions::new().create(true).append(true).open(&self.log)?;
         let child = Command::new(&self.program)
@@ -122,17 +124,17 @@
             .spawn()?;
         self.child = Some(child);
         let pool = Pool::default();
-        let until = Instant::now() + UP_WITHIN;
+        let deadline = Instant::now() + START_TIMEOUT;
         loop {
             let ready = Request::new(Method::GET, "/ready");
             let response = pool.call(self.address, &ready, Instant::now() + Duration::from_millis(500));
-            if response.is_ok_and(|r| r.status.is_success()) {
+            if response.is_ok_and(|response| response.status.is_success()) {
                 self.recorder.note(What::FrontUp { front: self.number });
                 return Ok(());
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Err(io::Error::other(format!(
-                    "front {} does not serve; see {}",
+                    "front {} did not become ready in time; see {}",
                     self.number,
                     self.log.display()
                 )));
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Kills it outright.
+    /// Kills the process with SIGKILL, and records that if it was running.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             self.recorder.note(What::FrontKilled { front: self.number });
@@ -150,36 +152,36 @@
         }
     }
 
-    /// Asks it to stop, as an operator does who wants it to restart.
-    pub fn tell(&self) {
+    /// Sends SIGTERM to the process, as an operator does to restart a front.
+    pub fn terminate(&self) {
         if let Some(pid) = self.child.as_ref().map(rustix::process::Pid::from_child) {
             let _ = rustix::process::kill_process(pid, rustix::process::Signal::TERM);
         }
     }
 
-    /// Whether it has ended by itself; whether that was well.
-    pub fn ended(&mut self) -> Option<bool> {
-        let status = self.child.as_mut().and_then(|c| c.try_wait().ok().flatten())?;
+    /// Returns whether the process exited with success, or `None` if it has not exited.
+    pub fn poll_exit(&mut self) -> Option<bool> {
+        let status = self.child.as_mut().and_then(|child| child.try_wait().ok().flatten())?;
         self.child = None;
         Some(status.success())
     }
 
-    /// Asks it to stop, and waits for its end; whether it ended well.
+    /// Stops the process and returns whether it exited with success. It is killed if it does not exit in time.
     pub fn stop(&mut self) -> bool {
         if self.child.is_none() {
             return true;
         }
-        self.tell();
-        let (mut until, mut twice) = (Instant::now() + DOWN_WITHIN, false);
-        let soon = Instant::now() + Duration::from_millis(300);
-        while Instant::now() < until {
-            // One that waits for its turn goes at once when it is told again.
-            if !twice && Instant::now() >= soon {
-                self.tell();
-                (twice, until) = (true, Instant::now() + DOWN_WITHIN);
+        self.terminate();
+        let (mut deadline, mut is_repeated) = (Instant::now() + STOP_TIMEOUT, false);
+        let repeat_at = Instant::now() + SECOND_SIGNAL_DELAY;
+        while Instant::now() < deadline {
+            // A front that waits for its turn to restart exits at once on the second signal.
+            if !is_repeated && Instant::now() >= repeat_at {
+                self.terminate();
+                (is_repeated, deadline) = (true, Instant::now() + STOP_TIMEOUT);
             }
-            if let Some(well) = self.ended() {
-                return well;
+            if let Some(succeeded) = self.poll_exit() {
+                return succeeded;
             }
             thread::sleep(Duration::from_millis(10));
         }
--- a/crates/testing/scenario/src/lib.rs
+++ b/crates/testing/scenario/src/lib.rs
@@ -1,12 +1,11 @@
-//! A scripted day: a fleet of stand-ins, several real fronts as processes, a crowd of players, and troubles with
-//! times. What comes of it is checked from what players, boxes and the list service saw.
-// Not reworked yet, see docs/ROADMAP.md.
+//! Runs scripted test days: a fleet of fake media servers, several real fronts as processes, simulated players, and timed
+//! disruptions. The result is checked against what players, media servers and the endpoint list service observed.
 #![allow(clippy::cast_possible_truncation, clippy::missing_errors_doc, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
 
-pub mod crowd;
+pub mod coordinator;
 pub mod fronts;
-pub mod keepers;
+pub mod players;
 pub mod run;
 pub mod script;
 
--- a/crates/testing/scenario/src/run.rs
+++ b/crates/testing/scenario/src/run.rs
@@ -1,4 +1,4 @@
-//! A day from start to end.
+//! Run of a day from start to end.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -11,27 +11,28 @@
 use beechloft_fakes::fleet::Fleet;
 use thiserror::Error;
 
-use crate::crowd::{CrowdRun, Reach};
-use crate::fronts::{FrontProcess, Place};
-use crate::keepers::Keepers;
-use crate::script::{Day, Timed, Trouble};
+use crate::coordinator::Coordinator;
+use crate::fronts::{FrontEnvironment, FrontProcess};
+use crate::players::{FrontAddresses, PlayerSimulation};
+use crate::script::{Day, Disruption, TimedDisruption};
 
-/// How long boxes may take to free what nobody plays, after the last player has left. A call whose answer was never
-/// acknowledged is hung up after 32 s.
-const SETTLES_WITHIN: Duration = Duration::from_secs(60);
+/// Time within which media servers must free the sessions that nobody plays after the last player has left.
+///
+/// A call whose answer was never acknowledged is hung up after 32 s.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Why a day could not be run.
+/// Error that prevents the run of a day.
 #[derive(Debug, Error)]
 pub enum DayError {
-    /// A socket, file or process.
+    /// A socket, file or process failed.
     #[error("the day can't be run: {0}")]
     Io(#[from] io::Error),
-    /// A front did not end when asked.
-    #[error("front {0} did not end well when it was asked to stop")]
+    /// A front did not exit with success after a request to stop.
+    #[error("front {0} did not exit with success after a request to stop")]
     Stop(usize),
 }
 
-/// What is to be done at a time of the day.
+/// Scheduled action of a day. `Begin` and `End` refer to a disruption by its index.
 #[derive(Debug, Clone, PartialEq)]
 enum Step {
     Begin(usize),
@@ -40,7 +41,7 @@
     Flap,
 }
 
-/// Runs a day with this program as its fronts; what was seen, and what the check comes to.
+/// Runs a day with `program` as its fronts, and returns the trace of observed events and the report of the check.
 pub fn run(
     day: &Day,
     program: &Path,
@@ -52,57 +53,63 @@
     std::fs::create_dir_all(folder)?;
     let recorder = Recorder::default();
     let fleet = Fleet::start(&day.fleet, &recorder)?;
-    let started = |spec| Keepers::start(spec, day.fronts.len(), program, folder, &recorder);
-    let mut keepers = day.keepers.as_ref().map(started).transpose()?;
+    let start_coordinator = |spec| Coordinator::start(spec, day.fronts.len(), program, folder, &recorder);
+    let mut coordinator = day.coordinator.as_ref().map(start_coordinator).transpose()?;
     let (mut fronts, url) = (Vec::new(), fleet.list.url());
     for number in 0..day.fronts.len() as u32 {
-        let section = keepers.as_ref().map(|k| k.of_front(number as usize));
-        let place = Place { list: &url, program, folder, seed, recorder: &recorder };
-        let mut front = FrontProcess::new(day, number, &place, section)?;
+        let section = coordinator.as_ref().map(|coordinator| coordinator.front_section(number as usize));
+        let environment = FrontEnvironment { list: &url, program, folder, seed, recorder: &recorder };
+        let mut front = FrontProcess::new(day, number, &environment, section)?;
         front.start()?;
         fronts.push(front);
     }
     let addresses = fronts
         .iter()
         .zip(&day.fronts)
-        .map(|(f, spec)| Reach { http: f.address(), sip: f.sip(), zone: spec.zone.clone() })
+        .map(|(front, spec)| FrontAddresses {
+            http: front.address(),
+            sip: front.sip(),
+            zone: spec.zone.clone(),
+        })
         .collect();
-    let mut crowd = CrowdRun::new(day, addresses, seed, recorder.clone())?;
-    let mut plan = plan(day);
-    let mut failed = None;
-    let mut told = BTreeSet::new();
-    crowd.run(|now| {
-        let went_on =
-            keepers.as_mut().map_or(Ok(()), Keepers::look).and_then(|()| again(&mut told, &mut fronts));
-        if let Err(e) = went_on {
-            failed.get_or_insert(e);
+    let mut players = PlayerSimulation::new(day, addresses, seed, recorder.clone())?;
+    let mut schedule = schedule(day);
+    let mut first_error = None;
+    let mut restarting = BTreeSet::new();
+    players.run(|now| {
+        let polled = coordinator
+            .as_mut()
+            .map_or(Ok(()), Coordinator::poll)
+            .and_then(|()| start_exited_fronts(&mut restarting, &mut fronts));
+        if let Err(e) = polled {
+            first_error.get_or_insert(e);
         }
-        while plan.first_key_value().is_some_and(|(at, _)| at.0 <= now) {
-            let Some((_, step)) = plan.pop_first() else { break };
-            if let Err(e) = take(&step, day, &fleet, &mut fronts, (&mut keepers, &mut told)) {
-                failed.get_or_insert(e);
+        while schedule.first_key_value().is_some_and(|(at, _)| at.0 <= now) {
+            let Some((_, step)) = schedule.pop_first() else { break };
+            if let Err(e) = execute(&step, day, &fleet, &mut fronts, (&mut coordinator, &mut restarting)) {
+                first_error.get_or_insert(e);
             }
         }
     });
-    // What is still to end, ends now.
-    for (_, step) in plan {
+    // Disruptions that are still active end now.
+    for (_, step) in schedule {
         if matches!(step, Step::End(_)) {
-            take(&step, day, &fleet, &mut fronts, (&mut keepers, &mut told))?;
+            execute(&step, day, &fleet, &mut fronts, (&mut coordinator, &mut restarting))?;
         }
     }
-    // Those that wait for their turn yet.
-    let until = Instant::now() + SETTLES_WITHIN;
-    while !told.is_empty() && Instant::now() < until {
-        again(&mut told, &mut fronts)?;
+    // Some fronts may still wait for their turn to restart.
+    let deadline = Instant::now() + SETTLE_TIMEOUT;
+    while !restarting.is_empty() && Instant::now() < deadline {
+        start_exited_fronts(&mut restarting, &mut fronts)?;
         thread::sleep(Duration::from_millis(20));
     }
-    keepers.iter_mut().for_each(Keepers::end_acts);
-    let topic = keepers.as_mut().and_then(Keepers::end_topic);
-    if let Some(e) = failed {
+    coordinator.iter_mut().for_each(Coordinator::end_candidates);
+    let topic = coordinator.as_mut().and_then(Coordinator::end_topic);
+    if let Some(e) = first_error {
         return Err(e.into());
     }
-    let until = Instant::now() + SETTLES_WITHIN;
-    while fleet.sessions() > 0 && Instant::now() < until {
+    let deadline = Instant::now() + SETTLE_TIMEOUT;
+    while fleet.sessions() > 0 && Instant::now() < deadline {
         thread::sleep(Duration::from_millis(20));
     }
     for (n, front) in fronts.iter_mut().enumerate() {
@@ -118,24 +125,24 @@
     Ok((trace, report))
 }
 
-/// All steps by time; the number keeps those of one time in order.
-fn plan(day: &Day) -> BTreeMap<(Duration, usize), Step> {
-    let mut plan = BTreeMap::new();
+/// Returns all steps by time, with a number that keeps steps of the same time in order.
+fn schedule(day: &Day) -> BTreeMap<(Duration, usize), Step> {
+    let mut schedule = BTreeMap::new();
     let mut count = 0;
     let mut add = |at: Duration, step| {
         count += 1;
-        plan.insert((at, count), step);
+        schedule.insert((at, count), step);
     };
-    for (n, Timed { at, lasts, trouble }) in day.troubles.iter().enumerate() {
+    for (n, TimedDisruption { at, lasts, disruption }) in day.disruptions.iter().enumerate() {
         add(*at, Step::Begin(n));
-        match trouble {
-            // One after the other, over the first half of its time.
-            Trouble::Drain(boxes) => {
-                for (k, id) in boxes.iter().enumerate() {
-                    add(*at + lasts.mul_f64(0.5 * k as f64 / boxes.len() as f64), Step::Drain(*id));
+        match disruption {
+            // The media servers are drained one after the other over the first half of the disruption.
+            Disruption::Drain(servers) => {
+                for (index, id) in servers.iter().enumerate() {
+                    add(*at + lasts.mul_f64(0.5 * index as f64 / servers.len() as f64), Step::Drain(*id));
                 }
             }
-            Trouble::ListFlaps(per_s) => {
+            Disruption::ListFlaps(per_s) => {
                 for k in 0..(lasts.as_secs_f64() * per_s) as u32 {
                     add(*at + Duration::from_secs_f64(f64::from(k) / per_s), Step::Flap);
                 }
@@ -144,30 +151,31 @@
         }
         add(*at + *lasts, Step::End(n));
     }
-    plan
+    schedule
 }
 
-/// Starts those again that were told to restart and have ended.
-fn again(told: &mut BTreeSet<u32>, fronts: &mut [FrontProcess]) -> io::Result<()> {
-    for n in told.clone() {
-        match fronts[n as usize].ended() {
+/// Starts the fronts that have exited for a restart.
+fn start_exited_fronts(restarting: &mut BTreeSet<u32>, fronts: &mut [FrontProcess]) -> io::Result<()> {
+    for n in restarting.clone() {
+        match fronts[n as usize].poll_exit() {
             Some(true) => {
-                told.remove(&n);
+                restarting.remove(&n);
                 fronts[n as usize].start()?;
             }
-            Some(false) => return Err(io::Error::other(format!("front {n} did not end well"))),
+            Some(false) => return Err(io::Error::other(format!("front {n} did not exit with success"))),
             None => {}
         }
     }
     Ok(())
 }
 
-fn take(
+/// Executes a step.
+fn execute(
     step: &Step,
     day: &Day,
     fleet: &Fleet,
     fronts: &mut [FrontProcess],
-    (keepers, told): (&mut Option<Keepers>, &mut BTreeSet<u32>),
+    (coordinator, restarting): (&mut Option<Coordinator>, &mut BTreeSet<u32>),
 ) -> io::Result<()> {
     let (n, begins) = match step {
         Step::Drain(id) => {
@@ -181,44 +189,44 @@
         Step::Begin(n) => (*n, true),
         Step::End(n) => (*n, false),
     };
-    match &day.troubles[n].trouble {
-        Trouble::Boxes(boxes, fault) => {
-            for id in boxes {
+    match &day.disruptions[n].disruption {
+        Disruption::MediaServers(servers, fault) => {
+            for id in servers {
                 if begins { fleet.fault(*id, *fault) } else { fleet.mend(*id) }
             }
         }
-        Trouble::Drain(boxes) if !begins => boxes.iter().for_each(|id| fleet.list_as(*id, "ready")),
-        Trouble::Drain(_) | Trouble::ListFlaps(_) => {}
-        Trouble::ListLags(lag) => fleet.list.lag(if begins { *lag } else { Duration::ZERO }),
-        Trouble::ListDown => fleet.list.reach(!begins),
-        Trouble::Uplink(rack, left) => fleet.racks().leave(*rack, if begins { *left } else { 1.0 }),
-        Trouble::KillFront(front) => {
+        Disruption::Drain(servers) if !begins => servers.iter().for_each(|id| fleet.list_as(*id, "ready")),
+        Disruption::Drain(_) | Disruption::ListFlaps(_) => {}
+        Disruption::ListLags(lag) => fleet.list.lag(if begins { *lag } else { Duration::ZERO }),
+        Disruption::ListDown => fleet.list.reach(!begins),
+        Disruption::Uplink(rack, left) => fleet.racks().leave(*rack, if begins { *left } else { 1.0 }),
+        Disruption::KillFront(front) => {
             if begins {
                 fronts[*front as usize].kill();
             } else {
                 fronts[*front as usize].start()?;
             }
         }
-        Trouble::RestartFronts(which) if begins => {
-            for front in which {
-                fronts[*front as usize].tell();
-                told.insert(*front);
+        Disruption::RestartFronts(numbers) if begins => {
+            for front in numbers {
+                fronts[*front as usize].terminate();
+                restarting.insert(*front);
             }
         }
-        Trouble::RestartFronts(_) => {}
-        Trouble::Between(between) => match keepers {
-            Some(keepers) if begins => keepers.begin(n, between)?,
-            Some(keepers) => keepers.end(n, between)?,
+        Disruption::RestartFronts(_) => {}
+        Disruption::Process(fault) => match coordinator {
+            Some(coordinator) if begins => coordinator.begin(n, fault)?,
+            Some(coordinator) => coordinator.end(n, fault)?,
             None => {}
         },
-        Trouble::ZoneLost(zone, with_fronts) => {
-            for (id, b) in (1..).zip(&day.fleet.boxes) {
-                if b.zone == *zone {
+        Disruption::ZoneLost(zone, with_fronts) => {
+            for (id, server) in (1..).zip(&day.fleet.boxes) {
+                if server.zone == *zone {
                     if begins { fleet.fault(id, Fault::Die) } else { fleet.mend(id) }
                 }
             }
             if *with_fronts {
-                for (front, _) in fronts.iter_mut().zip(&day.fronts).filter(|f| f.1.zone == *zone) {
+                for (front, _) in fronts.iter_mut().zip(&day.fronts).filter(|front| front.1.zone == *zone) {
                     if begins { front.kill() } else { front.start()? }
                 }
             }
--- a/crates/testing/scenario/src/script/load.rs
+++ b/crates/testing/scenario/src/script/load.rs
@@ -1,4 +1,4 @@
-//! What players do, by a script.
+//! Behaviour of players in a script.
 
 use std::time::Duration;
 
@@ -6,99 +6,102 @@
 
 use super::seconds;
 
-/// A crowd for few titles.
+/// Flash crowd for a few titles.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Crowd {
-    /// It comes.
+pub struct FlashCrowd {
+    /// Start, from the start of the day.
     pub at: Duration,
-    /// It stays.
+    /// Duration.
     pub lasts: Duration,
-    /// How many titles it is after.
+    /// Number of titles that the crowd requests.
     pub titles: usize,
-    /// Part of all viewers that it makes up meanwhile.
+    /// Share of all new viewers that belong to the crowd.
     pub share: f64,
 }
 
-/// What players do.
+/// Arrival and behaviour of players.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Load {
-    /// New viewers come for so long.
+    /// Time during which new viewers arrive.
     pub lasts: Duration,
-    /// New viewers a second: second of the day, rate; straight between.
+    /// Points of the arrival rate, each as a second of the day and a number of new viewers per second, with linear
+    /// interpolation between them.
     pub curve: Vec<(f64, f64)>,
-    /// They watch so many seconds.
+    /// Minimum and maximum time that a viewer watches, in seconds.
     pub watch_s: (f64, f64),
-    /// Part of them that comes again after a refusal or a break.
+    /// Share of viewers that return after a refusal or a broken session.
     pub returns: f64,
-    /// So many seconds later.
+    /// Minimum and maximum time until a viewer returns, in seconds.
     pub again_s: (f64, f64),
-    /// Part that hangs up before the answer.
+    /// Share of viewers that hang up before the answer.
     pub hangs_up: f64,
-    /// Part that leaves without a word.
+    /// Share of viewers that leave without ending their session.
     pub vanishes: f64,
-    /// Part that can't use the upper rungs.
+    /// Share of viewers that can't use the upper rungs.
     pub capped: f64,
-    /// Part that trickles candidates.
+    /// Share of viewers that trickle ICE candidates.
     pub trickles: f64,
-    /// Part whose offer is posted twice by a proxy.
+    /// Share of viewers whose offer a proxy posts twice.
     pub repeats: f64,
-    /// How unevenly titles are wanted.
+    /// Exponent of the Zipf distribution of the titles' popularity.
     pub zipf: f64,
-    /// Part that calls by SIP rather than WHEP.
+    /// Share of viewers that use SIP instead of WHEP.
     pub sip: f64,
-    /// Part of SIP datagrams that is lost, both ways.
+    /// Share of SIP datagrams that are lost in each direction.
     pub loses: f64,
-    /// Part of SIP datagrams that is overtaken by later ones, both ways.
+    /// Share of SIP datagrams that later ones overtake in each direction.
     pub overtakes: f64,
 }
 
-pub(super) fn load(s: &Section<'_>) -> Load {
-    let lasts = seconds(s, "seconds", 10.0);
-    let flat = s.numbers("per_s", 0.0..=1e5);
-    if flat.is_empty() {
-        s.report("per_s", "rates of new viewers a second, evenly over the day, are needed");
+/// Reads the load section.
+pub(super) fn load(section: &Section<'_>) -> Load {
+    let lasts = seconds(section, "seconds", 10.0);
+    let rates = section.numbers("per_s", 0.0..=1e5);
+    if rates.is_empty() {
+        section.report("per_s", "rates of new viewers a second, evenly over the day, are needed");
     }
-    let step = lasts.as_secs_f64() / (flat.len().max(2) - 1) as f64;
-    let curve = flat.iter().enumerate().map(|(n, rate)| (n as f64 * step, *rate)).collect();
-    let part = |key, default| s.number(key, 0.0..=1.0).unwrap_or(default);
+    let step = lasts.as_secs_f64() / (rates.len().max(2) - 1) as f64;
+    let curve = rates.iter().enumerate().map(|(n, rate)| (n as f64 * step, *rate)).collect();
+    let share = |key, default| section.number(key, 0.0..=1.0).unwrap_or(default);
     Load {
         lasts,
         curve,
-        watch_s: s.pair("watch_s", 0.0..=86_400.0, (2.0, 6.0)),
-        returns: part("returns", 0.9),
-        again_s: s.pair("again_s", 0.0..=3600.0, (0.6, 2.6)),
-        hangs_up: part("hangs_up", 0.02),
-        vanishes: part("vanishes", 0.05),
-        capped: part("capped", 0.2),
-        trickles: part("trickles", 0.2),
-        repeats: part("repeats", 0.01),
-        sip: protocol(s),
-        loses: part("loses", 0.0),
-        overtakes: part("overtakes", 0.0),
-        zipf: s.number("zipf", 0.0..=3.0).unwrap_or(0.8),
+        watch_s: section.pair("watch_s", 0.0..=86_400.0, (2.0, 6.0)),
+        returns: share("returns", 0.9),
+        again_s: section.pair("again_s", 0.0..=3600.0, (0.6, 2.6)),
+        hangs_up: share("hangs_up", 0.02),
+        vanishes: share("vanishes", 0.05),
+        capped: share("capped", 0.2),
+        trickles: share("trickles", 0.2),
+        repeats: share("repeats", 0.01),
+        sip: sip_share(section),
+        loses: share("loses", 0.0),
+        overtakes: share("overtakes", 0.0),
+        zipf: section.number("zipf", 0.0..=3.0).unwrap_or(0.8),
     }
 }
 
-/// The part of viewers that calls by SIP.
-fn protocol(s: &Section<'_>) -> f64 {
-    let words = [("whep", Some(0.0)), ("sip", Some(1.0)), ("mix", None)];
-    let share = s.number("sip_share", 0.0..=1.0);
-    match s.choice("protocol", &words) {
+/// Reads the share of viewers that use SIP.
+fn sip_share(section: &Section<'_>) -> f64 {
+    let protocols = [("whep", Some(0.0)), ("sip", Some(1.0)), ("mix", None)];
+    let share = section.number("sip_share", 0.0..=1.0);
+    match section.choice("protocol", &protocols) {
         Some(None) => share.unwrap_or(0.5),
-        said => {
+        protocol => {
             if share.is_some() {
-                s.report("sip_share", "makes sense with 'protocol: mix' alone");
+                section.report("sip_share", "makes sense with 'protocol: mix' alone");
             }
-            said.flatten().unwrap_or(0.0)
+            protocol.flatten().unwrap_or(0.0)
         }
     }
 }
 
-pub(super) fn crowd(s: &Section<'_>) -> Crowd {
-    Crowd {
-        at: seconds(s, "at_s", 0.0),
-        lasts: seconds(s, "for_s", 5.0),
-        titles: s.integer("titles", 1..=1000).unwrap_or(2) as usize,
-        share: s.required_number("share", 0.0..=1.0),
+/// Reads a crowd.
+pub(super) fn crowd(section: &Section<'_>) -> FlashCrowd {
+    FlashCrowd {
+        at: seconds(section, "at_s", 0.0),
+        lasts: seconds(section, "for_s", 5.0),
+        titles: section.integer("titles", 1..=1000).unwrap_or(2) as usize,
+        share: section.required_number("share", 0.0..=1.0),
     }
 }
--- a/crates/testing/scenario/src/script/mod.rs
+++ b/crates/testing/scenario/src/script/mod.rs
@@ -1,9 +1,9 @@
-//! The day's script, in YAML, checked like settings.
+//! Script of a day in YAML, which is read and checked like settings.
 
+mod disruptions;
 mod fleet;
 mod load;
 mod rules;
-mod troubles;
 
 use std::time::Duration;
 
@@ -14,67 +14,67 @@
 use beechloft_fakes::dice::Dice;
 use beechloft_fakes::fleet::FleetSpec;
 
-use self::fleet::{boxes, titles};
+use self::disruptions::disruption;
+use self::fleet::{media_servers, titles};
 use self::load::{crowd, load};
 use self::rules::rules;
-use self::troubles::trouble;
-use crate::keepers::KeepersSpec;
+use crate::coordinator::CoordinatorSpec;
 
-pub use load::{Crowd, Load};
-pub use troubles::{Timed, Trouble};
+pub use disruptions::{Disruption, TimedDisruption};
+pub use load::{FlashCrowd, Load};
 
-/// A front of the day.
+/// Front of a day.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FrontSpec {
-    /// Name of its zone.
+    /// Name of the zone.
     pub zone: String,
 }
 
-/// A whole day.
+/// Complete description of a day.
 #[derive(Debug, Clone)]
 pub struct Day {
-    /// The deployment.
+    /// Service section, which all fronts use.
     pub service: Service,
-    /// The same as text, for the fronts' settings.
+    /// Service section as JSON, for the settings of the fronts.
     pub service_text: String,
-    /// The fleet.
+    /// Fleet of media servers and titles.
     pub fleet: FleetSpec,
-    /// The fronts.
+    /// Fronts.
     pub fronts: Vec<FrontSpec>,
-    /// The keepers and who asks them; none: fronts know nothing of each other.
-    pub keepers: Option<KeepersSpec>,
-    /// The players.
+    /// Coordinator and its clients, or `None` if the fronts run without one.
+    pub coordinator: Option<CoordinatorSpec>,
+    /// Arrival and behaviour of players.
     pub load: Load,
-    /// Crowds.
-    pub crowds: Vec<Crowd>,
-    /// Troubles.
-    pub troubles: Vec<Timed>,
-    /// The rules in figures.
+    /// Flash crowds.
+    pub crowds: Vec<FlashCrowd>,
+    /// Disruptions with their times.
+    pub disruptions: Vec<TimedDisruption>,
+    /// Parameters of the rules that the trace is checked against.
     pub rules: Rules,
 }
 
-/// Reads a script; what a seed draws in it (which boxes hold which title) follows from the seed.
+/// Reads a script. The seed determines which media servers hold which title.
 pub fn parse(text: &str, seed: u64) -> Result<Day, ConfigErrors> {
     config_reader::read(text, |top| day(top, seed))
 }
 
-fn seconds(s: &Section<'_>, key: &'static str, default: f64) -> Duration {
-    Duration::from_secs_f64(s.number(key, 0.0..=86_400.0).unwrap_or(default))
+fn seconds(section: &Section<'_>, key: &'static str, default: f64) -> Duration {
+    Duration::from_secs_f64(section.number(key, 0.0..=86_400.0).unwrap_or(default))
 }
 
 fn day(top: &Section<'_>, seed: u64) -> Day {
     let mut dice = Dice::new(seed ^ 0xda7);
     let service = service::service(&top.section("service"));
-    let service_text = top.node("service").map(|n| n.to_json().to_string()).unwrap_or_default();
+    let service_text = top.node("service").map(|node| node.to_json().to_string()).unwrap_or_default();
     let fleet_section = top.section("fleet");
-    let boxes = boxes(&fleet_section, &service);
+    let boxes = media_servers(&fleet_section, &service);
     let titles = titles(&top.sections("titles"), &service, boxes.len() as u32, &mut dice);
-    let cold = service.settings.slow_start;
-    let warming = (cold.overload_factor > 0.0).then(|| Warming {
-        after: Duration::from_micros(cold.warm_up.0),
-        from: cold.initial_fraction,
-        multiple: cold.overload_factor,
-        span: Duration::from_micros(cold.overload_window.0),
+    let slow_start = service.settings.slow_start;
+    let warming = (slow_start.overload_factor > 0.0).then(|| Warming {
+        after: Duration::from_micros(slow_start.warm_up.0),
+        from: slow_start.initial_fraction,
+        multiple: slow_start.overload_factor,
+        span: Duration::from_micros(slow_start.overload_window.0),
     });
     let uplinks_kb = fleet_section.numbers("uplinks_kb", 1.0..=1e12);
     let racks = service.settings.racks as usize;
@@ -93,22 +93,22 @@
     let fronts: Vec<FrontSpec> = top
         .sections("fronts")
         .iter()
-        .map(|f| {
-            f.index("zone", &service.zones, "zone");
-            FrontSpec { zone: f.required_text("zone") }
+        .map(|front| {
+            front.index("zone", &service.zones, "zone");
+            FrontSpec { zone: front.required_text("zone") }
         })
         .collect();
     if fronts.is_empty() || fronts.len() > 64 {
         top.report("fronts", "1 to 64 fronts are needed");
     }
-    let keepers = top.has("keepers").then(|| KeepersSpec::of(&top.section("keepers")));
+    let coordinator = top.has("keepers").then(|| CoordinatorSpec::read(&top.section("keepers")));
     let load = load(&top.section("load"));
     let crowds = top.sections("crowds").iter().map(crowd).collect();
-    let troubles = top
+    let disruptions = top
         .sections("troubles")
         .iter()
-        .filter_map(|t| trouble(t, &service, &fleet, (fronts.len(), keepers.as_ref())))
+        .filter_map(|section| disruption(section, &service, &fleet, (fronts.len(), coordinator.as_ref())))
         .collect();
     let rules = rules(&top.section("rules"), &service, &fleet);
-    Day { service, service_text, fleet, fronts, keepers, load, crowds, troubles, rules }
+    Day { service, service_text, fleet, fronts, coordinator, load, crowds, disruptions, rules }
 }
