--- a/crates/cli/src/bench/calls.rs
+++ b/crates/cli/src/bench/calls.rs
@@ -1,4 +1,4 @@
-//! One call, by the same steps to a box or to a front.
+//! SIP client of `bench`: makes one call, by the same steps to a media server or to a front.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,55 +11,57 @@
 use beechloft_sip::framing::{Framed, Framer};
 use beechloft_sip::message::{Message, Method, Request, Response};
 
-/// Calls, acknowledges and hangs up; the time to the answer. A connection of its own, as a front's attempt has.
-pub fn one(_: &Pool, to: SocketAddr, dice: &mut Dice) -> io::Result<Duration> {
-    let began = Instant::now();
-    let mut stream = Stream::open(to)?;
-    let (own, mut mint) = (stream.socket.local_addr()?.to_string(), Mint::new(dice.number()));
+/// Makes a call, acknowledges the answer and hangs up. Returns the time to the answer. Each call has its own connection, as an
+/// attempt of a front has.
+pub fn run_call(_: &Pool, to: SocketAddr, dice: &mut Dice) -> io::Result<Duration> {
+    let start = Instant::now();
+    let mut connection = Connection::open(to)?;
+    let (own, mut mint) = (connection.socket.local_addr()?.to_string(), Mint::new(dice.number()));
     let (body, id, branch) = (offer::plain(&mint.name(), None), mint.name(), mint.branch());
-    let at = Local { transport: "TCP", sent_by: own };
-    let Some(invite) = caller::invite(&at, to, "asparagus", &id, &branch, &body) else {
-        return Err(io::Error::other("an INVITE that makes no sense"));
+    let local = Local { transport: "TCP", sent_by: own };
+    let Some(invite) = caller::invite(&local, to, "asparagus", &id, &branch, &body) else {
+        return Err(io::Error::other("can't build an INVITE for this address"));
     };
-    stream.send(&invite)?;
-    let answer = stream.answer(Method::Invite)?;
-    let took = began.elapsed();
+    connection.send(&invite)?;
+    let answer = connection.read_final_response(Method::Invite)?;
+    let answer_time = start.elapsed();
     if answer.status != 200 {
-        stream.send(&invite.ack_for(&answer))?;
+        connection.send(&invite.ack_for(&answer))?;
         return Err(io::ErrorKind::ConnectionRefused.into());
     }
     let mut dialog = Dialog::as_client(&invite, &answer).map_err(io::Error::other)?;
-    let nothing = || io::Error::other("a box whose address makes no sense");
-    stream.send(&dialog.ack(1, &at, &mint.branch()).ok_or_else(nothing)?)?;
-    stream.send(&dialog.request(Method::Bye, &at, &mint.branch(), None).ok_or_else(nothing)?)?;
-    stream.answer(Method::Bye)?;
-    Ok(took)
+    let no_target = || io::Error::other("invalid Contact address in the answer");
+    connection.send(&dialog.ack(1, &local, &mint.branch()).ok_or_else(no_target)?)?;
+    connection.send(&dialog.request(Method::Bye, &local, &mint.branch(), None).ok_or_else(no_target)?)?;
+    connection.read_final_response(Method::Bye)?;
+    Ok(answer_time)
 }
 
-struct Stream {
+/// SIP connection over TCP.
+struct Connection {
     socket: TcpStream,
     framer: Framer,
     framed: Vec<Framed>,
 }
 
-impl Stream {
-    fn open(to: SocketAddr) -> io::Result<Stream> {
+impl Connection {
+    fn open(to: SocketAddr) -> io::Result<Connection> {
         let socket = TcpStream::connect(to)?;
         socket.set_nodelay(true)?;
         socket.set_read_timeout(Some(Duration::from_secs(4)))?;
-        Ok(Stream { socket, framer: Framer::default(), framed: Vec::new() })
+        Ok(Connection { socket, framer: Framer::default(), framed: Vec::new() })
     }
 
     fn send(&mut self, request: &Request) -> io::Result<()> {
         self.socket.write_all(&request.encode())
     }
 
-    /// The final answer to the request of a method.
-    fn answer(&mut self, method: Method) -> io::Result<Response> {
+    /// Reads until the final response to the request with the given method.
+    fn read_final_response(&mut self, method: Method) -> io::Result<Response> {
         let mut buf = [0; 4096];
         loop {
-            for part in self.framed.drain(..) {
-                if let Framed::Message(message) = part
+            for framed in self.framed.drain(..) {
+                if let Framed::Message(message) = framed
                     && let Message::Response(response) = *message
                     && response.method == method
                     && response.is_final()
@@ -67,11 +69,11 @@
                     return Ok(response);
                 }
             }
-            let n = self.socket.read(&mut buf)?;
-            if n == 0 {
+            let length = self.socket.read(&mut buf)?;
+            if length == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            self.framer.push(&buf[..n], &mut self.framed).map_err(io::Error::other)?;
+            self.framer.push(&buf[..length], &mut self.framed).map_err(io::Error::other)?;
         }
     }
 }
--- a/crates/cli/src/bench/memory.rs
+++ b/crates/cli/src/bench/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of a front that is a process of its own, for each session or call that stands.
+//! Memory benchmark: resident memory of a front in its own process, per active session or call.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -17,26 +17,26 @@
 
 use crate::demo;
 
-/// Two ports that nobody has; the front binds them a moment later.
+/// Returns two free addresses, which the front binds a moment later.
 fn free_ports() -> io::Result<(SocketAddr, SocketAddr)> {
-    let (one, other) = (TcpListener::bind("127.0.0.1:0")?, TcpListener::bind("127.0.0.1:0")?);
-    Ok((one.local_addr()?, other.local_addr()?))
+    let (first, second) = (TcpListener::bind("127.0.0.1:0")?, TcpListener::bind("127.0.0.1:0")?);
+    Ok((first.local_addr()?, second.local_addr()?))
 }
 
-/// Measures both kinds and prints.
+/// Measures and prints the memory per session and per call.
 pub fn measure(playing: usize) -> io::Result<()> {
-    sessions(playing)?;
-    // A call at a stand-in box has a thread there.
-    calls(playing.min(CALLS))
+    measure_sessions(playing)?;
+    // The number of calls is limited because a simulated media server runs a thread for each.
+    measure_calls(playing.min(MAX_CALLS))
 }
 
-/// Calls at once at most.
-const CALLS: usize = 4_000;
-/// New calls a second while they are made.
+/// Maximum number of concurrent calls.
+const MAX_CALLS: usize = 4_000;
+/// Rate at which calls are made, per second.
 const CALLS_PER_S: f64 = 300.0;
 
-/// A front in a process of its own, ended with this.
-struct Process {
+/// Front in its own process, which is killed on drop.
+struct FrontProcess {
     child: std::process::Child,
     folder: PathBuf,
     http: SocketAddr,
@@ -44,7 +44,7 @@
     pool: Pool,
 }
 
-impl Drop for Process {
+impl Drop for FrontProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -52,8 +52,8 @@
     }
 }
 
-impl Process {
-    fn start(name: &str) -> io::Result<(Fleet, Process)> {
+impl FrontProcess {
+    fn start(name: &str) -> io::Result<(Fleet, FrontProcess)> {
         let (link, streams) = (1e9, 1_000_000);
         let fleet = Fleet::start(&demo::fleet(4, link, streams, 1024, Duration::ZERO), &Recorder::default())?;
         let folder = std::env::temp_dir().join(format!("beechloft-bench-{name}-{}", std::process::id()));
@@ -65,94 +65,103 @@
         let file = folder.join("front.yaml");
         std::fs::write(&file, text.to_string())?;
         let child = std::process::Command::new(std::env::current_exe()?).arg("serve").arg(&file).spawn()?;
-        let process = Process { child, folder, http, sip, pool: Pool::default() };
-        let until = Instant::now() + Duration::from_secs(10);
-        while process.playing().is_none() && Instant::now() < until {
+        let process = FrontProcess { child, folder, http, sip, pool: Pool::default() };
+        let deadline = Instant::now() + Duration::from_secs(10);
+        while process.playing().is_none() && Instant::now() < deadline {
             thread::sleep(Duration::from_millis(10));
         }
         Ok((fleet, process))
     }
 
-    /// Sessions that play, if it is ready.
+    /// Number of sessions that are playing. Returns `None` if the front isn't ready.
     fn playing(&self) -> Option<u64> {
-        let until = Instant::now() + Duration::from_secs(1);
-        let response = self.pool.call(self.http, &Request::new(Method::GET, "/ready"), until).ok()?;
+        let deadline = Instant::now() + Duration::from_secs(1);
+        let response = self.pool.call(self.http, &Request::new(Method::GET, "/ready"), deadline).ok()?;
         let body: serde_json::Value = serde_json::from_slice(&response.body).ok()?;
         body["playing"].as_u64().filter(|_| response.status == 200)
     }
 
-    /// Resident memory, as the system tells it.
+    /// Resident set size in kB, as the kernel reports it.
     fn resident_kb(&self) -> io::Result<u64> {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
-        let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or_default();
+        let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or_default();
         line.trim().trim_end_matches(" kB").trim().parse().map_err(io::Error::other)
     }
 
-    fn state(&self) -> io::Result<(u64, u64)> {
-        Ok((self.playing().unwrap_or(0), self.resident_kb()?))
+    fn sample(&self) -> io::Result<Sample> {
+        Ok(Sample { playing: self.playing().unwrap_or(0), resident_kb: self.resident_kb()? })
     }
 }
 
-fn print(what: &str, before: (u64, u64), most: (u64, u64)) {
-    let each = most.1.saturating_sub(before.1) as f64 / most.0.saturating_sub(before.0).max(1) as f64;
+/// Memory of a front at one moment. Samples are ordered by the number of sessions first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Sample {
+    playing: u64,
+    resident_kb: u64,
+}
+
+fn print(unit: &str, before: Sample, peak: Sample) {
+    let added_kb = peak.resident_kb.saturating_sub(before.resident_kb) as f64;
+    let added_sessions = peak.playing.saturating_sub(before.playing).max(1) as f64;
+    let each = added_kb / added_sessions;
     println!(
-        "memory: {} kB with {} {what}, {} kB with {}: {each:.2} kB each",
-        before.1, before.0, most.1, most.0
+        "memory: {} kB with {} {unit}, {} kB with {}: {each:.2} kB each",
+        before.resident_kb, before.playing, peak.resident_kb, peak.playing
     );
 }
 
-fn sessions(playing: usize) -> io::Result<()> {
-    let (_fleet, front) = Process::start("sessions")?;
+fn measure_sessions(playing: usize) -> io::Result<()> {
+    let (_fleet, front) = FrontProcess::start("sessions")?;
     let mut dice = Dice::new(11);
-    let mut one = || {
+    let mut start_session = || {
         let offer = offer::offer(&Credentials::draw(&mut dice), false, None);
         let request = Request::new(Method::POST, route::endpoint_path("asparagus", false)).body(SDP, offer);
         let _ = front.pool.call(front.http, &request, Instant::now() + Duration::from_secs(4));
     };
     for _ in 0..200 {
-        one();
+        start_session();
     }
-    let before = front.state()?;
-    // The stand-ins free what nobody keeps alive: what counts is the moment with the most sessions.
-    let mut most = before;
+    let before = front.sample()?;
+    // The simulated media servers free sessions without keep-alive, so the sample with the most sessions is the one that counts.
+    let mut peak = before;
     for n in 0..playing {
-        one();
+        start_session();
         if n % 500 == 499 {
-            most = most.max(front.state()?);
+            peak = peak.max(front.sample()?);
         }
     }
-    print("sessions", before, most);
+    print("sessions", before, peak);
     Ok(())
 }
 
-/// Calls are made until so many stand; their transactions, which outlive their answers by 37 s, are part of the figure.
-fn calls(playing: usize) -> io::Result<()> {
-    let (fleet, front) = Process::start("calls")?;
-    let lasts = Duration::from_secs_f64(playing as f64 / CALLS_PER_S);
+/// Makes calls until the given number is active. The figure includes their transactions, which outlive their answers by 37 s.
+fn measure_calls(playing: usize) -> io::Result<()> {
+    let (fleet, front) = FrontProcess::start("calls")?;
+    let duration = Duration::from_secs_f64(playing as f64 / CALLS_PER_S);
     let plan = Plan {
         front: front.sip,
         number: 0,
         titles: vec!["asparagus".into(), "strawberries".into()],
         rate: CALLS_PER_S,
-        lasts,
-        holds: lasts + Duration::from_secs(2),
+        lasts: duration,
+        holds: duration + Duration::from_secs(2),
         patience: Duration::from_secs(4),
         obeys: false,
         claims: false,
         returns: false,
         seed: 3,
     };
-    let before = front.state()?;
+    let before = front.sample()?;
     let trunk = Trunk::new(plan, None)?;
     let trunk = thread::Builder::new().name("trunk".into()).spawn(move || trunk.run())?;
-    let mut most = before;
-    let until = Instant::now() + lasts + Duration::from_secs(1);
-    while Instant::now() < until {
+    let mut peak = before;
+    let deadline = Instant::now() + duration + Duration::from_secs(1);
+    while Instant::now() < deadline {
         thread::sleep(Duration::from_millis(200));
-        most = most.max(front.state()?);
+        peak = peak.max(front.sample()?);
     }
-    print("calls", before, most);
-    // The front ends with its calls; the trunk sees to its own end.
+    print("calls", before, peak);
+    // The front is killed with its active calls; the trunk's thread ends by itself.
     drop((front, fleet, trunk));
     Ok(())
 }
--- a/crates/cli/src/bench/mod.rs
+++ b/crates/cli/src/bench/mod.rs
@@ -1,6 +1,7 @@
-//! `bench`: what the front costs, against players that go straight to the boxes, in the same run.
+//! The command `bench`: compares sessions through a front with sessions directly at the media servers, in the same run.
 //!
-//! The boxes are stand-ins in this process, large enough not to be the limit; the front is a process of its own.
+//! The media servers are simulated in this process, with enough capacity not to be the bottleneck. The front runs in this
+//! process too, except for the memory benchmark, which starts it as a process.
 
 mod calls;
 mod memory;
@@ -26,7 +27,7 @@
 
 use crate::{demo, fail, log};
 
-/// Measures and prints.
+/// Runs the benchmark and prints the results.
 pub fn bench(rate: f64, seconds: u64, clients: usize, playing: usize) -> ExitCode {
     match run(rate, Duration::from_secs(seconds), clients).and_then(|()| memory::measure(playing)) {
         Ok(()) => ExitCode::SUCCESS,
@@ -34,11 +35,13 @@
     }
 }
 
-struct Part {
-    times: Histogram<u64>,
-    done: u64,
+/// Results of one phase.
+struct PhaseResult {
+    /// Times to the answer in microseconds.
+    answer_times_us: Histogram<u64>,
+    succeeded: u64,
     failed: u64,
-    took: Duration,
+    elapsed: Duration,
 }
 
 fn run(rate: f64, time: Duration, clients: usize) -> io::Result<()> {
@@ -48,23 +51,24 @@
     settings.sip = Some(([127, 0, 0, 1], 0).into());
     log::start(&settings.log);
     let front = Front::start(settings, None)?;
-    if !demo::wait_for(&front, 4) {
-        return Err(io::Error::other("the list did not come"));
+    if !demo::wait_for_endpoints(&front, 4) {
+        return Err(io::Error::other("no endpoint list received within 10 s"));
     }
     println!("simulated servers on {} cores", thread::available_parallelism().map_or(0, |n| n.get()));
     let sip: Vec<SocketAddr> = fleet.boxes().filter_map(|(_, b)| b.sip_address()).collect();
     let whep = fleet.boxes().map(|(_, b)| b.address()).collect();
     println!("WHEP:");
-    compare(one, whep, vec![front.address()], rate, time, clients)?;
+    compare(run_whep_session, whep, vec![front.address()], rate, time, clients)?;
     println!("SIP over TCP, a connection for each call:");
-    compare(calls::one, sip, front.sip_address().into_iter().collect(), rate, time, clients)
+    compare(calls::run_call, sip, front.sip_address().into_iter().collect(), rate, time, clients)
 }
 
-/// One session of a protocol, straight to a box or through the front.
-type One = fn(&Pool, SocketAddr, &mut Dice) -> io::Result<Duration>;
+/// Sets up and ends one session of a protocol at a media server or a front. Returns the time to the answer.
+type RunSession = fn(&Pool, SocketAddr, &mut Dice) -> io::Result<Duration>;
 
+/// Compares sessions directly at the media servers with sessions through the front, first at a fixed rate, then at full speed.
 fn compare(
-    one: One,
+    run_session: RunSession,
     direct: Vec<SocketAddr>,
     through: Vec<SocketAddr>,
     rate: f64,
@@ -72,29 +76,33 @@
     clients: usize,
 ) -> io::Result<()> {
     println!("{rate} new sessions a second, {} s each:", time.as_secs());
-    let a = steady(one, &direct, rate, time)?;
-    print("straight to the boxes", &a);
-    let b = steady(one, &through, rate, time)?;
-    print("through the front", &b);
-    let added = |q| (b.times.value_at_quantile(q) as f64 - a.times.value_at_quantile(q) as f64) / 1000.0;
-    println!("  added: p50 {:.3} ms, p99 {:.3} ms", added(0.5), added(0.99));
+    let direct_result = run_at_rate(run_session, &direct, rate, time)?;
+    print("direct to the media servers", &direct_result);
+    let front_result = run_at_rate(run_session, &through, rate, time)?;
+    print("through the front", &front_result);
+    let added_ms = |quantile| {
+        let through_front_us = front_result.answer_times_us.value_at_quantile(quantile) as f64;
+        let direct_us = direct_result.answer_times_us.value_at_quantile(quantile) as f64;
+        (through_front_us - direct_us) / 1000.0
+    };
+    println!("  added: p50 {:.3} ms, p99 {:.3} ms", added_ms(0.5), added_ms(0.99));
     println!("as fast as {clients} clients can, {} s each:", time.as_secs());
-    let a = flood(one, &direct, clients, time)?;
-    print("straight to the boxes", &a);
-    let b = flood(one, &through, clients, time)?;
-    print("through the front", &b);
-    let per_s = |p: &Part| p.done as f64 / p.took.as_secs_f64();
-    println!("  share of the direct rate: {:.2}", per_s(&b) / per_s(&a));
+    let direct_result = run_at_full_speed(run_session, &direct, clients, time)?;
+    print("direct to the media servers", &direct_result);
+    let front_result = run_at_full_speed(run_session, &through, clients, time)?;
+    print("through the front", &front_result);
+    let per_s = |result: &PhaseResult| result.succeeded as f64 / result.elapsed.as_secs_f64();
+    println!("  share of the direct rate: {:.2}", per_s(&front_result) / per_s(&direct_result));
     Ok(())
 }
 
-fn print(name: &str, p: &Part) {
-    let ms = |q| p.times.value_at_quantile(q) as f64 / 1000.0;
+fn print(name: &str, result: &PhaseResult) {
+    let ms = |quantile| result.answer_times_us.value_at_quantile(quantile) as f64 / 1000.0;
     println!(
         "  {name}: {} sessions, {:.0} a second, {} failed; p50 {:.3} ms, p99 {:.3} ms, longest {:.3} ms",
-        p.done,
-        p.done as f64 / p.took.as_secs_f64(),
-        p.failed,
+        result.succeeded,
+        result.succeeded as f64 / result.elapsed.as_secs_f64(),
+        result.failed,
         ms(0.5),
         ms(0.99),
         ms(1.0)
@@ -105,86 +113,103 @@
     Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)
 }
 
-/// Sets one session up and ends it; the time to the answer.
-fn one(pool: &Pool, to: SocketAddr, dice: &mut Dice) -> io::Result<Duration> {
+/// Sets up and ends one WHEP session. Returns the time to the answer.
+fn run_whep_session(pool: &Pool, to: SocketAddr, dice: &mut Dice) -> io::Result<Duration> {
     let text = offer::offer(&Credentials::draw(dice), false, None);
     let request = Request::new(Method::POST, route::endpoint_path("asparagus", false)).body(SDP, text);
-    let until = Instant::now() + Duration::from_secs(4);
-    let began = Instant::now();
-    let response = pool.call(to, &request, until).map_err(io::Error::other)?;
-    let took = began.elapsed();
+    let deadline = Instant::now() + Duration::from_secs(4);
+    let start = Instant::now();
+    let response = pool.call(to, &request, deadline).map_err(io::Error::other)?;
+    let answer_time = start.elapsed();
     match response.field("location") {
         Some(path) if response.status == 201 => {
-            pool.call(to, &Request::new(Method::DELETE, path), until).map_err(io::Error::other)?;
-            Ok(took)
+            pool.call(to, &Request::new(Method::DELETE, path), deadline).map_err(io::Error::other)?;
+            Ok(answer_time)
         }
         _ => Err(io::ErrorKind::TimedOut.into()),
     }
 }
 
-/// Boxes that hold the title that is asked for.
-fn holders(to: &[SocketAddr]) -> &[SocketAddr] {
+/// Returns the media servers that hold the requested title.
+fn title_holders(to: &[SocketAddr]) -> &[SocketAddr] {
     &to[..to.len().min(3)]
 }
 
-fn steady(one: One, to: &[SocketAddr], rate: f64, time: Duration) -> io::Result<Part> {
+/// Starts sessions at random intervals with the given mean rate.
+fn run_at_rate(
+    run_session: RunSession,
+    to: &[SocketAddr],
+    rate: f64,
+    time: Duration,
+) -> io::Result<PhaseResult> {
     let pool = Arc::new(Pool::default());
     let mut dice = Dice::new(7);
-    let began = Instant::now();
+    let start = Instant::now();
     let mut next = Duration::ZERO;
     let mut running = Vec::new();
     while next < time {
-        thread::sleep(next.saturating_sub(began.elapsed()));
-        let holders = holders(to);
+        thread::sleep(next.saturating_sub(start.elapsed()));
+        let holders = title_holders(to);
         let (pool, to) = (pool.clone(), holders[dice.number() as usize % holders.len()]);
-        let mut own = Dice::new(dice.number());
-        running.push(thread::Builder::new().stack_size(256 * 1024).spawn(move || one(&pool, to, &mut own))?);
+        let mut session_dice = Dice::new(dice.number());
+        running.push(
+            thread::Builder::new()
+                .stack_size(256 * 1024)
+                .spawn(move || run_session(&pool, to, &mut session_dice))?,
+        );
         next += Duration::from_secs_f64(dice.gap(rate));
     }
-    let (mut times, mut done, mut failed) = (histogram()?, 0, 0);
+    let (mut answer_times_us, mut succeeded, mut failed) = (histogram()?, 0, 0);
     for session in running {
         match session.join() {
-            Ok(Ok(took)) => {
-                done += 1;
-                times.saturating_record(took.as_micros() as u64);
+            Ok(Ok(answer_time)) => {
+                succeeded += 1;
+                answer_times_us.saturating_record(answer_time.as_micros() as u64);
             }
             _ => failed += 1,
         }
     }
-    Ok(Part { times, done, failed, took: began.elapsed() })
+    Ok(PhaseResult { answer_times_us, succeeded, failed, elapsed: start.elapsed() })
 }
 
-fn flood(one: One, to: &[SocketAddr], clients: usize, time: Duration) -> io::Result<Part> {
+/// Runs sessions one after another in each of the concurrent clients.
+fn run_at_full_speed(
+    run_session: RunSession,
+    to: &[SocketAddr],
+    clients: usize,
+    time: Duration,
+) -> io::Result<PhaseResult> {
     let pool = Arc::new(Pool::new(clients * 2, Duration::from_secs(10)));
     let (stop, failed) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
-    let began = Instant::now();
+    let start = Instant::now();
     let mut running = Vec::new();
     for n in 0..clients {
-        let (pool, stop, failed, to) = (pool.clone(), stop.clone(), failed.clone(), holders(to).to_vec());
+        let (pool, stop, failed, to) =
+            (pool.clone(), stop.clone(), failed.clone(), title_holders(to).to_vec());
         let thread = thread::Builder::new().stack_size(256 * 1024);
         running.push(thread.spawn(move || {
             let mut dice = Dice::new(n as u64);
-            let mut times = Vec::new();
+            let mut times_us = Vec::new();
             while !stop.load(Ordering::Relaxed) {
-                match one(&pool, to[dice.number() as usize % to.len()], &mut dice) {
-                    Ok(took) => times.push(took.as_micros() as u64),
+                match run_session(&pool, to[dice.number() as usize % to.len()], &mut dice) {
+                    Ok(answer_time) => times_us.push(answer_time.as_micros() as u64),
                     Err(_) => {
                         failed.fetch_add(1, Ordering::Relaxed);
                     }
                 }
             }
-            times
+            times_us
         })?);
     }
     thread::sleep(time);
     stop.store(true, Ordering::Relaxed);
-    let took = began.elapsed();
-    let (mut times, mut done) = (histogram()?, 0);
+    let elapsed = start.elapsed();
+    let (mut answer_times_us, mut succeeded) = (histogram()?, 0);
     for client in running {
-        for t in client.join().unwrap_or_default() {
-            done += 1;
-            times.saturating_record(t);
+        for time_us in client.join().unwrap_or_default() {
+            succeeded += 1;
+            answer_times_us.saturating_record(time_us);
         }
     }
-    Ok(Part { times, done, failed: failed.load(Ordering::Relaxed), took })
+    Ok(PhaseResult { answer_times_us, succeeded, failed: failed.load(Ordering::Relaxed), elapsed })
 }
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -1,4 +1,4 @@
-//! `day`: a scripted day, its report and its verdict.
+//! The command `day`: runs a scripted scenario and prints its report.
 
 use std::io::Write;
 use std::path::Path;
@@ -8,7 +8,8 @@
 
 use crate::fail;
 
-/// Runs a day. Exit 0: rules kept; 1: one broken or the run failed; 2: bad script.
+/// Runs a day script. Exits with 0 if all rules were kept, 1 if one was broken or the run failed, and 2 if the script is
+/// invalid.
 pub fn day(file: &Path, seed: u64, json: bool, keep: Option<&Path>) -> ExitCode {
     let text = match std::fs::read_to_string(file) {
         Ok(text) => text,
@@ -16,8 +17,8 @@
     };
     let day = match beechloft_scenario::parse(&text, seed) {
         Ok(day) => day,
-        Err(faults) => {
-            faults.0.iter().for_each(|f| eprintln!("{}:{f}", file.display()));
+        Err(errors) => {
+            errors.0.iter().for_each(|error| eprintln!("{}:{error}", file.display()));
             return ExitCode::from(2);
         }
     };
@@ -26,11 +27,11 @@
         Err(e) => return fail(1, e),
     };
     let (trace, report) = match beechloft_scenario::run(&day, &program, seed, keep) {
-        Ok(done) => done,
+        Ok(result) => result,
         Err(e) => return fail(1, e),
     };
     if let Some(Err(e)) = keep.map(|folder| write_trace(&folder.join("trace.jsonl"), &trace)) {
-        return fail(1, format_args!("the trace can't be written: {e}"));
+        return fail(1, format_args!("can't write the trace: {e}"));
     }
     if json {
         match serde_json::to_string(&report) {
@@ -38,62 +39,80 @@
             Err(e) => return fail(1, e),
         }
     } else {
-        print(&report);
+        print_report(&report);
     }
     if report.kept() { ExitCode::SUCCESS } else { ExitCode::from(1) }
 }
 
+/// Writes the trace as JSON lines.
 fn write_trace(path: &Path, trace: &[Seen]) -> std::io::Result<()> {
     let mut file = std::io::BufWriter::new(std::fs::File::create(path)?);
-    for seen in trace {
-        serde_json::to_writer(&mut file, seen)?;
+    for event in trace {
+        serde_json::to_writer(&mut file, event)?;
         file.write_all(b"\n")?;
     }
     file.flush()
 }
 
-fn print(r: &Report) {
+fn print_report(report: &Report) {
     println!(
         "sessions {}: {} played, {} refused, {} failed, {} declined, {} hung up, {} lost with their front; {} not taken",
-        r.sessions, r.playing, r.refused, r.failed, r.declined, r.hung_up, r.lost_with_front, r.not_taken
+        report.sessions,
+        report.playing,
+        report.refused,
+        report.failed,
+        report.declined,
+        report.hung_up,
+        report.lost_with_front,
+        report.not_taken
     );
     println!(
         "answers: p50 {:.1} ms, p99 {:.1} ms, longest {:.1} ms",
-        r.answer_ms.p50, r.answer_ms.p99, r.answer_ms.max
+        report.answer_ms.p50, report.answer_ms.p99, report.answer_ms.max
     );
-    if r.by.len() > 1 {
-        for (speaks, p) in &r.by {
+    if report.by.len() > 1 {
+        for (protocol, part) in &report.by {
             println!(
-                "  {speaks:?}: {} sessions, {} played, {} refused, {} failed; p50 {:.1} ms, p99 {:.1} ms, longest {:.1} ms",
-                p.sessions, p.playing, p.refused, p.failed, p.answer_ms.p50, p.answer_ms.p99, p.answer_ms.max
+                "  {protocol:?}: {} sessions, {} played, {} refused, {} failed; p50 {:.1} ms, p99 {:.1} ms, longest {:.1} ms",
+                part.sessions,
+                part.playing,
+                part.refused,
+                part.failed,
+                part.answer_ms.p50,
+                part.answer_ms.p99,
+                part.answer_ms.max
             );
         }
     }
     println!(
-        "further attempts {}; sessions that boxes freed by themselves {}",
-        r.further_attempts, r.expired_sessions
+        "further attempts {}; sessions that media servers freed by themselves {}",
+        report.further_attempts, report.expired_sessions
     );
-    if r.leases_granted > 0 {
+    if report.leases_granted > 0 {
         println!(
             "leases: {} granted, {} overlaps, {} stale acts, {} acts refused by their tokens; longest without a holder {} ms",
-            r.leases_granted, r.lease_overlaps, r.stale_acts, r.refused_acts, r.longest_without_holder_ms
+            report.leases_granted,
+            report.lease_overlaps,
+            report.stale_acts,
+            report.refused_acts,
+            report.longest_without_holder_ms
         );
     }
-    if r.topic_acknowledged > 0 {
+    if report.topic_acknowledged > 0 {
         println!(
             "topic: {} acknowledged, {} seen, {} times caught up; {} gaps, {} revived, {} lost, {} twice",
-            r.topic_acknowledged,
-            r.topic_seen,
-            r.topic_caught_up,
-            r.topic_gaps,
-            r.topic_revived,
-            r.topic_lost,
-            r.topic_twice
+            report.topic_acknowledged,
+            report.topic_seen,
+            report.topic_caught_up,
+            report.topic_gaps,
+            report.topic_revived,
+            report.topic_lost,
+            report.topic_twice
         );
     }
-    println!("breaks: {}", r.broken().map(|(rule, n)| format!("{rule} {n}")).join(", "));
-    for (rule, list) in &r.breaks {
+    println!("breaks: {}", report.broken().map(|(rule, n)| format!("{rule} {n}")).join(", "));
+    for (rule, list) in &report.breaks {
         list.iter().for_each(|text| println!("  {rule}: {text}"));
     }
-    println!("{}", if r.kept() { "all rules kept" } else { "RULES BROKEN" });
+    println!("{}", if report.kept() { "all rules kept" } else { "RULES BROKEN" });
 }
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: everything in one process, on free loopback ports, from a built-in setting.
+//! The command `demo`: a front and a simulated fleet in one process on free loopback ports, with built-in settings.
 
 use std::io::{self, Write};
 use std::process::ExitCode;
@@ -14,21 +14,22 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
+use crate::serve::STOP_TIMEOUT;
 use crate::{fail, log};
 
-/// Rates of the built-in ladder, kB a second, and what they are worth.
+/// Rungs of the built-in ladder: rate in kB per second and worth.
 const LADDER: [(f64, f64); 4] = [(150.0, 0.2), (450.0, 0.55), (1000.0, 0.8), (2000.0, 1.0)];
 const TITLES: [&str; 4] = ["asparagus", "strawberries", "apple-harvest", "bee-yard"];
 
-/// A fleet of stand-ins: boxes in two racks, titles on three of them each.
-pub fn fleet(boxes: u32, link_kb: f64, streams: usize, cores: usize, set_up: Duration) -> FleetSpec {
+/// Describes a simulated fleet: media servers in two racks, with each title on up to three of them.
+pub fn fleet(servers: u32, link_kb: f64, streams: usize, cores: usize, set_up: Duration) -> FleetSpec {
     let title = |(n, name): (u32, &&str)| TitleSpec {
         name: (*name).to_owned(),
         class: "video".into(),
         rates_kb: LADDER.iter().map(|r| r.0).collect(),
-        holders: (0..boxes.min(3)).map(|k| (n + k) % boxes + 1).collect(),
+        holders: (0..servers.min(3)).map(|k| (n + k) % servers + 1).collect(),
     };
-    let one = |n: u32| FleetBox {
+    let server = |n: u32| FleetBox {
         rack: (n % 2) as u16,
         zone: "hall".into(),
         kind: "box".into(),
@@ -38,8 +39,8 @@
         cores,
     };
     FleetSpec {
-        boxes: (0..boxes).map(one).collect(),
-        uplinks_kb: vec![link_kb * f64::from(boxes); 2],
+        boxes: (0..servers).map(server).collect(),
+        uplinks_kb: vec![link_kb * f64::from(servers); 2],
         titles: (0..).zip(&TITLES).map(title).collect(),
         set_up,
         guard: 1.2,
@@ -48,12 +49,12 @@
     }
 }
 
-/// Settings of a front for such a fleet.
+/// Settings of a front for the fleet that `fleet` describes. `list` is the URL of its endpoint list.
 pub fn settings(list: &str, link_kb: f64, streams: usize, log: &str) -> Result<front::FrontSettings, String> {
     front::parse(&settings_text(list, link_kb, streams, log).to_string()).map_err(|e| e.to_string())
 }
 
-/// The same as a file has them.
+/// The same settings in the form of a settings file.
 pub fn settings_text(list: &str, link_kb: f64, streams: usize, log: &str) -> serde_json::Value {
     serde_json::json!({
         "service": {
@@ -71,36 +72,36 @@
     })
 }
 
-/// Waits until a front knows its boxes.
-pub fn wait_for(front: &Front, boxes: usize) -> bool {
-    let until = Instant::now() + Duration::from_secs(10);
-    while front.status().media_servers < boxes && Instant::now() < until {
+/// Waits until a front has received the endpoint list with all its media servers. Returns `false` after 10 s.
+pub fn wait_for_endpoints(front: &Front, servers: usize) -> bool {
+    let deadline = Instant::now() + Duration::from_secs(10);
+    while front.status().media_servers < servers && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(5));
     }
-    front.status().media_servers >= boxes
+    front.status().media_servers >= servers
 }
 
-/// Runs the demo until it is told to stop.
-pub fn demo(boxes: u32) -> ExitCode {
-    match run(boxes) {
+/// Runs the demo until SIGINT or SIGTERM.
+pub fn demo(servers: u32) -> ExitCode {
+    match run(servers) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => fail(1, e),
     }
 }
 
-fn run(boxes: u32) -> io::Result<()> {
+fn run(servers: u32) -> io::Result<()> {
     let mut signals = Signals::new([SIGINT, SIGTERM])?;
-    let spec = fleet(boxes, 20_000.0, 60, 2, Duration::from_millis(15));
+    let spec = fleet(servers, 20_000.0, 60, 2, Duration::from_millis(15));
     let fleet = Arc::new(Fleet::start(&spec, &Recorder::default())?);
     let control = Control::start(fleet.clone())?;
     let settings = settings(&fleet.list.url(), 20_000.0, 60, "info").map_err(io::Error::other)?;
     log::start(&settings.log);
     let front = Front::start(settings, None)?;
-    if !wait_for(&front, boxes as usize) {
-        return Err(io::Error::other("the list did not come"));
+    if !wait_for_endpoints(&front, servers as usize) {
+        return Err(io::Error::other("no endpoint list received within 10 s"));
     }
     let base = format!("http://{}", front.address());
-    let urls = |publishes| TITLES.map(|t| format!("{base}{}", endpoint_path(t, publishes)));
+    let urls = |publishes| TITLES.map(|title| format!("{base}{}", endpoint_path(title, publishes)));
     let line = serde_json::json!({
         "ready": true, "front": base, "whep": urls(false), "whip": urls(true), "list": fleet.list.url(),
         "control": format!("http://{}", control.address()),
@@ -108,6 +109,6 @@
     println!("{line}");
     io::stdout().flush()?;
     signals.forever().next();
-    front.stop(Duration::from_secs(6));
+    front.stop(STOP_TIMEOUT);
     Ok(())
 }
--- a/crates/cli/src/fleet/args.rs
+++ b/crates/cli/src/fleet/args.rs
@@ -1,102 +1,106 @@
-//! The words of `keeper`, `lease` and `fleet`.
+//! Arguments of the commands `keeper`, `lease` and `fleet`.
 
 use std::path::PathBuf;
 
 use clap::{Args, Subcommand};
 
+/// Subcommands of `lease`.
 #[derive(Debug, Subcommand)]
-pub enum Lease {
-    /// Run a command while holding a lease; it is ended before the lease can run out
+pub enum LeaseCommand {
+    /// Run a command while holding a lease; the command is stopped before the lease can expire
     Hold {
-        /// The settings, with a `fleet` section
+        /// Settings file with a `fleet` section
         file: PathBuf,
-        /// The task's name
+        /// Name of the lease
         name: String,
-        /// Holders at once at most
+        /// Maximum number of concurrent holders
         #[arg(long, default_value_t = 1)]
         holders: u16,
-        /// For how long each time
+        /// Time to live of the lease in milliseconds
         #[arg(long, default_value_t = 3_000, value_parser = clap::value_parser!(u32).range(500..=3_600_000))]
         ttl_ms: u32,
-        /// How long it is waited for; for ever if not given
+        /// Maximum time to wait for the lease in milliseconds; unlimited if not given
         #[arg(long)]
         wait_ms: Option<u64>,
-        /// The command, with BEECHLOFT_LEASE and BEECHLOFT_FENCE in its environment
+        /// Command to run, with BEECHLOFT_LEASE and BEECHLOFT_FENCE in its environment
         #[arg(last = true, required = true)]
         command: Vec<String>,
     },
-    /// Act by the token in BEECHLOFT_FENCE at something that checks tokens, again and again: for days and trials
+    /// Send the fencing token in BEECHLOFT_FENCE repeatedly to a server that checks tokens; for tests
     Act {
-        /// Where it is
+        /// Address of the server
         at: std::net::SocketAddr,
-        /// Who acts
+        /// Name to send with the token
         #[arg(long = "as", default_value = "somebody")]
         holder: String,
-        /// From one act to the next
+        /// Interval between requests in milliseconds
         #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=60_000))]
         every_ms: u64,
     },
-    /// Print the grants that there are, and then each that is made or ends, until it is told to end
+    /// Print the current grants, then each grant that is made or ends, until SIGTERM
     Watch {
-        /// The settings, with a `fleet` section
+        /// Settings file with a `fleet` section
         file: PathBuf,
-        /// Of this task alone
+        /// Print only the grants of this lease
         name: Option<String>,
-        /// As JSON lines
+        /// Print JSON lines
         #[arg(long)]
         json: bool,
     },
     /// Print all grants
     List {
-        /// The settings, with a `fleet` section
+        /// Settings file with a `fleet` section
         file: PathBuf,
-        /// As JSON lines
+        /// Print JSON lines
         #[arg(long)]
         json: bool,
     },
 }
 
+/// Arguments of `keeper`.
 #[derive(Debug, Args)]
 #[command(args_conflicts_with_subcommands = true)]
-pub struct Keeper {
-    /// The settings, with a `fleet` section
+pub struct CoordinatorArgs {
+    /// Settings file with a `fleet` section
     #[arg(required = true)]
     pub(super) file: Option<PathBuf>,
     #[command(subcommand)]
-    pub(super) command: Option<KeeperCommand>,
+    pub(super) command: Option<CoordinatorCommand>,
 }
 
+/// Subcommands of `keeper`.
 #[derive(Debug, Subcommand)]
-pub(super) enum KeeperCommand {
-    /// Let go of a keeper that was lost with its disk, and let the one in that came up in its place
+pub(super) enum CoordinatorCommand {
+    /// Remove a replica whose disk was lost and admit the one that was started in its place
     Replace {
-        /// The settings, with a `fleet` section
+        /// Settings file with a `fleet` section
         file: PathBuf,
-        /// The lost one's id, as `fleet status` says it
+        /// Id of the lost replica, as printed by `fleet status`
         old: String,
-        /// The id of the one in its place
+        /// Id of the new replica
         new: String,
     },
 }
 
+/// Subcommands of `fleet`.
 #[derive(Debug, Subcommand)]
-pub enum Fleet {
-    /// Print whom a process of the fleet sees: its own address's if it has one, else a seed's or a keeper's
+pub enum FleetCommand {
+    /// Print the members that a process of the fleet sees; asks the settings' own address, then seeds, then replicas
     Members {
-        /// The settings, with a `fleet` section
+        /// Settings file with a `fleet` section
         file: PathBuf,
-        /// Ask the process at this address
+        /// Address of the process to ask
         #[arg(long)]
         of: Option<std::net::SocketAddr>,
-        /// As JSON lines
+        /// Print JSON lines
         #[arg(long)]
         json: bool,
     },
-    /// Print how each keeper stands
+    /// Print the status of each replica of the coordinator
     Status {
-        /// The settings, with a `fleet` section
+        /// Settings file with a `fleet` section
         file: PathBuf,
-        /// As JSON lines
+        /// Print JSON lines
         #[arg(long)]
         json: bool,
     },
--- a/crates/cli/src/fleet/coordinator.rs
+++ b/crates/cli/src/fleet/coordinator.rs
@@ -1,4 +1,4 @@
-//! `keeper`: to keep, and to change who does.
+//! The command `keeper`: runs a replica of the coordinator, or replaces one.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -7,56 +7,68 @@
 use beechloft_config::front::LogSettings;
 use beechloft_consensus::NodeId;
 use beechloft_coordinator::CoordinatorServer;
-use beechloft_coordinator::client::{self};
+use beechloft_coordinator::client;
 use beechloft_coordinator::wire::ReplicaStatus;
 
-use super::args::{Keeper, KeeperCommand};
-use super::{settings, told_to_end};
+use super::args::{CoordinatorArgs, CoordinatorCommand};
+use super::{settings, stop_flag};
 use crate::{fail, log};
 
-/// Keeps, or changes who does.
-pub fn run_coordinator(args: &Keeper) -> ExitCode {
+/// Runs the command `keeper`.
+pub fn run_coordinator(args: &CoordinatorArgs) -> ExitCode {
     match (&args.command, &args.file) {
-        (Some(KeeperCommand::Replace { file, old, new }), _) => replace(file, old, new),
-        (None, Some(file)) => keep(file),
-        (None, None) => fail(2, "a settings file is needed"),
+        (Some(CoordinatorCommand::Replace { file, old, new }), _) => replace(file, old, new),
+        (None, Some(file)) => serve(file),
+        (None, None) => fail(2, "missing settings file"),
     }
 }
 
-pub(super) fn replace(file: &Path, old: &str, new: &str) -> ExitCode {
-    let set = match settings(file) {
-        Ok(set) => set,
+/// Time that the command waits for the leader to accept the replacement.
+const REPLACE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time that the command waits until a majority reports the new replica as a voter.
+const VOTER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time that one replica has to answer a request for its status.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Replaces a lost replica and waits until a majority reports the new one as a voter.
+fn replace(file: &Path, old: &str, new: &str) -> ExitCode {
+    let settings = match settings(file) {
+        Ok(settings) => settings,
         Err(code) => return code,
     };
-    let id = |text: &str| u64::from_str_radix(text, 16).ok().filter(|_| text.len() == 16).map(NodeId);
-    let (Some(old_id), Some(new_id)) = (id(old), id(new)) else {
-        return fail(2, "an id has 16 hex digits, as `fleet status` says it");
+    let parse_id = |text: &str| u64::from_str_radix(text, 16).ok().filter(|_| text.len() == 16).map(NodeId);
+    let (Some(old_id), Some(new_id)) = (parse_id(old), parse_id(new)) else {
+        return fail(2, "a replica id must have 16 hex digits, as printed by `fleet status`");
     };
-    if let Err(error) = client::replace(&set, old_id, new_id, Duration::from_secs(5)) {
+    if let Err(error) = client::replace(&settings, old_id, new_id, REPLACE_TIMEOUT) {
         return fail(1, error);
     }
-    let until = std::time::Instant::now() + Duration::from_secs(10);
-    while std::time::Instant::now() < until {
-        let all = set.replicas.iter().filter_map(|k| client::status(&set, *k, Duration::from_millis(500)));
-        let votes = |s: &ReplicaStatus| s.members.iter().any(|m| m.id == new && m.voter);
-        if all.filter(votes).count() * 2 > set.replicas.len() {
-            println!("{new} is a keeper in place of {old}");
+    let deadline = std::time::Instant::now() + VOTER_TIMEOUT;
+    while std::time::Instant::now() < deadline {
+        let statuses = settings
+            .replicas
+            .iter()
+            .filter_map(|replica| client::status(&settings, *replica, STATUS_TIMEOUT));
+        let reports_voter =
+            |status: &ReplicaStatus| status.members.iter().any(|member| member.id == new && member.voter);
+        if statuses.filter(reports_voter).count() * 2 > settings.replicas.len() {
+            println!("replica {new} has replaced {old}");
             return ExitCode::SUCCESS;
         }
         std::thread::sleep(Duration::from_millis(100));
     }
-    fail(1, format_args!("{old} is let go, but {new} does not vote yet: see `fleet status`"))
+    fail(1, format_args!("{old} is removed, but {new} isn't a voter yet; see `fleet status`"))
 }
 
-/// Keeps until SIGTERM.
-fn keep(file: &Path) -> ExitCode {
-    let set = match settings(file) {
-        Ok(set) => set,
+/// Runs a replica until SIGTERM.
+fn serve(file: &Path) -> ExitCode {
+    let settings = match settings(file) {
+        Ok(settings) => settings,
         Err(code) => return code,
     };
     log::start(&LogSettings::default());
-    match CoordinatorServer::start(set, told_to_end()) {
-        Ok(mut keeping) => match keeping.run() {
+    match CoordinatorServer::start(settings, stop_flag()) {
+        Ok(mut server) => match server.run() {
             Ok(()) => ExitCode::SUCCESS,
             Err(e) => fail(1, e),
         },
--- a/crates/cli/src/fleet/lease_hold.rs
+++ b/crates/cli/src/fleet/lease_hold.rs
@@ -1,4 +1,4 @@
-//! `lease hold`: a command that runs under a lease.
+//! The command `lease hold`: runs a command while holding a lease.
 
 use std::io::Write;
 use std::process::{Child, ExitCode};
@@ -10,65 +10,79 @@
 use beechloft_leases::{Holder, HolderId, HolderInput, HolderOutput, LeaseSpec, Name, Permit, Token};
 use rustix::process::{Pid, Signal, kill_process};
 
-use super::told_to_end;
+use super::stop_flag;
 use crate::fail;
 
-/// The lease was not obtained in time (EX_TEMPFAIL).
+/// Exit code if the lease was not obtained in time (EX_TEMPFAIL).
 const NOT_OBTAINED: u8 = 75;
-/// The lease was lost while the command ran.
+/// Exit code if the lease was lost while the command ran.
 const LOST: u8 = 76;
+/// Minimum remaining time at which the command is killed.
+const MIN_KILL_MARGIN: Duration = Duration::from_millis(50);
+/// Maximum time between two checks of the lease and the command.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time within which the lease is given back on exit.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A command that runs under a lease.
-struct Running {
+/// Command that runs while the lease is held.
+struct RunningCommand {
     child: Child,
+    /// Fencing token with which the command was started.
     token: Token,
-    told: bool,
+    /// Whether SIGTERM was sent.
+    terminated: bool,
 }
 
-impl Running {
-    pub(super) fn start(command: &[String], name: &Name, token: Token) -> std::io::Result<Running> {
+impl RunningCommand {
+    fn start(command: &[String], name: &Name, token: Token) -> std::io::Result<RunningCommand> {
         let (program, args) = command.split_first().ok_or(std::io::ErrorKind::InvalidInput)?;
         let child = std::process::Command::new(program)
             .args(args)
             .env("BEECHLOFT_LEASE", name.to_string())
             .env("BEECHLOFT_FENCE", token.0.to_string())
             .spawn()?;
-        Ok(Running { child, token, told: false })
+        Ok(RunningCommand { child, token, terminated: false })
     }
 
-    fn tell(&mut self) {
-        if !std::mem::replace(&mut self.told, true) {
+    /// Sends SIGTERM, once.
+    fn terminate(&mut self) {
+        if !std::mem::replace(&mut self.terminated, true) {
             let _ = kill_process(Pid::from_child(&self.child), Signal::TERM);
         }
     }
 
-    /// Ends it for certain. Guards against a command that does not listen to SIGTERM.
-    fn end(&mut self) {
+    /// Kills the command, which may ignore SIGTERM, and waits for its exit.
+    fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// How much of its time is left to a lease.
-fn left(permit: Option<&Permit>, now: Duration) -> Duration {
-    permit.map_or(Duration::ZERO, |p| p.expires_at().saturating_sub(now))
+/// Returns the time until the permit expires, zero without a permit.
+fn remaining(permit: Option<&Permit>, now: Duration) -> Duration {
+    permit.map_or(Duration::ZERO, |permit| permit.expires_at().saturating_sub(now))
 }
 
+/// Acquires the lease, runs the command and renews the lease until the command exits.
+///
+/// The command gets SIGTERM when a quarter of the lease's time remains, and SIGKILL when a tenth remains, so that it has
+/// ended before another holder can get the lease.
 pub(super) fn hold(
-    set: FleetSettings,
-    terms: &LeaseSpec,
+    settings: FleetSettings,
+    spec: &LeaseSpec,
     wait: Option<Duration>,
     command: &[String],
 ) -> ExitCode {
-    let end = told_to_end();
-    let ttl = Duration::from_millis(u64::from(terms.ttl_ms));
-    // It is told when a quarter of the time is left, and ended when a tenth is.
-    let (tell_at, end_at) = (ttl / 4, (ttl / 10).max(Duration::from_millis(50)));
-    let clock = set.clock();
-    let mut holder = Holder::new(HolderId(rand::random()), terms.clone(), set.drift_bound, rand::random());
-    let mut connection = LeaderConnection::new(set);
-    let began = clock();
-    let mut running: Option<Running> = None;
+    let stop = stop_flag();
+    let ttl = Duration::from_millis(u64::from(spec.ttl_ms));
+    let terminate_below = ttl / 4;
+    let kill_below = (ttl / 10).max(MIN_KILL_MARGIN);
+    let clock = settings.clock();
+    let mut holder =
+        Holder::new(HolderId(rand::random()), spec.clone(), settings.drift_bound, rand::random());
+    let mut connection = LeaderConnection::new(settings);
+    let start = clock();
+    let mut running: Option<RunningCommand> = None;
     let mut inputs = vec![HolderInput::Acquire];
     loop {
         for input in std::mem::take(&mut inputs) {
@@ -76,54 +90,56 @@
                 match output {
                     HolderOutput::Send(request) => connection.send_request(request),
                     HolderOutput::Acquired(token) if running.is_none() => {
-                        match Running::start(command, &terms.name, token) {
+                        match RunningCommand::start(command, &spec.name, token) {
                             Ok(started) => running = Some(started),
                             Err(e) => return fail(2, format_args!("{}: {e}", command[0])),
                         }
                     }
                     HolderOutput::Acquired(_) => {}
                     HolderOutput::Lost(_) => {
-                        if let Some(mut run) = running.take() {
-                            run.end();
-                            return fail(LOST, format_args!("the lease {} was lost", terms.name));
+                        if let Some(mut command) = running.take() {
+                            command.kill();
+                            return fail(LOST, format_args!("the lease {} was lost", spec.name));
                         }
                     }
-                    HolderOutput::Rejected(why) => return fail(2, why),
+                    HolderOutput::Rejected(reason) => return fail(2, reason),
                 }
             }
         }
         let now = clock();
         let permit = holder.permit(now);
-        if let Some(run) = &mut running {
-            let left = left(permit.as_ref(), now);
-            if let Ok(Some(status)) = run.child.try_wait() {
+        if let Some(command) = &mut running {
+            let remaining = remaining(permit.as_ref(), now);
+            if let Ok(Some(status)) = command.child.try_wait() {
                 release(&mut holder, &mut connection, &clock);
-                return ExitCode::from(status.code().map_or(1, |c| c as u8));
+                return ExitCode::from(status.code().map_or(1, |code| code as u8));
             }
-            if left <= end_at || permit.as_ref().and_then(|p| p.token_at(now)) != Some(run.token) {
-                run.end();
-                return fail(LOST, format_args!("the lease {} could not be renewed", terms.name));
+            if remaining <= kill_below
+                || permit.as_ref().and_then(|permit| permit.token_at(now)) != Some(command.token)
+            {
+                command.kill();
+                return fail(LOST, format_args!("the lease {} could not be renewed", spec.name));
             }
-            if left <= tell_at || end.load(Ordering::Relaxed) {
-                run.tell();
+            if remaining <= terminate_below || stop.load(Ordering::Relaxed) {
+                command.terminate();
             }
-        } else if end.load(Ordering::Relaxed) || wait.is_some_and(|w| now - began >= w) {
+        } else if stop.load(Ordering::Relaxed) || wait.is_some_and(|wait| now - start >= wait) {
             release(&mut holder, &mut connection, &clock);
-            return fail(NOT_OBTAINED, format_args!("the lease {} was not obtained", terms.name));
+            return fail(NOT_OBTAINED, format_args!("the lease {} was not obtained", spec.name));
         }
-        let due = holder.next_due().map_or(Duration::from_millis(20), |d| d.saturating_sub(clock()));
-        if let Some(input) = connection.receive_input(due.min(Duration::from_millis(20))) {
+        let due = holder.next_due().map_or(POLL_INTERVAL, |due| due.saturating_sub(clock()));
+        if let Some(input) = connection.receive_input(due.min(POLL_INTERVAL)) {
             inputs.push(input);
         }
         inputs.push(HolderInput::Tick);
     }
 }
 
-/// Gives it back, as far as a keeper can be reached soon; otherwise it runs out.
+/// Releases the lease. If the coordinator can't be reached within `RELEASE_TIMEOUT`, the lease expires by itself.
 fn release(holder: &mut Holder, connection: &mut LeaderConnection, clock: &impl Fn() -> Duration) {
-    let until = clock() + Duration::from_millis(500);
+    let deadline = clock() + RELEASE_TIMEOUT;
     let mut input = HolderInput::Release;
-    while clock() < until {
+    while clock() < deadline {
         for output in holder.handle(clock(), input) {
             if let HolderOutput::Send(request) = output {
                 connection.send_request(request);
@@ -132,7 +148,7 @@
         if holder.is_idle() {
             break;
         }
-        input = connection.receive_input(Duration::from_millis(20)).unwrap_or(HolderInput::Tick);
+        input = connection.receive_input(POLL_INTERVAL).unwrap_or(HolderInput::Tick);
     }
     let _ = std::io::stderr().flush();
 }
--- a/crates/cli/src/fleet_membership.rs
+++ b/crates/cli/src/fleet_membership.rs
@@ -1,4 +1,4 @@
-//! A front's part in its fleet: membership, slot, quotas, outlier detection and, if it is a replica, a coordinator.
+//! Connects a front to its fleet: membership, slot, quotas, outlier detection and, if the front is a replica, a coordinator.
 
 use std::io;
 use std::sync::Arc;
@@ -18,47 +18,49 @@
 
 use crate::outlier_observer::OutlierObserver;
 
-/// How long a front waits until what it leaves playing is in the coordinator's log; after that its whole share stays counted.
+/// Time that a leaving front waits until the sessions that it leaves playing are in the coordinator's log. After that its whole
+/// share of each quota stays counted.
 const QUOTA_CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A front's part in its fleet.
+/// A front's connections to the services of its fleet.
 pub struct FleetMembership {
     leases: Arc<FrontLeases>,
     membership: Option<Arc<MembershipService>>,
-    /// Quotas of all fronts, if the settings name any.
+    /// Client of the fleet-wide quotas, if the settings define any.
     quotas: Option<QuotaClient>,
     outlier_detector: Option<Arc<OutlierDetector>>,
-    /// The coordinator of a front that is a replica too.
+    /// Coordinator of a front that is a replica too.
     coordinator: Option<CoordinatorThread>,
 }
 
-/// A coordinator on a thread of its own.
+/// Coordinator that runs on its own thread.
 struct CoordinatorThread {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<()>,
 }
 
 impl CoordinatorThread {
-    /// Stops the coordinator between two writes and waits for its thread.
+    /// Stops the coordinator between two writes and joins its thread.
     fn stop(self) {
         self.stop.store(true, Ordering::Relaxed);
         let _ = self.thread.join();
     }
 }
 
-/// Runs a coordinator within this process. If its disk fails it stops for good and the front goes on: other replicas serve.
+/// Runs a coordinator within this process. If its disk fails, the coordinator stops for good while the front keeps serving, as
+/// other replicas take over.
 fn run_coordinator(mut server: CoordinatorServer) {
     if let Err(error) = server.run() {
-        tracing::error!("this front's coordinator stopped for good, the front serves on: {error}");
+        tracing::error!("this front's coordinator stopped for good; the front keeps serving: {error}");
     }
 }
 
 impl FleetMembership {
-    /// Joins the fleet. `span` is the time for which an action by the slot counts against its share.
+    /// Joins the fleet. `slot_share_window` is the time for which an action by the slot counts against its share.
     ///
     /// # Errors
-    /// The fleet's address can't be listened on, or there is no thread.
-    pub fn start(settings: &FleetSettings, span: Duration) -> io::Result<FleetMembership> {
+    /// The fleet's address can't be listened on, or a thread can't be started.
+    pub fn start(settings: &FleetSettings, slot_share_window: Duration) -> io::Result<FleetMembership> {
         let (membership, coordinator) = if settings.is_replica() {
             let stop = Arc::new(AtomicBool::new(false));
             let server = CoordinatorServer::start_as(MemberKind::Front, settings.clone(), Arc::clone(&stop))
@@ -82,7 +84,7 @@
             _ => None,
         };
         Ok(FleetMembership {
-            leases: Arc::new(FrontLeases::start(settings, span)?),
+            leases: Arc::new(FrontLeases::start(settings, slot_share_window)?),
             membership,
             quotas,
             outlier_detector,
@@ -90,7 +92,7 @@
         })
     }
 
-    /// Joins the membership, if the settings name seeds.
+    /// Joins the membership. Returns `None` if the settings name no seeds.
     fn join(settings: &FleetSettings) -> io::Result<Option<Arc<MembershipService>>> {
         if settings.seeds.is_empty() {
             return Ok(None);
@@ -104,12 +106,12 @@
         Ok(Some(Arc::new(service)))
     }
 
-    /// The front's slot, to be read at any moment.
+    /// Returns a function that reads the front's current slot.
     pub fn slots(&self) -> Box<dyn Fn() -> Option<SlotAssignment> + Send> {
         let (leases, membership) = (Arc::clone(&self.leases), self.membership.clone());
         Box::new(move || {
             let front_slot = leases.slot()?;
-            // Without a share: a slot that is not below the count.
+            // A slot that is not below the count stands for no share.
             let (slot, slot_count) = match front_slot.share {
                 SlotShare::Of { slot, slot_count } => (slot, slot_count),
                 SlotShare::None => (0, 0),
@@ -120,44 +122,45 @@
         })
     }
 
-    /// What connects a front to its fleet.
+    /// Returns the hooks that connect a front to its fleet.
     pub fn hooks(&self) -> FleetHooks {
         let observer = self
             .outlier_detector
             .as_ref()
             .map(|detector| -> Box<dyn Observer> { Box::new(OutlierObserver::new(Arc::clone(detector))) });
-        FleetHooks { slots: Some(self.slots()), observer, gate: self.gate() }
+        FleetHooks { slots: Some(self.slots()), observer, gate: self.admission_controller() }
     }
 
-    /// Asks for the front's turn to restart, if fronts restart in turn; how long to wait for it at most.
+    /// Requests the restart lease if the fleet has rolling restarts. Returns the maximum time to wait for it, or `None` if fronts
+    /// may stop at any time.
     pub fn request_stop(&self) -> Option<Duration> {
         let restart = self.leases.rolling_restart()?;
         self.leases.request_restart_lease();
         Some(restart.wait)
     }
 
-    /// Whether it is the front's turn now and its slot is handed over to its next process.
+    /// Whether the front holds the restart lease and has handed its slot over to its next process.
     pub fn may_stop(&self) -> bool {
         self.leases.may_stop()
     }
 
-    /// The gate that admits by the quotas of all fronts, if there are any.
-    pub fn gate(&self) -> Option<AdmissionController> {
+    /// Returns the controller that admits sessions by the fleet-wide quotas, or `None` if there are no quotas.
+    pub fn admission_controller(&self) -> Option<AdmissionController> {
         self.quotas.as_ref().map(QuotaClient::admission_controller)
     }
 
-    /// Has media servers asked now and then what lost fronts left there.
+    /// Starts asking media servers periodically for the sessions that lost fronts left there.
     ///
     /// # Errors
-    /// There is no thread.
-    pub fn survey(&self, servers: MediaServers) -> io::Result<()> {
+    /// A thread can't be started.
+    pub fn start_orphan_reconciliation(&self, servers: MediaServers) -> io::Result<()> {
         self.quotas
             .as_ref()
             .map_or(Ok(()), |quotas| quotas.start_orphan_reconciliation(Box::new(move || servers.tags())))
     }
 
-    /// Closes its quota account, hands its slot over if it has not yet, tells other members that it ends, and stops its
-    /// coordinator.
+    /// Leaves the fleet: closes the quota account, hands the slot over if that has not happened yet, announces the leave to other
+    /// members, and stops the coordinator.
     pub fn leave(&mut self) {
         if let Some(quotas) = self.quotas.take() {
             quotas.close(QUOTA_CLOSE_TIMEOUT);
@@ -171,14 +174,15 @@
         }
     }
 
-    /// What connects a front node to its fleet.
-    pub fn for_event_loop(&self) -> beechloft_event_loop::FleetHooks {
-        let (requesting, checking) = (Arc::clone(&self.leases), Arc::clone(&self.leases));
+    /// Returns the hooks that connect a front node to its fleet.
+    pub fn event_loop_hooks(&self) -> beechloft_event_loop::FleetHooks {
+        let leases_for_check = Arc::clone(&self.leases);
+        let leases_for_request = Arc::clone(&self.leases);
         let max_stop_wait = self.leases.rolling_restart().map(|restart| restart.wait);
         beechloft_event_loop::FleetHooks {
             slot_assignment: self.slots(),
-            may_stop: Box::new(move || checking.may_stop()),
-            request_stop: Box::new(move || requesting.request_restart_lease()),
+            may_stop: Box::new(move || leases_for_check.may_stop()),
+            request_stop: Box::new(move || leases_for_request.request_restart_lease()),
             max_stop_wait,
         }
     }
--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -10,7 +10,7 @@
     ("beechloft_front", "beechloft_server"),
 ];
 
-/// Starts logging as the settings say. `RUST_LOG` overrides their levels.
+/// Starts logging with the given settings. `RUST_LOG` overrides their filter.
 pub fn start(settings: &LogSettings) {
     let from_environment = std::env::var(EnvFilter::DEFAULT_ENV)
         .ok()
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `beechloft`: the session front and what is run around it.
+//! The `beechloft` command: runs session fronts and coordinators, and inspects, simulates and measures them.
 // Not reworked yet, see docs/ROADMAP.md.
 #![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 #![forbid(unsafe_code)]
@@ -19,7 +19,7 @@
 
 use clap::{Parser, Subcommand};
 
-/// A session front: places video sessions on streaming servers and shapes them there.
+/// Session front that places video sessions on media servers and controls their quality there
 #[derive(Debug, Parser)]
 #[command(name = "beechloft", version)]
 struct Cli {
@@ -31,90 +31,90 @@
 enum Command {
     /// Run a front until SIGINT or SIGTERM
     Serve {
-        /// Its settings
+        /// Settings file
         file: PathBuf,
     },
-    /// Run a real front node on the platform's protocol, as ROUTER_CONFIG tells, until SIGTERM
+    /// Run a front node on the platform's protocol, configured by ROUTER_CONFIG, until SIGTERM
     Node {
-        /// It is one of a fleet: a file with a `fleet` section
+        /// Join a fleet, described by a settings file with a `fleet` section
         #[arg(long)]
         fleet: Option<PathBuf>,
     },
-    /// Check a settings file and say all its faults at once
+    /// Check a settings file and report all errors
     Check {
-        /// The settings, or with --day a day script
+        /// Settings file, or day script with --day
         file: PathBuf,
-        /// It is a day script
+        /// Check a day script
         #[arg(long)]
         day: bool,
     },
-    /// Run a front, a list service and stand-in boxes in one go, on free loopback ports
+    /// Run a front, an endpoint list service and simulated media servers on free loopback ports
     Demo {
-        /// Boxes of the fleet
+        /// Number of simulated media servers
         #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u32).range(1..=200))]
         boxes: u32,
     },
-    /// Run a scripted day against real fronts and check the rules from the sockets
+    /// Run a scripted scenario against real fronts and check the rules on the observed traffic
     Day {
-        /// The script
+        /// Day script
         file: PathBuf,
-        /// Seed of all that is drawn
+        /// Seed of the random number generator
         #[arg(long, default_value_t = 1)]
         seed: u64,
         /// Print the report as JSON
         #[arg(long)]
         json: bool,
-        /// Keep settings, logs and the trace in this folder
+        /// Write settings, logs and the trace to this directory
         #[arg(long)]
         keep: Option<PathBuf>,
     },
-    /// Measure the front against players that go straight to the boxes
+    /// Compare players that connect through the front with players that connect to the media servers directly
     Bench {
-        /// New sessions a second for the added time
+        /// New sessions per second while the added latency is measured
         #[arg(long, default_value_t = 48.0)]
         rate: f64,
-        /// Seconds of each part
+        /// Duration of each phase in seconds
         #[arg(long, default_value_t = 10)]
         seconds: u64,
-        /// Clients at once for the highest steady rate; the module lets four set-ups at once out to each of three boxes
+        /// Number of concurrent clients for the maximum throughput; a front sends up to four concurrent set-ups to each of three media servers
         #[arg(long, default_value_t = 12)]
         clients: usize,
-        /// Sessions that play at once for the memory that each takes
+        /// Number of concurrent sessions while the memory per session is measured
         #[arg(long, default_value_t = 10_000)]
         playing: usize,
     },
-    /// Look at a store's folder, or tidy it
+    /// Inspect or compact a store directory
     Store {
         #[command(subcommand)]
         command: store::Command,
     },
-    /// Keep the fleet's leases until SIGTERM
-    Keeper(fleet::Keeper),
-    /// Hold a lease of the fleet, or list them
+    /// Run a replica of the fleet's coordinator until SIGTERM, or replace a replica
+    Keeper(fleet::CoordinatorArgs),
+    /// Hold, list or watch leases of the fleet
     Lease {
         #[command(subcommand)]
-        command: fleet::Lease,
+        command: fleet::LeaseCommand,
     },
-    /// How the fleet's keepers stand
+    /// Show the fleet's members and the status of its coordinator
     Fleet {
         #[command(subcommand)]
-        command: fleet::Fleet,
+        command: fleet::FleetCommand,
     },
-    /// Drive a front past its own rate of calls, with overload control and without
+    /// Send a front more calls than it can handle, with and without overload control
     Overload {
-        /// The front's own rate, calls a second; it is looked for if not given
+        /// Capacity of the front in calls per second; measured if not given
         #[arg(long)]
         rate: Option<f64>,
-        /// How many times its own rate
+        /// Offered load as a multiple of the capacity
         #[arg(long, default_value_t = 3.0)]
         times: f64,
-        /// Seconds of each part
+        /// Duration of each phase in seconds
         #[arg(long, default_value_t = 10)]
         seconds: u64,
     },
 }
 
-/// Exit codes: 0 all well, 1 a rule broken or a run that failed, 2 bad input.
+/// Runs the command. Exits with 0 on success, 1 if a rule was broken or the run failed, and 2 on invalid input.
 fn main() -> ExitCode {
     match Cli::parse().command {
         Command::Serve { file } => serve::serve(&file),
@@ -131,7 +131,7 @@
     }
 }
 
-/// Says what went wrong; the code goes back to the caller.
+/// Prints an error to standard error and returns the exit code.
 fn fail(code: u8, text: impl std::fmt::Display) -> ExitCode {
     eprintln!("beechloft: {text}");
     ExitCode::from(code)
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -1,4 +1,4 @@
-//! `node`: the front node on the platform's protocol.
+//! The command `node`: runs a front node on the platform's protocol.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -10,16 +10,17 @@
 use crate::fleet_membership::FleetMembership;
 use crate::{fail, fleet, log};
 
-/// The environment variable with the path of the configuration file.
+/// Environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
 
-/// Exit code of a front node that stopped for an error.
+/// Exit code of a front node that stopped because of an error.
 const RUN_FAILED: u8 = 1;
 
 /// Exit code of a front node that can't start.
 const START_FAILED: u8 = 2;
 
-/// Runs the front node that the environment describes until SIGTERM; as one of a fleet, if a file with its settings is given.
+/// Runs the front node that the environment describes until SIGTERM. The node joins a fleet if a file with the fleet's settings
+/// is given.
 pub fn node(fleet_file: Option<&Path>) -> ExitCode {
     let Some(config_path) = std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from) else {
         return fail(START_FAILED, format_args!("{CONFIG_VARIABLE} is not set"));
@@ -41,7 +42,7 @@
             Err(e) => return fail(START_FAILED, e),
         };
     if let Some(membership) = &membership {
-        event_loop.join_fleet(membership.for_event_loop());
+        event_loop.join_fleet(membership.event_loop_hooks());
     }
     let result = event_loop.run();
     if let Some(membership) = &mut membership {
@@ -53,7 +54,8 @@
     }
 }
 
-/// What the environment says about this front node. A value that is no UTF-8 agrees with no configuration.
+/// Reads this front node's name and address from the environment. A value that isn't UTF-8 is converted lossily, so that it
+/// matches no configuration.
 fn environment() -> Environment {
     let variable = |name| std::env::var_os(name).map(|value| value.to_string_lossy().into_owned());
     Environment { name: variable("ROUTER_NAME"), listen: variable("ROUTER_LISTEN") }
--- a/crates/cli/src/outlier_observer.rs
+++ b/crates/cli/src/outlier_observer.rs
@@ -1,5 +1,5 @@
-//! Connects a front to outlier detection: the results of its attempts go to the detector, and the media servers that the detector
-//! ejects are excluded from what the front chooses from.
+//! Connects a front to outlier detection: results of attempts go to the detector, and media servers that the detector ejects are
+//! excluded from the candidates that the front chooses from.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,14 +15,14 @@
 /// Connects a front's controller to the outlier detector.
 pub struct OutlierObserver {
     detector: Arc<OutlierDetector>,
-    /// Version of the result that was read last.
+    /// Version of the evaluation that was read last.
     seen_version: u64,
-    /// Names of titles by their keys.
+    /// Title names by key.
     titles: BTreeMap<u32, Arc<str>>,
 }
 
 impl OutlierObserver {
-    /// An observer that has reported nothing yet.
+    /// Creates an observer that has reported nothing yet.
     pub fn new(detector: Arc<OutlierDetector>) -> OutlierObserver {
         OutlierObserver { detector, seen_version: 0, titles: BTreeMap::new() }
     }
@@ -30,10 +30,12 @@
 
 impl Observer for OutlierObserver {
     fn endpoints_changed(&mut self, catalog: &Catalog) {
-        let listed = catalog.servers().filter(|b| b.state != EndpointState::Removed);
-        let place = |zone, size: f64| ServerLocation { zone, capacity: if size > 0.0 { size } else { 1.0 } };
-        self.detector.set_servers(listed.map(|b| (b.id.0, place(b.zone.0, b.size))).collect());
-        // Names change seldom, and there may be many.
+        let listed = catalog.servers().filter(|server| server.state != EndpointState::Removed);
+        let location =
+            |zone, size: f64| ServerLocation { zone, capacity: if size > 0.0 { size } else { 1.0 } };
+        self.detector
+            .set_servers(listed.map(|server| (server.id.0, location(server.zone.0, server.size))).collect());
+        // The list of names is rebuilt only when its length changes: names change rarely, and there may be many.
         if catalog.titles().count() == self.titles.len() {
             return;
         }
@@ -46,7 +48,9 @@
 
     fn attempt_ended(&mut self, evidence: Evidence, now: Micros) {
         let outcome = match evidence.verdict {
-            Verdict::Accepted(took) if Duration::from_micros(took.0) > self.detector.slow_threshold() => {
+            Verdict::Accepted(duration)
+                if Duration::from_micros(duration.0) > self.detector.slow_threshold() =>
+            {
                 Outcome::Slow
             }
             Verdict::Accepted(_) => Outcome::Success,
@@ -64,20 +68,23 @@
     }
 
     fn holder_filter(&mut self) -> Option<HolderFilter> {
-        let (version, outlook) = self.detector.evaluation_since(self.seen_version)?;
+        let (version, evaluation) = self.detector.evaluation_since(self.seen_version)?;
         self.seen_version = version;
         let exclusion = |key: &ServerInstance, admitted_per_mille| Exclusion {
             server: ServerId(key.server),
             admitted_per_mille,
         };
         let mut titles: BTreeMap<Arc<str>, Vec<Exclusion>> = BTreeMap::new();
-        for excluded in &outlook.excluded_titles {
+        for excluded in &evaluation.excluded_titles {
             if let Some(name) = self.titles.get(&excluded.title) {
                 titles.entry(name.clone()).or_default().push(exclusion(&excluded.instance, 0));
             }
         }
-        let servers =
-            outlook.exclusions.iter().map(|s| exclusion(&s.instance, s.admitted_per_mille)).collect();
+        let servers = evaluation
+            .exclusions
+            .iter()
+            .map(|excluded| exclusion(&excluded.instance, excluded.admitted_per_mille))
+            .collect();
         Some(HolderFilter::Exclude(Exclusions {
             servers,
             titles,
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! `serve` and `check`.
+//! The commands `serve` and `check`.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -15,12 +15,12 @@
 use crate::fleet_membership::FleetMembership;
 use crate::{fail, log};
 
-/// How long a front may take to answer what it took, once it is told to stop.
-const STOP_WITHIN: Duration = Duration::from_secs(6);
-/// How often a front that waits for its turn to restart looks.
-const LOOK: Duration = Duration::from_millis(20);
+/// Time that a stopping front has to answer the requests that it has accepted.
+pub const STOP_TIMEOUT: Duration = Duration::from_secs(6);
+/// Interval at which a front that waits for permission to stop asks for it.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A front's settings, and its fleet's if it is one of a fleet.
+/// Reads a front's settings, and those of its fleet if there is a `fleet` section.
 pub fn read_sections(top: &Section<'_>) -> (FrontSettings, Option<FleetSettings>) {
     let front = FrontSettings::of(top);
     let fleet = top.has("fleet").then(|| {
@@ -28,18 +28,19 @@
         let known = KnownNames { customers: &front.service.tenants, classes: &front.service.classes };
         let mut fleet = FleetSettings::from_front_section(&section, &front.service.zones, known);
         if let Some(quotas) = &mut fleet.quotas {
-            // Calls carry no tag: what a lost front of calls left can't be asked of boxes.
+            // SIP calls carry no tag, so media servers can't report which calls a lost front left behind.
             quotas.tagged = front.sip.is_none();
         }
         if fleet.front_slot.is_some() && front.numbered {
-            section.report("number", "it comes by lease; front.number and front.of say something else");
+            section
+                .report("number", "the front's number comes from a lease; remove front.number and front.of");
         }
         fleet
     });
     (front, fleet)
 }
 
-/// Runs a front until it is told to stop.
+/// Runs a front until SIGINT or SIGTERM.
 pub fn serve(file: &Path) -> ExitCode {
     let text = match std::fs::read_to_string(file) {
         Ok(text) => text,
@@ -47,20 +48,21 @@
     };
     let (settings, fleet) = match config_reader::read(&text, read_sections) {
         Ok(settings) => settings,
-        Err(faults) => return faulty(file, &faults.0),
+        Err(errors) => return report_errors(file, &errors.0),
     };
     log::start(&settings.log);
-    // Before the first thread starts, so that no signal is missed.
+    // Signals are registered before the first thread starts, so that none is missed.
     let mut signals = match Signals::new([SIGINT, SIGTERM]) {
         Ok(signals) => signals,
-        Err(e) => return fail(1, format_args!("no signals: {e}")),
+        Err(e) => return fail(1, format_args!("can't register signal handlers: {e}")),
     };
     let listen = settings.listen;
-    let span = Duration::from_micros(settings.settings.slow_start.overload_window.0);
-    let mut membership = match fleet.map(|set| FleetMembership::start(&set, span)).transpose() {
-        Ok(membership) => membership,
-        Err(e) => return fail(1, e),
-    };
+    let slow_start_window = Duration::from_micros(settings.settings.slow_start.overload_window.0);
+    let mut membership =
+        match fleet.map(|settings| FleetMembership::start(&settings, slow_start_window)).transpose() {
+            Ok(membership) => membership,
+            Err(e) => return fail(1, e),
+        };
     let started = match &membership {
         Some(membership) => Front::start_in_fleet(settings, membership.hooks()),
         None => Front::start(settings, None),
@@ -69,69 +71,72 @@
         Ok(front) => front,
         Err(e) => return fail(1, format_args!("{listen}: {e}")),
     };
-    if let Some(Err(e)) = membership.as_ref().map(|m| m.survey(front.media_servers())) {
+    if let Some(Err(e)) =
+        membership.as_ref().map(|membership| membership.start_orphan_reconciliation(front.media_servers()))
+    {
         return fail(1, e);
     }
     signals.forever().next();
     if let Some(membership) = &membership {
-        wait_for_turn(membership, &mut signals);
+        wait_for_stop_permission(membership, &mut signals);
     }
-    front.stop(STOP_WITHIN);
+    front.stop(STOP_TIMEOUT);
     if let Some(membership) = &mut membership {
         membership.leave();
     }
     ExitCode::SUCCESS
 }
 
-/// Goes on serving until it is this front's turn to restart, or it was waited for long enough, or it is told again.
-fn wait_for_turn(membership: &FleetMembership, signals: &mut Signals) {
-    let Some(waits) = membership.request_stop() else { return };
-    let until = Instant::now() + waits;
+/// Keeps serving until the front may stop, the maximum wait has passed, or a second signal arrives.
+fn wait_for_stop_permission(membership: &FleetMembership, signals: &mut Signals) {
+    let Some(max_wait) = membership.request_stop() else { return };
+    let deadline = Instant::now() + max_wait;
     while !membership.may_stop() {
         if signals.pending().next().is_some() {
             return;
         }
-        if Instant::now() >= until {
-            return tracing::warn!("no turn to end within the time that is waited for one; it ends without");
+        if Instant::now() >= deadline {
+            return tracing::warn!("no permission to stop within the maximum wait; stopping without it");
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(STOP_POLL_INTERVAL);
     }
 }
 
-/// Says what is wrong with a file, all at once.
+/// Checks a settings file, or a day script if `day` is set, and reports all errors.
 pub fn check(file: &Path, day: bool) -> ExitCode {
     let text = match std::fs::read_to_string(file) {
         Ok(text) => text,
         Err(e) => return fail(2, format_args!("{}: {e}", file.display())),
     };
-    let read = if day {
+    let result = if day {
         beechloft_scenario::parse(&text, 1).map(|_| None)
     } else {
         config_reader::read(&text, read_sections).map(|(_, fleet)| fleet)
     };
-    match read {
-        Err(faults) => faulty(file, &faults.0),
+    match result {
+        Err(errors) => report_errors(file, &errors.0),
         Ok(fleet) => {
             println!("{}: sound", file.display());
-            promises(fleet.as_ref());
+            print_quota_bounds(fleet.as_ref());
             ExitCode::SUCCESS
         }
     }
 }
 
-/// What the limits of a file promise, worked out from it.
-fn promises(fleet: Option<&FleetSettings>) {
-    let Some((fleet, limits)) = fleet.and_then(|f| Some((f, f.quotas.as_ref()?))) else { return };
-    for definition in &limits.definitions {
-        for line in bounds::describe(definition, &limits.rules, fleet.drift_bound) {
+/// Prints the bounds that the quotas of a settings file guarantee.
+fn print_quota_bounds(fleet: Option<&FleetSettings>) {
+    let Some((fleet, quotas)) = fleet.and_then(|fleet| Some((fleet, fleet.quotas.as_ref()?))) else { return };
+    for definition in &quotas.definitions {
+        for line in bounds::describe(definition, &quotas.rules, fleet.drift_bound) {
             println!("limit {}: {line}", definition.name);
         }
     }
 }
 
-fn faulty(file: &Path, faults: &[ConfigError]) -> ExitCode {
-    for fault in faults {
-        eprintln!("{}:{fault}", file.display());
+/// Prints the errors of a settings file, one per line.
+fn report_errors(file: &Path, errors: &[ConfigError]) -> ExitCode {
+    for error in errors {
+        eprintln!("{}:{error}", file.display());
     }
     ExitCode::from(2)
 }
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -1,6 +1,6 @@
-//! `store`: looks at a store's folder, and tidies it.
+//! The command `store`: inspects and compacts a store directory.
 //!
-//! Exit codes: 0 sound, 1 damaged, 2 it can't be read, is no store or is in use.
+//! Exit codes: 0 the store is intact, 1 it is damaged, 2 it can't be read, isn't a store or is in use.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -14,56 +14,62 @@
 
 use crate::fail;
 
+/// Subcommands of `store`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Read every generation and say what is damaged, where; nothing is changed
+    /// Read every generation and report damage and its offset; changes nothing
     Check {
-        /// The store's folder
+        /// Store directory
         folder: PathBuf,
     },
-    /// Print all entries of the newest generation as JSON lines; nothing is changed
+    /// Print all entries of the newest generation as JSON lines; changes nothing
     Dump {
-        /// The store's folder
+        /// Store directory
         folder: PathBuf,
-        /// Of this table alone
+        /// Print only this table
         #[arg(long)]
         table: Option<u8>,
     },
-    /// Write a new generation without what is out of date; the store must not be in use
+    /// Write a new generation with the live entries only; the store must not be in use
     Compact {
-        /// The store's folder
+        /// Store directory
         folder: PathBuf,
     },
-    /// Keys and bytes by table, and what the files take; nothing is changed
+    /// Print keys and bytes by table, and file sizes; changes nothing
     Stat {
-        /// The store's folder
+        /// Store directory
         folder: PathBuf,
     },
 }
 
-/// Runs one.
+/// Runs a subcommand of `store`.
 pub fn store(command: &Command) -> ExitCode {
-    let done = match command {
+    let result = match command {
         Command::Check { folder } => check(folder),
-        Command::Dump { folder, table } => newest(folder).and_then(|r| dump(&r, table.map(Table))),
+        Command::Dump { folder, table } => {
+            recover_newest(folder).and_then(|recovered| dump(&recovered, table.map(Table)))
+        }
         Command::Compact { folder } => compact(folder),
-        Command::Stat { folder } => newest(folder).and_then(|r| stat(folder, &r)),
+        Command::Stat { folder } => recover_newest(folder).and_then(|recovered| stat(folder, &recovered)),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(Problem::Damaged(text)) => fail(1, text),
-        Err(Problem::Unread(text)) => fail(2, text),
+        Err(Problem::Unreadable(text)) => fail(2, text),
     }
 }
 
+/// Error of a subcommand, by exit code.
 enum Problem {
+    /// The newest generation is damaged.
     Damaged(String),
-    Unread(String),
+    /// The store can't be read, doesn't exist or is in use.
+    Unreadable(String),
 }
 
 impl From<io::Error> for Problem {
     fn from(error: io::Error) -> Self {
-        Problem::Unread(error.to_string())
+        Problem::Unreadable(error.to_string())
     }
 }
 
@@ -71,43 +77,50 @@
     fn from(error: StoreError) -> Self {
         match error {
             StoreError::Corrupt { .. } => Problem::Damaged(error.to_string()),
-            other => Problem::Unread(other.to_string()),
+            other => Problem::Unreadable(other.to_string()),
         }
     }
 }
 
-/// The generations of a folder that is there, oldest first. A command that looks never makes one.
+/// Opens an existing store directory and returns its generations with their file names, in ascending order.
+///
+/// # Errors
+/// The directory doesn't exist or has no generations. Inspecting a store never creates a directory.
 fn generations(folder: &Path) -> Result<(DiskDirectory, Vec<(u64, String)>), Problem> {
     if !folder.is_dir() {
-        return Err(Problem::Unread(format!("{}: no such folder", folder.display())));
+        return Err(Problem::Unreadable(format!("{}: no such directory", folder.display())));
     }
     let disk = DiskDirectory::open(folder)?;
-    let all: Vec<_> = disk.list()?.into_iter().filter_map(|n| Some((generation_of_file(&n)?, n))).collect();
+    let all: Vec<_> =
+        disk.list()?.into_iter().filter_map(|file| Some((generation_of_file(&file)?, file))).collect();
     if all.is_empty() {
-        return Err(Problem::Unread(format!("{}: no store", folder.display())));
+        return Err(Problem::Unreadable(format!("{}: not a store", folder.display())));
     }
     Ok((disk, all))
 }
 
+/// Checks every generation. Only damage to the newest one is an error, as older ones are superseded.
 fn check(folder: &Path) -> Result<(), Problem> {
     let (disk, all) = generations(folder)?;
-    let last = all.last().map(|a| a.0);
+    let last = all.last().map(|(generation, _)| *generation);
     let mut problem = None;
     for (generation, file) in all {
         let bytes = disk.read(&file)?;
         match recovery::recover(generation, &bytes) {
-            Ok(r) if r.torn_len > 0 => println!(
+            Ok(recovered) if recovered.torn_len > 0 => println!(
                 "{file}: sound up to batch {} with {} keys; offset {}: {} bytes of no whole batch",
-                r.seq,
-                r.state.len(),
-                r.valid_len,
-                r.torn_len
+                recovered.seq,
+                recovered.state.len(),
+                recovered.valid_len,
+                recovered.torn_len
             ),
-            Ok(r) => println!("{file}: sound, {} keys, up to batch {}", r.state.len(), r.seq),
-            Err(why) => {
-                println!("{file}: DAMAGED, {why}");
+            Ok(recovered) => {
+                println!("{file}: sound, {} keys, up to batch {}", recovered.state.len(), recovered.seq)
+            }
+            Err(error) => {
+                println!("{file}: DAMAGED, {error}");
                 if Some(generation) == last {
-                    problem = Some(Problem::Damaged(format!("{file}: {why}")));
+                    problem = Some(Problem::Damaged(format!("{file}: {error}")));
                 }
             }
         }
@@ -115,20 +128,25 @@
     problem.map_or(Ok(()), Err)
 }
 
-fn newest(folder: &Path) -> Result<Recovered, Problem> {
+/// Recovers the state of the newest generation.
+fn recover_newest(folder: &Path) -> Result<Recovered, Problem> {
     let (disk, all) = generations(folder)?;
-    let Some((generation, file)) = all.last() else { return Err(Problem::Unread("no store".into())) };
+    let Some((generation, file)) = all.last() else { return Err(Problem::Unreadable("not a store".into())) };
     recovery::recover(*generation, &disk.read(file)?)
-        .map_err(|why| Problem::Damaged(format!("{file}: {why}")))
+        .map_err(|error| Problem::Damaged(format!("{file}: {error}")))
 }
 
 fn hexadecimal(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-fn dump(recovered: &Recovered, only: Option<Table>) -> Result<(), Problem> {
+fn dump(recovered: &Recovered, table_filter: Option<Table>) -> Result<(), Problem> {
     let mut out = io::BufWriter::new(io::stdout().lock());
-    for ((table, key), value) in recovered.state.iter().filter(|((t, _), _)| only.is_none_or(|o| o == *t)) {
+    for ((table, key), value) in recovered
+        .state
+        .iter()
+        .filter(|((entry_table, _), _)| table_filter.is_none_or(|table| table == *entry_table))
+    {
         let line =
             serde_json::json!({"table": table.0, "key": hexadecimal(key), "value": hexadecimal(value)});
         writeln!(out, "{line}")?;
