--- a/crates/cli/tests/figures.rs
+++ b/crates/cli/tests/figures.rs
@@ -123,12 +123,12 @@
     let mut fleet = Fleet::new(5);
     fleet.leader(5);
     println!("grant by five keepers: {}", quantiles(grants(&settings(&fleet), 500)));
-    (0..8).for_each(|_| fleet.candidate());
-    fleet.goes_on("the start");
+    (0..8).for_each(|_| fleet.start_candidate());
+    fleet.wait_for_actions("the start");
     for _ in 0..5 {
         let holder = fleet.holder();
         drop(fleet.candidates.remove(holder));
-        fleet.candidate();
+        fleet.start_candidate();
         let gap = longest_gap(&fleet, Duration::from_secs(4));
         println!("holder killed, ttl {TTL_MS} ms: no act for {gap:?}");
     }
@@ -155,7 +155,7 @@
     let fleet = Fleet::new(5);
     let leader = fleet.leader(5);
     let (set, address) = (settings(&fleet), fleet.addresses[leader]);
-    let pids: Vec<u32> = fleet.keepers.iter().flatten().map(|k| k.0.id()).collect();
+    let pids: Vec<u32> = fleet.replicas.iter().flatten().map(|k| k.0.id()).collect();
     let memories = || pids.iter().map(|p| memory(*p)).collect::<Vec<_>>();
     println!("resident kB at first {:?}", memories());
     // One answer awaited before the next is asked for, by 1 and by 32 holders.
@@ -235,12 +235,12 @@
 fn losses_with_a_lease_of_three_seconds() {
     let mut fleet = Fleet::new(5);
     fleet.leader(5);
-    (0..8).for_each(|_| fleet.candidate_for(3_000));
-    fleet.goes_on("the start");
+    (0..8).for_each(|_| fleet.start_candidate_with_ttl(3_000));
+    fleet.wait_for_actions("the start");
     for _ in 0..5 {
         let holder = fleet.holder();
         drop(fleet.candidates.remove(holder));
-        fleet.candidate_for(3_000);
+        fleet.start_candidate_with_ttl(3_000);
         let gap = longest_gap(&fleet, Duration::from_secs(6));
         println!("holder killed, ttl 3000 ms: no act for {gap:?}");
     }
@@ -257,7 +257,7 @@
 impl Members {
     fn start(count: usize) -> Members {
         let dir = tempfile::tempdir().expect("a folder");
-        let mut addresses = support::kept_addresses(2 * count);
+        let mut addresses = support::reserve_addresses(2 * count);
         let listens = addresses.split_off(count);
         let texts = |all: &[SocketAddr]| all.iter().map(|a| format!("'{a}'")).collect::<Vec<_>>().join(", ");
         // Nobody keeps: the one keeper is the first of the members, which has no store.
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! Keepers and candidates as real processes, with faults between them: killed, stopped beyond the lease's time and let go on,
-//! all stopped and started, a disk emptied, clocks apart. Acts go on all the time; a record of every act shows its token, and a
-//! token under one that came before it is a stale act.
+//! Replicas of a coordinator and candidates for its lease as processes, with faults: processes are killed, stopped for longer than
+//! the lease and continued, all restarted, or lose their store, and clocks run at different rates. The holder's command performs
+//! actions all the time and logs its token with each. An action with a lower token than an earlier one is stale.
 // Not reworked yet, see docs/ROADMAP.md.
 #![allow(clippy::shadow_unrelated)]
 
@@ -15,416 +15,435 @@
 use std::time::{Duration, Instant};
 
 use beechloft_fault_proxy::{DirectionFault, LinkFault, TcpProxy};
-use lin::{Answered, Asked, Op};
+use lin::{Operation, Request, Response};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
-use support::keepers::{Fleet, TTL_MS, text_of};
+use support::keepers::{Fleet, TTL_MS, error_text};
 use support::{PATIENCE, Process, beechloft};
 
-fn no_stale_act(tokens: &[u64]) {
-    let stale = tokens.windows(2).position(|w| w[1] < w[0]);
-    assert_eq!(stale, None, "a token under the one before it: {:?}", stale.map(|at| &tokens[at..at + 2]));
+/// Asserts that no token is lower than the one before it.
+fn assert_no_stale_action(tokens: &[u64]) {
+    let stale = tokens.windows(2).position(|pair| pair[1] < pair[0]);
+    assert_eq!(stale, None, "stale action: {:?}", stale.map(|index| &tokens[index..index + 2]));
 }
 
-/// Some order explains what all candidates have asked and heard; and none does once somebody else was granted the lease in the
-/// middle of a holder's time, or a holder renewed what had ended.
-fn explained(fleet: &Fleet) {
+/// Asserts that the candidates' history is linearizable, and that it no longer is with an injected grant to another holder during a
+/// holder's lease or with an injected renewal of an ended grant.
+fn assert_linearizable(fleet: &Fleet) {
     let ttl = Duration::from_millis(TTL_MS);
-    let history = lin::read(&fleet.history(), "task").unwrap_or_else(|why| panic!("{why}"));
-    let answered = |op: &&Op| op.answered.is_some();
-    let renewed = |op: &&Op| matches!(op.answered, Some((Answered::Renewed, _)));
-    let (asked, heard) = (history.len(), history.iter().filter(answered).count());
-    lin::check(&history, ttl).unwrap_or_else(|why| panic!("of {asked}: {why}"));
-    let granted = history.iter().filter(|op| matches!(op.answered, Some((Answered::Granted(_), _)))).count();
-    let renewals = history.iter().filter(renewed).count();
-    println!("{asked} requests, {heard} answers, {granted} grants and {renewals} renewals are explained");
-    assert!(granted >= 1, "nobody was granted anything");
-    let at = |op: &Op| op.answered.map(|a| a.1);
-    let with = |planted: Op| {
-        // What came later would only be in the way.
-        let before = history.iter().filter(|op| op.from <= planted.from).copied();
-        lin::check(&before.chain([planted]).collect::<Vec<_>>(), ttl)
+    let history = lin::read(&fleet.history(), "task").unwrap_or_else(|error| panic!("{error}"));
+    let is_answered = |op: &&Operation| op.response.is_some();
+    let is_renewal = |op: &&Operation| matches!(op.response, Some((Response::Renewed, _)));
+    let is_grant = |op: &&Operation| matches!(op.response, Some((Response::Granted(_), _)));
+    let (requests, responses) = (history.len(), history.iter().filter(is_answered).count());
+    lin::check(&history, ttl).unwrap_or_else(|error| panic!("{requests} requests: {error}"));
+    let grant_count = history.iter().filter(is_grant).count();
+    let renewal_count = history.iter().filter(is_renewal).count();
+    println!(
+        "linearizable: {requests} requests, {responses} responses, {grant_count} grants, {renewal_count} renewals"
+    );
+    assert!(grant_count >= 1, "no grants");
+    let responded_at = |op: &Operation| op.response.map(|(_, at)| at);
+    let check_with = |injected: Operation| {
+        // Later operations are left out, because they could contradict the injected one for other reasons.
+        let before = history.iter().filter(|op| op.requested_at <= injected.requested_at).copied();
+        lin::check(&before.chain([injected]).collect::<Vec<_>>(), ttl)
     };
-    // A grant right behind a renewal, to one who never gives it back.
-    let soon = |op: &&Op| at(op).is_some_and(|at| at - op.from < ttl / 2);
-    let next = Duration::from_nanos(1);
-    if let Some(heard) = history.iter().filter(renewed).filter(soon).filter_map(at).min() {
-        let from = heard + next;
-        let answered = Some((Answered::Granted(1 << 40), from));
-        let planted = Op { holder: 1, seq: 1, asked: Asked::Acquire, from, answered };
-        assert!(with(planted).is_err(), "a second holder is not found: {planted:?} in {history:#?}");
+    // A grant right after a renewal, to another holder that never releases it.
+    let is_fast = |op: &&Operation| responded_at(op).is_some_and(|at| at - op.requested_at < ttl / 2);
+    let instant = Duration::from_nanos(1);
+    let first_renewal = history.iter().filter(is_renewal).filter(is_fast).filter_map(responded_at).min();
+    if let Some(renewed_at) = first_renewal {
+        let requested_at = renewed_at + instant;
+        let response = Some((Response::Granted(1 << 40), requested_at));
+        let injected = Operation { holder: 1, seq: 1, request: Request::Acquire, requested_at, response };
+        assert!(check_with(injected).is_err(), "missed a second holder: {injected:?} in {history:#?}");
     }
-    if granted < 2 {
+    if grant_count < 2 {
         return;
     }
-    // A renewal of the first grant when the second is held.
-    let mut grants: Vec<(u64, Op)> = history
+    // A renewal of the first grant while the second one is held.
+    let mut grants: Vec<(u64, Operation)> = history
         .iter()
-        .filter_map(|op| match op.answered {
-            Some((Answered::Granted(token), _)) => Some((token, *op)),
+        .filter_map(|op| match op.response {
+            Some((Response::Granted(token), _)) => Some((token, *op)),
             _ => None,
         })
         .collect();
-    grants.sort_by_key(|g| g.0);
-    let from = at(&grants[1].1).expect("answered") + next;
-    let asked = Asked::Renew(grants[0].0);
-    let planted = Op {
+    grants.sort_by_key(|(token, _)| *token);
+    let requested_at = responded_at(&grants[1].1).expect("grants have responses") + instant;
+    let injected = Operation {
         holder: grants[0].1.holder,
         seq: u64::MAX,
-        asked,
-        from,
-        answered: Some((Answered::Renewed, from)),
+        request: Request::Renew(grants[0].0),
+        requested_at,
+        response: Some((Response::Renewed, requested_at)),
     };
-    assert!(with(planted).is_err(), "a renewal of what has ended is not found");
+    assert!(check_with(injected).is_err(), "missed a renewal of an ended grant");
 }
 
 #[test]
-fn histories_that_no_order_explains_are_told_from_those_that_one_does() {
+fn checker_accepts_exactly_linearizable_histories() {
     let ms = Duration::from_millis;
-    let op = |holder, asked, from: u64, answered, to: u64| Op {
+    let op = |holder, request, from: u64, response, to: u64| Operation {
         holder,
         seq: from,
-        asked,
-        from: ms(from),
-        answered: Some((answered, ms(to))),
+        request,
+        requested_at: ms(from),
+        response: Some((response, ms(to))),
     };
-    let grant = |holder, token, from, to| op(holder, Asked::Acquire, from, Answered::Granted(token), to);
+    let grant = |holder, token, from, to| op(holder, Request::Acquire, from, Response::Granted(token), to);
     let ttl = ms(100);
     let first = grant(1, 1, 0, 10);
-    let well: [&[Op]; 5] = [
-        &[first, op(2, Asked::Acquire, 5, Answered::Taken, 20), grant(2, 2, 90, 101)],
-        &[first, op(1, Asked::Release(1), 20, Answered::Released, 30), grant(2, 2, 25, 40)],
-        // Whose answer was lost: it may have been done, at any moment.
+    let linearizable: [&[Operation]; 5] = [
+        &[first, op(2, Request::Acquire, 5, Response::Taken, 20), grant(2, 2, 90, 101)],
+        &[first, op(1, Request::Release(1), 20, Response::Released, 30), grant(2, 2, 25, 40)],
+        // The response to the release was lost, so it may have taken effect at any time.
         &[
             first,
-            Op { answered: None, ..op(1, Asked::Release(1), 20, Answered::Released, 0) },
+            Operation { response: None, ..op(1, Request::Release(1), 20, Response::Released, 0) },
             grant(2, 2, 50, 60),
         ],
-        &[first, op(1, Asked::Renew(1), 50, Answered::Renewed, 60), grant(2, 2, 140, 150)],
-        // Asked anew by who holds it.
-        &[first, grant(1, 2, 20, 30), op(1, Asked::Renew(1), 40, Answered::NotHeld, 50)],
+        &[first, op(1, Request::Renew(1), 50, Response::Renewed, 60), grant(2, 2, 140, 150)],
+        // The holder acquires the lease again.
+        &[first, grant(1, 2, 20, 30), op(1, Request::Renew(1), 40, Response::NotHeld, 50)],
     ];
-    for history in well {
+    for history in linearizable {
         assert_eq!(lin::check(history, ttl), Ok(()), "{history:?}");
     }
-    let ill: [&[Op]; 7] = [
-        // Before the time of the lease is over.
+    let invalid: [&[Operation]; 7] = [
+        // Another holder gets the lease before it has expired.
         &[first, grant(2, 2, 50, 99)],
-        &[first, op(1, Asked::Renew(1), 50, Answered::Renewed, 60), grant(2, 2, 90, 149)],
-        // A renewal of what another has.
-        &[first, grant(2, 2, 90, 110), op(1, Asked::Renew(1), 111, Answered::Renewed, 120)],
-        // A token that does not rise.
+        &[first, op(1, Request::Renew(1), 50, Response::Renewed, 60), grant(2, 2, 90, 149)],
+        // A holder renews a lease that another one has.
+        &[first, grant(2, 2, 90, 110), op(1, Request::Renew(1), 111, Response::Renewed, 120)],
+        // The token of the second grant isn't higher.
         &[first, grant(2, 1, 110, 120)],
-        // Taken, and nobody has it.
+        // The lease is taken, but nobody holds it.
         &[
             first,
-            op(1, Asked::Release(1), 20, Answered::Released, 30),
-            op(2, Asked::Acquire, 31, Answered::Taken, 40),
+            op(1, Request::Release(1), 20, Response::Released, 30),
+            op(2, Request::Acquire, 31, Response::Taken, 40),
         ],
-        // Not held, and then renewed.
+        // The lease isn't held, and then renewed.
         &[
             first,
-            op(1, Asked::Renew(1), 20, Answered::NotHeld, 30),
-            op(1, Asked::Renew(1), 31, Answered::Renewed, 40),
+            op(1, Request::Renew(1), 20, Response::NotHeld, 30),
+            op(1, Request::Renew(1), 31, Response::Renewed, 40),
         ],
-        // Given back twice.
+        // The lease is released twice.
         &[
             first,
-            op(1, Asked::Release(1), 20, Answered::Released, 30),
-            op(1, Asked::Release(1), 31, Answered::Released, 40),
+            op(1, Request::Release(1), 20, Response::Released, 30),
+            op(1, Request::Release(1), 31, Response::Released, 40),
         ],
     ];
-    for history in ill {
+    for history in invalid {
         assert!(lin::check(history, ttl).is_err(), "{history:?}");
     }
 }
 
 #[test]
-fn acts_go_on_and_none_is_stale_whatever_fails() {
+fn no_stale_actions_while_processes_fail() {
     let mut fleet = Fleet::new(5);
     fleet.leader(5);
-    let watched = fleet.dir.path().join("watched");
-    let file = std::fs::File::create(&watched).expect("a file");
+    let watch_output = fleet.dir.path().join("watched");
+    let file = std::fs::File::create(&watch_output).expect("create a file");
     let mut command = beechloft();
     command.args(["lease", "watch", "--json"]).arg(fleet.settings(None)).arg("task");
     let _watcher = Process::start_to(&mut command, file);
-    (0..8).for_each(|_| fleet.candidate());
-    fleet.goes_on("the start");
+    (0..8).for_each(|_| fleet.start_candidate());
+    fleet.wait_for_actions("the start");
 
-    // The holder is killed outright, with all that it runs.
-    let (token, holder) = (*fleet.tokens().last().expect("an act"), fleet.holder());
+    // The holder is killed with its command.
+    let (token, holder) = (*fleet.tokens().last().expect("an action"), fleet.holder());
     drop(fleet.candidates.remove(holder));
-    fleet.another_holds(token, "the holder's death");
+    fleet.wait_for_higher_token(token, "the holder's death");
 
     // The leader is killed.
     let leader = fleet.leader(5);
     fleet.kill(leader);
-    fleet.goes_on("the leader's death");
+    fleet.wait_for_actions("the leader's death");
     fleet.start(leader);
 
-    // The holder is stopped beyond its time and goes on.
-    let (token, holder) = (*fleet.tokens().last().expect("an act"), fleet.holder());
+    // The holder is stopped for longer than its lease and continues.
+    let (token, holder) = (*fleet.tokens().last().expect("an action"), fleet.holder());
     fleet.candidates[holder].signal(Signal::STOP);
-    fleet.another_holds(token, "the holder's stop");
+    fleet.wait_for_higher_token(token, "the holder's stop");
     let before = fleet.tokens().len();
     fleet.candidates[holder].signal(Signal::CONT);
-    fleet.goes_on("the holder's going on");
-    // What the command does between its look and its act when it is let go on can't be prevented where nothing checks tokens
-    // (docs/fleet.md), and it goes on until whoever watches over it runs again and ends it. Something that checks tokens refuses
-    // all of these; there are few, and none but these.
+    fleet.wait_for_actions("the holder's continuation");
+    // When the holder continues, its command may perform a few actions until the process that holds the lease runs again and stops
+    // the command. This can't be prevented unless the target checks tokens, which would reject these actions (docs/fleet.md).
+    // There must be few of them, and no other stale actions.
     let tokens = fleet.tokens();
-    let late = |at: &usize| tokens[*at] == token;
-    let count = (before..tokens.len()).filter(late).count();
-    assert!(count <= 5, "the stopped holder acted {count} times after it went on");
-    let others = (0..tokens.len()).filter(|at| *at < before || !late(at)).map(|at| tokens[at]);
-    no_stale_act(&others.collect::<Vec<_>>());
+    let is_late = |index: &usize| tokens[*index] == token;
+    let count = (before..tokens.len()).filter(is_late).count();
+    assert!(count <= 5, "the stopped holder performed {count} actions after it continued");
+    let others =
+        (0..tokens.len()).filter(|index| *index < before || !is_late(index)).map(|index| tokens[index]);
+    assert_no_stale_action(&others.collect::<Vec<_>>());
 
-    // The leader is stopped beyond the time of the lease and goes on.
+    // The leader is stopped for longer than the lease and continues.
     let leader = fleet.leader(5);
-    fleet.keepers[leader].as_ref().expect("it runs").signal(Signal::STOP);
+    fleet.replicas[leader].as_ref().expect("running replica").signal(Signal::STOP);
     std::thread::sleep(Duration::from_millis(2 * TTL_MS));
-    fleet.goes_on("the leader's stop");
-    fleet.keepers[leader].as_ref().expect("it runs").signal(Signal::CONT);
-    fleet.goes_on("the leader's going on");
+    fleet.wait_for_actions("the leader's stop");
+    fleet.replicas[leader].as_ref().expect("running replica").signal(Signal::CONT);
+    fleet.wait_for_actions("the leader's continuation");
 
-    // All keepers are killed at once and start again on their disks.
-    let token = *fleet.tokens().last().expect("an act");
+    // All replicas are killed at once and restarted on their stores.
+    let token = *fleet.tokens().last().expect("an action");
     (0..5).for_each(|n| fleet.kill(n));
     std::thread::sleep(Duration::from_millis(2 * TTL_MS));
     (0..5).for_each(|n| fleet.start(n));
     fleet.leader(5);
-    fleet.another_holds(token, "the end of all keepers");
+    fleet.wait_for_higher_token(token, "the restart of all replicas");
 
-    // A keeper's disk is emptied: it is another one, stays out, and the rest go on without it.
+    // A replica loses its store. It restarts with a new id and isn't a member, and the others continue without it.
     let leader = fleet.leader(5);
     let lost = (leader + 1) % 5;
-    fleet.empty(lost);
-    fleet.goes_on("a disk that was emptied");
+    fleet.restart_with_empty_store(lost);
+    fleet.wait_for_actions("the loss of a store");
     std::thread::sleep(Duration::from_millis(1_000));
     let all = fleet.status();
-    assert_eq!(all[lost]["status"]["members"].as_array().map(Vec::len), Some(0), "it is no member: {all:?}");
+    assert_eq!(
+        all[lost]["status"]["members"].as_array().map(Vec::len),
+        Some(0),
+        "must not be a member: {all:?}"
+    );
 
-    // It takes its old self's place once an operator says so, and nobody else's id does.
-    let wrong = fleet.replace(lost, Some("00000000000000aa"));
-    assert_eq!(wrong.status.code(), Some(1), "{}", text_of(&wrong));
+    // The replica takes the lost member's place when an operator replaces the member by the replica's id, and only by that id.
+    let wrong_id = fleet.replace(lost, Some("00000000000000aa"));
+    assert_eq!(wrong_id.status.code(), Some(1), "{}", error_text(&wrong_id));
     let out = fleet.replace(lost, None);
-    assert_eq!(out.status.code(), Some(0), "{}", text_of(&out));
+    assert_eq!(out.status.code(), Some(0), "{}", error_text(&out));
     fleet.leader(5);
-    fleet.goes_on("a keeper that was replaced");
+    fleet.wait_for_actions("a replacement");
 
     let all = fleet.tokens();
-    let from = all.iter().position(|t| *t > token).unwrap_or(0);
-    no_stale_act(&all[from..]);
-    // Three after each of nine things at least, however slow the machine is.
-    assert!(all.len() >= 27, "{} acts", all.len());
-    explained(&fleet);
-    saw_all_in_order(&watched, *all.last().expect("an act"));
+    let first = all.iter().position(|later| *later > token).unwrap_or(0);
+    assert_no_stale_action(&all[first..]);
+    // At least three actions followed each of nine faults, also on a slow machine.
+    assert!(all.len() >= 27, "{} actions", all.len());
+    assert_linearizable(&fleet);
+    assert_watched_in_order(&watch_output, *all.last().expect("an action"));
 }
 
-/// What one who watched through all of it was told: the newest grant, of each one its making before its end, and its end once.
-fn saw_all_in_order(watched: &Path, newest: u64) {
-    let read = || std::fs::read_to_string(watched).unwrap_or_default();
-    support::until(|| {
+/// Asserts that the output of `lease watch` has the newest grant, each grant before its end, and each end once.
+fn assert_watched_in_order(output: &Path, newest: u64) {
+    let read = || std::fs::read_to_string(output).unwrap_or_default();
+    support::wait_until(|| {
         let seen = read().contains(&format!("\"token\":{newest}"));
-        if seen { Ok(()) } else { Err(format!("token {newest} was not told: {}", read())) }
+        if seen { Ok(()) } else { Err(format!("token {newest} is missing: {}", read())) }
     });
-    let (mut there, mut ended) = (BTreeSet::new(), BTreeSet::new());
+    let (mut granted, mut ended) = (BTreeSet::new(), BTreeSet::new());
     let text = read();
-    for line in text[..text.rfind('\n').map_or(0, |at| at + 1)].lines() {
-        let v: Value = serde_json::from_str(line).unwrap_or_else(|e| panic!("{line}: {e}"));
-        for stands in v["stands"].as_array().into_iter().flatten() {
-            let token = stands["token"].as_u64().expect("a token");
-            assert!(!ended.contains(&token), "{token} stands after its end: {text}");
-            there.insert(token);
+    for line in text[..text.rfind('\n').map_or(0, |end| end + 1)].lines() {
+        let event: Value = serde_json::from_str(line).unwrap_or_else(|e| panic!("{line}: {e}"));
+        for grant in event["stands"].as_array().into_iter().flatten() {
+            let token = grant["token"].as_u64().expect("token of a grant");
+            assert!(!ended.contains(&token), "{token} is listed after its end: {text}");
+            granted.insert(token);
         }
-        let changed = &v["changed"];
+        let changed = &event["changed"];
         let token = changed["token"].as_u64();
         match (token, changed["what"].as_str()) {
             (Some(token), Some("granted")) => {
-                assert!(!ended.contains(&token) && there.insert(token), "{text}")
+                assert!(!ended.contains(&token) && granted.insert(token), "{text}")
             }
-            (Some(token), Some(_)) => assert!(there.contains(&token) && ended.insert(token), "{text}"),
+            (Some(token), Some(_)) => assert!(granted.contains(&token) && ended.insert(token), "{text}"),
             _ => {}
         }
     }
-    assert!(there.len() >= 3 && !ended.is_empty(), "{text}");
+    assert!(granted.len() >= 3 && !ended.is_empty(), "{text}");
 }
 
 #[test]
-fn two_of_five_keepers_are_lost_with_their_disks_and_replaced_while_acts_go_on() {
+fn two_of_five_replicas_with_lost_stores_are_replaced() {
     let mut fleet = Fleet::new(5);
     let leader = fleet.leader(5);
-    (0..4).for_each(|_| fleet.candidate());
-    fleet.goes_on("the start");
-    // The leader is one of them.
+    (0..4).for_each(|_| fleet.start_candidate());
+    fleet.wait_for_actions("the start");
+    // One of the lost replicas is the leader.
     let lost = [leader, (leader + 2) % 5];
-    lost.iter().for_each(|n| fleet.empty(*n));
-    fleet.goes_on("two disks that were emptied");
+    lost.iter().for_each(|n| fleet.restart_with_empty_store(*n));
+    fleet.wait_for_actions("the loss of two stores");
     for n in lost {
         let out = fleet.replace(n, None);
-        assert_eq!(out.status.code(), Some(0), "{}", text_of(&out));
-        fleet.goes_on("a keeper that was replaced");
+        assert_eq!(out.status.code(), Some(0), "{}", error_text(&out));
+        fleet.wait_for_actions("a replacement");
     }
-    // They count now: two others may go.
+    // The new members vote, so two other replicas may fail.
     fleet.leader(5);
     (0..5).filter(|n| !lost.contains(n)).take(2).for_each(|n| fleet.kill(n));
-    fleet.goes_on("the end of two others");
-    no_stale_act(&fleet.tokens());
-    explained(&fleet);
+    fleet.wait_for_actions("the end of two other replicas");
+    assert_no_stale_action(&fleet.tokens());
+    assert_linearizable(&fleet);
 }
 
 #[test]
-fn acts_go_on_and_none_is_stale_whatever_links_do() {
-    let mut fleet = Fleet::relayed(5, 4);
+fn no_stale_actions_while_links_fail() {
+    let mut fleet = Fleet::with_proxies(5, 4);
     fleet.leader(5);
-    (0..4).for_each(|_| fleet.candidate());
-    fleet.goes_on("the start");
+    (0..4).for_each(|_| fleet.start_candidate());
+    fleet.wait_for_actions("the start");
 
-    // The leader is cut off together with the holder, which sees it alone.
-    let (leader, holder, token) = (fleet.leader(5), fleet.holder(), *fleet.tokens().last().expect("an act"));
+    // The leader and the holder are partitioned from all others, but not from each other.
+    let (leader, holder, token) =
+        (fleet.leader(5), fleet.holder(), *fleet.tokens().last().expect("an action"));
     let others = |leader| (0..5).filter(move |n| *n != leader);
     for n in others(leader) {
-        fleet.way(leader, n, LinkFault::partition());
-        fleet.way(5 + holder, n, LinkFault::partition());
+        fleet.set_link_fault(leader, n, LinkFault::partition());
+        fleet.set_link_fault(5 + holder, n, LinkFault::partition());
     }
-    for c in (0..4).filter(|c| *c != holder) {
-        fleet.way(5 + c, leader, LinkFault::partition());
+    for candidate in (0..4).filter(|candidate| *candidate != holder) {
+        fleet.set_link_fault(5 + candidate, leader, LinkFault::partition());
     }
-    fleet.another_holds(token, "the cut");
-    fleet.heal();
-    fleet.goes_on("the cut's healing");
+    fleet.wait_for_higher_token(token, "the partition");
+    fleet.clear_link_faults();
+    fleet.wait_for_actions("the end of the partition");
 
-    // One way: the leader is heard and hears nobody; then it hears and is not heard.
-    let cut = DirectionFault { blocked: true, ..DirectionFault::default() };
-    for way in [
-        LinkFault { reverse: cut, ..LinkFault::default() },
-        LinkFault { forward: cut, ..LinkFault::default() },
+    // One-way partitions: the leader can send but not receive, and then receive but not send.
+    let blocked = DirectionFault { blocked: true, ..DirectionFault::default() };
+    for fault in [
+        LinkFault { reverse: blocked, ..LinkFault::default() },
+        LinkFault { forward: blocked, ..LinkFault::default() },
     ] {
         let leader = fleet.leader(5);
-        others(leader).for_each(|n| fleet.way(leader, n, way));
+        others(leader).for_each(|n| fleet.set_link_fault(leader, n, fault));
         std::thread::sleep(Duration::from_millis(2 * TTL_MS));
-        fleet.goes_on("a cut one way");
-        fleet.heal();
-        fleet.goes_on("its healing");
+        fleet.wait_for_actions("a one-way partition");
+        fleet.clear_link_faults();
+        fleet.wait_for_actions("its end");
     }
 
-    // The leader's links are late by more than the lease's time.
+    // The leader's links are delayed by more than the lease's time to live.
     let leader = fleet.leader(5);
-    others(leader).for_each(|n| fleet.way(leader, n, LinkFault::delayed(Duration::from_millis(2_000))));
+    others(leader)
+        .for_each(|n| fleet.set_link_fault(leader, n, LinkFault::delayed(Duration::from_millis(2_000))));
     std::thread::sleep(Duration::from_millis(2 * TTL_MS));
-    fleet.goes_on("late links");
-    fleet.heal();
-    fleet.goes_on("their healing");
+    fleet.wait_for_actions("delayed links");
+    fleet.clear_link_faults();
+    fleet.wait_for_actions("the end of the faults");
 
-    // All links trickle, and all connections are reset again and again.
+    // All links are slow, and all connections are reset repeatedly.
     let slow = DirectionFault { bytes_per_second: Some(20_000), ..DirectionFault::default() };
-    fleet.relays.values().for_each(|r| r.set_fault(LinkFault { forward: slow, reverse: slow }));
+    fleet.proxies.values().for_each(|proxy| proxy.set_fault(LinkFault { forward: slow, reverse: slow }));
     for _ in 0..5 {
-        fleet.relays.values().for_each(TcpProxy::close_connections);
+        fleet.proxies.values().for_each(TcpProxy::close_connections);
         std::thread::sleep(Duration::from_millis(300));
     }
-    fleet.goes_on("links that trickle and break");
-    fleet.heal();
-    fleet.goes_on("their healing");
-    no_stale_act(&fleet.tokens());
-    explained(&fleet);
+    fleet.wait_for_actions("slow links with resets");
+    fleet.clear_link_faults();
+    fleet.wait_for_actions("the end of the faults");
+    assert_no_stale_action(&fleet.tokens());
+    assert_linearizable(&fleet);
 }
 
 #[test]
-fn holding_tells_by_its_exit_code_what_became_of_it() {
+fn lease_hold_exit_code_shows_result() {
     let fleet = Fleet::new(3);
     fleet.leader(3);
     let file = fleet.settings(None);
-    // Long enough to be renewed on a machine that has much else to do.
+    // The time to live leaves time for renewals on a busy machine.
     let hold = |name: &str, more: &[&str], command: &[&str]| {
-        let mut c = beechloft();
-        c.args(["lease", "hold"])
+        let mut hold_command = beechloft();
+        hold_command
+            .args(["lease", "hold"])
             .arg(&file)
             .args([name, "--ttl-ms", "6000"])
             .args(more)
             .arg("--")
             .args(command);
-        c
+        hold_command
     };
-    let out =
+    let mut exits_with_7 =
         hold("a", &[], &["sh", "-c", "test $BEECHLOFT_LEASE = a && test $BEECHLOFT_FENCE -gt 0 && exit 7"]);
-    let out = { out }.output().expect("it runs");
-    assert_eq!(out.status.code(), Some(7), "{}", text_of(&out));
-    // Another holds it: not obtained in time, and its name is on the list.
-    let long = Process::start(hold("b", &[], &["sleep", "60"]).stderr(Stdio::null()));
-    let listed = |name: &str| {
-        support::until(|| {
-            let out = beechloft().args(["lease", "list", "--json"]).arg(&file).output().expect("it runs");
-            let on_it = String::from_utf8_lossy(&out.stdout).contains(&format!("\"name\":\"{name}\""));
-            if on_it { Ok(()) } else { Err(format!("not on the list: {out:?}")) }
+    let out = exits_with_7.output().expect("run beechloft");
+    assert_eq!(out.status.code(), Some(7), "{}", error_text(&out));
+    // Another process holds the lease, so it isn't obtained in time. The lease is listed.
+    let other_holder = Process::start(hold("b", &[], &["sleep", "60"]).stderr(Stdio::null()));
+    let wait_until_listed = |name: &str| {
+        support::wait_until(|| {
+            let out =
+                beechloft().args(["lease", "list", "--json"]).arg(&file).output().expect("run beechloft");
+            let is_listed = String::from_utf8_lossy(&out.stdout).contains(&format!("\"name\":\"{name}\""));
+            if is_listed { Ok(()) } else { Err(format!("not listed: {out:?}")) }
         })
     };
-    listed("b");
-    let out = hold("b", &["--wait-ms", "700"], &["true"]).output().expect("it runs");
-    assert_eq!(out.status.code(), Some(75), "{}", text_of(&out));
-    // Two places: a second holder gets in, under terms that agree.
-    let out = hold("b", &["--holders", "2"], &["true"]).output().expect("it runs");
-    assert_eq!(out.status.code(), Some(2), "{}", text_of(&out));
-    // Its command goes on past SIGTERM; with no keeper left it is ended before the lease can run out.
-    let place = tempfile::tempdir().expect("a folder");
-    let runs = place.path().join("runs").display().to_string();
+    wait_until_listed("b");
+    let out = hold("b", &["--wait-ms", "700"], &["true"]).output().expect("run beechloft");
+    assert_eq!(out.status.code(), Some(75), "{}", error_text(&out));
+    // A second holder is rejected if its number of slots differs from the first one's.
+    let out = hold("b", &["--holders", "2"], &["true"]).output().expect("run beechloft");
+    assert_eq!(out.status.code(), Some(2), "{}", error_text(&out));
+    // The command ignores SIGTERM. When all replicas are gone, it is killed before the lease can expire.
+    let directory = tempfile::tempdir().expect("create a temporary directory");
+    let runs = directory.path().join("runs").display().to_string();
     let mut lost =
         hold("c", &[], &["sh", "-c", "trap '' TERM; touch $0; while :; do sleep 0.05; done", &runs]);
     let mut lost = Process::start(lost.stderr(Stdio::null()));
-    // On the list it is before its holder has heard so.
-    support::until(|| if Path::new(&runs).exists() { Ok(()) } else { Err("it does not run".into()) });
+    // The lease may be listed before its holder receives the response, so the test waits for the command.
+    support::wait_until(|| {
+        if Path::new(&runs).exists() { Ok(()) } else { Err("the command did not start".into()) }
+    });
     drop(fleet);
-    let began = Instant::now();
-    let status = lost.0.wait().expect("it ends");
+    let start = Instant::now();
+    let status = lost.0.wait().expect("wait for the exit");
     assert_eq!(status.code(), Some(76));
-    assert!(began.elapsed() < Duration::from_secs(20));
-    drop(long);
+    assert!(start.elapsed() < Duration::from_secs(20));
+    drop(other_holder);
 }
 
 #[test]
-fn what_is_wrong_with_settings_or_folders_is_said_and_nothing_is_touched() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn keeper_rejects_invalid_settings_and_foreign_store() {
+    let dir = tempfile::tempdir().expect("create a temporary directory");
     let path = dir.path().join("f.yaml");
     let run = |text: &str| {
-        std::fs::write(&path, text).expect("written");
-        let out = beechloft().arg("keeper").arg(&path).output().expect("it runs");
-        assert_eq!(out.status.code(), Some(2), "{}", text_of(&out));
-        text_of(&out)
+        std::fs::write(&path, text).expect("write");
+        let out = beechloft().arg("keeper").arg(&path).output().expect("run beechloft");
+        assert_eq!(out.status.code(), Some(2), "{}", error_text(&out));
+        error_text(&out)
     };
     let even = run("fleet:\n  name: a\n  keepers: ['127.0.0.1:1', '127.0.0.1:2']\n");
     assert!(even.contains("odd number"), "{even}");
     let twice = run("fleet:\n  name: a\n  keepers: ['127.0.0.1:1', '127.0.0.1:1', '127.0.0.1:2']\n");
     assert!(twice.contains("twice"), "{twice}");
-    let stranger = run("fleet:\n  name: a\n  listen: 127.0.0.1:3\n  store: x\n  keepers: ['127.0.0.1:1']\n");
-    assert!(stranger.contains("none of fleet.keepers"), "{stranger}");
-    // A folder of another fleet.
+    let not_listed =
+        run("fleet:\n  name: a\n  listen: 127.0.0.1:3\n  store: x\n  keepers: ['127.0.0.1:1']\n");
+    assert!(not_listed.contains("none of fleet.keepers"), "{not_listed}");
+    // The store of another fleet is rejected and not changed.
     let mut fleet = Fleet::new(1);
     fleet.leader(1);
     fleet.kill(0);
-    let names = |p: &Path| {
-        let mut all: Vec<_> =
-            std::fs::read_dir(p).expect("a folder").flatten().map(|e| e.file_name()).collect();
+    let names = |directory: &Path| {
+        let mut all: Vec<_> = std::fs::read_dir(directory)
+            .expect("list the store")
+            .flatten()
+            .map(|entry| entry.file_name())
+            .collect();
         all.sort();
         all
     };
-    let before = names(&fleet.folder(0));
+    let before = names(&fleet.store_directory(0));
     let file = fleet.settings(Some(0));
-    let text = std::fs::read_to_string(&file).expect("read").replace("name: test", "name: other");
-    let said = run(&text);
-    assert!(said.contains("belongs to the fleet 'test'"), "{said}");
-    assert_eq!(names(&fleet.folder(0)), before);
-    // Rubbish on the wire costs its connection and nothing else.
+    let text =
+        std::fs::read_to_string(&file).expect("read the settings").replace("name: test", "name: other");
+    let foreign = run(&text);
+    assert!(foreign.contains("belongs to the fleet 'test'"), "{foreign}");
+    assert_eq!(names(&fleet.store_directory(0)), before);
+    // Invalid data closes its connection and has no other effect.
     fleet.start(0);
     fleet.leader(1);
-    let mut rubbish = TcpStream::connect(fleet.addresses[0]).expect("a connection");
-    std::io::Write::write_all(&mut rubbish, &[0x55; 4096]).expect("written");
+    let mut invalid = TcpStream::connect(fleet.addresses[0]).expect("connect");
+    std::io::Write::write_all(&mut invalid, &[0x55; 4096]).expect("write");
     assert_eq!(fleet.leader(1), 0);
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     while fleet.status()[0]["status"]["refused_words"].as_u64() == Some(0) {
-        assert!(Instant::now() < until, "rubbish is not counted");
+        assert!(Instant::now() < deadline, "invalid data is not counted");
     }
-    let keeper = fleet.keepers[0].take().expect("it runs");
-    kill_process(Pid::from_child(&keeper.0), Signal::TERM).expect("told");
-    let mut keeper = keeper;
-    assert_eq!(keeper.0.wait().expect("it ends").code(), Some(0));
+    let mut replica = fleet.replicas[0].take().expect("running replica");
+    kill_process(Pid::from_child(&replica.0), Signal::TERM).expect("send SIGTERM");
+    assert_eq!(replica.0.wait().expect("wait for the exit").code(), Some(0));
 }
--- a/crates/cli/tests/fronts.rs
+++ b/crates/cli/tests/fronts.rs
@@ -13,7 +13,7 @@
 use beechloft_fault_proxy::udp::{self, DatagramFault};
 use rustix::process::Signal;
 use serde_json::Value;
-use support::{Process, beechloft, kept_addresses, until};
+use support::{Process, beechloft, reserve_addresses, wait_until};
 
 struct Fleet {
     dir: tempfile::TempDir,
@@ -30,7 +30,7 @@
 
 impl Fleet {
     fn new(keepers: usize, fronts: usize, more: &str) -> Fleet {
-        let mut all = kept_addresses(keepers + 2 * fronts);
+        let mut all = reserve_addresses(keepers + 2 * fronts);
         let listens = all.split_off(keepers + fronts);
         let members = all.split_off(keepers);
         Fleet {
@@ -147,7 +147,7 @@
     /// Waits until each of these sees just these.
     fn see_each_other(&mut self, places: &[usize]) -> Duration {
         let wanted: BTreeSet<SocketAddr> = places.iter().map(|p| self.member(*p)).collect();
-        until(|| {
+        wait_until(|| {
             if let Some(ended) = self.ended(places) {
                 panic!("{ended}");
             }
@@ -180,7 +180,7 @@
 
     /// Waits until these fronts go by numbers of their own.
     fn all_numbered(&self, places: &[usize], of: u64) -> Duration {
-        until(|| {
+        wait_until(|| {
             let all: Vec<_> = places.iter().map(|p| self.numbered(*p)).collect();
             let distinct: BTreeSet<_> = all.iter().flatten().filter(|n| n.0 < n.1).map(|n| n.0).collect();
             let wide = all.iter().flatten().all(|n| n.1 == of);
@@ -207,9 +207,9 @@
     // One is stopped beyond its lease and goes on: it has no part, then another grant.
     let before = fleet.numbered(4).expect("it was numbered");
     fleet.processes[&4].signal(Signal::STOP);
-    until(|| if fleet.numbers().len() == 4 { Ok(()) } else { Err("its number is still held".into()) });
+    wait_until(|| if fleet.numbers().len() == 4 { Ok(()) } else { Err("its number is still held".into()) });
     fleet.processes[&4].signal(Signal::CONT);
-    until(|| match fleet.numbered(4) {
+    wait_until(|| match fleet.numbered(4) {
         Some(now) if now != before && now.1 == 0 => Ok(()),
         now => Err(format!("it goes on by {now:?}")),
     });
@@ -222,7 +222,7 @@
     // All keepers are gone for longer than the lease: nobody has a part, and all go on taking requests.
     (0..3).for_each(|place| drop(fleet.processes.remove(&place)));
     let nobody = |n: Option<(u64, u64, u64)>| n.is_some_and(|n| n.1 == 0);
-    until(|| match (3..7).all(|p| nobody(fleet.numbered(p))) {
+    wait_until(|| match (3..7).all(|p| nobody(fleet.numbered(p))) {
         true => Ok(()),
         false => Err("somebody has a part without a keeper".into()),
     });
@@ -245,7 +245,7 @@
     for place in 3..6 {
         fleet.processes[&place].signal(Signal::TERM);
         let process = fleet.processes.get_mut(&place).expect("it runs");
-        until(|| match process.0.try_wait() {
+        wait_until(|| match process.0.try_wait() {
             Ok(Some(status)) if status.success() => Ok(()),
             other => Err(format!("{other:?}")),
         });
@@ -296,14 +296,16 @@
     let turns = "  restart: {at_most: 2, wait_ms: 60000, back_ms: 1500}\n";
     let mut fleet = Fleet::new(3, 10, turns);
     fleet.start_all();
-    until(|| match (0..10).all(|n| takes_requests(fleet.fronts[n].1)) {
+    wait_until(|| match (0..10).all(|n| takes_requests(fleet.fronts[n].1)) {
         true => Ok(()),
         false => Err("a front is not up".into()),
     });
     // A leader must be there, or all wait for one.
-    until(|| match fleet.lines(&["fleet", "status"], 0).iter().any(|l| l["status"]["role"] == "leader") {
-        true => Ok(()),
-        false => Err("nobody leads".into()),
+    wait_until(|| {
+        match fleet.lines(&["fleet", "status"], 0).iter().any(|l| l["status"]["role"] == "leader") {
+            true => Ok(()),
+            false => Err("nobody leads".into()),
+        }
     });
     let most = restart_all(&mut fleet, Duration::from_secs(50));
     assert!((1..=2).contains(&most), "{most} were out at once");
@@ -315,25 +317,25 @@
         std::thread::sleep(Duration::from_millis(100));
     }
     let five = fleet.processes.get_mut(&5).expect("it runs");
-    until(|| match five.0.try_wait() {
+    wait_until(|| match five.0.try_wait() {
         Ok(Some(status)) if status.success() => Ok(()),
         other => Err(format!("{other:?}")),
     });
     assert!(began.elapsed() < Duration::from_secs(10));
     fleet.processes.remove(&5);
     fleet.start(5);
-    until(|| if takes_requests(fleet.fronts[2].1) { Ok(()) } else { Err("it is not up again".into()) });
+    wait_until(|| if takes_requests(fleet.fronts[2].1) { Ok(()) } else { Err("it is not up again".into()) });
 
     // Without a keeper a front waits for as long as it is to, and goes then.
     let short = "  restart: {at_most: 2, wait_ms: 1500, back_ms: 1500}\n";
     (fleet.more, _) = (short.to_owned(), (0..3).for_each(|k| drop(fleet.processes.remove(&k))));
     fleet.processes.remove(&4);
     fleet.start(4);
-    until(|| if takes_requests(fleet.fronts[1].1) { Ok(()) } else { Err("it is not up".into()) });
+    wait_until(|| if takes_requests(fleet.fronts[1].1) { Ok(()) } else { Err("it is not up".into()) });
     let began = Instant::now();
     fleet.processes[&4].signal(Signal::TERM);
     let four = fleet.processes.get_mut(&4).expect("it runs");
-    until(|| match four.0.try_wait() {
+    wait_until(|| match four.0.try_wait() {
         Ok(Some(_)) => Ok(()),
         other => Err(format!("{other:?}")),
     });
@@ -370,7 +372,7 @@
     let mute = |from: usize, _: usize| if from == 6 { DatagramFault::drop_all() } else { poor };
     set(&fleet, &mute);
     let six = fleet.member(6);
-    until(|| match [0, 3, 5].iter().any(|p| fleet.seen(*p).contains(&six)) {
+    wait_until(|| match [0, 3, 5].iter().any(|p| fleet.seen(*p).contains(&six)) {
         true => Err("whoever is heard by nobody is believed to be there".into()),
         false => Ok(()),
     });
@@ -407,7 +409,7 @@
     fleet.processes.remove(&first);
     let others: Vec<usize> = (0..3).filter(|n| *n != first).collect();
     // Its place is free after the time of its lease, under another leader; the others go on by theirs.
-    until(|| match fleet.numbers().len() {
+    wait_until(|| match fleet.numbers().len() {
         2 => Ok(()),
         held => Err(format!("{held} numbers are held")),
     });
@@ -418,14 +420,14 @@
     fleet.start(first);
     fleet.all_numbered(&[0, 1, 2], 4);
     let voters = |l: &Value| l["status"]["members"].as_array().map_or(0, Vec::len);
-    until(|| {
+    wait_until(|| {
         let all = fleet.lines(&["fleet", "status"], 0);
         if all.len() == 3 && all.iter().all(|l| voters(l) == 3) { Ok(()) } else { Err(format!("{all:?}")) }
     });
     // Told to end it ends well, its keeper with it.
     fleet.processes[&first].signal(Signal::TERM);
     let process = fleet.processes.get_mut(&first).expect("it runs");
-    until(|| match process.0.try_wait() {
+    wait_until(|| match process.0.try_wait() {
         Ok(Some(status)) if status.success() => Ok(()),
         other => Err(format!("{other:?}")),
     });
--- a/crates/cli/tests/limits.rs
+++ b/crates/cli/tests/limits.rs
@@ -19,7 +19,7 @@
 use beechloft_fakes::player::{self, Playing, Wish};
 use rustix::process::Signal;
 use support::keepers::Fleet;
-use support::{Process, beechloft, kept_addresses, until};
+use support::{Process, beechloft, reserve_addresses, wait_until};
 
 const LIMIT: usize = 40;
 const FRONTS: usize = 3;
@@ -91,7 +91,7 @@
         let mut rig = Rig {
             keepers: Fleet::new(3),
             fronts: Vec::new(),
-            listens: kept_addresses(FRONTS),
+            listens: reserve_addresses(FRONTS),
             shared,
             threads: Vec::new(),
         };
@@ -146,7 +146,9 @@
     /// Waits until nearly all of the limit is in use.
     fn full(&self, what: &str) -> Duration {
         let near = LIMIT - LIMIT / 10;
-        until(|| if self.plays() >= near { Ok(()) } else { Err(format!("{what}: {} play", self.plays())) })
+        wait_until(
+            || if self.plays() >= near { Ok(()) } else { Err(format!("{what}: {} play", self.plays())) },
+        )
     }
 
     /// Players of a front's sessions leave.
@@ -247,7 +249,7 @@
     // Its players leave; nobody tells any front. Boxes are asked, and the others have the room.
     rig.leave(0);
     let of_others = || rig.shared.kept.lock().expect("kept").iter().filter(|k| k.front != 0).count();
-    let took = until(|| {
+    let took = wait_until(|| {
         let n = of_others();
         if n >= LIMIT - LIMIT / 10 { Ok(()) } else { Err(format!("{n} of the others play")) }
     });
--- a/crates/cli/tests/many_processes/clients.rs
+++ b/crates/cli/tests/many_processes/clients.rs
@@ -1,4 +1,4 @@
-//! Fake clients: connections to front nodes with set-ups on them, and what becomes of each.
+//! Fake clients: connections to front nodes that send set-ups and record their results.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -17,18 +17,18 @@
 use crate::recorder::{CloseKind, EventKind, Recorder, lock};
 
 static SERIAL: AtomicU64 = AtomicU64::new(1);
-/// How long clients wait for their answers.
+/// Time that clients wait for an answer.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 pub const CLASS: &str = "stall-video";
 
 /// How a client departs.
 #[derive(Debug, Clone, Copy)]
 pub enum Departure {
-    /// By an orderly close.
+    /// Closes the connection.
     Fin,
-    /// By a reset.
+    /// Resets the connection.
     Rst,
-    /// By a cancel message for each pending set-up.
+    /// Sends a cancel message for each pending set-up.
     Cancel,
 }
 
@@ -55,27 +55,28 @@
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// A set-up without an answer.
+/// Set-up without an answer.
 struct PendingSetUp {
     sent_at: u64,
     is_retry: bool,
 }
 
-/// A client's connection; one thread reads from it.
+/// Connection of a client. A thread of its own reads from it.
 pub struct ClientConnection {
     number: u64,
     node: usize,
     addr: SocketAddr,
-    /// Only the thread that reads holds it for long, so that a reset goes out as soon as that lets go.
+    /// Stream to write to. Only the reading thread holds another reference for long, so that a reset is sent as soon as that thread
+    /// drops it.
     stream: Mutex<Option<Arc<TcpStream>>>,
     recorder: Recorder,
-    /// Set-ups without an answer, by id.
+    /// Set-ups without an answer by id.
     pending: Mutex<BTreeMap<u64, PendingSetUp>>,
-    /// The client itself has closed it.
+    /// Whether the client has closed the connection.
     departed: AtomicBool,
-    /// Set-ups left by a reset. They are recorded as departed once the reset has been sent.
+    /// Set-ups that were pending at a reset. They are recorded as departed once the reset has been sent.
     reset_set_ups: Mutex<Vec<u64>>,
-    /// It has been closed by either end.
+    /// Whether either end has closed the connection.
     pub closed: AtomicBool,
     /// One of the `TEST_` constants.
     test_result: AtomicU8,
@@ -93,7 +94,7 @@
 }
 
 impl ClientConnection {
-    /// None: refused.
+    /// Opens a connection. Returns `None` if it was refused.
     pub fn open(node: usize, addr: SocketAddr, recorder: &Recorder) -> Option<Arc<ClientConnection>> {
         let Ok(stream) = TcpStream::connect(addr) else {
             recorder.record(EventKind::ConnectionRefused { node });
@@ -121,18 +122,18 @@
         Some(connection)
     }
 
-    /// Sends a set-up; none: the connection had ended before all of it was written.
+    /// Sends a set-up and returns its id. Returns `None` if the connection ended before all of it was written.
     pub fn send_set_up(&self, behavior: Behavior) -> Option<u64> {
         let id = set_up_id(behavior, self.node, SERIAL.fetch_add(1, Ordering::SeqCst));
         self.write_set_up(id, None).then_some(id)
     }
 
     fn write(&self, bytes: &[u8]) -> bool {
-        lock(&self.stream).as_ref().is_some_and(|s| (&**s).write_all(bytes).is_ok())
+        lock(&self.stream).as_ref().is_some_and(|stream| (&**stream).write_all(bytes).is_ok())
     }
 
     fn write_set_up(&self, id: u64, retry_of: Option<u64>) -> bool {
-        let bytes = set_up(id).encode().expect("short");
+        let bytes = set_up(id).encode().expect("frame within the size limit");
         let mut pending = lock(&self.pending);
         if self.closed.load(Ordering::SeqCst) || !self.write(&bytes) {
             return false;
@@ -142,11 +143,11 @@
         true
     }
 
-    /// Sends a test, and waits a while for its answer: whether it passed.
+    /// Sends a test and waits up to 2 s for its answer. Returns whether the test passed.
     pub fn passes_test(&self) -> bool {
         let test =
             Frame::new(KIND_TEST, CallId(SERIAL.fetch_add(1, Ordering::SeqCst))).with(PARAM_CAUSE, [0]);
-        if !self.write(&test.encode().expect("short")) {
+        if !self.write(&test.encode().expect("frame within the size limit")) {
             return false;
         }
         for _ in 0..TEST_POLLS {
@@ -164,7 +165,7 @@
         !lock(&self.pending).is_empty()
     }
 
-    /// Its client departs, with all that is pending.
+    /// Lets the client depart while its set-ups are pending.
     pub fn depart(&self, how: Departure) {
         let pending = lock(&self.pending);
         match how {
@@ -173,7 +174,7 @@
                     let cancel = Frame::new(KIND_RELEASE, CallId(*id))
                         .with(PARAM_CAUSE, [CAUSE_NORMAL])
                         .encode()
-                        .expect("short");
+                        .expect("frame within the size limit");
                     self.write(&cancel);
                 }
             }
@@ -203,21 +204,21 @@
         let cause = frame
             .parameters
             .iter()
-            .find(|p| p.code == PARAM_CAUSE)
-            .and_then(|p| p.value.first())
+            .find(|parameter| parameter.code == PARAM_CAUSE)
+            .and_then(|parameter| parameter.value.first())
             .copied()
             .unwrap_or(0);
         let served = frame.kind == KIND_ANSWER;
         match frame.kind {
             KIND_ANSWER | KIND_RELEASE => {
                 let was_pending = lock(&self.pending).remove(&id).is_some();
-                // A release of an established session is no answer; a second answer is one.
+                // The release of an established session doesn't count as an answer, but a second answer does.
                 if was_pending || served {
                     let text = frame
                         .parameters
                         .iter()
-                        .find(|p| p.code == PARAM_DESCRIPTION)
-                        .map(|p| p.value.as_slice());
+                        .find(|parameter| parameter.code == PARAM_DESCRIPTION)
+                        .map(|parameter| parameter.value.as_slice());
                     let correct = !served || text == Some(description(id).as_bytes());
                     self.recorder.record(EventKind::AnswerReceived { id, served, correct });
                 }
@@ -256,7 +257,7 @@
             return;
         }
         let closed_at = self.recorder.record(EventKind::ConnectionClosed { connection: self.number, kind });
-        // What crossed the close is sent once more, on a new connection.
+        // Set-ups that were in flight when the front node closed the connection are sent once more on a new connection.
         for (id, set_up) in pending {
             if set_up.is_retry || closed_at > set_up.sent_at + CROSSING_WINDOW_US {
                 continue;
--- a/crates/cli/tests/many_processes/event_bus.rs
+++ b/crates/cli/tests/many_processes/event_bus.rs
@@ -1,4 +1,4 @@
-//! A fake event bus: it serves the list of media servers as server-sent events.
+//! Fake event bus that serves the endpoint list as server-sent events.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -15,7 +15,7 @@
 const RESPONSE_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n";
 
-/// An event as it is sent.
+/// Event in its encoded form.
 struct EncodedEvent {
     offset: u64,
     text: String,
@@ -28,7 +28,7 @@
     requests: usize,
 }
 
-/// A fake event bus.
+/// Fake event bus.
 #[derive(Clone)]
 pub struct EventBus {
     pub addr: SocketAddr,
@@ -37,8 +37,8 @@
 
 impl EventBus {
     pub fn start() -> EventBus {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let addr = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
+        let addr = listener.local_addr().expect("socket address");
         let state = Arc::new(Mutex::new(BusState::default()));
         let served = Arc::clone(&state);
         thread::spawn(move || {
@@ -58,12 +58,12 @@
         EventBus { addr, state }
     }
 
-    /// How many requests for events it has got.
+    /// Number of requests for events that the bus has received.
     pub fn request_count(&self) -> usize {
         lock(&self.state).requests
     }
 
-    /// Sends an event to all watchers, and to all that come later.
+    /// Sends an event to all current and future watchers.
     pub fn publish(&self, offset: u64, snapshot: bool, endpoints: &[Value]) {
         let text = format!("id: {offset}\ndata: {}\n\n", topology_event(offset, snapshot, endpoints));
         let mut state = lock(&self.state);
@@ -79,18 +79,18 @@
     }
 }
 
-/// An event with a list of media servers: a complete one, or a change.
+/// Returns an event with an endpoint list, which is complete if `snapshot` is set and a change otherwise.
 pub fn topology_event(offset: u64, snapshot: bool, endpoints: &[Value]) -> Value {
     json!({"offset": offset, "topology": {"index": offset, "snapshot": snapshot, "endpoints": endpoints}})
 }
 
-/// Answers one request: the events after the last that it names, and from then on each that is published.
+/// Answers a request with the events after its `Last-Event-ID`, and adds the connection to the watchers.
 fn serve_watcher(mut stream: TcpStream, state: &Mutex<BusState>) -> io::Result<()> {
     stream.set_read_timeout(Some(REQUEST_TIMEOUT))?;
     let mut lines = BufReader::new(&stream);
     let mut line = String::new();
     let mut last_event_id = 0;
-    // An empty line, of CR and LF alone, ends the request.
+    // The request ends with an empty line, which has CR and LF only.
     while lines.read_line(&mut line)? > 2 {
         if let Some((_, value)) = line.to_ascii_lowercase().split_once("last-event-id:") {
             last_event_id = value.trim().parse().unwrap_or(0);
--- a/crates/cli/tests/many_processes/histories.rs
+++ b/crates/cli/tests/many_processes/histories.rs
@@ -1,4 +1,4 @@
-//! What the events tell of each set-up and of each termination of a front node.
+//! Histories of set-ups and of terminations of front nodes, derived from the recorded events.
 
 use std::collections::BTreeMap;
 
@@ -6,16 +6,16 @@
 use crate::invariants::{CROSSING_WINDOW_US, NEW_CONNECTIONS_FOR_US, SET_UPS_FOR_US};
 use crate::recorder::{Event, EventKind, RestartStyle};
 
-/// A front node was sent SIGTERM.
+/// SIGTERM to a front node.
 #[derive(Debug, Clone, Copy)]
 pub struct Termination {
     pub at: u64,
-    /// The largest number while it has not exited.
+    /// Time of the exit, `u64::MAX` while the process runs.
     pub exited_at: u64,
     pub style: RestartStyle,
 }
 
-/// The terminations of each front node, in order.
+/// Terminations of each front node in order of time.
 pub struct Terminations(BTreeMap<usize, Vec<Termination>>);
 
 impl Terminations {
@@ -38,30 +38,30 @@
         Terminations(by_node)
     }
 
-    /// The termination that this moment falls into, or that comes next.
+    /// Returns the termination that is in progress at this time, or else the next one.
     pub fn at(&self, node: usize, at: u64) -> Option<Termination> {
         let all = self.0.get(&node)?;
-        all.iter().copied().find(|t| at <= t.exited_at.saturating_add(CROSSING_WINDOW_US))
+        all.iter().copied().find(|termination| at <= termination.exited_at.saturating_add(CROSSING_WINDOW_US))
     }
 
-    /// The last termination before this moment.
+    /// Returns the last termination before this time.
     pub fn last_before(&self, node: usize, at: u64) -> Option<Termination> {
-        self.0.get(&node)?.iter().rev().copied().find(|t| t.at <= at)
+        self.0.get(&node)?.iter().rev().copied().find(|termination| termination.at <= at)
     }
 }
 
-/// An answer that a client received.
+/// Answer that a client received.
 #[derive(Debug, Clone, Copy)]
 pub struct Answer {
     pub served: bool,
     pub correct: bool,
 }
 
-/// What became of a set-up.
+/// History of a set-up.
 #[derive(Debug, Default)]
 pub struct SetUpHistory {
     pub connection: u64,
-    /// 0: no client sent it.
+    /// Time at which a client sent the set-up, 0 if no client did.
     pub sent_at: u64,
     pub retry_of: Option<u64>,
     pub answers: Vec<Answer>,
@@ -70,14 +70,14 @@
 }
 
 impl SetUpHistory {
-    /// Whether it was sent later than clients send at a planned restart, and so is owed nothing.
+    /// Whether the set-up was sent later than clients may send at a planned restart, so that no answer is required.
     pub fn is_late_for(&self, termination: Termination, opened_at: Option<u64>) -> bool {
         let on_late_connection = opened_at.is_some_and(|at| at > termination.at + NEW_CONNECTIONS_FOR_US);
         self.sent_at > termination.at + SET_UPS_FOR_US || on_late_connection
     }
 }
 
-/// The histories of all set-ups by id.
+/// Returns the histories of all set-ups by id.
 pub fn histories(events: &[Event]) -> BTreeMap<u64, SetUpHistory> {
     let mut by_id: BTreeMap<u64, SetUpHistory> = BTreeMap::new();
     for event in events {
@@ -99,30 +99,34 @@
     by_id
 }
 
-/// How many set-ups met the termination of a process that was restarted so: sent after SIGTERM or up to half a second
-/// before it, and not later than clients send.
+/// Returns the number of set-ups that coincided with a termination of this style: they were sent at most half a second before
+/// SIGTERM, and not later than clients may send after it.
 pub fn count_at_terminations(events: &[Event], style: RestartStyle) -> usize {
     const BEFORE_US: u64 = 500_000;
     let terminations = Terminations::of(events);
-    let met = |(id, history): &(&u64, &SetUpHistory)| {
-        let termination = terminations.at(node_of(**id), history.sent_at).filter(|t| t.style == style);
-        termination
-            .is_some_and(|t| history.sent_at + BEFORE_US >= t.at && history.sent_at <= t.at + SET_UPS_FOR_US)
+    let coincides = |(id, history): &(&u64, &SetUpHistory)| {
+        let termination =
+            terminations.at(node_of(**id), history.sent_at).filter(|termination| termination.style == style);
+        termination.is_some_and(|termination| {
+            let (earliest, latest) = (termination.at, termination.at + SET_UPS_FOR_US);
+            history.sent_at + BEFORE_US >= earliest && history.sent_at <= latest
+        })
     };
-    histories(events).iter().filter(met).count()
+    histories(events).iter().filter(coincides).count()
 }
 
-/// How many set-ups of clients that stayed were served.
+/// Number of served set-ups among those whose clients did not depart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServedCount {
     pub served: usize,
     pub total: usize,
 }
 
-/// Counts the set-ups that were sent from a moment on.
+/// Counts the set-ups that were sent at or after this time.
 pub fn count_served(events: &[Event], from: u64) -> ServedCount {
     let histories = histories(events);
     let stayed = histories.values().filter(|history| history.sent_at >= from.max(1) && !history.departed);
-    let is_served = |history: &&SetUpHistory| history.answers.iter().any(|a| a.served && a.correct);
+    let is_served =
+        |history: &&SetUpHistory| history.answers.iter().any(|answer| answer.served && answer.correct);
     ServedCount { served: stayed.clone().filter(is_served).count(), total: stayed.count() }
 }
--- a/crates/cli/tests/many_processes/invariant_tests.rs
+++ b/crates/cli/tests/many_processes/invariant_tests.rs
@@ -1,4 +1,4 @@
-//! The invariants on made-up events, without processes: correct ones pass, and each injected fault is found.
+//! Tests of the invariants on synthetic events, without processes: correct events pass, and each injected fault is found.
 
 use crate::behavior::{Behavior, set_up_id};
 use crate::invariants;
@@ -11,8 +11,8 @@
     set_up_id(Behavior::Accept, 3, serial)
 }
 
-fn events(of: &[(u64, EventKind)]) -> Vec<Event> {
-    of.iter().map(|(at, kind)| Event { at: *at, kind: kind.clone() }).collect()
+fn events(timed: &[(u64, EventKind)]) -> Vec<Event> {
+    timed.iter().map(|(at, kind)| Event { at: *at, kind: kind.clone() }).collect()
 }
 
 fn sent(connection: u64, serial: u64) -> EventKind {
@@ -55,16 +55,16 @@
     assert_eq!(invariants::outage(&all, 0), [""; 0]);
 }
 
-/// An end before the backlog is empty.
+/// The process exits before the backlog is empty.
 #[test]
-fn a_set_up_lost_in_the_backlog_is_found() {
-    let mut of = vec![(S, OPEN), (S + 1, sent(1, 1)), (S + 300 * MS, TERM), (S + 310 * MS, EXIT)];
-    of.push((S + 311 * MS, EventKind::ConnectionClosed { connection: 1, kind: CloseKind::Rst }));
-    assert_eq!(invariants::unanswered(&events(&of), Some(RestartStyle::Plain)).len(), 1);
-    // Nor is it correct without any close.
-    of.pop();
-    assert_eq!(invariants::unanswered(&events(&of), Some(RestartStyle::Plain)).len(), 1);
-    // A refusal soon after SIGTERM is one too.
+fn finds_set_up_lost_in_backlog() {
+    let mut timed = vec![(S, OPEN), (S + 1, sent(1, 1)), (S + 300 * MS, TERM), (S + 310 * MS, EXIT)];
+    timed.push((S + 311 * MS, EventKind::ConnectionClosed { connection: 1, kind: CloseKind::Rst }));
+    assert_eq!(invariants::unanswered(&events(&timed), Some(RestartStyle::Plain)).len(), 1);
+    // The set-up is also lost if the connection isn't closed.
+    timed.pop();
+    assert_eq!(invariants::unanswered(&events(&timed), Some(RestartStyle::Plain)).len(), 1);
+    // A connection that is refused soon after SIGTERM is a violation too.
     let refused_after = |after: u64| {
         let refused = EventKind::ConnectionRefused { node: 3 };
         events(&[(S, TERM), (S + 10 * MS, EXIT), (S + after, refused)])
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_crosses_a_close_is_retried_once_and_only_where_nothing_was_sent_on() {
+fn set_up_crossing_a_close_is_retried_once_unless_forwarded() {
     let retry = |old| EventKind::SetUpSent { connection: 2, id: id(2), retry_of: Some(id(old)) };
     let closed = |connection, kind| EventKind::ConnectionClosed { connection, kind };
     let crossing = |at: u64| {
@@ -88,37 +88,44 @@
     };
     assert_eq!(invariants::unanswered(&events(&crossing(20 * MS)), None), [""; 0]);
     assert_eq!(invariants::unanswered(&events(&crossing(400 * MS)), None).len(), 1, "too late to cross");
-    let mut sent_on = crossing(20 * MS);
-    sent_on.push((S + 2, EventKind::AttemptReceived { server: 0, id: id(1) }));
-    assert_eq!(invariants::unanswered(&events(&sent_on), None).len(), 1, "it was sent on");
-    let mut never = crossing(20 * MS);
-    never.truncate(3);
-    assert_eq!(invariants::unanswered(&events(&never), None).len(), 1, "it did not go again");
-    let mut twice = crossing(20 * MS);
-    twice[4] = (S + 40 * MS, closed(2, CloseKind::Fin));
-    assert_eq!(invariants::unanswered(&events(&twice), None).len(), 1, "it was lost again");
+    let mut forwarded = crossing(20 * MS);
+    forwarded.push((S + 2, EventKind::AttemptReceived { server: 0, id: id(1) }));
+    assert_eq!(invariants::unanswered(&events(&forwarded), None).len(), 1, "it was forwarded");
+    let mut not_retried = crossing(20 * MS);
+    not_retried.truncate(3);
+    assert_eq!(invariants::unanswered(&events(&not_retried), None).len(), 1, "it was not retried");
+    let mut lost_twice = crossing(20 * MS);
+    lost_twice[4] = (S + 40 * MS, closed(2, CloseKind::Fin));
+    assert_eq!(invariants::unanswered(&events(&lost_twice), None).len(), 1, "the retry was lost");
 }
 
-/// A reset as the process ends.
+/// The process resets a connection when it exits.
 #[test]
-fn a_reset_is_found_and_none_is_seen_in_a_crossing() {
+fn finds_reset_unless_a_set_up_crossed_it() {
     let reset = EventKind::ConnectionClosed { connection: 1, kind: CloseKind::Rst };
-    let of = |sent_at: u64, at: u64| {
+    let reset_events = |sent_at: u64, at: u64| {
         let all = [(S, OPEN), (S + sent_at, sent(1, 1)), (S + sent_at + 1, answer(1)), (2 * S, TERM)];
         events(&[&all[..], &[(S + at, reset.clone()), (3 * S, EXIT)]].concat())
     };
-    assert_eq!(invariants::connection_resets(&of(5, 1_500 * MS), Some(RestartStyle::Plain)).len(), 1);
     assert_eq!(
-        invariants::connection_resets(&of(1_400 * MS, 1_450 * MS), Some(RestartStyle::Plain)),
+        invariants::connection_resets(&reset_events(5, 1_500 * MS), Some(RestartStyle::Plain)).len(),
+        1
+    );
+    assert_eq!(
+        invariants::connection_resets(&reset_events(1_400 * MS, 1_450 * MS), Some(RestartStyle::Plain)),
         [""; 0]
     );
-    assert_eq!(invariants::connection_resets(&of(5, 1_500 * MS), None), [""; 0], "it belongs to an end");
+    assert_eq!(
+        invariants::connection_resets(&reset_events(5, 1_500 * MS), None),
+        [""; 0],
+        "the reset belongs to a restart"
+    );
 }
 
-/// An attempt after its client went.
+/// An attempt begins after its client departed.
 #[test]
-fn an_attempt_after_its_client_departed_is_found() {
-    let of = |after: u64| {
+fn finds_attempt_after_departure() {
+    let departure_events = |after: u64| {
         let attempt = |server| EventKind::AttemptReceived { server, id: id(1) };
         events(&[
             (S, sent(1, 1)),
@@ -127,18 +134,18 @@
             (S + 2 + after, attempt(1)),
         ])
     };
-    assert_eq!(invariants::attempts_after_departure(&of(300 * MS), 0).len(), 1);
-    assert_eq!(invariants::attempts_after_departure(&of(90 * MS), 0), [""; 0]);
-    // And no answer is owed to it.
-    assert_eq!(invariants::unanswered(&of(90 * MS), None), [""; 0]);
+    assert_eq!(invariants::attempts_after_departure(&departure_events(300 * MS), 0).len(), 1);
+    assert_eq!(invariants::attempts_after_departure(&departure_events(90 * MS), 0), [""; 0]);
+    // A client that departed needs no answer.
+    assert_eq!(invariants::unanswered(&departure_events(90 * MS), None), [""; 0]);
 }
 
-/// A cold media server that gets all that is asked for.
+/// A media server that warms up gets all set-ups.
 #[test]
-fn a_slow_start_sum_above_the_bound_is_found() {
-    let attempts_at = |count: u64, apart: u64| {
+fn finds_slow_start_bound_exceeded() {
+    let attempts_at = |count: u64, interval: u64| {
         let attempts =
-            (0..count).map(|n| (S + n * apart, EventKind::AttemptReceived { server: 7, id: id(n) }));
+            (0..count).map(|n| (S + n * interval, EventKind::AttemptReceived { server: 7, id: id(n) }));
         events(&attempts.collect::<Vec<_>>())
     };
     assert_eq!(invariants::slow_start_bound(80.0), 99);
@@ -147,37 +154,37 @@
     assert_eq!(
         invariants::slow_start_exceeded(&attempts_at(300, 6 * MS), 7, S, 500 * MS, 80.0),
         [""; 0],
-        "spread over several spans"
+        "spread over several windows"
     );
     assert_eq!(
         invariants::slow_start_exceeded(&attempts_at(100, MS), 6, S, 500 * MS, 80.0),
         [""; 0],
-        "another one"
+        "another media server"
     );
     assert_eq!(
         invariants::slow_start_exceeded(&attempts_at(100, MS), 7, 2 * S, 500 * MS, 80.0),
         [""; 0],
-        "before it was attempts_at"
+        "before the start was published"
     );
 }
 
-/// An empty list that is believed.
+/// Front nodes adopt an empty endpoint list.
 #[test]
-fn an_outage_is_found() {
+fn finds_outage() {
     let refused = |n| EventKind::AnswerReceived { id: id(n), served: false, correct: true };
-    let of = |served: u64| {
+    let served_events = |served: u64| {
         let each = (0..10).flat_map(|n| {
             [(S + n, sent(1, n)), (S + 20 + n, if n < served { answer(n) } else { refused(n) })]
         });
         events(&each.collect::<Vec<_>>())
     };
-    assert_eq!(invariants::outage(&of(9), S), [""; 0]);
-    assert_eq!(invariants::outage(&of(8), S).len(), 1);
-    assert_eq!(invariants::outage(&[], S).len(), 1, "nobody asked");
+    assert_eq!(invariants::outage(&served_events(9), S), [""; 0]);
+    assert_eq!(invariants::outage(&served_events(8), S).len(), 1);
+    assert_eq!(invariants::outage(&[], S).len(), 1, "no set-ups");
 }
 
 #[test]
-fn two_answers_are_found() {
+fn finds_repeated_wrong_and_unsolicited_results() {
     let attempt = |server| EventKind::AttemptReceived { server, id: id(1) };
     let twice = events(&[(S, sent(1, 1)), (S + 1, answer(1)), (S + 2, answer(1))]);
     assert_eq!(invariants::unanswered(&twice, None).len(), 1);
@@ -188,19 +195,23 @@
 }
 
 #[test]
-fn failed_exits_and_late_starts_are_found() {
+fn finds_failed_exits_and_late_starts() {
     let term = (S, TERM);
-    let end =
+    let exit =
         |after: u64, code| events(&[term.clone(), (S + after, EventKind::ProcessExited { node: 3, code })]);
-    assert_eq!(invariants::failed_exits(&end(3_600 * MS, Some(0)), 2 * S, 0), [""; 0]);
-    assert_eq!(invariants::failed_exits(&end(3_700 * MS, Some(0)), 2 * S, 0).len(), 1, "it would be killed");
+    assert_eq!(invariants::failed_exits(&exit(3_600 * MS, Some(0)), 2 * S, 0), [""; 0]);
+    assert_eq!(
+        invariants::failed_exits(&exit(3_700 * MS, Some(0)), 2 * S, 0).len(),
+        1,
+        "the process would be killed"
+    );
     assert_eq!(
-        invariants::failed_exits(&end(4_600 * MS, Some(0)), 4 * S, 0),
+        invariants::failed_exits(&exit(4_600 * MS, Some(0)), 4 * S, 0),
         [""; 0],
-        "a longer deadline counts"
+        "a longer deadline extends the time"
     );
-    assert_eq!(invariants::failed_exits(&end(S, Some(101)), 2 * S, 0).len(), 1);
-    assert_eq!(invariants::failed_exits(&end(S, None), 2 * S, 0).len(), 1);
+    assert_eq!(invariants::failed_exits(&exit(S, Some(101)), 2 * S, 0).len(), 1);
+    assert_eq!(invariants::failed_exits(&exit(S, None), 2 * S, 0).len(), 1);
     assert_eq!(invariants::failed_exits(&events(std::slice::from_ref(&term)), 2 * S, 0).len(), 1);
     let starts = |slow: usize| {
         let each = (0..20).flat_map(|node| {
@@ -208,7 +219,7 @@
             [(0, EventKind::ProcessStarted { node }), (passed, EventKind::TestPassed { node })]
         });
         let mut all: Vec<_> = each.collect();
-        all.sort_by_key(|f| f.0);
+        all.sort_by_key(|(at, _)| *at);
         events(&all)
     };
     assert_eq!(invariants::late_ready(&starts(2)), [""; 0]);
--- a/crates/cli/tests/many_processes/invariants.rs
+++ b/crates/cli/tests/many_processes/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariants: each function reads the events and gives its violations, in words.
+//! Invariants: each function checks the events and returns descriptions of the violations.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,40 +7,42 @@
 use crate::histories::{SetUpHistory, Termination, Terminations, count_served, histories};
 use crate::recorder::{CloseKind, Event, EventKind, RestartStyle};
 
+/// Microseconds per millisecond.
 const MS: u64 = 1_000;
-/// A set-up that crosses a close within this is sent once more: 50 ms by the page, and what a busy machine needs to see
-/// the close.
+/// Time between a set-up and a close within which the client sends the set-up once more: 50 ms by the protocol's rules, and the
+/// time that a busy machine needs to notice the close.
 pub const CROSSING_WINDOW_US: u64 = (50 + 150) * MS;
-/// An attempt may begin this long after its client departed: 0.1 s, 50 ms for sockets, 0.1 s for a busy machine. Where the
-/// order is forced, what could bring the attempt comes 0.3 s after the departure, and 0.5 s where the process is stopped.
+/// Time after a client's departure within which an attempt may begin: 0.1 s, 50 ms for sockets and 0.1 s for a busy machine. In
+/// scenarios that force the order, the cause of an attempt follows the departure by 0.3 s, or 0.5 s with a stopped process.
 pub const DEPARTURE_GRACE_US: u64 = (100 + 50 + 100) * MS;
-/// ... and so much longer at most, where the fakes' threads are seen to run late.
-const MAX_LATENESS_US: u64 = 250 * MS;
-/// For so long after SIGTERM clients open new connections.
+/// Maximum extension of `DEPARTURE_GRACE_US` by the measured scheduling delay of the fakes' threads.
+const MAX_SCHEDULING_ALLOWANCE_US: u64 = 250 * MS;
+/// Time after SIGTERM during which clients open new connections.
 pub const NEW_CONNECTIONS_FOR_US: u64 = 400 * MS;
-/// For so long after SIGTERM clients send set-ups on open connections.
+/// Time after SIGTERM during which clients send set-ups on open connections.
 pub const SET_UPS_FOR_US: u64 = 600 * MS;
-/// A restarted process is ready within this.
+/// Time within which a restarted process must be ready.
 pub const READY_WITHIN_US: u64 = 10_000 * MS;
-/// A process is killed if it has not exited this long after SIGTERM, or after the longest deadline if that is longer ...
+/// Minimum time that a process has to exit after SIGTERM. The time is the longest deadline if that is longer, plus
+/// `EXIT_MARGIN_US`.
 const MIN_EXIT_TIME_US: u64 = 3_000 * MS;
-/// ... and this margin.
+/// Time that a process has to exit in addition to `MIN_EXIT_TIME_US` or the longest deadline.
 const EXIT_MARGIN_US: u64 = 700 * MS;
-/// The program may be late at each of so many steps to its end.
+/// Number of steps of an exit, each of which may be late by the scheduling delay.
 const EXIT_STEPS: u64 = 10;
 
 fn earliest(events: &[Event], mut wanted: impl FnMut(&EventKind) -> bool) -> Option<u64> {
     events.iter().filter(|event| wanted(&event.kind)).map(|event| event.at).min()
 }
 
-/// How a client's connection was closed by the front node.
+/// Close of a client's connection by the front node.
 #[derive(Debug, Clone, Copy)]
 struct Close {
     at: u64,
     kind: CloseKind,
 }
 
-/// When clients' connections were opened and closed.
+/// Times at which clients' connections were opened and closed.
 #[derive(Default)]
 struct ClientConnections {
     opened_at: BTreeMap<u64, u64>,
@@ -65,8 +67,8 @@
     }
 }
 
-/// Every set-up sent, whose client stays, has one answer, or crossed a close and was sent once more. `style`: those alone
-/// whose front node was next restarted so; none: those of processes that ran on.
+/// Checks that every set-up whose client stayed has one answer, or crossed a close and was sent once more. Considers set-ups whose
+/// front node was next restarted in this style, or those whose front node kept running if `style` is `None`.
 pub fn unanswered(events: &[Event], style: Option<RestartStyle>) -> Vec<String> {
     let terminations = Terminations::of(events);
     let connections = ClientConnections::of(events);
@@ -78,7 +80,7 @@
     let mut violations = Vec::new();
     for (id, history) in &histories {
         let termination = terminations.at(node_of(*id), history.sent_at);
-        if termination.map(|t| t.style) != style {
+        if termination.map(|termination| termination.style) != style {
             continue;
         }
         let retries = retries.get(id).copied().unwrap_or(0);
@@ -98,7 +100,7 @@
     let mut violations = Vec::new();
     if history.sent_at == 0 {
         if history.attempts > 0 && !history.departed {
-            violations.push("no client sent it, and a media server got it".into());
+            violations.push("received by a media server, but sent by no client".into());
         }
         return violations;
     }
@@ -106,10 +108,10 @@
         violations.push(format!("{} answers", history.answers.len()));
     }
     if history.answers.iter().any(|answer| !answer.correct) {
-        violations.push("served with what no media server made for it".into());
+        violations.push("served with an answer that no media server gave for it".into());
     }
     let opened_at = connections.opened_at.get(&history.connection).copied();
-    let is_late = termination.is_some_and(|t| history.is_late_for(t, opened_at));
+    let is_late = termination.is_some_and(|termination| history.is_late_for(termination, opened_at));
     if !history.answers.is_empty() || history.departed || is_late {
         return violations;
     }
@@ -128,7 +130,7 @@
     violations
 }
 
-/// The set-up that an event of a media server is about.
+/// Returns the set-up that an event of a media server refers to.
 fn attempted_id(kind: &EventKind) -> Option<u64> {
     match kind {
         EventKind::AttemptReceived { id, .. }
@@ -138,7 +140,7 @@
     }
 }
 
-/// Never two attempts out at once for one session.
+/// Checks that no two attempts of one session overlap.
 pub fn overlapping_attempts(attempts: &Attempts, events: &[Event]) -> Vec<String> {
     let mut violations = Vec::new();
     for (id, of_session) in attempts {
@@ -149,13 +151,13 @@
         for (one, other) in pairs.filter(|(one, other)| one.overlaps(other)) {
             let of_id: Vec<&Event> =
                 events.iter().filter(|event| attempted_id(&event.kind) == Some(*id)).collect();
-            violations.push(format!("{id:016x}: two attempts out: {one:?} and {other:?} of {of_id:?}"));
+            violations.push(format!("{id:016x}: overlapping attempts: {one:?} and {other:?} of {of_id:?}"));
         }
     }
     violations
 }
 
-/// No attempt begins after its client departed. `max_delay`: the longest that a thread of the fakes waited to be scheduled.
+/// Checks that no attempt begins after its client departed. `max_delay` is the maximum scheduling delay of the fakes' threads.
 pub fn attempts_after_departure(events: &[Event], max_delay: u64) -> Vec<String> {
     let departures: BTreeMap<u64, u64> = events
         .iter()
@@ -164,7 +166,7 @@
             _ => None,
         })
         .collect();
-    let grace = DEPARTURE_GRACE_US + max_delay.min(MAX_LATENESS_US);
+    let grace = DEPARTURE_GRACE_US + max_delay.min(MAX_SCHEDULING_ALLOWANCE_US);
     let late = events.iter().filter_map(|event| {
         let EventKind::AttemptReceived { server, id } = event.kind else { return None };
         let after = event.at.saturating_sub(*departures.get(&id)?);
@@ -174,8 +176,8 @@
     late.collect()
 }
 
-/// How many set-ups a media server may get within a window while it warms up: its allowance, and what is put down to
-/// chance.
+/// Returns the maximum number of set-ups that a media server may get within a window while it warms up: its allowance plus a
+/// margin for random variation.
 pub fn slow_start_bound(allowance: f64) -> usize {
     let bound = allowance + 2.0 * allowance.sqrt() + 2.0;
     #[expect(
@@ -187,7 +189,7 @@
     bound
 }
 
-/// The most set-ups that a media server got within any window, from the moment on at which its start was published.
+/// Returns the maximum number of set-ups that a media server got within any window after its start was published.
 pub fn max_within(events: &[Event], server: usize, published_at: u64, window: u64) -> usize {
     let at_server =
         |kind: &EventKind| matches!(kind, EventKind::AttemptReceived { server: s, .. } if *s == server);
@@ -197,11 +199,12 @@
         .map(|event| event.at)
         .collect();
     times.sort_unstable();
-    let within_from = |i: usize| times[i..].iter().take_while(|time| **time - times[i] <= window).count();
+    let within_from =
+        |first: usize| times[first..].iter().take_while(|time| **time - times[first] <= window).count();
     (0..times.len()).map(within_from).max().unwrap_or(0)
 }
 
-/// A media server that warms up gets no more than its allowance from all front nodes together.
+/// Checks that a media server that warms up gets no more than its allowance from all front nodes together.
 pub fn slow_start_exceeded(
     events: &[Event],
     server: usize,
@@ -217,8 +220,8 @@
     Vec::new()
 }
 
-/// Each process that is sent SIGTERM exits by itself, with code 0, before it would be killed. `max_delay`: the longest that
-/// a thread of the fakes waited to be scheduled.
+/// Checks that each process exits with code 0 in time after SIGTERM. `max_delay` is the maximum scheduling delay of the fakes'
+/// threads.
 pub fn failed_exits(events: &[Event], max_deadline: u64, max_delay: u64) -> Vec<String> {
     let within = max_deadline.max(MIN_EXIT_TIME_US) + EXIT_MARGIN_US + EXIT_STEPS * max_delay;
     let mut violations = Vec::new();
@@ -236,7 +239,7 @@
     violations
 }
 
-/// Nine in ten processes pass a test in time after their start.
+/// Checks that nine in ten processes pass a test in time after their start.
 pub fn late_ready(events: &[Event]) -> Vec<String> {
     let mut times = Vec::new();
     for (index, event) in events.iter().enumerate() {
@@ -248,13 +251,13 @@
     if slow.len() * 10 > times.len() { vec![format!("not ready in time: {slow:?}")] } else { Vec::new() }
 }
 
-/// What a client's connection was last used for.
+/// Last use of a client's connection.
 struct LastUse {
     node: usize,
     at: u64,
 }
 
-/// A connection of a client that has sent nothing just now is never reset: a reset destroys what was not read yet.
+/// Checks that no connection is reset unless its client has just sent something. A reset discards data that was not read yet.
 pub fn connection_resets(events: &[Event], style: Option<RestartStyle>) -> Vec<String> {
     let terminations = Terminations::of(events);
     let mut last_uses: BTreeMap<u64, LastUse> = BTreeMap::new();
@@ -270,13 +273,16 @@
             EventKind::SetUpSent { connection, id, .. } => {
                 let node = node_of(id);
                 last_uses.insert(connection, LastUse { node, at: event.at });
-                if terminations.at(node, event.at).is_some_and(|t| event.at > t.at + SET_UPS_FOR_US) {
+                if terminations
+                    .at(node, event.at)
+                    .is_some_and(|termination| event.at > termination.at + SET_UPS_FOR_US)
+                {
                     used_late.insert(connection);
                 }
             }
             EventKind::ConnectionClosed { connection, kind: CloseKind::Rst } => {
                 let Some(LastUse { node, at }) = last_uses.get(&connection) else { continue };
-                let is_of_style = terminations.at(*node, *at).map(|t| t.style) == style;
+                let is_of_style = terminations.at(*node, *at).map(|termination| termination.style) == style;
                 if is_of_style && event.at > at + CROSSING_WINDOW_US && !used_late.contains(&connection) {
                     let reset_at = event.at;
                     violations.push(format!(
@@ -290,7 +296,7 @@
     violations
 }
 
-/// A front node that runs, or was sent SIGTERM a moment ago, refuses no connection.
+/// Checks that a front node refuses no connection shortly after SIGTERM.
 pub fn refused_connections(events: &[Event]) -> Vec<String> {
     let terminations = Terminations::of(events);
     let refused = events.iter().filter_map(|event| {
@@ -301,7 +307,7 @@
     refused.collect()
 }
 
-/// Of the set-ups sent from a moment on, nine in ten are served.
+/// Checks that nine in ten of the set-ups that were sent at or after a time are served.
 pub fn outage(events: &[Event], from: u64) -> Vec<String> {
     let count = count_served(events, from);
     if count.total > 0 && count.served * 10 >= count.total * 9 {
--- a/crates/cli/tests/many_processes/load.rs
+++ b/crates/cli/tests/many_processes/load.rs
@@ -1,4 +1,4 @@
-//! The load on a front node: steady set-ups, bursts, and clients that depart while an attempt is out.
+//! Load on a front node: steady set-ups, bursts, and clients that depart while an attempt is pending.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,14 +12,15 @@
 use crate::media_server::ERROR_DELAY;
 use crate::recorder::Recorder;
 
+/// Number of connections that a burst opens.
 const NEW_CONNECTIONS: usize = 8;
 
-/// A span of milliseconds.
+/// Returns a duration in milliseconds.
 pub fn millis(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-/// Sends to one front node while that is allowed, with these behaviors in turn, one after each pause.
+/// Sends set-ups to a front node while that is allowed, with the given behaviors in rotation and a pause after each.
 pub fn send_load(
     node: &FrontNode,
     recorder: &Recorder,
@@ -37,19 +38,20 @@
         let since = node.since_termination();
         let (may_connect, may_send) = match node.state() {
             NodeState::Up => (true, true),
-            // Well within what the page allows.
-            NodeState::Terminating => {
-                (since.is_some_and(|t| t < millis(350)), since.is_some_and(|t| t < millis(550)))
-            }
+            // Clients may connect and send for longer than this after SIGTERM; the difference is a safety margin.
+            NodeState::Terminating => (
+                since.is_some_and(|elapsed| elapsed < millis(350)),
+                since.is_some_and(|elapsed| elapsed < millis(550)),
+            ),
             NodeState::Down => (false, false),
         };
-        connections.retain(|c| !c.closed.load(Ordering::SeqCst));
+        connections.retain(|connection| !connection.closed.load(Ordering::SeqCst));
         if may_connect && (connections.len() < 2 || round % 16 == 15) {
             connections.extend(ClientConnection::open(node.number, node.addr, recorder));
         }
         if connections.len() > 2
-            && let Some(old) = connections.iter().position(|c| !c.has_pending())
-            && let Some(old) = connections.remove(old)
+            && let Some(index) = connections.iter().position(|connection| !connection.has_pending())
+            && let Some(old) = connections.remove(index)
         {
             old.depart(Departure::Fin);
         }
@@ -59,17 +61,19 @@
         round += 1;
         thread::sleep(pause);
     }
-    // What is pending gets its answer.
+    // The connections stay open until pending set-ups have been answered.
     let deadline = Instant::now() + millis(5_000);
-    while connections.iter().any(|c| c.has_pending() && !c.closed.load(Ordering::SeqCst))
+    while connections
+        .iter()
+        .any(|connection| connection.has_pending() && !connection.closed.load(Ordering::SeqCst))
         && Instant::now() < deadline
     {
         thread::sleep(millis(10));
     }
-    connections.iter().for_each(|c| c.depart(Departure::Fin));
+    connections.iter().for_each(|connection| connection.depart(Departure::Fin));
 }
 
-/// A client departs whose set-up is out at a media server, and the media server has an error only then.
+/// Lets a client depart while its set-up is pending at a media server. The media server answers with an error after that.
 pub fn depart_during_attempt(node: &FrontNode, recorder: &Recorder, how: Departure) {
     let Some(connection) = ClientConnection::open(node.number, node.addr, recorder) else { return };
     let Some(id) = connection.send_set_up(Behavior::ErrorAfterDeparture) else { return };
@@ -82,12 +86,12 @@
     connection.depart(Departure::Fin);
 }
 
-/// Sends a set-up on each of these connections and on `NEW_CONNECTIONS` new ones, which are kept.
+/// Sends a set-up on each of these connections and on `NEW_CONNECTIONS` new ones, which are added to `opened`.
 pub fn burst(
     node: &FrontNode,
     recorder: &Recorder,
     open: &[Arc<ClientConnection>],
-    kept: &mut Vec<Arc<ClientConnection>>,
+    opened: &mut Vec<Arc<ClientConnection>>,
 ) {
     for connection in open {
         connection.send_set_up(Behavior::Accept);
@@ -95,7 +99,7 @@
     for _ in 0..NEW_CONNECTIONS {
         if let Some(connection) = ClientConnection::open(node.number, node.addr, recorder) {
             connection.send_set_up(Behavior::Accept);
-            kept.push(connection);
+            opened.push(connection);
         }
     }
 }
--- a/crates/cli/tests/many_processes/main.rs
+++ b/crates/cli/tests/many_processes/main.rs
@@ -1,6 +1,6 @@
-//! Twenty processes of the program between fakes: restarted in turn with set-ups in flight, discovery moved, connections
-//! cut, clients that depart, a media server that warms up, a list that names no media server. The invariants are checked on
-//! what crossed the sockets alone. Scenarios run one after another; several tests check the events of the first.
+//! Twenty front node processes between fakes: rolling restarts with set-ups in flight, moved discovery, closed connections,
+//! departing clients, a media server that warms up, and an empty endpoint list. Invariants are checked only on what crossed the
+//! sockets. Scenarios run one after another. Several tests check the events of the first one.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -43,34 +43,35 @@
     events.iter().filter(|event| wanted(&event.kind)).count()
 }
 
-/// Enough set-ups met the terminations of processes that were restarted so, and none of them is lost.
+/// Asserts that enough set-ups coincided with restarts of this style, and that none of them is lost.
 #[track_caller]
-fn assert_none_lost_at(style: RestartStyle, restarts_so: usize) {
+fn assert_none_lost_at(style: RestartStyle, restart_count: usize) {
     let events = &restarts().events;
-    let is_so = |kind: &EventKind| matches!(kind, EventKind::Terminated { style: s, .. } if *s == style);
-    assert_eq!(count(events, is_so), restarts_so);
-    let met = count_at_terminations(events, style);
-    assert!(met >= 7 * restarts_so, "only {met} set-ups met a termination");
+    let is_of_style =
+        |kind: &EventKind| matches!(kind, EventKind::Terminated { style: s, .. } if *s == style);
+    assert_eq!(count(events, is_of_style), restart_count);
+    let coinciding = count_at_terminations(events, style);
+    assert!(coinciding >= 7 * restart_count, "only {coinciding} set-ups coincided with a termination");
     assert_none(invariants::unanswered(events, Some(style)));
 }
 
 #[test]
-fn every_set_up_at_a_plain_restart_has_one_answer() {
+fn set_ups_at_plain_restart_have_one_answer() {
     assert_none_lost_at(RestartStyle::Plain, 10);
 }
 
 #[test]
-fn set_ups_in_the_backlog_as_sigterm_comes_have_one_answer() {
+fn set_ups_in_backlog_at_sigterm_have_one_answer() {
     assert_none_lost_at(RestartStyle::StoppedBeforeTerm, 5);
 }
 
 #[test]
-fn set_ups_in_the_backlog_as_the_serving_ends_have_one_answer() {
+fn set_ups_in_backlog_at_end_of_drain_have_one_answer() {
     assert_none_lost_at(RestartStyle::StoppedWhileDraining, 5);
 }
 
 #[test]
-fn every_set_up_of_a_process_that_runs_on_has_one_answer() {
+fn set_ups_without_restart_have_one_answer() {
     let events = &restarts().events;
     let count = count_served(events, 0);
     assert!(count.total > 1_000 && count.served * 2 > count.total, "{count:?}");
@@ -78,50 +79,50 @@
 }
 
 #[test]
-fn never_two_attempts_are_out_for_one_session() {
+fn attempts_of_one_session_never_overlap() {
     let run = restarts();
     let with_retries = run.attempts.values().filter(|of_session| of_session.len() > 1).count();
-    assert!(with_retries >= 100, "only {with_retries} sessions had a second attempt: nothing is shown");
+    assert!(with_retries >= 100, "only {with_retries} sessions had a second attempt, too few for the check");
     assert_none(invariants::overlapping_attempts(&run.attempts, &run.events));
 }
 
 #[test]
-fn no_attempt_begins_after_its_client_departed() {
+fn no_attempt_begins_after_client_departed() {
     let run = restarts();
-    let is_out = |kind: &EventKind| match kind {
+    let is_departure_attempt = |kind: &EventKind| match kind {
         EventKind::AttemptReceived { id, .. } => behavior_of(*id) == Behavior::ErrorAfterDeparture,
         _ => false,
     };
-    let out = count(&run.events, is_out);
-    assert!(out >= 40, "{out} set-ups were out at a media server");
+    let received = count(&run.events, is_departure_attempt);
+    assert!(received >= 40, "only {received} set-ups reached a media server");
     assert_none(invariants::attempts_after_departure(&run.events, run.max_delay));
 }
 
 #[test]
-fn no_connection_is_reset_by_a_process_that_exits() {
+fn exiting_process_resets_no_connection() {
     let events = &restarts().events;
     let styles = [None, Some(RestartStyle::Plain), Some(RestartStyle::StoppedBeforeTerm)];
     assert_none(styles.iter().flat_map(|style| invariants::connection_resets(events, *style)).collect());
 }
 
 #[test]
-fn no_connection_is_reset_as_the_serving_ends() {
+fn end_of_drain_resets_no_connection() {
     assert_none(invariants::connection_resets(&restarts().events, Some(RestartStyle::StoppedWhileDraining)));
 }
 
 #[test]
-fn a_process_listens_on_for_a_while_after_sigterm() {
+fn process_keeps_listening_after_sigterm() {
     assert_none(invariants::refused_connections(&restarts().events));
 }
 
 #[test]
-fn each_process_exits_with_success_and_in_time_after_sigterm() {
+fn processes_exit_with_success_in_time_after_sigterm() {
     let run = restarts();
     assert_none(invariants::failed_exits(&run.events, fleet::MAX_DEADLINE_US, run.max_delay));
 }
 
 #[test]
-fn nine_in_ten_restarted_processes_are_soon_ready() {
+fn nine_in_ten_restarted_processes_are_ready_in_time() {
     let events = &restarts().events;
     let started = count(events, |kind| matches!(kind, EventKind::ProcessStarted { .. }));
     assert_eq!(started, 2 * fleet::NODES);
@@ -129,18 +130,18 @@
 }
 
 #[test]
-fn all_follow_discovery_to_where_it_moved() {
+fn front_nodes_follow_discovery_to_another_bus() {
     let run = restarts();
     let requests = run.moved_requests;
     assert!(requests >= fleet::NODES, "{requests} requests at the second event bus\n{}", run.logs);
     let late = run.late_server;
-    let is_there =
+    let is_at_late_server =
         |kind: &EventKind| matches!(kind, EventKind::AttemptReceived { server, .. } if *server == late);
-    let attempts = count(&run.events, is_there);
-    assert!(attempts > 0, "the media server that it lists got no attempt\n{}", run.logs);
+    let attempts = count(&run.events, is_at_late_server);
+    assert!(attempts > 0, "the media server that only this bus lists got no attempt\n{}", run.logs);
 }
 
-/// The events of set-ups with this behavior in the scenario with stopped processes.
+/// Returns the events of set-ups with this behavior in the scenario with stopped processes.
 fn departures_while_stopped(behavior: Behavior) -> DepartureRun {
     static RUN: OnceLock<DepartureRun> = OnceLock::new();
     let run = RUN.get_or_init(scenarios::run_departures_while_stopped);
@@ -154,7 +155,7 @@
 }
 
 #[test]
-fn a_set_up_that_is_read_after_its_client_departed_is_not_sent_on() {
+fn set_up_read_after_departure_is_not_forwarded() {
     let run = departures_while_stopped(Behavior::Accept);
     let departed = count(&run.events, |kind| matches!(kind, EventKind::ClientDeparted { .. }));
     assert!(departed >= 100, "{departed} departed");
@@ -164,13 +165,13 @@
 }
 
 #[test]
-fn an_error_read_with_its_clients_departure_brings_no_further_attempt() {
+fn error_read_with_departure_causes_no_retry() {
     let run = departures_while_stopped(Behavior::ErrorAfterDeparture);
-    let out = count(&run.events, |kind| matches!(kind, EventKind::AttemptReceived { .. }));
-    assert!(out >= 60, "{out} were out at a media server");
+    let received = count(&run.events, |kind| matches!(kind, EventKind::AttemptReceived { .. }));
+    assert!(received >= 60, "only {received} reached a media server");
     let violations = invariants::attempts_after_departure(&run.events, run.max_delay);
     let (number, list) = (violations.len(), violations.join("\n"));
-    assert!(violations.is_empty(), "{number} violations of {out}:\n{list}");
+    assert!(violations.is_empty(), "{number} violations of {received}:\n{list}");
 }
 
 fn assert_slow_start_holds(slow_start: SlowStart, restarted: bool) {
@@ -179,24 +180,24 @@
     let sent = count(&run.events, |kind| matches!(kind, EventKind::SetUpSent { .. }));
     assert!(sent as f64 > 8.0 * allowance, "only {sent} were sent");
     let max = invariants::max_within(&run.events, run.server, run.published_at, window);
-    assert!(max > 20, "only {max} reached the media server: nothing is shown");
+    assert!(max > 20, "only {max} reached the media server, too few for the check");
     let violations =
         invariants::slow_start_exceeded(&run.events, run.server, run.published_at, window, allowance);
     assert!(violations.is_empty(), "{violations:?}");
 }
 
 #[test]
-fn a_media_server_that_warms_up_gets_its_allowance_at_most_from_all_together() {
+fn warming_media_server_gets_no_more_than_allowance() {
     assert_slow_start_holds(SLOW_START, false);
 }
 
 #[test]
-fn a_media_server_that_warms_up_gets_its_allowance_at_most_from_a_fleet_that_is_restarted_meanwhile() {
+fn warming_media_server_gets_no_more_than_allowance_during_restart() {
     assert_slow_start_holds(LONG_SLOW_START, true);
 }
 
 #[test]
-fn an_empty_snapshot_does_not_stop_the_front_nodes() {
+fn empty_snapshot_does_not_stop_front_nodes() {
     const SETTLED_US: u64 = 500_000;
     let run = scenarios::run_empty_snapshot();
     let before: Vec<Event> = run.events.iter().filter(|event| event.at < run.published_at).cloned().collect();
--- a/crates/cli/tests/many_processes/media_server.rs
+++ b/crates/cli/tests/many_processes/media_server.rs
@@ -1,5 +1,5 @@
-//! Fake media servers: each accepts the front nodes' connections, does with a set-up what its id tells, and records what
-//! it received and how it ended.
+//! Fake media servers: each accepts connections of front nodes, handles a set-up by the behavior in its id, and records what it
+//! received and how it ended.
 
 use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -16,13 +16,13 @@
 use crate::recorder::{EventKind, Recorder, lock};
 use crate::sockets::Connection;
 
-/// How long a slow media server takes to answer.
+/// Time that a slow media server takes to answer.
 const SLOW_ANSWER_DELAY: Duration = Duration::from_millis(400);
-/// How long an accepted session lasts.
+/// Duration of an accepted session.
 const SESSION_DURATION: Duration = Duration::from_millis(200);
-/// From a client's departure to the error of the media server that has its set-up.
+/// Time from a client's departure to the error of the media server that has its set-up.
 pub const ERROR_DELAY: Duration = Duration::from_millis(300);
-/// How long a media server waits for a departure at most.
+/// Maximum time that a media server waits for a departure.
 const MAX_DEPARTURE_WAIT: Duration = Duration::from_secs(8);
 const DEPARTURE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 const REBIND_TIMEOUT: Duration = Duration::from_secs(10);
@@ -32,21 +32,21 @@
 const CAUSE_NORMAL: u8 = 16;
 const CAUSE_RESOURCE_UNAVAILABLE: u8 = 47;
 
-/// How the media server ends its connections.
+/// How a media server ends its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CutKind {
-    /// By a reset.
+    /// Reset.
     Reset,
-    /// By an orderly close.
+    /// Orderly close.
     Close,
 }
 
-/// Has a connection end by a reset once it is closed.
+/// Makes a later close of the stream send a reset.
 pub fn reset_on_close(stream: &TcpStream) {
     let _ = set_socket_linger(stream, Some(Duration::ZERO));
 }
 
-/// What a media server gives for a session, and nobody else does.
+/// Returns the unique answer of a media server for a session.
 pub fn description(id: u64) -> String {
     format!("answer-{id:016x}\r\nc=IN IP4 10.1.2.3\r\n")
 }
@@ -63,28 +63,28 @@
     (&connection.stream).write_all(message.as_bytes())
 }
 
-/// What the threads of a media server share.
+/// State that the threads of a media server share.
 struct ServerState {
     number: usize,
     recorder: Recorder,
     connections: Mutex<Vec<Arc<Connection>>>,
-    /// Releases for which there was no connection.
+    /// Releases that could not be sent because there was no connection.
     unsent_releases: Mutex<Vec<String>>,
 }
 
 impl ServerState {
-    /// Records that the media server ends an attempt; whether it was still out on this connection.
+    /// Records that the media server ends an attempt. Returns whether the attempt was pending on this connection.
     fn end_attempt(&self, id: u64, connection: &Connection) -> bool {
         let attempts = &self.recorder.attempts;
         let order = attempts.sockets.mark();
-        let was_out = attempts.end(id, connection.number, AttemptEnd::ByServer { order });
-        if was_out {
+        let was_pending = attempts.end(id, connection.number, AttemptEnd::ByServer { order });
+        if was_pending {
             self.recorder.record(EventKind::AttemptEnded { server: self.number, id });
         }
-        was_out
+        was_pending
     }
 
-    /// Records that the front node gave an attempt up.
+    /// Records that the front node abandoned an attempt.
     fn abandon_attempt(&self, id: u64, connection: &Connection, end: AttemptEnd) {
         if self.recorder.attempts.end(id, connection.number, end) {
             self.recorder.record(EventKind::AttemptAbandoned { server: self.number, id });
@@ -92,7 +92,8 @@
     }
 
     fn send_error(&self, id: u64, connection: &Connection) {
-        // Also where the front node gave it up an instant before, as a real media server's error may cross that.
+        // The error is sent even if the front node has just abandoned the attempt, because a real media server's error may cross the
+        // abandonment.
         self.end_attempt(id, connection);
         let _ = send(connection, &encode("end", id, json!({"why": CAUSE_RESOURCE_UNAVAILABLE})));
     }
@@ -112,16 +113,16 @@
         });
     }
 
-    /// Cuts a connection. What is out on it has ended right before.
+    /// Closes or resets a connection. Its pending attempts are recorded as ended before that.
     fn cut(&self, connection: &Connection, kind: CutKind) {
-        for id in self.recorder.attempts.out_on(connection.number) {
+        for id in self.recorder.attempts.pending_on(connection.number) {
             self.end_attempt(id, connection);
         }
         match kind {
             CutKind::Reset => {
                 reset_on_close(&connection.stream);
-                // The reset is sent by the close, and the thread that reads holds the socket: this wakes it, so that it
-                // lets go.
+                // The close sends the reset, but the reading thread still holds the socket. Shutting the read side down wakes that
+                // thread, so that it drops the socket.
                 let _ = connection.stream.shutdown(Shutdown::Read);
             }
             CutKind::Close => {
@@ -174,7 +175,7 @@
     fn read_messages(self: &Arc<Self>, connection: &Arc<Connection>) -> Option<()> {
         let mut unparsed = Vec::new();
         let mut buffer = [0; READ_BUFFER_BYTES];
-        // Where in the connection's bytes the last complete line ended.
+        // Position in the connection's bytes at which the last complete line ended.
         let mut position = 0;
         loop {
             let count = connection.read(&mut buffer).ok().filter(|count| *count > 0)?;
@@ -196,7 +197,7 @@
         let id = message["call"].as_str().and_then(|call| u64::from_str_radix(call, 16).ok()).unwrap_or(0);
         match message["op"].as_str() {
             Some("offer") => self.on_set_up(id, connection),
-            Some("end") => self.abandon_attempt(id, connection, AttemptEnd::GivenUp { position }),
+            Some("end") => self.abandon_attempt(id, connection, AttemptEnd::Abandoned { position }),
             Some("test") => {
                 let result = json!({"why": 1, "with": {"load": "utilization:0.1;x1:1"}});
                 send(connection, &encode("tested", id, result)).ok()?;
@@ -215,7 +216,7 @@
         let state = Arc::clone(self);
         thread::spawn(move || {
             state.read_messages(&connection);
-            for id in state.recorder.attempts.out_on(connection.number) {
+            for id in state.recorder.attempts.pending_on(connection.number) {
                 state.abandon_attempt(id, &connection, AttemptEnd::ConnectionEnded);
             }
             lock(&state.connections).retain(|other| other.number != connection.number);
@@ -223,42 +224,42 @@
     }
 }
 
-/// A fake media server.
+/// Fake media server.
 pub struct MediaServer {
     pub number: usize,
     pub name: String,
     pub addr: SocketAddr,
-    /// When it was started, as the list has it, or 0.
+    /// Start time in the endpoint list, or 0.
     pub since_ms: u64,
     state: Arc<ServerState>,
 }
 
 impl MediaServer {
     pub fn start(number: usize, recorder: &Recorder) -> MediaServer {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port");
         MediaServer::start_on(number, recorder, listener)
     }
 
     fn start_on(number: usize, recorder: &Recorder, listener: TcpListener) -> MediaServer {
-        let addr = listener.local_addr().expect("an address");
+        let addr = listener.local_addr().expect("socket address");
         let state = Arc::new(ServerState {
             number,
             recorder: recorder.clone(),
             connections: Mutex::default(),
             unsent_releases: Mutex::default(),
         });
-        let wakes = listener.try_clone().expect("a descriptor");
+        let wake_listener = listener.try_clone().expect("clone the listener");
         let (served, sockets) = (Arc::clone(&state), Arc::clone(&recorder.attempts.sockets));
-        sockets.listen(number, listener, move |connection| served.serve(connection)).expect("it listens");
+        sockets.listen(number, listener, move |connection| served.serve(connection)).expect("listen");
         thread::spawn(move || {
             while sockets.accept(number) {
-                let _ = poll(&mut [PollFd::new(&wakes, PollFlags::IN)], None);
+                let _ = poll(&mut [PollFd::new(&wake_listener, PollFlags::IN)], None);
             }
         });
         MediaServer { number, name: format!("s-{number:08x}"), addr, since_ms: 0, state }
     }
 
-    /// Cuts all connections.
+    /// Closes or resets all connections.
     pub fn cut_all(&self, kind: CutKind) {
         let connections: Vec<_> = lock(&self.state.connections).drain(..).collect();
         for connection in &connections {
@@ -266,7 +267,7 @@
         }
     }
 
-    /// Its process dies, and another starts at its address under another name and number.
+    /// Stops the media server and starts another one at its address under another name and number.
     pub fn restart_as(self, number: usize, recorder: &Recorder) -> MediaServer {
         recorder.attempts.sockets.stop_listening(self.number);
         self.cut_all(CutKind::Reset);
@@ -274,14 +275,14 @@
         let listener = loop {
             match TcpListener::bind(self.addr) {
                 Ok(listener) => break listener,
-                Err(error) => assert!(Instant::now() < deadline, "the port stays taken: {error}"),
+                Err(error) => assert!(Instant::now() < deadline, "the port can't be bound again: {error}"),
             }
             thread::sleep(REBIND_INTERVAL);
         };
         MediaServer::start_on(number, recorder, listener)
     }
 
-    /// Its entry in the list of media servers.
+    /// Returns the media server's entry in the endpoint list.
     pub fn endpoint(&self, status: &str) -> Value {
         json!({"name": self.name, "address": self.addr.to_string(), "zone": "a", "type": "small", "group": self.number % 4,
             "status": status, "weight": 1, "since_ms": self.since_ms})
--- a/crates/cli/tests/many_processes/recorder.rs
+++ b/crates/cli/tests/many_processes/recorder.rs
@@ -1,4 +1,5 @@
-//! What crossed the sockets, as the fakes saw it: events with their times, and nothing that the program reports of itself.
+//! Record of what crossed the sockets as the fakes saw it: events with their times. Reports of the program about itself aren't
+//! used.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,7 +10,7 @@
 use crate::attempts::AttemptLog;
 use crate::behavior::node_of;
 
-/// How long the thread that measures scheduling delays sleeps.
+/// Sleep interval of the thread that measures scheduling delays.
 const DELAY_PROBE_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How the front node ended a connection.
@@ -22,55 +23,54 @@
 /// How a front node is restarted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RestartStyle {
-    /// SIGTERM, while clients send as the page allows.
+    /// SIGTERM while clients send as long as they may.
     Plain,
-    /// The process is stopped with set-ups in the kernel's buffers and in the backlog, then SIGTERM comes.
+    /// SIGSTOP, set-ups in the kernel's buffers and in the backlog, then SIGTERM.
     StoppedBeforeTerm,
-    /// SIGTERM, then the process is stopped, with the last set-ups in the buffers and in the backlog, until the time is
-    /// over for which it serves on.
+    /// SIGTERM, then SIGSTOP with the last set-ups in the buffers and in the backlog until the drain time is over.
     StoppedWhileDraining,
 }
 
-/// Connections have numbers, which no two share; a set-up's id tells which front node it was sent to.
+/// Kind of an event. Connections have unique numbers. A set-up's id contains the front node that it was sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EventKind {
     /// A process was started.
     ProcessStarted { node: usize },
-    /// It passed a test for the first time since its start.
+    /// The process passed a test for the first time since its start.
     TestPassed { node: usize },
-    /// It was sent SIGTERM.
+    /// SIGTERM was sent to the process.
     Terminated { node: usize, style: RestartStyle },
-    /// It exited; no code: it was killed by a signal.
+    /// The process exited. `code` is `None` if it was killed by a signal.
     ProcessExited { node: usize, code: Option<i32> },
     /// A client's connection was accepted by the front node's machine.
     ClientConnected { node: usize, connection: u64 },
     /// A client's connection was refused.
     ConnectionRefused { node: usize },
-    /// The last byte of a set-up is written; `retry_of`: it repeats that one.
+    /// The last byte of a set-up was written. `retry_of` is the set-up that it repeats.
     SetUpSent { connection: u64, id: u64, retry_of: Option<u64> },
-    /// A final answer; `correct`: a refusal or failure, or what a media server gave for this very session.
+    /// A final answer was received. It is `correct` if it is a refusal or failure, or the media server's answer for this session.
     AnswerReceived { id: u64, served: bool, correct: bool },
     /// The front node ended a client's connection.
     ConnectionClosed { connection: u64, kind: CloseKind },
-    /// Its client closed its connection, or cancelled.
+    /// The client closed its connection or cancelled the set-up.
     ClientDeparted { id: u64 },
-    /// A set-up arrived complete at a media server.
+    /// A complete set-up arrived at a media server.
     AttemptReceived { server: usize, id: u64 },
-    /// The media server ended it, or cut its connection.
+    /// The media server ended the attempt or closed its connection.
     AttemptEnded { server: usize, id: u64 },
-    /// The front node gave it up there, or closed its connection.
+    /// The front node abandoned the attempt or closed its connection.
     AttemptAbandoned { server: usize, id: u64 },
 }
 
-/// An event and its time.
+/// Event with its time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// In microseconds since the recorder was started.
+    /// Time in microseconds since the recorder was started.
     pub at: u64,
     pub kind: EventKind,
 }
 
-/// The recorder, shared by all fakes.
+/// Recorder that all fakes share.
 #[derive(Clone)]
 pub struct Recorder {
     started_at: Instant,
@@ -82,24 +82,24 @@
     pub attempts: AttemptLog,
 }
 
-/// A lock that a failed thread leaves usable.
+/// Locks a mutex, also after a thread has panicked while it held the lock.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A duration in microseconds. Tests last minutes at most.
+/// Converts a duration to microseconds.
 fn micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Measures how late threads are scheduled, for as long as a recorder exists.
+/// Starts a thread that measures how late threads are scheduled, as long as the recorder exists.
 fn measure_scheduling_delay(max_delay_us: &Arc<AtomicU64>) {
     let weak = Arc::downgrade(max_delay_us);
     thread::spawn(move || {
         while let Some(max) = weak.upgrade() {
-            let slept_from = Instant::now();
+            let start = Instant::now();
             thread::sleep(DELAY_PROBE_INTERVAL);
-            max.fetch_max(micros(slept_from.elapsed() - DELAY_PROBE_INTERVAL), Ordering::SeqCst);
+            max.fetch_max(micros(start.elapsed() - DELAY_PROBE_INTERVAL), Ordering::SeqCst);
         }
     });
 }
@@ -119,22 +119,22 @@
         recorder
     }
 
-    /// The longest that a thread of the fakes waited to be scheduled on this machine, in microseconds.
+    /// Returns the maximum scheduling delay of a thread on this machine in microseconds.
     pub fn max_scheduling_delay(&self) -> u64 {
         self.max_delay_us.load(Ordering::SeqCst)
     }
 
-    /// Microseconds since the start.
+    /// Returns the time in microseconds since the start.
     pub fn now(&self) -> u64 {
         micros(self.started_at.elapsed())
     }
 
-    /// Records what has just happened. The time is taken first, as threads may wait for each other behind it.
+    /// Records an event with the current time, which is taken before waiting for locks.
     pub fn record(&self, kind: EventKind) -> u64 {
         self.record_at(self.now(), kind)
     }
 
-    /// Records what happened at that time.
+    /// Records an event that happened at this time.
     pub fn record_at(&self, at: u64, kind: EventKind) -> u64 {
         match kind {
             EventKind::ClientDeparted { id } => {
@@ -156,7 +156,7 @@
         at
     }
 
-    /// When the client of this set-up departed.
+    /// Returns the time at which the client of this set-up departed, or `None` if it did not.
     pub fn departed_at(&self, id: u64) -> Option<u64> {
         lock(&self.departed_at).get(&id).copied()
     }
@@ -171,7 +171,7 @@
         lock(&self.pending).iter().any(|id| node_of(*id) == node)
     }
 
-    /// All events in the order of their times.
+    /// Returns all events in order of time.
     pub fn events(&self) -> Vec<Event> {
         let mut events = lock(&self.events).clone();
         events.sort_by_key(|event| event.at);
--- a/crates/cli/tests/many_processes/scenarios.rs
+++ b/crates/cli/tests/many_processes/scenarios.rs
@@ -1,5 +1,5 @@
-//! What the tests run: restarts in turn with set-ups in flight, clients that depart while the process is stopped, a media
-//! server that warms up, a list that names no media server.
+//! Scenarios of the tests: rolling restarts with set-ups in flight, clients that depart while the process is stopped, a media
+//! server that warms up, and an empty endpoint list.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -19,12 +19,12 @@
 use crate::recorder::{Event, Recorder, RestartStyle, lock};
 
 const SERVERS: usize = 8;
-/// The number of the media server that is listed later.
+/// Number of the media server that only the second event bus lists.
 const LATE_SERVER: usize = 8;
 const RESTARTED_TOGETHER: usize = 5;
 const DEPARTURES: [Departure; 3] = [Departure::Fin, Departure::Rst, Departure::Cancel];
 
-/// Media servers warm up within an instant.
+/// Media servers warm up within 1 ms.
 pub const NO_SLOW_START: SlowStart =
     SlowStart { streams: 6_000, initial_share: 0.4, ramp_us: 1_000, multiple: 3.0, window_us: 2_000 };
 /// 80 set-ups are allowed within 1 s.
@@ -34,7 +34,7 @@
 /// 80 set-ups are allowed within 4 s, in which a front node can restart.
 pub const LONG_SLOW_START: SlowStart = SlowStart { ramp_us: 16_000_000, window_us: 4_000_000, ..SLOW_START };
 
-/// One scenario runs at a time, as each has its twenty processes.
+/// Ensures that only one scenario runs at a time, because each starts twenty processes.
 pub fn exclusive() -> MutexGuard<'static, ()> {
     static RUNNING: Mutex<()> = Mutex::new(());
     lock(&RUNNING)
@@ -52,12 +52,12 @@
     let style = restart_style(node.number);
     let open: Vec<Arc<ClientConnection>> =
         (0..3).filter_map(|_| ClientConnection::open(node.number, node.addr, recorder)).collect();
-    let mut kept = Vec::new();
-    // So that a stopped process has accepted them before.
+    let mut opened = Vec::new();
+    // Passing a test ensures that the process has accepted the connections before it is stopped.
     for connection in &open {
         connection.passes_test();
     }
-    let hold = Duration::from_micros(CROSSING_WINDOW_US) + millis(100);
+    let stop_time = Duration::from_micros(CROSSING_WINDOW_US) + millis(100);
     if style != RestartStyle::Plain {
         node.paused.store(true, Ordering::SeqCst);
         let deadline = Instant::now() + millis(2_500);
@@ -65,8 +65,8 @@
             thread::sleep(millis(10));
         }
     }
-    // Where a process is stopped there is nothing but the backlog at most front nodes.
-    let stalled_with = if node.number % 8 >= 6 { &open[..] } else { &[] };
+    // Only some of the stopped processes get set-ups on open connections. The others get those in the backlog only.
+    let open_while_stopped = if node.number % 8 >= 6 { &open[..] } else { &[] };
     match style {
         RestartStyle::Plain => {
             for behavior in [Behavior::Silent, Behavior::Slow, Behavior::ErrorOnce, Behavior::Accept] {
@@ -76,15 +76,15 @@
             }
             node.terminate(style);
             thread::sleep(millis(100));
-            burst(node, recorder, &open, &mut kept);
+            burst(node, recorder, &open, &mut opened);
             thread::sleep(millis(200));
-            burst(node, recorder, &open, &mut kept);
+            burst(node, recorder, &open, &mut opened);
         }
         RestartStyle::StoppedBeforeTerm => {
             node.signal(Signal::STOP);
-            burst(node, recorder, stalled_with, &mut kept);
-            // Longer than what counts as crossing a close.
-            thread::sleep(hold);
+            burst(node, recorder, open_while_stopped, &mut opened);
+            // The process is stopped for longer than the window in which a set-up counts as crossing a close.
+            thread::sleep(stop_time);
             node.terminate(style);
             node.signal(Signal::CONT);
         }
@@ -92,7 +92,7 @@
             node.terminate(style);
             thread::sleep(millis(150));
             node.signal(Signal::STOP);
-            burst(node, recorder, stalled_with, &mut kept);
+            burst(node, recorder, open_while_stopped, &mut opened);
             thread::sleep(millis(1_200));
             node.signal(Signal::CONT);
         }
@@ -103,20 +103,20 @@
     node.paused.store(false, Ordering::SeqCst);
 }
 
-/// What the restarts in turn gave, with all that crosses them.
+/// Results of the rolling restarts.
 pub struct RestartRun {
     pub events: Vec<Event>,
     pub attempts: Attempts,
     pub logs: String,
-    /// The longest that a thread of the fakes waited to be scheduled, in microseconds.
+    /// Maximum scheduling delay of the fakes' threads in microseconds.
     pub max_delay: u64,
-    /// How many requests the second event bus got after discovery moved.
+    /// Number of requests to the second event bus after discovery moved.
     pub moved_requests: usize,
-    /// The media server that only the second event bus lists.
+    /// Media server that only the second event bus lists.
     pub late_server: usize,
 }
 
-/// Cuts the connections of one media server after another until told to stop.
+/// Closes or resets the connections of one media server after another until `stop` is set.
 fn cut_in_turn(fleet: &Fleet, stop: &AtomicBool) {
     let mut round = 0;
     while !stop.load(Ordering::SeqCst) {
@@ -143,7 +143,7 @@
 }
 
 /// Moves discovery to the second event bus by a new configuration and SIGHUP; front nodes that restart later start with it.
-/// Gives how many requests that bus got.
+/// Returns the number of requests to that bus.
 fn move_discovery(fleet: &Fleet, listed_there: &Value) -> usize {
     fleet.configure(1, 1);
     for node in &fleet.nodes {
@@ -154,13 +154,13 @@
     while fleet.buses[1].request_count() < NODES && Instant::now() < deadline {
         thread::sleep(millis(10));
     }
-    // All run, and none has sent a second request yet.
+    // All front nodes are running, and none has sent a second request yet.
     let requests = fleet.buses[1].request_count();
     fleet.buses[1].publish(2, false, std::slice::from_ref(listed_there));
     requests
 }
 
-/// What is sent to a front node. Where nothing is to be pending as it ends, all answers are quick.
+/// Returns the behaviors of the steady set-ups to a front node. If nothing may be pending when it stops, all answers are quick.
 fn steady_behaviors(node: usize) -> &'static [Behavior] {
     use Behavior::{Accept, CloseOnce, ErrorOnce, ResetOnce, Silent, Slow};
     match restart_style(node) {
@@ -212,20 +212,20 @@
     run
 }
 
-/// What the departures while processes were stopped gave.
+/// Results of departures while processes were stopped.
 pub struct DepartureRun {
     pub events: Vec<Event>,
-    /// The longest that a thread of the fakes waited to be scheduled, in microseconds.
+    /// Maximum scheduling delay of the fakes' threads in microseconds.
     pub max_delay: u64,
 }
 
-/// Clients depart while the process is stopped, so that the departures lie in the kernel's buffers as it wakes: behind their
-/// set-ups, which it has not read either, and beside the errors of the media servers that have their set-ups.
+/// Lets clients depart while the process is stopped. When it continues, the departures are in the kernel's buffers: behind unread
+/// set-ups, and together with errors of the media servers that have the set-ups.
 pub fn run_departures_while_stopped() -> DepartureRun {
     let _exclusive = exclusive();
     let fleet = Fleet::start(6, NO_SLOW_START);
     let recorder = &fleet.recorder;
-    let opened = |node: &FrontNode| -> Vec<Arc<ClientConnection>> {
+    let open_connections = |node: &FrontNode| -> Vec<Arc<ClientConnection>> {
         let all: Vec<_> =
             (0..6).filter_map(|_| ClientConnection::open(node.number, node.addr, recorder)).collect();
         for connection in &all {
@@ -236,9 +236,11 @@
     thread::scope(|scope| {
         for node in &fleet.nodes {
             scope.spawn(move || {
-                let (held, unread) = (opened(node), opened(node));
-                let ids: Vec<u64> =
-                    held.iter().filter_map(|c| c.send_set_up(Behavior::ErrorAfterDeparture)).collect();
+                let (with_attempt, unread) = (open_connections(node), open_connections(node));
+                let ids: Vec<u64> = with_attempt
+                    .iter()
+                    .filter_map(|connection| connection.send_set_up(Behavior::ErrorAfterDeparture))
+                    .collect();
                 let deadline = Instant::now() + millis(1_000);
                 while !ids.iter().all(|id| recorder.has_reached_a_server(*id)) && Instant::now() < deadline {
                     thread::sleep(millis(2));
@@ -247,11 +249,12 @@
                 for connection in &unread {
                     connection.send_set_up(Behavior::Accept);
                 }
-                held.iter()
+                with_attempt
+                    .iter()
                     .chain(&unread)
                     .enumerate()
-                    .for_each(|(n, c)| c.depart(DEPARTURES[n % DEPARTURES.len()]));
-                // The media servers' errors come meanwhile.
+                    .for_each(|(n, connection)| connection.depart(DEPARTURES[n % DEPARTURES.len()]));
+                // The media servers' errors arrive meanwhile.
                 thread::sleep(ERROR_DELAY + millis(200));
                 node.signal(Signal::CONT);
                 thread::sleep(millis(1_000));
@@ -261,12 +264,12 @@
     DepartureRun { events: recorder.events(), max_delay: recorder.max_scheduling_delay() }
 }
 
-/// What the restart of a media server gave.
+/// Results of the restart of a media server.
 pub struct SlowStartRun {
     pub events: Vec<Event>,
-    /// When its start was published.
+    /// Time at which the start of the media server was published.
     pub published_at: u64,
-    /// Its number.
+    /// Number of the media server.
     pub server: usize,
 }
 
@@ -283,8 +286,8 @@
     });
 }
 
-/// A media server restarts while many times its allowance is sent. `restarted`: all front nodes are restarted soon after its
-/// start was published, and are back within the window.
+/// Restarts a media server while many times its allowance is sent. If `restarted` is set, all front nodes are restarted soon after
+/// the start was published, and are ready again within the window.
 pub fn run_slow_start(slow_start: SlowStart, restarted: bool) -> SlowStartRun {
     let _exclusive = exclusive();
     let mut fleet = Fleet::start(4, slow_start);
@@ -298,7 +301,7 @@
     let ready = new.endpoint("Ready");
     fleet.media_servers.push(new);
     let stop = AtomicBool::new(false);
-    // No other has the titles that are requested.
+    // No other media server has the requested titles.
     let published_at = thread::scope(|scope| {
         let published_at = fleet.recorder.now();
         fleet.buses[0].publish(2, false, &[gone, ready]);
@@ -318,14 +321,14 @@
     SlowStartRun { events: fleet.recorder.events(), published_at, server: number }
 }
 
-/// What the empty snapshot gave.
+/// Results of the empty snapshot.
 pub struct EmptySnapshotRun {
     pub events: Vec<Event>,
-    /// When it was published.
+    /// Time at which the snapshot was published.
     pub published_at: u64,
 }
 
-/// A snapshot is published that names no media server.
+/// Publishes a snapshot without media servers.
 pub fn run_empty_snapshot() -> EmptySnapshotRun {
     let _exclusive = exclusive();
     let fleet = Fleet::start(6, NO_SLOW_START);
--- a/crates/cli/tests/many_processes/sockets.rs
+++ b/crates/cli/tests/many_processes/sockets.rs
@@ -1,8 +1,8 @@
-//! The media servers' ends of the front nodes' connections: how much has reached each of them, read or not.
+//! The media servers' ends of the front nodes' connections: how many bytes have reached each of them, read or unread.
 //!
-//! The threads of the fakes may run late on a busy machine, so the time at which a line is read does not tell when it was
-//! written. On the loopback device bytes lie in the receiving socket before a later write of the same process is seen
-//! anywhere, so a snapshot of all sockets tells what was written before.
+//! Threads of the fakes may run late on a busy machine, so the time at which a line is read doesn't show when it was written. On
+//! the loopback device, bytes are in the receiving socket before a later write of the same process is visible anywhere.
+//! Therefore, a snapshot of all sockets shows what was written before.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read};
@@ -15,41 +15,41 @@
 
 use crate::recorder::lock;
 
-/// A connection that a media server has accepted. Whoever holds it keeps it from being closed.
+/// Connection that a media server has accepted. It is closed when the last reference is dropped.
 pub struct Connection {
-    /// No two connections share it, and it grows.
+    /// Unique, increasing number.
     pub number: u64,
     pub stream: TcpStream,
-    /// The front node at its other end, once a set-up was received.
+    /// Front node at the other end, known once a set-up was received.
     node: OnceLock<usize>,
-    /// How many bytes were taken from the socket.
-    taken: Mutex<u64>,
+    /// Number of bytes that were read from the socket.
+    bytes_read: Mutex<u64>,
 }
 
 impl Connection {
-    /// Waits for bytes and takes them.
+    /// Waits for bytes and reads them.
     pub fn read(&self, buffer: &mut [u8]) -> io::Result<usize> {
-        // It waits without the lock, so that the count and the socket can be compared meanwhile.
+        // Waiting without the lock lets other threads compare the count with the socket meanwhile.
         self.stream.peek(buffer)?;
-        let mut taken = lock(&self.taken);
+        let mut bytes_read = lock(&self.bytes_read);
         let count = (&self.stream).read(buffer)?;
-        *taken += count as u64;
+        *bytes_read += count as u64;
         Ok(count)
     }
 
-    /// Records which front node has opened it.
+    /// Records the front node that opened the connection.
     pub fn set_node(&self, node: usize) {
         self.node.get_or_init(|| node);
     }
 
-    /// How many bytes have reached it by now.
+    /// Returns the number of bytes that have reached the connection.
     fn bytes_arrived(&self) -> u64 {
-        let taken = lock(&self.taken);
-        // This takes the socket's lock in the kernel, so that segments which waited for that lock are counted too.
-        *taken + ioctl_fionread(&self.stream).unwrap_or(0)
+        let bytes_read = lock(&self.bytes_read);
+        // The call takes the socket's lock in the kernel, so that segments that waited for that lock are counted too.
+        *bytes_read + ioctl_fionread(&self.stream).unwrap_or(0)
     }
 
-    /// Whether one of its ends has closed it.
+    /// Whether either end has closed the connection.
     fn has_ended(&self) -> bool {
         let mut state = [PollFd::new(&self.stream, PollFlags::RDHUP)];
         let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
@@ -58,29 +58,29 @@
         polled.is_err() || state[0].revents().intersects(ended)
     }
 
-    /// Whether the front node may have opened it.
+    /// Whether the front node may have opened the connection.
     fn may_be_of(&self, node: usize) -> bool {
         self.node.get().is_none_or(|known| *known == node)
     }
 }
 
-/// What has reached a connection.
+/// State of a connection at the receiving end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Arrived {
-    /// So many bytes since it began.
+    /// Number of bytes that have arrived since the connection was opened.
     pub bytes: u64,
-    /// One of its ends has closed it.
+    /// Whether either end has closed the connection.
     pub ended: bool,
 }
 
-/// What has reached the connections of one front node at one moment.
+/// State of the connections of one front node at one time.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Its place in the order of all snapshots and marks.
+    /// Position in the order of all snapshots and marks.
     pub order: u64,
-    /// Connections from this number on did not exist yet.
+    /// Number of the next connection. Connections from this number on did not exist yet.
     pub next_connection: u64,
-    /// The connections that were there. Of those with lower numbers that are missing, each had ended.
+    /// Connections that existed. A missing connection with a lower number than `next_connection` had ended.
     pub connections: BTreeMap<u64, Arrived>,
 }
 
@@ -90,7 +90,7 @@
         self.connections.get(&connection).is_some_and(|arrived| arrived.bytes >= position)
     }
 
-    /// Whether the connection had been there and had ended.
+    /// Whether the connection had existed and had ended.
     pub fn has_ended(&self, connection: u64) -> bool {
         match self.connections.get(&connection) {
             Some(arrived) => arrived.ended,
@@ -103,11 +103,11 @@
 
 struct Listener {
     socket: TcpListener,
-    /// Starts to serve a connection; it must not accept or take snapshots itself.
+    /// Starts to serve a connection. The function must not accept connections or take snapshots itself.
     serve: Serve,
 }
 
-/// The connections of all media servers that are there.
+/// Open connections of all media servers.
 #[derive(Default)]
 struct Connections {
     by_number: BTreeMap<u64, Weak<Connection>>,
@@ -119,7 +119,7 @@
         let number = self.next_number;
         self.next_number += 1;
         let connection =
-            Arc::new(Connection { number, stream, node: OnceLock::new(), taken: Mutex::default() });
+            Arc::new(Connection { number, stream, node: OnceLock::new(), bytes_read: Mutex::default() });
         self.by_number.retain(|_, other| other.strong_count() > 0);
         self.by_number.insert(number, Arc::downgrade(&connection));
         connection
@@ -130,7 +130,7 @@
     }
 }
 
-/// The sockets of all media servers.
+/// Sockets of all media servers.
 #[derive(Default)]
 pub struct Sockets {
     listeners: Mutex<BTreeMap<usize, Listener>>,
@@ -151,7 +151,7 @@
         Ok(())
     }
 
-    /// Accepts what waits; whether this media server still listens.
+    /// Accepts all waiting connections. Returns whether this media server still listens.
     pub fn accept(&self, server: usize) -> bool {
         let listeners = lock(&self.listeners);
         self.accept_all(&listeners);
@@ -169,20 +169,20 @@
         }
     }
 
-    /// Ends listening; whoever waits for connections there wakes.
+    /// Stops listening and wakes the thread that waits for connections.
     pub fn stop_listening(&self, server: usize) {
         if let Some(listener) = lock(&self.listeners).remove(&server) {
             let _ = rustix::net::shutdown(&listener.socket, rustix::net::Shutdown::Both);
         }
     }
 
-    /// Marks this moment in the order of snapshots.
+    /// Returns the next position in the order of snapshots.
     pub fn mark(&self) -> u64 {
         self.order.fetch_add(1, Ordering::SeqCst)
     }
 
-    /// What has reached the connections of a front node by now. It observes `first` before all others, so that little
-    /// time passes until then.
+    /// Takes a snapshot of the connections of a front node. The connections in `first` are observed before all others, so that they
+    /// are observed as early as possible.
     pub fn snapshot(&self, node: usize, first: &[u64]) -> Snapshot {
         let order = self.mark();
         let first_connections = {
@@ -191,7 +191,7 @@
         };
         let mut seen = BTreeMap::new();
         observe(first_connections, &mut seen);
-        // A connection that no thread has accepted yet may carry a set-up and its giving-up already.
+        // A connection that no thread has accepted yet may already carry a set-up and its abandonment.
         self.accept_all(&lock(&self.listeners));
         let (next_connection, others) = {
             let connections = lock(&self.connections);
@@ -204,6 +204,7 @@
     }
 }
 
+/// Adds the states of these connections. All byte counts are taken before the first check for an end.
 fn observe(connections: Vec<Arc<Connection>>, seen: &mut BTreeMap<u64, Arrived>) {
     let counts: Vec<u64> = connections.iter().map(|connection| connection.bytes_arrived()).collect();
     for (connection, bytes) in connections.iter().zip(counts) {
--- a/crates/cli/tests/support/keepers.rs
+++ b/crates/cli/tests/support/keepers.rs
@@ -1,4 +1,4 @@
-//! Keepers and candidates as processes, with relays between them where a test asks for them.
+//! Replicas of a coordinator and candidates for a lease as processes, optionally with fault proxies between them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,261 +9,297 @@
 use beechloft_fault_proxy::{LinkFault, TcpProxy};
 use serde_json::Value;
 
-use super::{PATIENCE, Process, beechloft, kept_addresses};
+use super::{PATIENCE, Process, beechloft, reserve_addresses};
 
-/// Of the lease that candidates are after.
+/// Time to live in milliseconds of the lease that candidates ask for.
 pub const TTL_MS: u64 = 1_500;
 
+/// Replicas of a coordinator and candidates for its lease `task`. Processes are numbered: replicas first, then candidates.
 pub struct Fleet {
     pub dir: tempfile::TempDir,
     pub addresses: Vec<SocketAddr>,
-    pub keepers: Vec<Option<Process>>,
+    /// Processes of the replicas that are running.
+    pub replicas: Vec<Option<Process>>,
     pub candidates: Vec<Process>,
-    /// More lines of the keepers' section.
+    /// Additional lines of the replicas' `fleet` section.
     pub more: String,
-    /// Between each two: who opens the connection (keepers first, then candidates) and the keeper that it leads to.
-    pub relays: BTreeMap<(usize, usize), TcpProxy>,
+    /// Fault proxies by the number of the process that connects and the number of the replica that it connects to.
+    pub proxies: BTreeMap<(usize, usize), TcpProxy>,
 }
 
 impl Fleet {
-    pub fn new(keepers: usize) -> Fleet {
-        Fleet::relayed(keepers, 0)
+    /// Starts a fleet without fault proxies.
+    pub fn new(replicas: usize) -> Fleet {
+        Fleet::with_proxies(replicas, 0)
     }
 
-    /// With a relay between each two keepers, and between each of so many candidates and each keeper.
-    pub fn relayed(keepers: usize, relayed: usize) -> Fleet {
-        Fleet::with(keepers, relayed, "")
+    /// Starts a fleet with a fault proxy between each two replicas and between each of the given number of candidates and each
+    /// replica. There are no proxies if the number is 0.
+    pub fn with_proxies(replicas: usize, proxied_candidates: usize) -> Fleet {
+        Fleet::with_options(replicas, proxied_candidates, "")
     }
 
-    /// The same with more lines in the keepers' section.
-    pub fn with(keepers: usize, relayed: usize, more: &str) -> Fleet {
-        let addresses = kept_addresses(keepers);
-        let dir = tempfile::tempdir().expect("a folder");
+    /// Starts a fleet with fault proxies and with additional lines in the replicas' `fleet` section.
+    pub fn with_options(replicas: usize, proxied_candidates: usize, more: &str) -> Fleet {
+        let addresses = reserve_addresses(replicas);
+        let dir = tempfile::tempdir().expect("create a temporary directory");
         let mut fleet = Fleet {
             dir,
             addresses,
-            keepers: Vec::new(),
+            replicas: Vec::new(),
             candidates: Vec::new(),
             more: more.to_owned(),
-            relays: BTreeMap::new(),
+            proxies: BTreeMap::new(),
         };
-        // All keepers that are to be, and as many candidates as any test has.
-        for from in 0..keepers + relayed {
-            for to in (0..keepers).filter(|to| relayed > 0 && *to != from) {
-                fleet.relays.insert((from, to), TcpProxy::start(fleet.addresses[to]).expect("a relay"));
+        for from in 0..replicas + proxied_candidates {
+            for to in (0..replicas).filter(|to| proxied_candidates > 0 && *to != from) {
+                let proxy = TcpProxy::start(fleet.addresses[to]).expect("start a proxy");
+                fleet.proxies.insert((from, to), proxy);
             }
         }
-        for n in 0..keepers {
-            fleet.keepers.push(None);
+        for n in 0..replicas {
+            fleet.replicas.push(None);
             fleet.start(n);
         }
         fleet
     }
 
-    /// A file of settings; each keeper's clock runs at a rate of its own, 1% apart.
-    pub fn settings(&self, keeper: Option<usize>) -> PathBuf {
-        self.settings_of(keeper, keeper)
+    /// Writes the settings file of a replica, or of a client if `replica` is `None`. The replicas' clocks run at up to three
+    /// different rates, from 0.995 to 1.005.
+    pub fn settings(&self, replica: Option<usize>) -> PathBuf {
+        self.settings_of(replica, replica)
     }
 
-    /// Of a keeper, of a candidate (whose place comes after all keepers), or of whoever only looks.
-    pub fn settings_of(&self, keeper: Option<usize>, from: Option<usize>) -> PathBuf {
-        let list: Vec<String> = self.addresses.iter().map(|a| format!("'{a}'")).collect();
+    /// Writes the settings file of the process with the number `from`, which is a replica if `replica` is set and a candidate
+    /// otherwise. A client without a number connects to the replicas directly.
+    pub fn settings_of(&self, replica: Option<usize>, from: Option<usize>) -> PathBuf {
+        let addresses: Vec<String> = self.addresses.iter().map(|address| format!("'{address}'")).collect();
         let mut text =
-            format!("fleet:\n  name: test\n  keepers: [{}]\n  drift_ppm: 20000\n", list.join(", "));
-        let rate = keeper.map_or(1.005, |n| 0.995 + 0.005 * (n % 3) as f64);
+            format!("fleet:\n  name: test\n  keepers: [{}]\n  drift_ppm: 20000\n", addresses.join(", "));
+        let rate = replica.map_or(1.005, |n| 0.995 + 0.005 * (n % 3) as f64);
         text += &format!("  test_clock_rate: {rate}\n");
-        let of = |r: &((usize, usize), &TcpProxy)| Some(r.0.0) == from;
-        let by = self.relays.iter().map(|(k, r)| (*k, r)).filter(of);
-        let via: Vec<String> =
-            by.map(|((_, to), r)| format!("'{}={}'", self.addresses[to], r.address())).collect();
+        let own_proxies = self.proxies.iter().filter(|((source, _), _)| Some(*source) == from);
+        let via: Vec<String> = own_proxies
+            .map(|((_, to), proxy)| format!("'{}={}'", self.addresses[*to], proxy.address()))
+            .collect();
         text += &format!("  test_via: [{}]\n", via.join(", "));
-        if let Some(n) = keeper {
-            text += &format!("  listen: {}\n  store: {}\n", self.addresses[n], self.folder(n).display());
+        if let Some(n) = replica {
+            text +=
+                &format!("  listen: {}\n  store: {}\n", self.addresses[n], self.store_directory(n).display());
             text += &self.more;
         }
-        if keeper.is_none() && from.is_some() {
+        if replica.is_none() && from.is_some() {
             text += &format!("  test_history: {}\n", self.history().display());
         }
         let path = self.dir.path().join(from.map_or("asks.yaml".into(), |n| format!("p{n}.yaml")));
-        std::fs::write(&path, text).expect("written");
+        std::fs::write(&path, text).expect("write the settings");
         path
     }
 
-    pub fn folder(&self, n: usize) -> PathBuf {
+    pub fn store_directory(&self, n: usize) -> PathBuf {
         self.dir.path().join(format!("store{n}"))
     }
 
+    /// Starts a replica.
     pub fn start(&mut self, n: usize) {
         let file = self.settings(Some(n));
-        self.keepers[n] = Some(Process::start(beechloft().arg("keeper").arg(file).stderr(Stdio::null())));
+        self.replicas[n] = Some(Process::start(beechloft().arg("keeper").arg(file).stderr(Stdio::null())));
     }
 
+    /// Kills a replica.
     pub fn kill(&mut self, n: usize) {
-        self.keepers[n] = None;
+        self.replicas[n] = None;
     }
 
-    /// What candidates have asked and heard.
+    /// File to which candidates write their requests and the answers.
     pub fn history(&self) -> PathBuf {
         self.dir.path().join("history")
     }
 
-    pub fn acts(&self) -> PathBuf {
-        self.dir.path().join("acts")
+    /// File to which the commands of candidates append their token for each action.
+    pub fn action_log(&self) -> PathBuf {
+        self.dir.path().join("actions")
     }
 
-    /// A candidate whose command acts every 20 ms for as long as it holds the lease, and which begins again when it ends.
-    pub fn candidate(&mut self) {
-        self.candidate_for(TTL_MS);
+    /// Starts a candidate whose command performs an action every 20 ms while it holds the lease. The candidate asks for the lease
+    /// again when it has lost it.
+    pub fn start_candidate(&mut self) {
+        self.start_candidate_with_ttl(TTL_MS);
     }
 
-    /// The same with a lease of another time.
-    pub fn candidate_for(&mut self, ttl_ms: u64) {
-        let act = format!("while :; do echo $BEECHLOFT_FENCE >> {}; sleep 0.02; done", self.acts().display());
+    /// Starts a candidate that asks for a lease with this time to live.
+    pub fn start_candidate_with_ttl(&mut self, ttl_ms: u64) {
+        let action =
+            format!("while :; do echo $BEECHLOFT_FENCE >> {}; sleep 0.02; done", self.action_log().display());
         let program = env!("CARGO_BIN_EXE_beechloft");
-        let place = self.addresses.len() + self.candidates.len();
-        let (file, ttl) = (self.settings_of(None, Some(place)).display().to_string(), ttl_ms.to_string());
-        let again = "while :; do \"$@\"; sleep 0.05; done";
+        let number = self.addresses.len() + self.candidates.len();
+        let (file, ttl) = (self.settings_of(None, Some(number)).display().to_string(), ttl_ms.to_string());
+        let repeat = "while :; do \"$@\"; sleep 0.05; done";
         let mut command = Command::new("sh");
-        command.args(["-c", again, "sh", program, "lease", "hold", &file, "task", "--ttl-ms", &ttl, "--"]);
-        command.args(["sh", "-c", &act]).stderr(Stdio::null());
+        command.args(["-c", repeat, "sh", program, "lease", "hold", &file, "task", "--ttl-ms", &ttl, "--"]);
+        command.args(["sh", "-c", &action]).stderr(Stdio::null());
         self.candidates.push(Process::start(&mut command));
     }
 
+    /// Returns a line of `fleet status --json` for each replica.
     pub fn status(&self) -> Vec<Value> {
         let file = self.settings(None);
-        let out = beechloft().args(["fleet", "status", "--json"]).arg(file).output().expect("it runs");
-        String::from_utf8_lossy(&out.stdout).lines().filter_map(|l| serde_json::from_str(l).ok()).collect()
+        let output =
+            beechloft().args(["fleet", "status", "--json"]).arg(file).output().expect("run beechloft");
+        String::from_utf8_lossy(&output.stdout)
+            .lines()
+            .filter_map(|line| serde_json::from_str(line).ok())
+            .collect()
     }
 
-    /// The place of the keeper that leads in the newest term, with so many voters.
+    /// Waits for a leader whose configuration has the given number of voters. Returns the leader of the newest term.
     pub fn leader(&self, voters: usize) -> usize {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + PATIENCE;
         loop {
             let all = self.status();
-            let leads = |v: &(usize, &Value)| {
-                let s = &v.1["status"];
-                let count =
-                    s["members"].as_array().map_or(0, |m| m.iter().filter(|m| m["voter"] == true).count());
-                s["role"] == "leader" && count == voters
+            let is_leader = |(_, line): &(usize, &Value)| {
+                let status = &line["status"];
+                let voter_count = status["members"]
+                    .as_array()
+                    .map_or(0, |members| members.iter().filter(|member| member["voter"] == true).count());
+                status["role"] == "leader" && voter_count == voters
             };
-            let found = all.iter().enumerate().filter(leads).max_by_key(|v| v.1["status"]["term"].as_u64());
+            let found = all
+                .iter()
+                .enumerate()
+                .filter(is_leader)
+                .max_by_key(|(_, line)| line["status"]["term"].as_u64());
             if let Some((n, _)) = found {
                 return n;
             }
-            assert!(Instant::now() < until, "nobody leads {voters} voters: {all:?}");
+            assert!(Instant::now() < deadline, "no leader of {voters} voters: {all:?}");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 
-    /// Between two, whoever opened the connection: what `from` says to `to` and the way back.
-    pub fn way(&self, from: usize, to: usize, way: LinkFault) {
-        if let Some(relay) = self.relays.get(&(from, to)) {
-            relay.set_fault(way);
+    /// Sets the fault of the link between two processes, whichever of them opened the connection. The fault's forward direction
+    /// is the one from `from` to `to`.
+    pub fn set_link_fault(&self, from: usize, to: usize, fault: LinkFault) {
+        if let Some(proxy) = self.proxies.get(&(from, to)) {
+            proxy.set_fault(fault);
         }
-        if let Some(relay) = self.relays.get(&(to, from)) {
-            relay.set_fault(LinkFault { forward: way.reverse, reverse: way.forward });
+        if let Some(proxy) = self.proxies.get(&(to, from)) {
+            proxy.set_fault(LinkFault { forward: fault.reverse, reverse: fault.forward });
         }
     }
 
-    pub fn heal(&self) {
-        self.relays.values().for_each(|r| r.set_fault(LinkFault::default()));
+    /// Removes the faults of all links.
+    pub fn clear_link_faults(&self) {
+        self.proxies.values().for_each(|proxy| proxy.set_fault(LinkFault::default()));
     }
 
-    /// A keeper's disk is emptied, and it starts again.
-    pub fn empty(&mut self, n: usize) {
+    /// Kills a replica, removes its store and starts it.
+    pub fn restart_with_empty_store(&mut self, n: usize) {
         self.kill(n);
-        std::fs::remove_dir_all(self.folder(n)).expect("removed");
+        std::fs::remove_dir_all(self.store_directory(n)).expect("remove the store");
         self.start(n);
     }
 
-    /// Has a keeper whose disk was emptied take the place of its old self, by its own new id or by another.
+    /// Replaces the lost member of a replica that was restarted with an empty store. The new member's id is `new`, or the restarted
+    /// replica's id if `new` is `None`. Returns the output of the command.
     pub fn replace(&self, lost: usize, new: Option<&str>) -> std::process::Output {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + PATIENCE;
         let address = self.addresses[lost].to_string();
         loop {
             let all = self.status();
-            let own = all[lost]["status"]["id"].as_str().map(str::to_owned);
-            let leads = |v: &&Value| v["status"]["role"] == "leader";
-            let members = all.iter().find(leads).and_then(|v| v["status"]["members"].as_array().cloned());
-            let old = members.into_iter().flatten().find(|m| m["address"] == address.as_str());
-            if let (Some(own), Some(old)) = (own, old.as_ref().and_then(|m| m["id"].as_str())) {
-                let mut c = beechloft();
-                c.args(["keeper", "replace"]).arg(self.settings(None)).args([old, new.unwrap_or(&own)]);
-                let out = c.output().expect("it runs");
-                // The new one says who it is now and then; until it has, nobody is known to be there.
-                if !text_of(&out).contains("no new replica has started")
-                    && !text_of(&out).contains("is in progress")
+            let restarted_id = all[lost]["status"]["id"].as_str().map(str::to_owned);
+            let is_leader = |line: &&Value| line["status"]["role"] == "leader";
+            let members =
+                all.iter().find(is_leader).and_then(|line| line["status"]["members"].as_array().cloned());
+            let lost_member =
+                members.into_iter().flatten().find(|member| member["address"] == address.as_str());
+            let lost_id = lost_member.as_ref().and_then(|member| member["id"].as_str());
+            if let (Some(restarted_id), Some(lost_id)) = (restarted_id, lost_id) {
+                let mut command = beechloft();
+                command.args(["keeper", "replace"]).arg(self.settings(None));
+                command.args([lost_id, new.unwrap_or(&restarted_id)]);
+                let output = command.output().expect("run beechloft");
+                // The restarted replica announces its id periodically. Until then the command fails and is retried.
+                if !error_text(&output).contains("no new replica has started")
+                    && !error_text(&output).contains("is in progress")
                 {
-                    return out;
+                    return output;
                 }
             }
-            assert!(Instant::now() < until, "nobody can be replaced: {all:?}");
+            assert!(Instant::now() < deadline, "the replica can't be replaced: {all:?}");
             std::thread::sleep(Duration::from_millis(100));
         }
     }
 
+    /// Returns the tokens of all actions in order.
     pub fn tokens(&self) -> Vec<u64> {
-        let text = std::fs::read_to_string(self.acts()).unwrap_or_default();
-        // The last line may be half written.
-        let whole = text.rfind('\n').map_or("", |at| &text[..at]);
-        whole.lines().map(|l| l.parse().unwrap_or_else(|_| panic!("'{l}' is no token"))).collect()
+        let text = std::fs::read_to_string(self.action_log()).unwrap_or_default();
+        // The last line may be incomplete.
+        let complete = text.rfind('\n').map_or("", |end| &text[..end]);
+        complete
+            .lines()
+            .map(|line| line.parse().unwrap_or_else(|_| panic!("'{line}' is not a token")))
+            .collect()
     }
 
-    /// Waits for acts past so many; how long it took.
-    pub fn goes_on(&self, what: &str) -> Duration {
-        let (before, began) = (self.tokens().len(), Instant::now());
+    /// Waits for three more actions. Returns the time that this took.
+    pub fn wait_for_actions(&self, after: &str) -> Duration {
+        let (before, start) = (self.tokens().len(), Instant::now());
         while self.tokens().len() < before + 3 {
-            assert!(began.elapsed() < PATIENCE, "no acts after {what}");
+            assert!(start.elapsed() < PATIENCE, "no actions after {after}");
             std::thread::sleep(Duration::from_millis(10));
         }
-        began.elapsed()
+        start.elapsed()
     }
 
-    /// Waits for acts by a grant above this one.
-    pub fn another_holds(&self, than: u64, what: &str) {
-        let began = Instant::now();
-        while self.tokens().last().is_none_or(|t| *t <= than) {
-            assert!(began.elapsed() < PATIENCE, "nobody else after {what}: {:?}", self.status());
+    /// Waits for an action with a higher token than this one.
+    pub fn wait_for_higher_token(&self, old: u64, after: &str) {
+        let start = Instant::now();
+        while self.tokens().last().is_none_or(|token| *token <= old) {
+            assert!(start.elapsed() < PATIENCE, "no higher token after {after}: {:?}", self.status());
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// The candidate that holds it now: the one whose group has the process that acts.
+    /// Waits for a candidate whose process group performs actions. Returns the index of this holder of the lease.
     pub fn holder(&self) -> usize {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + PATIENCE;
         loop {
-            for (n, c) in self.candidates.iter().enumerate() {
-                if group_acts(c.0.id()) {
+            for (n, candidate) in self.candidates.iter().enumerate() {
+                if group_has_token(candidate.0.id()) {
                     return n;
                 }
             }
-            assert!(Instant::now() < until, "nobody acts");
+            assert!(Instant::now() < deadline, "no candidate holds the lease");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 }
 
-/// Whether a process of this group has the fence in its environment.
-pub fn group_acts(group: u32) -> bool {
-    let Ok(all) = std::fs::read_dir("/proc") else { return false };
-    all.flatten().any(|entry| {
+/// Whether a process of this group has a fencing token in its environment.
+pub fn group_has_token(group: u32) -> bool {
+    let Ok(processes) = std::fs::read_dir("/proc") else { return false };
+    processes.flatten().any(|entry| {
         let path = entry.path();
-        let of_group = || {
+        let process_group = || {
             let stat = std::fs::read_to_string(path.join("stat")).ok()?;
-            let after = stat.rsplit_once(')')?.1.split_whitespace().nth(2)?.parse::<u32>().ok()?;
-            Some(after == group)
+            stat.rsplit_once(')')?.1.split_whitespace().nth(2)?.parse::<u32>().ok()
         };
-        let acts = || std::fs::read(path.join("environ")).is_ok_and(|e| has(&e, b"BEECHLOFT_FENCE="));
-        path.file_name().is_some_and(|n| n.as_encoded_bytes()[0].is_ascii_digit())
-            && of_group() == Some(true)
-            && acts()
+        let has_token = || {
+            std::fs::read(path.join("environ"))
+                .is_ok_and(|environment| contains(&environment, b"BEECHLOFT_FENCE="))
+        };
+        path.file_name().is_some_and(|name| name.as_encoded_bytes()[0].is_ascii_digit())
+            && process_group() == Some(group)
+            && has_token()
     })
 }
 
-pub fn has(bytes: &[u8], part: &[u8]) -> bool {
-    bytes.windows(part.len()).any(|w| w == part)
+fn contains(bytes: &[u8], part: &[u8]) -> bool {
+    bytes.windows(part.len()).any(|window| window == part)
 }
 
-pub fn text_of(out: &std::process::Output) -> String {
-    String::from_utf8_lossy(&out.stderr).into_owned()
+/// Returns the standard error of a finished command.
+pub fn error_text(output: &std::process::Output) -> String {
+    String::from_utf8_lossy(&output.stderr).into_owned()
 }
--- a/crates/cli/tests/support/lin.rs
+++ b/crates/cli/tests/support/lin.rs
@@ -1,168 +1,203 @@
-//! Histories of a lease as its clients saw them, checked: is there an order of all that was done, each thing at some moment between
-//! its asking and its answer, that a table of leases explains? (Herlihy and Wing, "Linearizability: A Correctness Condition for
-//! Concurrent Objects", TOPLAS 1990; the search is that of Wing and Gong, "Testing and Verifying Concurrent Objects", JPDC 1993,
-//! with what was tried remembered, as in Lowe, "Testing for linearizability", 2017.)
+//! Linearizability checker for histories of a lease as its clients saw them: searches for an order of the operations, each taking
+//! effect between its request and its response, that a table of leases allows. (Herlihy and Wing, "Linearizability: A Correctness
+//! Condition for Concurrent Objects", TOPLAS 1990. The search is that of Wing and Gong, "Testing and Verifying Concurrent
+//! Objects", JPDC 1993, with a memory of visited states as in Lowe, "Testing for linearizability", 2017.)
 //!
-//! An end by time is nobody's request: it may come at any moment that lies past the lease's whole time after its holder asked for the
-//! grant or for the last renewal that was done. All clocks of a test run within the drift, so that this holds by true time.
+//! An expiry isn't a request. It may happen at any time later than the lease's time to live after its holder requested the grant or
+//! the last renewal that took effect. All clocks of a test run within the drift bound, so that this holds in real time.
 
 use std::collections::{BTreeMap, HashSet};
 use std::path::Path;
 use std::time::Duration;
 
 use beechloft_coordinator::history::{HistoryEvent, HistoryRecord};
-use beechloft_leases::{Answer, Op as Wanted, Rejection};
+use beechloft_leases::{Answer, Op as WireOp, Rejection};
 
-/// States that are tried at most: a history that some order explains needs about as many as it has requests.
-const MOST_TRIED: usize = 100_000;
+/// Maximum number of states to visit. A linearizable history needs about as many as it has requests.
+const MAX_VISITED_STATES: usize = 100_000;
 
-/// What was asked.
+/// Request of a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Asked {
+pub enum Request {
     Acquire,
     Renew(u64),
     Release(u64),
 }
 
-/// What was answered.
+/// Response of the coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Answered {
+pub enum Response {
+    /// The lease was granted with this token.
     Granted(u64),
     Renewed,
     Released,
+    /// Another holder has the lease.
     Taken,
+    /// The client doesn't hold the lease with this token.
     NotHeld,
 }
 
-/// A request, from before its first copy left to its first answer.
+/// Operation of a client, from the first transmission of its request to its first response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Op {
+pub struct Operation {
     pub holder: u64,
-    /// A holder's numbers rise; what comes to the table after a higher one is not done.
+    /// Sequence number, which rises with each request of a holder. A request that is applied after a higher one has no effect.
     pub seq: u64,
-    pub asked: Asked,
-    pub from: Duration,
-    /// None: nobody heard of it, and it may have been done at any later moment, or not at all.
-    pub answered: Option<(Answered, Duration)>,
+    pub request: Request,
+    /// Time before the first transmission of the request.
+    pub requested_at: Duration,
+    /// Response and its time. Without a response, the operation may have taken effect at any later time or not at all.
+    pub response: Option<(Response, Duration)>,
 }
 
-/// The lease, of one place.
+/// State of a lease with one slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 struct Lease {
-    /// Token, holder, and the moment before which it can't run out.
-    held: Option<(u64, u64, Duration)>,
-    last: u64,
-    /// Nothing that comes from here on was answered before this.
-    past: Duration,
+    /// Current grant.
+    grant: Option<Grant>,
+    /// Highest token that was granted.
+    last_token: u64,
+    /// Earliest time at which the next operation can take effect.
+    now: Duration,
+}
+
+/// Grant of a lease.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct Grant {
+    token: u64,
+    holder: u64,
+    /// Earliest time at which the grant can expire.
+    expires_at: Duration,
 }
 
 impl Lease {
-    /// How it may stand after this, with this answer; several ways if an end by time may or may not have come first.
-    fn does(self, op: &Op, answered: Option<Answered>, ttl: Duration) -> Vec<Lease> {
-        let mut ways = vec![self];
-        if let Some((_, _, over)) = self.held {
-            ways.push(Lease { held: None, past: self.past.max(over), ..self });
+    /// Returns the possible states after an operation with this response. There are several if the grant may or may not have expired
+    /// before.
+    fn apply(self, op: &Operation, response: Option<Response>, ttl: Duration) -> Vec<Lease> {
+        let mut starts = vec![self];
+        if let Some(grant) = self.grant {
+            starts.push(Lease { grant: None, now: self.now.max(grant.expires_at), ..self });
         }
-        ways.into_iter().filter_map(|w| w.one(op, answered, ttl)).collect()
+        starts.into_iter().filter_map(|start| start.apply_without_expiry(op, response, ttl)).collect()
     }
 
-    fn one(self, op: &Op, answered: Option<Answered>, ttl: Duration) -> Option<Lease> {
-        let past = self.past.max(op.from);
-        let in_time = op.answered.is_none_or(|(_, at)| at >= past);
-        let own = |token: u64| self.held.is_some_and(|h| (h.0, h.1) == (token, op.holder));
-        let over = op.from + ttl;
-        let (held, last, fits) = match (op.asked, answered) {
-            // What it held before ends with a new grant of its own.
-            (Asked::Acquire, Some(Answered::Granted(token))) => {
-                let free = self.held.is_none_or(|h| h.1 == op.holder);
-                (Some((token, op.holder, over)), token, free && token > self.last)
+    /// Returns the state after an operation with this response if no expiry comes first. Returns `None` if the operation can't have
+    /// this response in this state.
+    fn apply_without_expiry(
+        self,
+        op: &Operation,
+        response: Option<Response>,
+        ttl: Duration,
+    ) -> Option<Lease> {
+        let now = self.now.max(op.requested_at);
+        let in_time = op.response.is_none_or(|(_, at)| at >= now);
+        let is_own =
+            |token: u64| self.grant.is_some_and(|grant| (grant.token, grant.holder) == (token, op.holder));
+        let is_free = self.grant.is_none_or(|grant| grant.holder == op.holder);
+        let expires_at = op.requested_at + ttl;
+        let (grant, last_token, is_allowed) = match (op.request, response) {
+            // A new grant replaces an earlier one of the same holder.
+            (Request::Acquire, Some(Response::Granted(token))) => {
+                let grant = Grant { token, holder: op.holder, expires_at };
+                (Some(grant), token, is_free && token > self.last_token)
             }
-            (Asked::Acquire, Some(Answered::Taken)) => {
-                (self.held, self.last, self.held.is_some_and(|h| h.1 != op.holder))
+            (Request::Acquire, Some(Response::Taken)) => (self.grant, self.last_token, !is_free),
+            // The token is unknown. It is higher than the last one, and lower than the next one that a client received.
+            (Request::Acquire, None) => {
+                let grant = Grant { token: 0, holder: op.holder, expires_at };
+                (Some(grant), self.last_token, is_free)
             }
-            // Nobody heard of the token: it is above the last, and below the next that was heard of.
-            (Asked::Acquire, None) => {
-                let free = self.held.is_none_or(|h| h.1 == op.holder);
-                (Some((0, op.holder, over)), self.last, free)
+            (Request::Renew(token), Some(Response::Renewed) | None) => {
+                let renewed =
+                    self.grant.map(|grant| Grant { expires_at: expires_at.max(grant.expires_at), ..grant });
+                (renewed, self.last_token, is_own(token))
             }
-            (Asked::Renew(token), Some(Answered::Renewed) | None) => {
-                let held = self.held.map(|h| (h.0, h.1, over.max(h.2)));
-                (held, self.last, own(token))
+            (Request::Release(token), Some(Response::Released) | None) => {
+                (None, self.last_token, is_own(token))
             }
-            (Asked::Release(token), Some(Answered::Released) | None) => (None, self.last, own(token)),
-            (Asked::Renew(token) | Asked::Release(token), Some(Answered::NotHeld)) => {
-                (self.held, self.last, !own(token))
+            (Request::Renew(token) | Request::Release(token), Some(Response::NotHeld)) => {
+                (self.grant, self.last_token, !is_own(token))
             }
             _ => return None,
         };
-        (fits && in_time).then_some(Lease { held, last, past })
+        (is_allowed && in_time).then_some(Lease { grant, last_token, now })
     }
 }
 
-/// Whether some order explains the history of a lease with one place; if not, what could not be placed after all orders that
-/// went furthest.
-pub fn check(history: &[Op], ttl: Duration) -> Result<(), String> {
-    // A renewal that nobody heard of, if it was done, only puts an end off: what some order with it explains, one without does.
-    let unheard = |op: &&Op| op.answered.is_none() && matches!(op.asked, Asked::Renew(_));
-    let mut all: Vec<Op> = history.iter().filter(|op| !unheard(op)).copied().collect();
-    all.sort_by_key(|op| op.from);
-    // The search goes as deep as the history is long.
-    let deep = std::thread::Builder::new().stack_size(256 << 20);
-    let search = deep.spawn(move || {
-        let mut search = Search { all: &all, ttl, tried: HashSet::new(), furthest: 0, stuck: String::new() };
-        let answered = all.iter().filter(|op| op.answered.is_some()).count();
-        let found = search.goes_on(&mut vec![false; all.len()], 0, answered, Lease::default());
-        if found { Ok(()) } else { Err(search.stuck) }
+/// Checks that the history of a lease with one slot is linearizable.
+///
+/// # Errors
+/// No order explains the history. The error describes the last of the longest partial orders.
+pub fn check(history: &[Operation], ttl: Duration) -> Result<(), String> {
+    // A renewal without a response can only delay an expiry. If an order with it explains the history, one without it does too.
+    let is_unanswered_renewal =
+        |op: &&Operation| op.response.is_none() && matches!(op.request, Request::Renew(_));
+    let mut all: Vec<Operation> = history.iter().filter(|op| !is_unanswered_renewal(op)).copied().collect();
+    all.sort_by_key(|op| op.requested_at);
+    // The depth of the recursion is the length of the history.
+    let thread = std::thread::Builder::new().stack_size(256 << 20);
+    let search = thread.spawn(move || {
+        let mut search =
+            Search { all: &all, ttl, visited: HashSet::new(), longest: 0, failure: String::new() };
+        let answered = all.iter().filter(|op| op.response.is_some()).count();
+        let found = search.extend(&mut vec![false; all.len()], 0, answered, Lease::default());
+        if found { Ok(()) } else { Err(search.failure) }
     });
-    search.expect("a thread").join().expect("it ends")
+    search.expect("start a thread").join().expect("search without panic")
 }
 
+/// Depth-first search for an order that explains a history.
 struct Search<'a> {
-    all: &'a [Op],
+    all: &'a [Operation],
     ttl: Duration,
-    tried: HashSet<(usize, Vec<u64>, Lease)>,
-    furthest: usize,
-    stuck: String,
+    visited: HashSet<(usize, Vec<u64>, Lease)>,
+    /// Number of answered operations in the longest partial order.
+    longest: usize,
+    /// Description of the last of the longest partial orders.
+    failure: String,
 }
 
 impl Search<'_> {
-    /// `first` is the first that is not done yet; `left` are answered ones that are not done yet.
-    fn goes_on(&mut self, done: &mut Vec<bool>, first: usize, left: usize, lease: Lease) -> bool {
-        if left == 0 {
+    /// Extends a partial order by each operation that may come next. `done` marks the operations in the order, all before `first`
+    /// are in it, and `remaining` is the number of answered operations that are not. Returns whether the order can be completed.
+    fn extend(&mut self, done: &mut Vec<bool>, first: usize, remaining: usize, lease: Lease) -> bool {
+        if remaining == 0 {
             return true;
         }
         let first = (first..done.len()).find(|n| !done[*n]).unwrap_or(done.len());
-        // The state and what is done past the first that is not.
-        let beyond: Vec<u64> = (first..done.len()).filter(|n| done[*n]).map(|n| n as u64).collect();
-        if self.tried.len() >= MOST_TRIED || !self.tried.insert((first, beyond, lease)) {
+        // A state is the lease and the set of operations in the order, of which those past `first` are listed.
+        let done_past_first: Vec<u64> = (first..done.len()).filter(|n| done[*n]).map(|n| n as u64).collect();
+        if self.visited.len() >= MAX_VISITED_STATES || !self.visited.insert((first, done_past_first, lease)) {
             return false;
         }
-        // Whatever was answered before something else was asked comes before it.
+        // An operation that was answered before another one was requested comes before that one.
         let open = || (first..done.len()).filter(|n| !done[*n]);
-        let ends = |n: usize| self.all[n].answered.map_or(Duration::MAX, |a| a.1);
-        let earliest = open().map(ends).min().unwrap_or(Duration::MAX);
-        let mut may: Vec<usize> = open().take_while(|n| self.all[*n].from <= earliest).collect();
-        // Most of what nobody heard of was never done.
-        may.sort_by_key(|n| self.all[*n].answered.is_none());
-        if self.all.len() - left >= self.furthest {
-            self.furthest = self.all.len() - left;
-            let some: Vec<&Op> = may.iter().take(6).map(|n| &self.all[*n]).collect();
-            self.stuck = format!(
-                "after {} of {}: {lease:?}, and next one of {some:?}",
-                done.iter().filter(|d| **d).count(),
+        let answered_at = |n: usize| self.all[n].response.map_or(Duration::MAX, |(_, at)| at);
+        let earliest = open().map(answered_at).min().unwrap_or(Duration::MAX);
+        let mut candidates: Vec<usize> =
+            open().take_while(|n| self.all[*n].requested_at <= earliest).collect();
+        // Most operations without a response never took effect, so they are tried last.
+        candidates.sort_by_key(|n| self.all[*n].response.is_none());
+        if self.all.len() - remaining >= self.longest {
+            self.longest = self.all.len() - remaining;
+            let examples: Vec<&Operation> = candidates.iter().take(6).map(|n| &self.all[*n]).collect();
+            self.failure = format!(
+                "after {} of {}: {lease:?}, and next one of {examples:?}",
+                done.iter().filter(|is_done| **is_done).count(),
                 done.len()
             );
         }
-        for n in may {
+        for n in candidates {
             let op = self.all[n];
-            let overtaken = |m: usize| done[m] && self.all[m].holder == op.holder && self.all[m].seq > op.seq;
-            if (0..done.len()).any(overtaken) {
+            let supersedes =
+                |m: usize| done[m] && self.all[m].holder == op.holder && self.all[m].seq > op.seq;
+            if (0..done.len()).any(supersedes) {
                 continue;
             }
-            let answered = op.answered.map(|a| a.0);
-            for next in lease.does(&op, answered, self.ttl) {
+            let response = op.response.map(|(response, _)| response);
+            for next in lease.apply(&op, response, self.ttl) {
                 done[n] = true;
-                if self.goes_on(done, first, left - usize::from(op.answered.is_some()), next) {
+                if self.extend(done, first, remaining - usize::from(op.response.is_some()), next) {
                     return true;
                 }
                 done[n] = false;
@@ -172,74 +207,87 @@
     }
 }
 
-/// What processes wrote down: of each request its first asking and its first answer.
+/// Builds a history from records of requests and responses. The first transmission and the first response of each request count.
 #[derive(Debug, Default)]
-pub struct Book {
-    ops: BTreeMap<(u64, u64), Op>,
+struct HistoryBuilder {
+    ops: BTreeMap<(u64, u64), Operation>,
 }
 
-impl Book {
-    /// A request leaves; later copies of it count for nothing.
-    pub fn asks(&mut self, holder: u64, seq: u64, asked: Asked, at: Duration) {
-        self.ops.entry((holder, seq)).or_insert(Op { holder, seq, asked, from: at, answered: None });
+impl HistoryBuilder {
+    /// Records the transmission of a request. Retransmissions are ignored.
+    fn record_request(&mut self, holder: u64, seq: u64, request: Request, at: Duration) {
+        let op = Operation { holder, seq, request, requested_at: at, response: None };
+        self.ops.entry((holder, seq)).or_insert(op);
     }
 
-    /// An answer comes; a second one must say the same.
-    pub fn hears(&mut self, holder: u64, seq: u64, answered: Answered, at: Duration) -> Result<(), String> {
+    /// Records a response.
+    ///
+    /// # Errors
+    /// The request is unknown, or an earlier response to it was different.
+    fn record_response(
+        &mut self,
+        holder: u64,
+        seq: u64,
+        response: Response,
+        at: Duration,
+    ) -> Result<(), String> {
         let op = self
             .ops
             .get_mut(&(holder, seq))
-            .ok_or(format!("{holder} {seq} is answered and was not asked"))?;
-        match op.answered {
-            Some((before, _)) if before != answered => {
-                Err(format!("{holder} {seq} is {before:?} and then {answered:?}"))
+            .ok_or(format!("response to an unknown request {holder} {seq}"))?;
+        match op.response {
+            Some((earlier, _)) if earlier != response => {
+                Err(format!("different responses to {holder} {seq}: {earlier:?}, then {response:?}"))
             }
             Some(_) => Ok(()),
             None => {
-                op.answered = Some((answered, at));
+                op.response = Some((response, at));
                 Ok(())
             }
         }
     }
 
-    pub fn history(&self) -> Vec<Op> {
+    fn history(&self) -> Vec<Operation> {
         self.ops.values().copied().collect()
     }
 }
 
-/// The history of a task that processes have written down.
-pub fn read(path: &Path, task: &str) -> Result<Vec<Op>, String> {
+/// Reads the history of a lease that processes have written to a file.
+///
+/// # Errors
+/// The file can't be read or contains invalid records.
+pub fn read(path: &Path, lease: &str) -> Result<Vec<Operation>, String> {
     let text = std::fs::read_to_string(path).map_err(|e| e.to_string())?;
-    let mut book = Book::default();
+    let mut builder = HistoryBuilder::default();
     for line in text.lines() {
-        let line: HistoryRecord = serde_json::from_str(line).map_err(|e| format!("{line}: {e}"))?;
-        let at = Duration::from_nanos(line.at_ns);
-        match line.event {
+        let record: HistoryRecord = serde_json::from_str(line).map_err(|e| format!("{line}: {e}"))?;
+        let at = Duration::from_nanos(record.at_ns);
+        match record.event {
             HistoryEvent::Request(request) => {
-                let (name, asked) = match &request.op {
-                    Wanted::Acquire { name, .. } => (name, Asked::Acquire),
-                    Wanted::Renew { name, token } => (name, Asked::Renew(token.0)),
-                    Wanted::Release { name, token } => (name, Asked::Release(token.0)),
-                    other => return Err(format!("{other:?} is not of a task")),
+                let (name, kind) = match &request.op {
+                    WireOp::Acquire { name, .. } => (name, Request::Acquire),
+                    WireOp::Renew { name, token } => (name, Request::Renew(token.0)),
+                    WireOp::Release { name, token } => (name, Request::Release(token.0)),
+                    other => return Err(format!("unexpected request: {other:?}")),
                 };
-                if name.to_string() == task {
-                    book.asks(request.holder.0, request.seq, asked, at);
+                if name.to_string() == lease {
+                    builder.record_request(request.holder.0, request.seq, kind, at);
                 }
             }
             HistoryEvent::Response { holder, seq, answer } => {
-                let answered = match answer {
-                    Answer::Granted(token, _) => Answered::Granted(token.0),
-                    Answer::Renewed(..) => Answered::Renewed,
-                    Answer::Released => Answered::Released,
-                    Answer::Rejected(Rejection::NoFreeSlot) => Answered::Taken,
-                    Answer::Rejected(Rejection::NotHeld) => Answered::NotHeld,
-                    // A later one was done before this: whether this was, too, nobody heard.
+                let response = match answer {
+                    Answer::Granted(token, _) => Response::Granted(token.0),
+                    Answer::Renewed(..) => Response::Renewed,
+                    Answer::Released => Response::Released,
+                    Answer::Rejected(Rejection::NoFreeSlot) => Response::Taken,
+                    Answer::Rejected(Rejection::NotHeld) => Response::NotHeld,
+                    // A later request was applied before this one. Whether this one took effect is unknown.
                     Answer::Rejected(Rejection::Superseded) => continue,
-                    other => return Err(format!("{other:?} of a task")),
+                    other => return Err(format!("unexpected response: {other:?}")),
                 };
-                book.hears(holder.0, seq, answered, at)?;
+                builder.record_response(holder.0, seq, response, at)?;
             }
         }
     }
-    Ok(book.history())
+    Ok(builder.history())
 }
--- a/crates/cli/tests/topic.rs
+++ b/crates/cli/tests/topic.rs
@@ -15,8 +15,8 @@
 use beechloft_fault_proxy::{DirectionFault, LinkFault};
 use beechloft_topic::Name;
 use rustix::process::Signal;
-use support::keepers::{Fleet, text_of};
-use support::{PATIENCE, until};
+use support::keepers::{Fleet, error_text};
+use support::{PATIENCE, wait_until};
 
 const KEEPERS: usize = 5;
 const TOPIC: &str = "test/topic";
@@ -36,7 +36,7 @@
     /// With relays for so many writers and readers.
     fn new(places: usize, retention_ms: u32) -> Trial {
         let more = format!("  topics: [{{name: {TOPIC}, retention_ms: {retention_ms}, keys: 10000}}]\n");
-        let fleet = Fleet::with(KEEPERS, places, &more);
+        let fleet = Fleet::with_options(KEEPERS, places, &more);
         fleet.leader(KEEPERS);
         let name = Name::try_from(TOPIC.to_owned()).expect("a name");
         let record = Recorded::default();
@@ -77,7 +77,7 @@
         }
         let highest = self.record.lock().highest();
         for (n, reader) in self.readers.iter().enumerate() {
-            until(|| match reader.complete_to() {
+            wait_until(|| match reader.complete_to() {
                 complete if complete > highest => Ok(()),
                 complete => Err(format!("r{n} has {complete:?} of {highest:?} after {what}")),
             });
@@ -118,10 +118,10 @@
 
     // It is stopped for long and goes on.
     let leader = trial.fleet.leader(KEEPERS);
-    trial.fleet.keepers[leader].as_ref().expect("it runs").signal(Signal::STOP);
+    trial.fleet.replicas[leader].as_ref().expect("it runs").signal(Signal::STOP);
     std::thread::sleep(Duration::from_secs(3));
     trial.goes_on("the leader's stop");
-    trial.fleet.keepers[leader].as_ref().expect("it runs").signal(Signal::CONT);
+    trial.fleet.replicas[leader].as_ref().expect("it runs").signal(Signal::CONT);
     trial.goes_on("the leader's going on");
 
     // All are killed at once and start again on their disks.
@@ -132,10 +132,10 @@
 
     // A disk is emptied, and its keeper replaced, while messages go on.
     let lost = (trial.fleet.leader(KEEPERS) + 1) % KEEPERS;
-    trial.fleet.empty(lost);
+    trial.fleet.restart_with_empty_store(lost);
     trial.goes_on("a disk that was emptied");
     let out = trial.fleet.replace(lost, None);
-    assert_eq!(out.status.code(), Some(0), "{}", text_of(&out));
+    assert_eq!(out.status.code(), Some(0), "{}", error_text(&out));
     trial.goes_on("a keeper that was replaced");
     // It counts now, and has all: the topic's head is there, and two others may go.
     trial.fleet.leader(KEEPERS);
@@ -167,28 +167,30 @@
         LinkFault { forward: cut, ..LinkFault::default() },
     ] {
         let leader = trial.fleet.leader(KEEPERS);
-        (0..KEEPERS).filter(|n| *n != leader).for_each(|n| trial.fleet.way(leader, n, way));
+        (0..KEEPERS).filter(|n| *n != leader).for_each(|n| trial.fleet.set_link_fault(leader, n, way));
         trial.goes_on("a cut one way");
-        trial.fleet.heal();
+        trial.fleet.clear_link_faults();
         trial.goes_on("its healing");
     }
 
     // A keeper that does not lead is cut off from the others, and still reached by those who follow: it tells of its silence, and
     // they leave it for another.
     let behind = (trial.fleet.leader(KEEPERS) + 1) % KEEPERS;
-    (0..KEEPERS).filter(|n| *n != behind).for_each(|n| trial.fleet.way(behind, n, LinkFault::partition()));
+    (0..KEEPERS)
+        .filter(|n| *n != behind)
+        .for_each(|n| trial.fleet.set_link_fault(behind, n, LinkFault::partition()));
     trial.goes_on("a keeper cut off from the others");
-    trial.fleet.heal();
+    trial.fleet.clear_link_faults();
 
     // All links are late and break again and again.
     let late = DirectionFault { delay: Duration::from_millis(30), ..DirectionFault::default() };
-    trial.fleet.relays.values().for_each(|r| r.set_fault(LinkFault { forward: late, reverse: late }));
+    trial.fleet.proxies.values().for_each(|r| r.set_fault(LinkFault { forward: late, reverse: late }));
     for _ in 0..4 {
-        trial.fleet.relays.values().for_each(|r| r.close_connections());
+        trial.fleet.proxies.values().for_each(|r| r.close_connections());
         std::thread::sleep(Duration::from_millis(500));
     }
     trial.goes_on("links that are late and break");
-    trial.fleet.heal();
+    trial.fleet.clear_link_faults();
     trial.goes_on("their healing");
     trial.ends();
 }
@@ -208,7 +210,7 @@
     trial.goes_on("the start");
     // After two writers and two readers.
     let sleeper = KEEPERS + 4;
-    (0..KEEPERS).for_each(|n| trial.fleet.way(sleeper, n, LinkFault::partition()));
+    (0..KEEPERS).for_each(|n| trial.fleet.set_link_fault(sleeper, n, LinkFault::partition()));
     let asleep = trial.readers[2].complete_to();
     let before = trial.record.lock().caught_up("r2");
     let horizons = |trial: &Trial| -> BTreeSet<u64> {
@@ -216,13 +218,13 @@
         all.iter().filter_map(|s| s["status"]["topics"][0]["horizon"].as_u64()).collect()
     };
     // Until deletions that came after its sleep began are remembered by no keeper.
-    until(|| match horizons(&trial).first() {
+    wait_until(|| match horizons(&trial).first() {
         Some(least) if Some(*least) > asleep => Ok(()),
         least => Err(format!("{least:?}, asleep at {asleep:?}")),
     });
     // And for longer than a subscriber stands silence: it has left its keeper, and comes back with its offset.
     std::thread::sleep(Duration::from_secs(8));
-    trial.fleet.heal();
+    trial.fleet.clear_link_faults();
     trial.goes_on("the sleeper's waking");
     let told = trial.fleet.status();
     let line = &told[0]["status"]["topics"][0];
--- a/crates/cli/tests/topic_figures.rs
+++ b/crates/cli/tests/topic_figures.rs
@@ -16,7 +16,7 @@
 
 fn fleet() -> Fleet {
     let more = format!("  topics: [{{name: {TOPIC}, keys: 200000, bytes: 60000000}}]\n");
-    let fleet = Fleet::with(5, 0, &more);
+    let fleet = Fleet::with_options(5, 0, &more);
     fleet.leader(5);
     fleet
 }
@@ -146,7 +146,7 @@
 }
 
 fn resident(fleet: &Fleet, keeper: usize) -> u64 {
-    let id = fleet.keepers[keeper].as_ref().expect("it runs").0.id();
+    let id = fleet.replicas[keeper].as_ref().expect("it runs").0.id();
     let text = std::fs::read_to_string(format!("/proc/{id}/status")).expect("it runs");
     let line = text.lines().find(|l| l.starts_with("VmRSS")).expect("a size");
     line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("a number")
--- a/crates/cli/tests/verdicts.rs
+++ b/crates/cli/tests/verdicts.rs
@@ -22,7 +22,7 @@
 use beechloft_fault_proxy::udp::{self, DatagramFault};
 use beechloft_fault_proxy::{LinkFault, TcpProxy};
 use beechloft_http::client::Pool;
-use support::{Process, beechloft, kept_addresses, until};
+use support::{Process, beechloft, reserve_addresses, wait_until};
 
 const KEEPERS: usize = 3;
 const FRONTS: usize = 8;
@@ -97,7 +97,7 @@
             seed: 5,
         };
         let boxes = Arc::new(Fleet::start(&spec, &recorder).expect("boxes"));
-        let mut all = kept_addresses(KEEPERS + 2 * FRONTS);
+        let mut all = reserve_addresses(KEEPERS + 2 * FRONTS);
         let (listens, members) = (all.split_off(KEEPERS + FRONTS), all.split_off(KEEPERS));
         let mut rig = Rig {
             dir: tempfile::tempdir().expect("a folder"),
@@ -242,7 +242,7 @@
 
     /// All fronts see all processes, and take requests.
     fn wait_for_all(&self) {
-        until(|| {
+        wait_until(|| {
             for n in 0..FRONTS {
                 let file = self.dir.path().join(format!("f{n}.yaml"));
                 let mut command = beechloft();
@@ -377,7 +377,7 @@
     // All three are sound again: they come back to most fronts, not by a herd but by trials first.
     (1..=3).for_each(|id| rig.boxes.mend(id));
     let mended = rig.now();
-    until(|| {
+    wait_until(|| {
         thread::sleep(SECOND / 2);
         for id in 1..=3 {
             let fronts: BTreeSet<u32> = rig.offers(id, mended, u64::MAX).into_iter().map(|o| o.1).collect();
