--- a/crates/cli/tests/limits.rs
+++ b/crates/cli/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits over fronts as real processes: keepers, fronts and stand-in boxes. What plays is counted at the boxes.
+//! Fleet-wide quotas with coordinator and fronts as processes and simulated media servers, which count the sessions that play.
 // Not reworked yet, see docs/ROADMAP.md.
 #![allow(clippy::cast_possible_truncation, clippy::shadow_unrelated)]
 
@@ -14,44 +14,50 @@
 
 use beechloft_checker::Recorder;
 use beechloft_fakes::dice::Dice;
-use beechloft_fakes::fleet::{Fleet as Boxes, FleetBox, FleetSpec, TitleSpec};
+use beechloft_fakes::fleet::{Fleet as MediaServers, FleetBox, FleetSpec, TitleSpec};
 use beechloft_fakes::media;
 use beechloft_fakes::player::{self, Playing, Wish};
 use rustix::process::Signal;
 use support::keepers::Fleet;
 use support::{Process, beechloft, reserve_addresses, wait_until};
 
+/// Limit of the quota on sessions.
 const LIMIT: usize = 40;
 const FRONTS: usize = 3;
 
-/// A session that a player keeps alive until a moment.
-struct Kept {
+/// Session that its player keeps alive until a given time.
+struct ActiveSession {
     playing: Playing,
     front: usize,
-    until: Instant,
+    ends_at: Instant,
 }
 
+/// State that the test shares with its threads.
 struct Shared {
-    boxes: Boxes,
+    media_servers: MediaServers,
     recorder: Recorder,
-    kept: Mutex<Vec<Kept>>,
-    /// For each front: whether newcomers come to it.
-    wanted: Vec<AtomicBool>,
-    end: AtomicBool,
-    most: AtomicUsize,
+    sessions: Mutex<Vec<ActiveSession>>,
+    /// Whether new sessions are requested, for each front.
+    has_demand: Vec<AtomicBool>,
+    stop: AtomicBool,
+    /// Maximum number of sessions that played at once.
+    max_sessions: AtomicUsize,
+    /// Status and body of each refusal.
     refusals: Mutex<Vec<(u16, String)>>,
 }
 
-struct Rig {
-    keepers: Fleet,
+/// Coordinator, fronts, media servers and the threads of the players.
+struct Fixture {
+    coordinator: Fleet,
     fronts: Vec<Option<Process>>,
     listens: Vec<SocketAddr>,
     shared: Arc<Shared>,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
+/// Four media servers, which all have the only title.
 fn spec() -> FleetSpec {
-    let one = |n: u16| FleetBox {
+    let media_server = |n: u16| FleetBox {
         rack: n % 2,
         zone: "a".into(),
         kind: "small".into(),
@@ -61,7 +67,7 @@
         cores: 8,
     };
     FleetSpec {
-        boxes: (0..4).map(one).collect(),
+        boxes: (0..4).map(media_server).collect(),
         uplinks_kb: vec![1e6, 1e6],
         titles: vec![TitleSpec {
             name: "all".into(),
@@ -76,43 +82,47 @@
     }
 }
 
-impl Rig {
-    fn new() -> Rig {
+impl Fixture {
+    fn new() -> Fixture {
         let recorder = Recorder::default();
         let shared = Arc::new(Shared {
-            boxes: Boxes::start(&spec(), &recorder).expect("boxes"),
+            media_servers: MediaServers::start(&spec(), &recorder).expect("start the media servers"),
             recorder,
-            kept: Mutex::default(),
-            wanted: (0..FRONTS).map(|_| AtomicBool::new(false)).collect(),
-            end: AtomicBool::new(false),
-            most: AtomicUsize::new(0),
+            sessions: Mutex::default(),
+            has_demand: (0..FRONTS).map(|_| AtomicBool::new(false)).collect(),
+            stop: AtomicBool::new(false),
+            max_sessions: AtomicUsize::new(0),
             refusals: Mutex::default(),
         });
-        let mut rig = Rig {
-            keepers: Fleet::new(3),
+        let mut fixture = Fixture {
+            coordinator: Fleet::new(3),
             fronts: Vec::new(),
             listens: reserve_addresses(FRONTS),
             shared,
             threads: Vec::new(),
         };
-        rig.keepers.leader(3);
+        fixture.coordinator.leader(3);
         for n in 0..FRONTS {
-            rig.fronts.push(None);
-            rig.start(n);
+            fixture.fronts.push(None);
+            fixture.start(n);
             for seed in 0..4 {
-                let (shared, front) = (Arc::clone(&rig.shared), rig.listens[n]);
-                rig.threads.push(thread::spawn(move || shared.viewers(n, front, 10 * n as u64 + seed)));
+                let (shared, front) = (Arc::clone(&fixture.shared), fixture.listens[n]);
+                fixture
+                    .threads
+                    .push(thread::spawn(move || shared.request_sessions(n, front, 10 * n as u64 + seed)));
             }
         }
-        for f in [Shared::consents as fn(&Shared), Shared::counts] {
-            let shared = Arc::clone(&rig.shared);
-            rig.threads.push(thread::spawn(move || f(&shared)));
+        for task in [Shared::send_consents as fn(&Shared), Shared::track_max_sessions] {
+            let shared = Arc::clone(&fixture.shared);
+            fixture.threads.push(thread::spawn(move || task(&shared)));
         }
-        rig
+        fixture
     }
 
-    fn file(&self, n: usize) -> PathBuf {
-        let keepers: Vec<String> = self.keepers.addresses.iter().map(|a| format!("'{a}'")).collect();
+    /// Writes the settings file of a front.
+    fn write_settings(&self, n: usize) -> PathBuf {
+        let replicas: Vec<String> =
+            self.coordinator.addresses.iter().map(|address| format!("'{address}'")).collect();
         let text = format!(
             "service:\n  zones: [a]\n  racks: 2\n  ladder:\n    - {{rate_kb: 200, worth: 1}}\n  classes:\n    \
              - {{name: video, aim_ms: 800, patience_ms: 4000}}\n  kinds:\n    - {{name: small, streams: 200}}\n  \
@@ -121,53 +131,63 @@
              ttl_ms: 1500\n    settle_ms: 1000\n    list:\n      - {{name: plays, counts: sessions, of: all, \
              limit: {LIMIT}, kind: hard, least: 1, longest_s: 600}}\n",
             self.listens[n],
-            self.shared.boxes.list.url(),
-            keepers.join(", "),
+            self.shared.media_servers.list.url(),
+            replicas.join(", "),
             0.99 + 0.01 * n as f64,
         );
-        let path = self.keepers.dir.path().join(format!("front{n}.yaml"));
-        std::fs::write(&path, text).expect("written");
+        let path = self.coordinator.dir.path().join(format!("front{n}.yaml"));
+        std::fs::write(&path, text).expect("write the settings");
         path
     }
 
+    /// Starts a front.
     fn start(&mut self, n: usize) {
-        let file = self.file(n);
+        let file = self.write_settings(n);
         self.fronts[n] = Some(Process::start(beechloft().arg("serve").arg(file).stderr(Stdio::null())));
     }
 
-    fn wants(&self, n: usize, wants: bool) {
-        self.shared.wanted[n].store(wants, Ordering::SeqCst);
+    /// Sets whether new sessions are requested at a front.
+    fn set_demand(&self, n: usize, has_demand: bool) {
+        self.shared.has_demand[n].store(has_demand, Ordering::SeqCst);
     }
 
-    fn plays(&self) -> usize {
-        self.shared.boxes.sessions()
+    /// Number of sessions that play.
+    fn session_count(&self) -> usize {
+        self.shared.media_servers.sessions()
     }
 
-    /// Waits until nearly all of the limit is in use.
-    fn full(&self, what: &str) -> Duration {
-        let near = LIMIT - LIMIT / 10;
-        wait_until(
-            || if self.plays() >= near { Ok(()) } else { Err(format!("{what}: {} play", self.plays())) },
-        )
+    /// Waits until at least 90% of the limit is in use.
+    fn wait_until_full(&self, when: &str) -> Duration {
+        let threshold = LIMIT - LIMIT / 10;
+        wait_until(|| {
+            if self.session_count() >= threshold {
+                Ok(())
+            } else {
+                Err(format!("{when}: {} sessions", self.session_count()))
+            }
+        })
     }
 
-    /// Players of a front's sessions leave.
-    fn leave(&self, front: usize) {
+    /// Ends all sessions of a front, as their players leave.
+    fn end_sessions(&self, front: usize) {
         let now = Instant::now();
-        let mut kept = self.shared.kept.lock().expect("kept");
-        kept.iter_mut().filter(|k| k.front == front).for_each(|k| k.until = now);
+        let mut sessions = self.shared.sessions.lock().expect("lock the sessions");
+        sessions
+            .iter_mut()
+            .filter(|session| session.front == front)
+            .for_each(|session| session.ends_at = now);
     }
 
-    /// More than the limit was never seen at the boxes.
-    fn never_over(&self) {
-        let most = self.shared.most.load(Ordering::SeqCst);
-        assert!(most <= LIMIT, "{most} played at once where {LIMIT} may");
+    /// Asserts that the number of sessions has never exceeded the limit.
+    fn assert_never_over_limit(&self) {
+        let max = self.shared.max_sessions.load(Ordering::SeqCst);
+        assert!(max <= LIMIT, "{max} concurrent sessions exceed the limit of {LIMIT}");
     }
 }
 
-impl Drop for Rig {
+impl Drop for Fixture {
     fn drop(&mut self) {
-        self.shared.end.store(true, Ordering::SeqCst);
+        self.shared.stop.store(true, Ordering::SeqCst);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
@@ -175,113 +195,148 @@
 }
 
 impl Shared {
-    fn over(&self) -> bool {
-        self.end.load(Ordering::SeqCst)
+    fn is_stopped(&self) -> bool {
+        self.stop.load(Ordering::SeqCst)
     }
 
-    /// Newcomers at one front, one after another.
-    fn viewers(&self, n: usize, front: SocketAddr, seed: u64) {
+    /// Requests sessions at one front, one after another, while it has demand.
+    fn request_sessions(&self, n: usize, front: SocketAddr, seed: u64) {
         let mut dice = Dice::new(100 + seed);
-        while !self.over() {
-            if !self.wanted[n].load(Ordering::SeqCst) {
+        while !self.is_stopped() {
+            if !self.has_demand[n].load(Ordering::SeqCst) {
                 thread::sleep(Duration::from_millis(10));
                 continue;
             }
             let wish = Wish { patience: Duration::from_secs(2), ..Wish::new(front, n as u32, "all") };
-            let asked = player::ask(&wish, &mut dice, &self.recorder);
-            if let Some(playing) = asked.playing {
-                let until = Instant::now() + Duration::from_millis(4_000 + 1_000 * (seed % 4));
-                self.kept.lock().expect("kept").push(Kept { playing, front: n, until });
+            let attempt = player::ask(&wish, &mut dice, &self.recorder);
+            if let Some(playing) = attempt.playing {
+                let ends_at = Instant::now() + Duration::from_millis(4_000 + 1_000 * (seed % 4));
+                self.sessions.lock().expect("lock the sessions").push(ActiveSession {
+                    playing,
+                    front: n,
+                    ends_at,
+                });
             } else {
-                if let Some(r) = &asked.response {
-                    let text = String::from_utf8_lossy(&r.body).into_owned();
-                    self.refusals.lock().expect("refusals").push((r.status.as_u16(), text));
+                if let Some(response) = &attempt.response {
+                    let text = String::from_utf8_lossy(&response.body).into_owned();
+                    self.refusals.lock().expect("lock the refusals").push((response.status.as_u16(), text));
                 }
                 thread::sleep(Duration::from_millis(30));
             }
         }
     }
 
-    /// Players keep their sessions alive as long as they want them.
-    fn consents(&self) {
-        let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-        while !self.over() {
+    /// Keeps sessions alive until their end.
+    fn send_consents(&self) {
+        let socket = UdpSocket::bind("127.0.0.1:0").expect("bind a socket");
+        while !self.is_stopped() {
             let now = Instant::now();
-            let mut kept = self.kept.lock().expect("kept");
-            kept.retain(|k| k.until > now);
-            for k in kept.iter() {
-                let _ = socket.send_to(&media::consent(&k.playing.name), k.playing.media);
+            let mut sessions = self.sessions.lock().expect("lock the sessions");
+            sessions.retain(|session| session.ends_at > now);
+            for session in sessions.iter() {
+                let _ = socket.send_to(&media::consent(&session.playing.name), session.playing.media);
             }
-            drop(kept);
+            drop(sessions);
             thread::sleep(Duration::from_millis(media::EVERY_MS));
         }
     }
 
-    fn counts(&self) {
-        while !self.over() {
-            self.most.fetch_max(self.boxes.sessions(), Ordering::SeqCst);
+    /// Tracks the maximum number of sessions.
+    fn track_max_sessions(&self) {
+        while !self.is_stopped() {
+            self.max_sessions.fetch_max(self.media_servers.sessions(), Ordering::SeqCst);
             thread::sleep(Duration::from_millis(2));
         }
     }
 }
 
 #[test]
-fn a_front_that_is_killed_with_sessions_playing_leaves_no_room_until_boxes_say_so() {
-    let mut rig = Rig::new();
-    rig.wants(0, true);
-    let took = rig.full("one hot front");
-    println!("one front of three has nearly all after {took:?}");
-    // Its players stay.
+fn sessions_of_killed_front_count_until_media_servers_report_their_end() {
+    let mut fixture = Fixture::new();
+    fixture.set_demand(0, true);
+    let elapsed = fixture.wait_until_full("demand at one front");
+    println!("one front of three has nearly the whole limit after {elapsed:?}");
+    // The sessions of the killed front continue.
     let far = Instant::now() + Duration::from_secs(300);
-    rig.wants(0, false);
-    rig.shared.kept.lock().expect("kept").iter_mut().for_each(|k| k.until = far);
-    rig.fronts[0] = None;
+    fixture.set_demand(0, false);
+    fixture
+        .shared
+        .sessions
+        .lock()
+        .expect("lock the sessions")
+        .iter_mut()
+        .for_each(|session| session.ends_at = far);
+    fixture.fronts[0] = None;
     let killed = Instant::now();
-    (1..FRONTS).for_each(|n| rig.wants(n, true));
-    // Beyond its account's end, the time of its last set-ups, and surveys after that.
+    (1..FRONTS).for_each(|n| fixture.set_demand(n, true));
+    // The time covers the expiry of the front's quota account, its last set-ups, and later queries of the media servers.
     while killed.elapsed() < Duration::from_secs(6) {
-        rig.never_over();
+        fixture.assert_never_over_limit();
         thread::sleep(Duration::from_millis(50));
     }
-    rig.full("with what the lost front left");
-    let left = rig.shared.kept.lock().expect("kept").iter().filter(|k| k.front == 0).count();
-    assert!(left >= LIMIT / 2, "{left} of the lost front's play on");
-    // Its players leave; nobody tells any front. Boxes are asked, and the others have the room.
-    rig.leave(0);
-    let of_others = || rig.shared.kept.lock().expect("kept").iter().filter(|k| k.front != 0).count();
-    let took = wait_until(|| {
-        let n = of_others();
-        if n >= LIMIT - LIMIT / 10 { Ok(()) } else { Err(format!("{n} of the others play")) }
+    fixture.wait_until_full("after the loss of a front");
+    let left = fixture
+        .shared
+        .sessions
+        .lock()
+        .expect("lock the sessions")
+        .iter()
+        .filter(|session| session.front == 0)
+        .count();
+    assert!(left >= LIMIT / 2, "only {left} sessions of the lost front continue");
+    // The players of the lost front leave without notice to any front. The fronts query the media servers, and the quota becomes
+    // available to the other fronts.
+    fixture.end_sessions(0);
+    let count_of_others = || {
+        fixture
+            .shared
+            .sessions
+            .lock()
+            .expect("lock the sessions")
+            .iter()
+            .filter(|session| session.front != 0)
+            .count()
+    };
+    let elapsed = wait_until(|| {
+        let count = count_of_others();
+        if count >= LIMIT - LIMIT / 10 { Ok(()) } else { Err(format!("{count} sessions of other fronts")) }
     });
-    println!("the others have its room {took:?} after its players left");
-    rig.never_over();
-    let refusals = rig.shared.refusals.lock().expect("refusals");
-    let named = refusals.iter().filter(|(s, text)| *s == 503 && text.contains("\"limit\":\"plays\"")).count();
-    assert!(named > 0 && named * 10 >= refusals.len() * 9, "{named} of {} name it", refusals.len());
+    println!("other fronts use the quota {elapsed:?} after the players left");
+    fixture.assert_never_over_limit();
+    let refusals = fixture.shared.refusals.lock().expect("lock the refusals");
+    let named = refusals
+        .iter()
+        .filter(|(status, text)| *status == 503 && text.contains("\"limit\":\"plays\""))
+        .count();
+    assert!(
+        named > 0 && named * 10 >= refusals.len() * 9,
+        "{named} of {} refusals name the limit",
+        refusals.len()
+    );
 }
 
 #[test]
-fn stopped_beyond_its_account_and_with_the_leader_killed_it_is_never_over() {
-    let mut rig = Rig::new();
-    (0..FRONTS).for_each(|n| rig.wants(n, true));
-    rig.full("three fronts");
-    let front = rig.fronts[1].as_ref().expect("it runs");
+fn limit_holds_with_stopped_front_and_killed_leader() {
+    let mut fixture = Fixture::new();
+    (0..FRONTS).for_each(|n| fixture.set_demand(n, true));
+    fixture.wait_until_full("three fronts");
+    let front = fixture.fronts[1].as_ref().expect("running front");
     front.signal(Signal::STOP);
     thread::sleep(Duration::from_secs(4));
     front.signal(Signal::CONT);
-    rig.full("after a stop");
-    rig.never_over();
-    let leader = rig.keepers.leader(3);
-    rig.keepers.kill(leader);
-    rig.full("without a keeper");
+    fixture.wait_until_full("after a stop");
+    fixture.assert_never_over_limit();
+    let leader = fixture.coordinator.leader(3);
+    fixture.coordinator.kill(leader);
+    fixture.wait_until_full("without one replica");
     thread::sleep(Duration::from_secs(2));
-    rig.never_over();
-    rig.keepers.start(leader);
-    // One ends as it is told to, and starts again.
-    rig.fronts[2].as_ref().expect("it runs").signal(Signal::TERM);
+    fixture.assert_never_over_limit();
+    fixture.coordinator.start(leader);
+    // A front stops on SIGTERM and is restarted.
+    fixture.fronts[2].as_ref().expect("running front").signal(Signal::TERM);
     thread::sleep(Duration::from_secs(2));
-    rig.fronts[2] = None;
-    rig.start(2);
-    rig.full("after a restart");
-    rig.never_over();
+    fixture.fronts[2] = None;
+    fixture.start(2);
+    fixture.wait_until_full("after a restart");
+    fixture.assert_never_over_limit();
 }
--- a/crates/cli/tests/topic.rs
+++ b/crates/cli/tests/topic.rs
@@ -1,6 +1,6 @@
-//! A topic on keepers as real processes with faults between them and to them. Publishers and subscribers are stand-ins; what they
-//! are told and see is judged: no message that was acknowledged is lost, none is there twice, no subscriber misses one, and nothing
-//! that was deleted or overtaken comes back.
+//! A topic on a coordinator whose replicas run as processes, with faults of processes and links. Simulated publishers and
+//! subscribers record what they send and receive. The record is checked: no acknowledged message is lost or duplicated, no
+//! subscriber misses a message, and no deleted or superseded message comes back.
 // Not reworked yet, see docs/ROADMAP.md.
 #![allow(clippy::shadow_unrelated)]
 
@@ -18,59 +18,64 @@
 use support::keepers::{Fleet, error_text};
 use support::{PATIENCE, wait_until};
 
-const KEEPERS: usize = 5;
+/// Number of replicas.
+const REPLICAS: usize = 5;
 const TOPIC: &str = "test/topic";
-const PACE: Pace = Pace { every: Duration::from_millis(2), keys: 40, bytes: 100, deletes: 30 };
+/// Load of a publisher.
+const LOAD: Pace = Pace { every: Duration::from_millis(2), keys: 40, bytes: 100, deletes: 30 };
 
-/// Keepers with a topic, and those who write and follow it, each by relays of its own.
-struct Trial {
+/// Coordinator with a topic, and publishers and subscribers that connect through fault proxies of their own.
+struct Fixture {
     fleet: Fleet,
     name: Name,
     record: Recorded,
     writers: Vec<Writer>,
     readers: Vec<Reader>,
-    places: usize,
+    /// Number of clients that were started.
+    client_count: usize,
 }
 
-impl Trial {
-    /// With relays for so many writers and readers.
-    fn new(places: usize, retention_ms: u32) -> Trial {
+impl Fixture {
+    /// Starts a coordinator with fault proxies for the given number of clients.
+    fn new(clients: usize, retention_ms: u32) -> Fixture {
         let more = format!("  topics: [{{name: {TOPIC}, retention_ms: {retention_ms}, keys: 10000}}]\n");
-        let fleet = Fleet::with_options(KEEPERS, places, &more);
-        fleet.leader(KEEPERS);
-        let name = Name::try_from(TOPIC.to_owned()).expect("a name");
+        let fleet = Fleet::with_options(REPLICAS, clients, &more);
+        fleet.leader(REPLICAS);
+        let name = Name::try_from(TOPIC.to_owned()).expect("valid name");
         let record = Recorded::default();
-        Trial { fleet, name, record, writers: Vec::new(), readers: Vec::new(), places: 0 }
+        Fixture { fleet, name, record, writers: Vec::new(), readers: Vec::new(), client_count: 0 }
     }
 
-    fn settings(&mut self) -> FleetSettings {
-        let file = self.fleet.settings_of(None, Some(KEEPERS + self.places));
-        self.places += 1;
-        FleetSettings::read(&std::fs::read_to_string(file).expect("read")).expect("sound")
+    /// Returns settings for the next client.
+    fn next_client_settings(&mut self) -> FleetSettings {
+        let file = self.fleet.settings_of(None, Some(REPLICAS + self.client_count));
+        self.client_count += 1;
+        FleetSettings::read(&std::fs::read_to_string(file).expect("read the settings"))
+            .expect("valid settings")
     }
 
-    fn writer(&mut self, pace: Pace) -> &mut Trial {
-        let (set, name) = (self.settings(), format!("w{}", self.writers.len()));
-        let writer = Writer::start(&set, &self.name, &name, pace, &self.record);
-        self.writers.push(writer.expect("it starts"));
-        self
+    /// Starts a publisher.
+    fn start_writer(&mut self, load: Pace) {
+        let (settings, name) = (self.next_client_settings(), format!("w{}", self.writers.len()));
+        let writer = Writer::start(&settings, &self.name, &name, load, &self.record);
+        self.writers.push(writer.expect("start a publisher"));
     }
 
-    fn reader(&mut self, takes: Duration) -> &mut Trial {
-        let (set, name) = (self.settings(), format!("r{}", self.readers.len()));
-        let reader = Reader::start(&set, &self.name, &name, takes, &self.record);
-        self.readers.push(reader.expect("it starts"));
-        self
+    /// Starts a subscriber that takes the given time for each message.
+    fn start_reader(&mut self, processing_time: Duration) {
+        let (settings, name) = (self.next_client_settings(), format!("r{}", self.readers.len()));
+        let reader = Reader::start(&settings, &self.name, &name, processing_time, &self.record);
+        self.readers.push(reader.expect("start a subscriber"));
     }
 
-    /// Waits until more messages are acknowledged, and every subscriber has them.
-    fn goes_on(&self, what: &str) {
+    /// Waits until 50 more messages are acknowledged and every subscriber has received them.
+    fn wait_for_progress(&self, after: &str) {
         let before = self.record.lock().acknowledged();
-        let began = Instant::now();
+        let start = Instant::now();
         while self.record.lock().acknowledged() < before + 50 {
             assert!(
-                began.elapsed() < PATIENCE,
-                "nothing is acknowledged after {what}: {:?}",
+                start.elapsed() < PATIENCE,
+                "no messages acknowledged after {after}: {:?}",
                 self.fleet.status()
             );
             std::thread::sleep(Duration::from_millis(10));
@@ -79,17 +84,21 @@
         for (n, reader) in self.readers.iter().enumerate() {
             wait_until(|| match reader.complete_to() {
                 complete if complete > highest => Ok(()),
-                complete => Err(format!("r{n} has {complete:?} of {highest:?} after {what}")),
+                complete => Err(format!("r{n} has {complete:?} of {highest:?} after {after}")),
             });
         }
     }
 
-    /// Ends the writers, waits until all subscribers have all, and judges.
-    fn ends(&mut self) -> Verdict {
+    /// Stops the publishers, waits until all subscribers have received all messages, and checks the record.
+    fn finish(&mut self) -> Verdict {
         self.writers.drain(..).for_each(Writer::finish);
-        let needs = self.record.lock().highest().map_or(0, |h| h + 1);
+        let end_offset = self.record.lock().highest().map_or(0, |highest| highest + 1);
         for reader in &self.readers {
-            assert!(reader.ends(needs, PATIENCE), "not all is seen: {:?} of {needs}", reader.complete_to());
+            assert!(
+                reader.ends(end_offset, PATIENCE),
+                "not all received: {:?} of {end_offset}",
+                reader.complete_to()
+            );
         }
         let verdict = self.record.lock().judge();
         assert!(verdict.is_clean(), "{verdict:#?}");
@@ -100,136 +109,142 @@
 }
 
 #[test]
-fn nothing_is_lost_missed_or_revived_whatever_becomes_of_keepers() {
-    let mut trial = Trial::new(5, 2_000);
+fn no_message_lost_or_revived_while_replicas_fail() {
+    let mut fixture = Fixture::new(5, 2_000);
     for _ in 0..2 {
-        trial.writer(PACE);
+        fixture.start_writer(LOAD);
     }
     for _ in 0..2 {
-        trial.reader(Duration::ZERO);
+        fixture.start_reader(Duration::ZERO);
     }
-    trial.goes_on("the start");
+    fixture.wait_for_progress("the start");
 
     // The leader is killed.
-    let leader = trial.fleet.leader(KEEPERS);
-    trial.fleet.kill(leader);
-    trial.goes_on("the leader's death");
-    trial.fleet.start(leader);
-
-    // It is stopped for long and goes on.
-    let leader = trial.fleet.leader(KEEPERS);
-    trial.fleet.replicas[leader].as_ref().expect("it runs").signal(Signal::STOP);
+    let leader = fixture.fleet.leader(REPLICAS);
+    fixture.fleet.kill(leader);
+    fixture.wait_for_progress("the leader's death");
+    fixture.fleet.start(leader);
+
+    // The leader is stopped for some time and continues.
+    let leader = fixture.fleet.leader(REPLICAS);
+    fixture.fleet.replicas[leader].as_ref().expect("running replica").signal(Signal::STOP);
     std::thread::sleep(Duration::from_secs(3));
-    trial.goes_on("the leader's stop");
-    trial.fleet.replicas[leader].as_ref().expect("it runs").signal(Signal::CONT);
-    trial.goes_on("the leader's going on");
+    fixture.wait_for_progress("the leader's stop");
+    fixture.fleet.replicas[leader].as_ref().expect("running replica").signal(Signal::CONT);
+    fixture.wait_for_progress("the leader's continuation");
 
-    // All are killed at once and start again on their disks.
-    (0..KEEPERS).for_each(|n| trial.fleet.kill(n));
+    // All replicas are killed at once and restarted on their stores.
+    (0..REPLICAS).for_each(|n| fixture.fleet.kill(n));
     std::thread::sleep(Duration::from_millis(500));
-    (0..KEEPERS).for_each(|n| trial.fleet.start(n));
-    trial.goes_on("the end of all keepers");
-
-    // A disk is emptied, and its keeper replaced, while messages go on.
-    let lost = (trial.fleet.leader(KEEPERS) + 1) % KEEPERS;
-    trial.fleet.restart_with_empty_store(lost);
-    trial.goes_on("a disk that was emptied");
-    let out = trial.fleet.replace(lost, None);
+    (0..REPLICAS).for_each(|n| fixture.fleet.start(n));
+    fixture.wait_for_progress("the restart of all replicas");
+
+    // A replica loses its store and is replaced while messages are published.
+    let lost = (fixture.fleet.leader(REPLICAS) + 1) % REPLICAS;
+    fixture.fleet.restart_with_empty_store(lost);
+    fixture.wait_for_progress("the loss of a store");
+    let out = fixture.fleet.replace(lost, None);
     assert_eq!(out.status.code(), Some(0), "{}", error_text(&out));
-    trial.goes_on("a keeper that was replaced");
-    // It counts now, and has all: the topic's head is there, and two others may go.
-    trial.fleet.leader(KEEPERS);
-    (0..KEEPERS).filter(|n| *n != lost).take(2).for_each(|n| trial.fleet.kill(n));
-    trial.goes_on("the end of two others");
-
-    // One that comes late gets the latest of each.
-    trial.reader(Duration::ZERO);
-    trial.goes_on("a late joiner");
-    let verdict = trial.ends();
+    fixture.wait_for_progress("a replacement");
+    // The new replica votes and has all messages, so two other replicas may fail.
+    fixture.fleet.leader(REPLICAS);
+    (0..REPLICAS).filter(|n| *n != lost).take(2).for_each(|n| fixture.fleet.kill(n));
+    fixture.wait_for_progress("the end of two other replicas");
+
+    // A late subscriber receives the latest message of each key.
+    fixture.start_reader(Duration::ZERO);
+    fixture.wait_for_progress("a late subscriber");
+    let verdict = fixture.finish();
     assert!(verdict.acknowledged > 500 && verdict.caught_up >= 3, "{verdict:?}");
 }
 
 #[test]
-fn nothing_is_lost_missed_or_revived_whatever_links_do() {
-    let mut trial = Trial::new(5, 2_000);
+fn no_message_lost_or_revived_while_links_fail() {
+    let mut fixture = Fixture::new(5, 2_000);
     for _ in 0..2 {
-        trial.writer(PACE);
+        fixture.start_writer(LOAD);
     }
     for _ in 0..3 {
-        trial.reader(Duration::ZERO);
+        fixture.start_reader(Duration::ZERO);
     }
-    trial.goes_on("the start");
-
-    // The leader is heard and hears nobody of the other keepers, then the reverse; all who write and follow reach it.
-    let cut = DirectionFault { blocked: true, ..DirectionFault::default() };
-    for way in [
-        LinkFault { reverse: cut, ..LinkFault::default() },
-        LinkFault { forward: cut, ..LinkFault::default() },
+    fixture.wait_for_progress("the start");
+
+    // One-way partitions: the leader can send to the other replicas but not receive, and then receive but not send. All clients
+    // still reach it.
+    let blocked = DirectionFault { blocked: true, ..DirectionFault::default() };
+    for fault in [
+        LinkFault { reverse: blocked, ..LinkFault::default() },
+        LinkFault { forward: blocked, ..LinkFault::default() },
     ] {
-        let leader = trial.fleet.leader(KEEPERS);
-        (0..KEEPERS).filter(|n| *n != leader).for_each(|n| trial.fleet.set_link_fault(leader, n, way));
-        trial.goes_on("a cut one way");
-        trial.fleet.clear_link_faults();
-        trial.goes_on("its healing");
+        let leader = fixture.fleet.leader(REPLICAS);
+        (0..REPLICAS).filter(|n| *n != leader).for_each(|n| fixture.fleet.set_link_fault(leader, n, fault));
+        fixture.wait_for_progress("a one-way partition");
+        fixture.fleet.clear_link_faults();
+        fixture.wait_for_progress("its end");
     }
 
-    // A keeper that does not lead is cut off from the others, and still reached by those who follow: it tells of its silence, and
-    // they leave it for another.
-    let behind = (trial.fleet.leader(KEEPERS) + 1) % KEEPERS;
-    (0..KEEPERS)
-        .filter(|n| *n != behind)
-        .for_each(|n| trial.fleet.set_link_fault(behind, n, LinkFault::partition()));
-    trial.goes_on("a keeper cut off from the others");
-    trial.fleet.clear_link_faults();
-
-    // All links are late and break again and again.
-    let late = DirectionFault { delay: Duration::from_millis(30), ..DirectionFault::default() };
-    trial.fleet.proxies.values().for_each(|r| r.set_fault(LinkFault { forward: late, reverse: late }));
+    // A follower is partitioned from the other replicas, but its subscribers still reach it. It reports its staleness, and they
+    // switch to another replica.
+    let follower = (fixture.fleet.leader(REPLICAS) + 1) % REPLICAS;
+    (0..REPLICAS)
+        .filter(|n| *n != follower)
+        .for_each(|n| fixture.fleet.set_link_fault(follower, n, LinkFault::partition()));
+    fixture.wait_for_progress("a partitioned replica");
+    fixture.fleet.clear_link_faults();
+
+    // All links are delayed, and all connections are closed repeatedly.
+    let delayed = DirectionFault { delay: Duration::from_millis(30), ..DirectionFault::default() };
+    fixture
+        .fleet
+        .proxies
+        .values()
+        .for_each(|proxy| proxy.set_fault(LinkFault { forward: delayed, reverse: delayed }));
     for _ in 0..4 {
-        trial.fleet.proxies.values().for_each(|r| r.close_connections());
+        fixture.fleet.proxies.values().for_each(|proxy| proxy.close_connections());
         std::thread::sleep(Duration::from_millis(500));
     }
-    trial.goes_on("links that are late and break");
-    trial.fleet.clear_link_faults();
-    trial.goes_on("their healing");
-    trial.ends();
+    fixture.wait_for_progress("delayed links with closed connections");
+    fixture.fleet.clear_link_faults();
+    fixture.wait_for_progress("the end of the faults");
+    fixture.finish();
 }
 
 #[test]
-fn who_is_slow_holds_up_nobody_and_who_slept_beyond_the_tombstones_is_told_anew() {
-    let mut trial = Trial::new(5, 1_000);
-    trial.writer(PACE);
-    // Its keys are seldom written again: deletions that nothing has overtaken are left when the retention is over. Those of the
-    // first writer are overtaken within a tenth of a second, if the machine keeps up, and then there is nothing to forget.
-    trial.writer(Pace { every: Duration::from_millis(10), keys: 400, ..PACE });
-    trial.reader(Duration::ZERO);
-    // It takes longer for each than they come: it is put back to what is not overtaken, and gets there.
-    trial.reader(Duration::from_millis(8));
-    // It sleeps: it reaches no keeper.
-    trial.reader(Duration::ZERO);
-    trial.goes_on("the start");
-    // After two writers and two readers.
-    let sleeper = KEEPERS + 4;
-    (0..KEEPERS).for_each(|n| trial.fleet.set_link_fault(sleeper, n, LinkFault::partition()));
-    let asleep = trial.readers[2].complete_to();
-    let before = trial.record.lock().caught_up("r2");
-    let horizons = |trial: &Trial| -> BTreeSet<u64> {
-        let all = trial.fleet.status();
-        all.iter().filter_map(|s| s["status"]["topics"][0]["horizon"].as_u64()).collect()
+fn slow_subscriber_delays_nobody_and_stale_one_gets_snapshot() {
+    let mut fixture = Fixture::new(5, 1_000);
+    fixture.start_writer(LOAD);
+    // This publisher rarely writes the same key again, so that some deletions aren't superseded when the retention ends. Those of the
+    // first publisher are superseded within a tenth of a second on a fast machine, and then no tombstone would be dropped.
+    fixture.start_writer(Pace { every: Duration::from_millis(10), keys: 400, ..LOAD });
+    fixture.start_reader(Duration::ZERO);
+    // This subscriber takes longer for each message than the interval between them. It is restarted from the live messages and
+    // catches up.
+    fixture.start_reader(Duration::from_millis(8));
+    // This subscriber will be partitioned from all replicas.
+    fixture.start_reader(Duration::ZERO);
+    fixture.wait_for_progress("the start");
+    // The subscriber is the fifth client, after two publishers and two subscribers.
+    let partitioned = REPLICAS + 4;
+    (0..REPLICAS).for_each(|n| fixture.fleet.set_link_fault(partitioned, n, LinkFault::partition()));
+    let received = fixture.readers[2].complete_to();
+    let before = fixture.record.lock().caught_up("r2");
+    let horizons = |fixture: &Fixture| -> BTreeSet<u64> {
+        let all = fixture.fleet.status();
+        all.iter().filter_map(|line| line["status"]["topics"][0]["horizon"].as_u64()).collect()
     };
-    // Until deletions that came after its sleep began are remembered by no keeper.
-    wait_until(|| match horizons(&trial).first() {
-        Some(least) if Some(*least) > asleep => Ok(()),
-        least => Err(format!("{least:?}, asleep at {asleep:?}")),
+    // Waits until no replica has all deletions since the partition began.
+    wait_until(|| match horizons(&fixture).first() {
+        Some(lowest) if Some(*lowest) > received => Ok(()),
+        lowest => Err(format!("{lowest:?}, received up to {received:?}")),
     });
-    // And for longer than a subscriber stands silence: it has left its keeper, and comes back with its offset.
+    // The partition lasts for longer than a subscriber's timeout, so that it has left its replica and resumes with its offset.
     std::thread::sleep(Duration::from_secs(8));
-    trial.fleet.clear_link_faults();
-    trial.goes_on("the sleeper's waking");
-    let told = trial.fleet.status();
-    let line = &told[0]["status"]["topics"][0];
+    fixture.fleet.clear_link_faults();
+    fixture.wait_for_progress("the end of the partition");
+    let statuses = fixture.fleet.status();
+    let line = &statuses[0]["status"]["topics"][0];
     assert!(line["subscribers"].as_u64().is_some() && line["head"].as_u64() > Some(50), "{line}");
-    let verdict = trial.ends();
-    let after = trial.record.lock().caught_up("r2");
-    assert!(after > before, "the sleeper was told anew, and is caught up again: {verdict:?}");
+    let verdict = fixture.finish();
+    let after = fixture.record.lock().caught_up("r2");
+    assert!(after > before, "the partitioned subscriber must catch up from a snapshot: {verdict:?}");
 }
