--- a/crates/testing/fault-proxy/src/lib.rs
+++ b/crates/testing/fault-proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! Network faults between two processes on loopback, which tests may change at any time.
+//! Proxies that inject network faults between two processes on loopback. Tests can change the faults at any time.
 //!
 //! [`TcpProxy`] delays, throttles or blocks the bytes of each direction of a connection. [`udp`] drops, duplicates, delays
 //! and reorders datagrams. [`ports`] reserves ports for processes that are to listen there.
@@ -10,5 +10,5 @@
 
 pub use tcp::{DirectionFault, LinkFault, TcpProxy};
 
-/// Of the proxies' threads, which need little and are many.
+/// Stack size of the threads of proxies, bytes. It is small because there are many threads.
 const STACK_BYTES: usize = 128 << 10;
--- a/crates/testing/fault-proxy/src/ports/tests.rs
+++ b/crates/testing/fault-proxy/src/ports/tests.rs
@@ -1,4 +1,4 @@
-//! Reserved ports against other sockets of the machine.
+//! Tests of reserved ports and other sockets on the same machine.
 
 use std::collections::BTreeSet;
 use std::net::{TcpListener, TcpStream, UdpSocket};
--- a/crates/testing/fault-proxy/src/tcp.rs
+++ b/crates/testing/fault-proxy/src/tcp.rs
@@ -1,9 +1,9 @@
-//! A TCP proxy with faults in each direction.
+//! A TCP proxy that injects faults into each direction.
 //!
-//! Blocked bytes are held, not lost: TCP would retransmit them, and deliver them once the path is restored, if neither side
-//! has given up by then. A connection that is opened while the path is blocked is accepted and silent, as in a partition the
-//! sender's own system learns nothing either. Each direction has a reader, a bounded queue and a writer, so that a slow
-//! receiver holds up its own direction alone.
+//! Blocked bytes are queued, not lost: TCP would retransmit them and deliver them once the path is restored, unless one side
+//! has given up by then. A connection that is opened while the path is blocked is accepted and stays silent, because in a
+//! partition the sender's system receives no error either. Each direction has a reader, a bounded queue and a writer, so that
+//! a slow receiver delays its own direction alone.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -16,46 +16,46 @@
 
 use crate::STACK_BYTES;
 
-/// How many chunks of a direction are queued at most.
+/// Maximum number of queued chunks of a direction.
 const QUEUED_CHUNKS: usize = 256;
 const CHUNK_BYTES: usize = 4096;
-/// How often a held chunk checks whether it may pass.
+/// Interval at which the writer checks whether a blocked chunk may pass.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How often an idle writer checks whether the proxy has been dropped.
+/// Interval at which an idle writer checks whether the proxy has been dropped.
 const IDLE_INTERVAL: Duration = Duration::from_millis(200);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A throttled direction sends one piece per interval.
+/// Interval between two pieces of a throttled direction.
 const THROTTLE_INTERVAL: Duration = Duration::from_millis(20);
 const THROTTLE_PIECES_PER_SECOND: usize = 50;
 
-/// What happens to the bytes of one direction.
+/// The faults of one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DirectionFault {
-    /// Nothing passes; bytes are held until this ends.
+    /// Whether the direction is blocked. Bytes are queued until it is unblocked.
     pub blocked: bool,
-    /// Each chunk is delayed by this.
+    /// Delay of each chunk.
     pub delay: Duration,
-    /// The limit on the rate; none: unlimited.
+    /// Limit on the rate. `None` if the rate is unlimited.
     pub bytes_per_second: Option<u32>,
 }
 
-/// The faults of both directions, from the point of view of whoever opens the connection.
+/// The faults of both directions, as seen by the client that opens the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LinkFault {
-    /// From the one who opens the connection.
+    /// Faults of the direction from the client.
     pub forward: DirectionFault,
-    /// To the one who opens the connection.
+    /// Faults of the direction to the client.
     pub reverse: DirectionFault,
 }
 
 impl LinkFault {
-    /// Nothing passes in either direction.
+    /// Returns faults that block both directions.
     pub fn partition() -> LinkFault {
         let blocked = DirectionFault { blocked: true, ..DirectionFault::default() };
         LinkFault { forward: blocked, reverse: blocked }
     }
 
-    /// Both directions are delayed.
+    /// Returns faults that delay both directions.
     pub fn delayed(delay: Duration) -> LinkFault {
         let delayed = DirectionFault { delay, ..DirectionFault::default() };
         LinkFault { forward: delayed, reverse: delayed }
@@ -68,13 +68,13 @@
     Reverse,
 }
 
-/// Bytes as they were read, and when.
+/// Bytes of one read, and the time of the read.
 struct Chunk {
     read_at: Instant,
     bytes: Vec<u8>,
 }
 
-/// What the threads of a proxy share.
+/// State that the threads of a proxy share.
 struct ProxyState {
     fault: Mutex<LinkFault>,
     connections: Mutex<Vec<TcpStream>>,
@@ -106,10 +106,10 @@
 }
 
 impl TcpProxy {
-    /// Starts to listen on a free port of loopback, without faults.
+    /// Starts a proxy without faults on a free port of loopback.
     ///
     /// # Errors
-    /// No port can be bound, or no thread started.
+    /// Returns an error if no port can be bound or no thread started.
     pub fn start(target: SocketAddr) -> io::Result<TcpProxy> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -125,12 +125,12 @@
         Ok(TcpProxy { address, state })
     }
 
-    /// Where it listens.
+    /// Returns the address of the proxy.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets the faults from now on, also of connections that are open.
+    /// Sets the faults, also of open connections.
     pub fn set_fault(&self, fault: LinkFault) {
         *lock(&self.state.fault) = fault;
     }
@@ -157,7 +157,7 @@
         if state.is_stopped() {
             return;
         }
-        // The target does not listen: it refuses the connection, and dropping the client's is as near to that as possible.
+        // The target refused the connection. Dropping the connection of the client is the closest equivalent.
         let Ok(server) = TcpStream::connect_timeout(&target, CONNECT_TIMEOUT) else { continue };
         let _ = forward_connection(state, client, server);
     }
@@ -193,7 +193,7 @@
     let mut buffer = [0; CHUNK_BYTES];
     while let Ok(count) = from.read(&mut buffer) {
         let chunk = Chunk { read_at: Instant::now(), bytes: buffer[..count].to_vec() };
-        // At the end the queue closes behind what is in it.
+        // The sender of the queue is dropped at the end, and the writer still sends the queued chunks.
         if count == 0 || queue.send(chunk).is_err() {
             return;
         }
--- a/crates/testing/fault-proxy/src/udp.rs
+++ b/crates/testing/fault-proxy/src/udp.rs
@@ -1,4 +1,4 @@
-//! A UDP proxy that drops, duplicates, delays and reorders datagrams, by a seed.
+//! A UDP proxy that drops, duplicates, delays and reorders datagrams with seeded randomness.
 
 use std::collections::{BTreeMap, BinaryHeap};
 use std::io;
@@ -14,61 +14,61 @@
 
 use crate::STACK_BYTES;
 
-/// All of a thousand.
+/// Probability of a certain event, in parts per thousand.
 const PER_MILLE: u32 = 1_000;
-/// How many datagrams are queued at most; any more are lost.
+/// Maximum number of queued datagrams. Excess datagrams are lost.
 const MAX_QUEUED: usize = 4_096;
-/// How many senders are told apart at most; datagrams of any more are lost.
+/// Maximum number of senders. Datagrams of excess senders are lost.
 const MAX_SENDERS: usize = 256;
 const MAX_REQUEST_BYTES: usize = 65_536;
 const MAX_RESPONSE_BYTES: usize = 8_192;
-/// How often threads check whether the proxy has been dropped.
+/// Interval at which threads check whether the proxy has been dropped.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What happens to the datagrams of one direction.
+/// The faults of one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DatagramFault {
-    /// How many of a thousand are lost.
+    /// Probability of loss, per thousand.
     pub loss_per_mille: u32,
-    /// How many of a thousand are duplicated.
+    /// Probability of duplication, per thousand.
     pub duplicate_per_mille: u32,
-    /// Each is delayed by a random time up to this, so that they are reordered.
+    /// Maximum of the random delay of each datagram, which reorders datagrams.
     pub max_delay: Duration,
 }
 
 impl DatagramFault {
-    /// Nothing passes.
+    /// Returns faults that drop every datagram.
     pub fn drop_all() -> DatagramFault {
         DatagramFault { loss_per_mille: PER_MILLE, ..DatagramFault::default() }
     }
 }
 
-/// The faults of both directions, from the point of view of whoever sends to the proxy.
+/// The faults of both directions, as seen by a client that sends to the proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DatagramLinkFault {
-    /// To the target.
+    /// Faults of the direction to the target.
     pub forward: DatagramFault,
-    /// From the target.
+    /// Faults of the direction from the target.
     pub reverse: DatagramFault,
 }
 
 impl DatagramLinkFault {
-    /// The same faults in both directions.
+    /// Returns the same faults for both directions.
     pub fn symmetric(fault: DatagramFault) -> DatagramLinkFault {
         DatagramLinkFault { forward: fault, reverse: fault }
     }
 }
 
-/// How many datagrams the proxy has handled.
+/// Numbers of datagrams that the proxy has handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DatagramCounts {
-    /// Received, from both sides.
+    /// Number of datagrams received from both sides.
     pub received: u64,
-    /// Sent on, duplicates included.
+    /// Number of datagrams sent, including duplicates.
     pub forwarded: u64,
 }
 
-/// A datagram that waits until it is due. The greatest is the one that is due first.
+/// A queued datagram. The ordering is reversed, so that the greatest datagram is due first.
 struct QueuedDatagram {
     due_at: Instant,
     order: u64,
@@ -115,7 +115,7 @@
         self.stopped.load(Ordering::Relaxed)
     }
 
-    /// Draws what happens to a datagram, and queues its copies.
+    /// Applies random faults to a datagram, and queues its copies.
     fn enqueue(&self, fault: DatagramFault, from: &Arc<UdpSocket>, to: SocketAddr, bytes: &[u8]) {
         let order = self.received.fetch_add(1, Ordering::Relaxed);
         let mut rng = lock(&self.rng);
@@ -129,7 +129,7 @@
             let due_at = Instant::now() + delay;
             let datagram =
                 QueuedDatagram { due_at, order, from: Arc::clone(from), to, bytes: bytes.to_vec() };
-            // It is lost if the queue is full.
+            // The datagram is lost if the queue is full.
             let _ = self.queue.try_send(datagram);
         }
     }
@@ -142,10 +142,10 @@
 }
 
 impl UdpProxy {
-    /// Starts to listen on a free port of loopback, without faults. The seed determines what is drawn.
+    /// Starts a proxy without faults on a free port of loopback. The seed determines the random faults.
     ///
     /// # Errors
-    /// No port can be bound, or no thread started.
+    /// Returns an error if no port can be bound or no thread started.
     pub fn start(target: SocketAddr, seed: u64) -> io::Result<UdpProxy> {
         let socket = Arc::new(UdpSocket::bind("127.0.0.1:0")?);
         socket.set_read_timeout(Some(POLL_INTERVAL))?;
@@ -168,17 +168,17 @@
         Ok(UdpProxy { address, state })
     }
 
-    /// Where it listens.
+    /// Returns the address of the proxy.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets the faults from now on.
+    /// Sets the faults of datagrams that arrive from now on.
     pub fn set_fault(&self, fault: DatagramLinkFault) {
         *lock(&self.state.fault) = fault;
     }
 
-    /// How many datagrams it has handled so far.
+    /// Returns the numbers of datagrams handled so far.
     pub fn counts(&self) -> DatagramCounts {
         let (received, forwarded) = (&self.state.received, &self.state.forwarded);
         DatagramCounts {
@@ -194,8 +194,8 @@
     }
 }
 
-/// Receives what is sent to the proxy. Each sender has a socket of its own towards the target, so that responses can be
-/// returned to it.
+/// Receives datagrams that are sent to the proxy. Each sender has a separate socket towards the target, so that responses
+/// can be returned to it.
 fn receive_requests(state: &Arc<ProxyState>, socket: &Arc<UdpSocket>, target: SocketAddr) {
     let mut by_sender: BTreeMap<SocketAddr, Arc<UdpSocket>> = BTreeMap::new();
     let mut buffer = [0; MAX_REQUEST_BYTES];
@@ -215,7 +215,7 @@
     }
 }
 
-/// Opens the socket of a sender towards the target, and starts to return the responses.
+/// Opens the socket of a sender towards the target, and starts the thread that returns the responses.
 fn open_outgoing(
     state: &Arc<ProxyState>,
     socket: &Arc<UdpSocket>,
--- a/crates/testing/fault-proxy/tests/tcp.rs
+++ b/crates/testing/fault-proxy/tests/tcp.rs
@@ -1,4 +1,4 @@
-//! Faults of a TCP proxy between a client and an echo server.
+//! Tests of the faults of a TCP proxy between a client and an echo server.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -24,7 +24,7 @@
     address
 }
 
-/// Sends a byte; whether the echo arrives in time.
+/// Sends a byte, and returns whether the echo arrives in time.
 fn is_echoed(stream: &mut TcpStream, timeout: Duration) -> bool {
     stream.set_read_timeout(Some(timeout)).expect("set");
     stream.write_all(b"x").expect("written");
@@ -49,7 +49,7 @@
         stream.set_read_timeout(Some(LONG)).expect("set");
         stream.read_exact(&mut [0]).expect("held bytes arrive");
     }
-    // A connection that is opened during a partition is silent, and works afterwards.
+    // A connection that is opened during a partition is silent until the partition ends.
     proxy.set_fault(LinkFault::partition());
     let mut other = TcpStream::connect(proxy.address()).expect("a connection");
     assert!(!is_echoed(&mut other, SHORT));
--- a/crates/testing/fault-proxy/tests/udp.rs
+++ b/crates/testing/fault-proxy/tests/udp.rs
@@ -1,4 +1,4 @@
-//! Faults of a UDP proxy between a client and a server.
+//! Tests of the faults of a UDP proxy between a client and a server.
 
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
@@ -38,7 +38,7 @@
     }
 }
 
-/// Receives until nothing has arrived for a while.
+/// Receives datagrams until none arrives within the read timeout.
 fn receive_all(socket: &UdpSocket) -> Vec<u16> {
     let mut received = Vec::new();
     let mut buffer = [0; 8];
--- a/crates/testing/fleet-simulation/src/cluster/faults.rs
+++ b/crates/testing/fleet-simulation/src/cluster/faults.rs
@@ -1,4 +1,4 @@
-//! Changes from outside: the list of media servers, and processes that end and start.
+//! External events: changes of the endpoint list, and ends and starts of processes.
 
 use beechloft::api::Micros;
 use beechloft_front_node::Input;
@@ -9,7 +9,7 @@
 use super::{Cluster, NETWORK_DELAY, VIEWERS, set_up};
 
 impl Cluster {
-    /// The event bus publishes the present state of media servers to all front nodes at the same instant.
+    /// Publishes the present state of media servers to all front nodes at the same instant.
     pub fn publish_endpoints(&mut self, servers: &[usize]) {
         let endpoints: Vec<Endpoint> =
             servers.iter().map(|server| self.servers[*server].endpoint(&self.settings)).collect();
@@ -19,8 +19,8 @@
         }
     }
 
-    /// A media server's process ends, and another starts at once with its name and address. The list tells each front node
-    /// at a random time within `spread`; those with a connection notice the end.
+    /// Replaces the process of a media server by a new one with the same name and address. The list informs each front
+    /// node at a random time within `spread`. Front nodes with a connection notice the end of the old process.
     pub fn restart_server(&mut self, server: usize, spread: Micros) {
         self.kill_server(server);
         let known_since = self.now + NETWORK_DELAY;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A media server's process ends: connections to it are reset and new ones refused. All front nodes with a connection
+    /// Ends the process of a media server. Its connections are reset and new ones refused. All front nodes with a connection
     /// notice it at the same instant.
     pub fn kill_server(&mut self, server: usize) {
         self.servers[server].is_running = false;
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Front nodes are killed and start again at the same instant. Their sessions play on, and their viewers name them to
-    /// the new processes.
+    /// Kills front nodes and restarts them at the same instant. Their sessions continue, and the viewers present them to the
+    /// new processes.
     pub fn restart_front_nodes(&mut self, front_nodes: impl Iterator<Item = usize>) {
         for front_node in front_nodes {
             let number = u32::try_from(front_node).expect("fewer than 2^32 front nodes");
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The list at a front node's start tells it of all starts of media servers so far.
+    /// Marks all starts of media servers so far as known to a front node, which receives them with the list at its own start.
     fn learn_starts(&mut self, front_node: usize) {
         let now = self.now;
         for server in self.servers.iter_mut().filter(|server| server.started_at.is_some()) {
--- a/crates/testing/fleet-simulation/src/cluster/front_node.rs
+++ b/crates/testing/fleet-simulation/src/cluster/front_node.rs
@@ -1,4 +1,4 @@
-//! A front node in the cluster.
+//! A front node of the simulated cluster.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +7,11 @@
 
 pub(super) struct FrontNode {
     pub node: Node,
-    /// How often it has restarted.
+    /// Number of restarts.
     pub restarts: u32,
-    /// The media server of each incarnation.
+    /// Media server of each incarnation that the front node knows.
     pub servers: BTreeMap<ServerIncarnation, usize>,
-    /// Its connections, and when each was or will be established.
+    /// Connections, with the time at which each was or will be established.
     pub connections: BTreeMap<ServerIncarnation, Micros>,
 }
 
@@ -25,12 +25,12 @@
         *self = FrontNode { restarts: self.restarts + 1, ..FrontNode::new(node) };
     }
 
-    /// Its incarnation of a media server.
+    /// Returns the incarnation under which the front node knows a media server. Returns `None` if it knows none.
     pub fn incarnation_of(&self, server: usize) -> Option<ServerIncarnation> {
         self.servers.iter().find(|(_, known)| **known == server).map(|(incarnation, _)| *incarnation)
     }
 
-    /// Its incarnation of a media server, if it has a connection there.
+    /// Returns the incarnation of a media server that the front node is connected to. Returns `None` without a connection.
     pub fn connected_incarnation_of(&self, server: usize) -> Option<ServerIncarnation> {
         self.incarnation_of(server).filter(|incarnation| self.connections.contains_key(incarnation))
     }
--- a/crates/testing/fleet-simulation/src/cluster/mod.rs
+++ b/crates/testing/fleet-simulation/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! The cluster: its clock, its queue of events, and the viewers' requests.
+//! The simulated cluster: its clock, its event queue, and the requests of viewers.
 
 mod faults;
 mod front_node;
@@ -20,20 +20,20 @@
 use crate::settings::ClusterSettings;
 use front_node::FrontNode;
 
-/// The delay of the network in one direction.
+/// Network delay in one direction.
 const NETWORK_DELAY: Micros = Micros(500);
-/// The time at which a simulation starts.
+/// Simulated time at the start.
 const START: Micros = Micros(1_700_000_000_000_000);
-/// The connection that all viewers of a front node share.
+/// Connection that all viewers of a front node share.
 const VIEWERS: ViewerConnection = ViewerConnection(1);
 
 /// An event of the simulation.
 enum Event {
-    /// An input reaches a front node. Void if the front node has restarted since it was sent.
+    /// An input reaches a front node. It is dropped if the front node has restarted since it was sent.
     Input { front_node: usize, restarts: u32, input: Input },
-    /// A timer of a front node may be due. Void if the front node has restarted since it was set.
+    /// A timer of a front node may be due. It is dropped if the front node has restarted since it was set.
     Timer { front_node: usize, restarts: u32 },
-    /// A viewer requests a session of a length at a front node.
+    /// A viewer requests a session with a duration at a front node.
     Request { front_node: usize, length: Micros },
     /// A session ends at its media server.
     SessionEnd { server: usize, id: CallId },
@@ -42,39 +42,39 @@
 /// The results of all viewers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Totals {
-    /// Requested sessions.
+    /// Number of requested sessions.
     pub requested: usize,
-    /// Sessions that were established.
+    /// Number of established sessions.
     pub established: usize,
-    /// Requests that were refused.
+    /// Number of refused requests.
     pub refused: usize,
-    /// Requests that failed.
+    /// Number of failed requests.
     pub failed: usize,
-    /// Sessions that ended with the process of their media server.
+    /// Number of sessions that ended with the process of their media server.
     pub interrupted: usize,
 }
 
 /// A simulated cluster of front nodes and media servers.
 pub struct Cluster {
-    /// The settings of all front nodes.
+    /// Settings of all front nodes.
     pub settings: ClusterSettings,
-    /// The media servers.
+    /// Media servers.
     pub servers: Vec<MediaServer>,
-    /// The results of all viewers so far.
+    /// Results of all viewers so far.
     pub totals: Totals,
     front_nodes: Vec<FrontNode>,
     now: Micros,
-    /// By time, and by the order of queueing within the same instant.
+    /// Queued events by time, and by the order of queueing within the same instant.
     events: BTreeMap<(Micros, u64), Event>,
     last_sequence: u64,
     last_call: u64,
-    /// Requests that wait for their answer, with the length of the session.
+    /// Requests without an answer, with the duration of the session.
     pending: BTreeMap<CallId, Micros>,
     rng: ChaCha8Rng,
 }
 
 impl Cluster {
-    /// Starts all front nodes of the settings at the same instant, with a list of media servers that started long ago.
+    /// Starts all front nodes at the same instant, with a list of media servers that have completed their cold period.
     pub fn start(settings: ClusterSettings, servers: u16, seed: u64) -> Cluster {
         let mut cluster = Cluster {
             settings,
@@ -117,28 +117,28 @@
         self.handle(front_node, Input::InitialTopologies(vec![topology]));
     }
 
-    /// The simulated time.
+    /// Returns the simulated time.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// How many front nodes there are.
+    /// Returns the number of front nodes.
     pub fn front_node_count(&self) -> usize {
         self.front_nodes.len()
     }
 
-    /// Sessions that are established in the front nodes' state.
+    /// Returns the number of sessions that are established according to the front nodes.
     pub fn established_sessions(&self) -> usize {
         self.front_nodes.iter().map(|front_node| front_node.node.counts().established).sum()
     }
 
-    /// Viewers request sessions for a duration in microseconds, at a rate over the whole cluster. Front nodes and times are
-    /// random.
+    /// Schedules session requests of viewers during the next `duration_us` microseconds, at a rate over the whole cluster.
+    /// Front nodes and times are random.
     pub fn request_sessions(&mut self, per_second: f64, duration_us: u64, length: Micros) {
         self.request_sessions_weighted(per_second, duration_us, length, |_| 1);
     }
 
-    /// The same, with a weight for each front node.
+    /// Schedules session requests as [`Self::request_sessions`] does, with a weight for each front node.
     pub fn request_sessions_weighted(
         &mut self,
         per_second: f64,
@@ -204,7 +204,7 @@
         self.handle(front_node, Input::ViewerMessage(VIEWERS, message));
     }
 
-    /// Gives a front node an input, and carries its outputs out.
+    /// Passes an input to a front node and executes the outputs.
     fn handle(&mut self, front_node: usize, input: Input) {
         let outputs = self.front_nodes[front_node].node.handle(self.now, input);
         for output in outputs {
@@ -212,7 +212,7 @@
         }
         let target = &self.front_nodes[front_node];
         if let Some(due) = target.node.next_due() {
-            // A timer that is scheduled twice finds nothing due the second time.
+            // If a timer is scheduled twice, nothing is due the second time.
             let restarts = target.restarts;
             self.schedule(due - self.now, Event::Timer { front_node, restarts });
         }
@@ -223,7 +223,7 @@
         self.events.insert((self.now + delay, self.last_sequence), event);
     }
 
-    /// Schedules an input of a front node as it runs now.
+    /// Schedules an input for the present process of a front node.
     fn schedule_input(&mut self, delay: Micros, front_node: usize, input: Input) {
         let restarts = self.front_nodes[front_node].restarts;
         self.schedule(delay, Event::Input { front_node, restarts, input });
--- a/crates/testing/fleet-simulation/src/cluster/network.rs
+++ b/crates/testing/fleet-simulation/src/cluster/network.rs
@@ -1,4 +1,4 @@
-//! The network between front nodes, media servers and viewers: it carries the front nodes' outputs out.
+//! The network between front nodes, media servers and viewers, which executes the outputs of the front nodes.
 
 use std::net::SocketAddr;
 
@@ -46,13 +46,14 @@
     }
 
     fn add_incarnation(&mut self, front_node: usize, incarnation: ServerIncarnation, address: SocketAddr) {
-        // Of several servers with the same address the newest listens there.
+        // If several servers have the same address, the newest one listens there.
         if let Some(server) = self.servers.iter().rposition(|server| server.address() == address) {
             self.front_nodes[front_node].servers.insert(incarnation, server);
         }
     }
 
-    /// Connects to an incarnation unless it is connected. None if its server refuses connections.
+    /// Connects to an incarnation unless it is connected, and returns the server. Returns `None` if the server refuses
+    /// connections.
     fn connect(&mut self, front_node: usize, incarnation: ServerIncarnation) -> Option<usize> {
         let server = *self.front_nodes[front_node].servers.get(&incarnation)?;
         if !self.servers[server].is_running {
@@ -66,7 +67,7 @@
         Some(server)
     }
 
-    /// The time until a connection is established: none, or nearly the connect timeout by chance.
+    /// Returns the time until a connection is established: zero, or at random nearly the connect timeout.
     fn connect_delay(&mut self) -> Micros {
         let one_in = self.settings.late_one_in;
         if one_in == 0 || self.rng.random_range(0..one_in) != 0 {
@@ -81,7 +82,7 @@
             let failure = Input::AttemptFailed(incarnation, id, AttemptFailure::NoConnection);
             return self.schedule_input(NETWORK_DELAY, front_node, failure);
         };
-        // It waits for a connection that is not established yet.
+        // The message waits until the connection is established.
         let connected_at = self.front_nodes[front_node].connections.get(&incarnation);
         let received_at = connected_at.map_or(self.now, |at| self.now.max(*at));
         let target = &mut self.servers[server];
@@ -110,7 +111,7 @@
         }
     }
 
-    /// A media server sends a message with its load to a front node.
+    /// Sends a message from a media server, with its load, to a front node.
     pub(super) fn send_to_front_node(
         &mut self,
         front_node: usize,
--- a/crates/testing/fleet-simulation/src/cluster/set_up.rs
+++ b/crates/testing/fleet-simulation/src/cluster/set_up.rs
@@ -1,4 +1,4 @@
-//! Set-ups of viewers. Class, title and viewer follow from the session's identifier.
+//! Set-ups of viewers, whose class, title and viewer are derived from the identifier of the session.
 
 use beechloft_protocol::CallId;
 use beechloft_protocol::attributes::Attributes;
@@ -6,28 +6,28 @@
 
 use crate::settings::ClusterSettings;
 
-/// How many titles there are.
+/// Number of titles.
 const TITLES: u64 = 97;
-/// How long a viewer waits for the answer, in milliseconds.
+/// Time that a viewer waits for the answer, milliseconds.
 const TIMEOUT_MS: u64 = 4_000;
-/// The timeout that is stated for a session that plays already, as it waits for no answer.
+/// Timeout in the set-up of a session that is playing already, whose viewer does not wait for an answer.
 const NO_TIMEOUT_MS: u64 = 4_294_967;
 
-/// The set-up of a new session.
+/// Returns the set-up of a new session.
 pub(super) fn new_session(id: CallId, settings: &ClusterSettings) -> Box<SetUp> {
     set_up(id, None, settings)
 }
 
-/// The set-up of a session that plays already at a media server.
+/// Returns the set-up of a session that is already playing at a media server.
 pub(super) fn playing_session(id: CallId, server_name: String, settings: &ClusterSettings) -> Box<SetUp> {
     set_up(id, Some(server_name), settings)
 }
 
 fn set_up(id: CallId, playing_at: Option<String>, settings: &ClusterSettings) -> Box<SetUp> {
-    // A multiplicative hash, so that consecutive identifiers differ in all three.
+    // The multiplicative hash makes consecutive identifiers differ in class, title and viewer.
     let hash = id.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33;
     let title = hash % TITLES;
-    // The casts are of remainders by small numbers.
+    // The casts lose nothing, since the values are remainders of small divisors.
     let class = (hash / TITLES) as usize % settings.classes.len();
     Box::new(SetUp {
         class: settings.classes[class].name.into(),
--- a/crates/testing/fleet-simulation/src/lib.rs
+++ b/crates/testing/fleet-simulation/src/lib.rs
@@ -1,11 +1,12 @@
-//! Many front nodes in one process under one simulated clock: the real state machines, a network that only delays, and
-//! media servers that count what they receive.
+//! Simulates many front nodes in one process with one simulated clock.
 //!
-//! It shows what is harmless in one front node and harmful in all of them at the same instant: health checks, new
-//! connections, and set-ups on media servers that started lately. The same seed gives the same run.
+//! The front nodes run the production state machines. The network only delays messages, and the media servers count what
+//! they receive. The simulation shows load that is harmless from one front node and harmful from all of them at the same
+//! instant: health checks, new connections, and set-ups on media servers that started recently. Runs with the same seed
+//! are identical.
 //!
-//! [`Cluster`] holds the clock, the network and the viewers; [`media_server`] the media servers and their counts;
-//! [`settings`] the settings of the platform.
+//! [`Cluster`] contains the clock, the network and the viewers. The module [`media_server`] contains the media servers and
+//! their counters, and [`settings`] the settings of the platform.
 #![forbid(unsafe_code)]
 
 mod cluster;
--- a/crates/testing/fleet-simulation/src/media_server.rs
+++ b/crates/testing/fleet-simulation/src/media_server.rs
@@ -1,4 +1,4 @@
-//! Media servers that accept every set-up, and count what they receive.
+//! Simulated media servers, which accept every set-up and count what they receive.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,74 +9,74 @@
 
 use crate::settings::ClusterSettings;
 
-/// Servers that share the third byte of their addresses.
+/// Number of servers whose addresses share the third byte.
 const SERVERS_PER_SUBNET: u16 = 200;
 const PORT: u16 = 2905;
 
 /// A set-up that a media server received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SetUpReceived {
-    /// When it was received.
+    /// Time of the receipt.
     pub at: Micros,
-    /// The front node that sent it.
+    /// Front node that sent the set-up.
     pub front_node: usize,
-    /// When it was sent.
+    /// Time of the sending.
     pub sent_at: Micros,
 }
 
 /// A connection that a front node opened to a media server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionOpened {
-    /// When it was opened.
+    /// Time of the opening.
     pub at: Micros,
-    /// The front node.
+    /// Front node that opened the connection.
     pub front_node: usize,
 }
 
-/// How many connections were opened within a time.
+/// The number of connections that were opened to a media server within a period.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OpenedConnections {
-    /// Front nodes that opened any.
+    /// Number of front nodes that opened any.
     pub front_nodes: usize,
-    /// Connections that were opened.
+    /// Number of connections.
     pub connections: usize,
 }
 
-/// Set-ups that a cold media server received within one overload window.
+/// The number of set-ups that a cold media server received within one overload window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct ColdWindow {
-    /// Of all front nodes.
+    /// Number of set-ups from all front nodes.
     pub total: usize,
-    /// Of front nodes that knew of the server's start when they sent them.
+    /// Number of set-ups from front nodes that knew of the start of the server when they sent them.
     pub informed: usize,
 }
 
-/// A media server.
+/// A simulated media server.
 #[derive(Debug, Clone)]
 pub struct MediaServer {
-    /// Its number; its name, cell and address follow from it.
+    /// Number of the server, which determines its name, cell and address.
     pub number: u16,
-    /// Its state on the list.
+    /// State in the endpoint list.
     pub status: Status,
-    /// Whether its process runs.
+    /// Whether the process is running.
     pub is_running: bool,
-    /// When its process started; none if that is long ago.
+    /// Start time of the process. `None` if the server has been warm from the beginning.
     pub started_at: Option<Micros>,
-    /// Its sessions, with the front node of each.
+    /// Sessions, with the front node of each.
     pub sessions: BTreeMap<CallId, usize>,
-    /// All set-ups that it received, in the order of their sending.
+    /// Received set-ups, in the order of their sending.
     pub set_ups: Vec<SetUpReceived>,
-    /// All connections that were opened to it.
+    /// Connections that were opened to the server.
     pub connections: Vec<ConnectionOpened>,
-    /// When it received health checks.
+    /// Times of the received health checks.
     pub health_checks: Vec<Micros>,
-    /// The front nodes that know of its process's start, and since when: from the list, from the end of the process
-    /// before, or from the list at their own start.
+    /// Front nodes that know of the start of the process, and since when. They learn of it from the list, from the end of
+    /// the previous process, or from the list at their own start.
     pub start_known_since: BTreeMap<usize, Micros>,
 }
 
 impl MediaServer {
-    /// A server whose process started long ago.
+    /// Creates a server that has completed its cold period.
     pub fn warm(number: u16) -> MediaServer {
         MediaServer {
             number,
@@ -91,24 +91,24 @@
         }
     }
 
-    /// A server whose process starts now.
+    /// Creates a server whose process starts now.
     pub fn cold(number: u16, now: Micros) -> MediaServer {
         MediaServer { started_at: Some(now), ..MediaServer::warm(number) }
     }
 
-    /// Its name.
+    /// Returns the name of the server.
     pub fn name(&self) -> String {
         format!("s-{:08x}", self.number)
     }
 
-    /// The address that it listens on.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         let [_, subnet] = (self.number / SERVERS_PER_SUBNET).to_be_bytes();
         let [_, host] = (self.number % SERVERS_PER_SUBNET + 1).to_be_bytes();
         SocketAddr::from(([127, 9, subnet, host], PORT))
     }
 
-    /// Its endpoint on the list.
+    /// Returns the entry of the server in the endpoint list.
     pub fn endpoint(&self, settings: &ClusterSettings) -> Endpoint {
         Endpoint {
             name: self.name(),
@@ -122,13 +122,13 @@
         }
     }
 
-    /// Its sessions relative to its capacity.
+    /// Returns the number of sessions relative to the capacity.
     pub fn utilization(&self, settings: &ClusterSettings) -> f64 {
         self.sessions.len() as f64 / f64::from(settings.streams)
     }
 
-    /// The maximum of set-ups that it received within an overload window while it was cold. A server that may have started
-    /// before the cluster did is cold for the cluster from `since`.
+    /// Returns the maximum number of set-ups that the server received within an overload window while it was cold. A server
+    /// that may have started before the cluster counts as cold from `since`.
     pub fn max_set_ups_while_cold(&self, since: Micros, settings: &ClusterSettings) -> usize {
         let start = self.started_at.unwrap_or(since);
         let cold_period = start..start + Micros(settings.cold_period_us);
@@ -140,7 +140,7 @@
         received.iter().map(within_window).max().unwrap_or(0)
     }
 
-    /// The overload windows from each set-up that it received while it was cold, in order.
+    /// Returns the overload windows that begin with each set-up that the server received while it was cold, in order.
     pub fn cold_windows(&self, settings: &ClusterSettings) -> Vec<ColdWindow> {
         let Some(start) = self.started_at else { return Vec::new() };
         let cold_period = start..start + Micros(settings.cold_period_us);
@@ -161,7 +161,7 @@
         known_since.is_some_and(|since| *since <= set_up.sent_at)
     }
 
-    /// The connections that were opened from a time until before another.
+    /// Returns the number of connections that were opened from `from` until before `to`.
     pub fn connections_opened(&self, from: Micros, to: Micros) -> OpenedConnections {
         let opened: Vec<usize> = self
             .connections
--- a/crates/testing/fleet-simulation/src/settings.rs
+++ b/crates/testing/fleet-simulation/src/settings.rs
@@ -1,40 +1,40 @@
-//! The platform's settings as a front node gets them.
+//! The settings of the platform, in the form that front nodes receive.
 
 use serde_json::{Value, json};
 
 /// A class of sessions.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SessionClass {
-    /// Its name.
+    /// Name of the class.
     pub name: &'static str,
-    /// Its rates relative to those of the ladder.
+    /// Rates of the class relative to those of the ladder.
     pub rate_scale: f64,
 }
 
 /// The settings that are common to all front nodes of a cluster.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ClusterSettings {
-    /// How many front nodes there are.
+    /// Number of front nodes.
     pub front_nodes: u32,
-    /// How many cells there are; a server's cell is its number modulo this.
+    /// Number of cells. The cell of a server is its number modulo this.
     pub cells: u16,
-    /// The maximum of sessions of a media server.
+    /// Maximum number of sessions of a media server.
     pub streams: u32,
-    /// A media server is cold for so long after its start, in microseconds.
+    /// Duration of the cold period after the start of a media server, microseconds.
     pub cold_period_us: u64,
-    /// A cold media server's capacity at its start, as a fraction of its full one.
+    /// Capacity of a media server at its start, as a fraction of its full capacity.
     pub cold_capacity: f64,
-    /// A cold media server is overloaded by this multiple of its allowed rate ...
+    /// Multiple of the allowed set-up rate that overloads a cold media server.
     pub overload_multiple: f64,
-    /// ... over a window of so many microseconds.
+    /// Window over which the set-up rate is measured, microseconds.
     pub overload_window_us: u64,
-    /// How load is reported: `piggyback` with answers, `pull` with health checks alone.
+    /// How load is reported: `piggyback` with answers, or `pull` with health checks alone.
     pub reporting: &'static str,
-    /// The classes of sessions; viewers request each equally often.
+    /// Classes of sessions, which viewers request equally often.
     pub classes: &'static [SessionClass],
-    /// One in so many connections to media servers is established late; 0 for none.
+    /// One of this many connections to media servers is established late. 0 disables late connections.
     pub late_one_in: u32,
-    /// The timeout of connecting in microseconds; late connections take nearly this.
+    /// Timeout of connecting, microseconds. Late connections take nearly this long.
     pub connect_timeout_us: u64,
 }
 
@@ -57,14 +57,14 @@
 }
 
 impl ClusterSettings {
-    /// N of the rule on cold media servers: the set-ups that one may receive within an overload window at its start,
-    /// whoever sends them.
+    /// Returns N of the rule on cold media servers: the number of set-ups that such a server may receive from all front
+    /// nodes within an overload window at its start.
     pub fn allowed_set_ups(&self) -> f64 {
         let windows = self.overload_window_us as f64 / self.cold_period_us as f64;
         self.overload_multiple * self.cold_capacity * f64::from(self.streams) * windows
     }
 
-    /// The whole set-ups within [`Self::allowed_set_ups`].
+    /// Returns [`Self::allowed_set_ups`] rounded down.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -74,19 +74,20 @@
         self.allowed_set_ups() as usize
     }
 
-    /// A cold media server fails when it receives more than this within an overload window: N + 3 √N + 3.
+    /// Returns the number of set-ups within an overload window above which a cold media server fails: N + 3 √N + 3.
     pub fn overload_threshold(&self) -> f64 {
         let allowed = self.allowed_set_ups();
         allowed + 3.0 * allowed.sqrt() + 3.0
     }
 
-    /// The bound for the front nodes that know of the start: N + 2 √N + 2. What is above N is put down to chance.
+    /// Returns the bound for the front nodes that know of the start: N + 2 √N + 2. The excess over N allows for random
+    /// variation.
     pub fn chance_bound(&self) -> f64 {
         let allowed = self.allowed_set_ups();
         allowed + 2.0 * allowed.sqrt() + 2.0
     }
 
-    /// The settings of the front node with a number, as JSON.
+    /// Returns the settings of the front node with a number as JSON.
     pub fn settings_json(&self, number: u32) -> String {
         json!({
             "caps": {"cancel": true, "max_attempts": 3, "probes": true, "retry_after": true,
--- a/crates/testing/fleet-simulation/tests/cold_servers.rs
+++ b/crates/testing/fleet-simulation/tests/cold_servers.rs
@@ -1,6 +1,7 @@
-//! Cold media servers under the load of the whole cluster. Of N set-ups that the settings allow one within an overload
-//! window, the front nodes that know of its start send no more than N + 2 √N + 2, whichever front nodes restart, however
-//! uneven the load is, and however late connections are established.
+//! Tests of cold media servers under the load of the whole cluster.
+//!
+//! N is the number of set-ups that the settings allow a cold server within an overload window. The front nodes that know
+//! of its start send no more than N + 2 √N + 2, regardless of restarts of front nodes, uneven load and late connections.
 
 use beechloft::api::Micros;
 use beechloft_fleet_simulation::Cluster;
@@ -11,15 +12,15 @@
 const SERVERS: u16 = 12;
 const RESTARTED_SERVERS: usize = 8;
 
-/// Which front nodes restart after the media servers have.
+/// Restarts of front nodes after the restart of the media servers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Restart {
     Never,
-    /// A tenth at a time, all within a window.
+    /// The front nodes restart a tenth at a time, all within a window.
     InTurn,
-    /// Seven in ten at one instant, once most have sent their part.
+    /// Seven in ten front nodes restart at the same instant, after most have sent their part of the set-ups.
     SevenInTen,
-    /// The same ones twice within a window.
+    /// The same front nodes restart twice within a window.
     Twice,
 }
 
@@ -32,8 +33,8 @@
     ClusterSettings { front_nodes: fronts, streams, cells: 4, classes, ..ClusterSettings::default() }
 }
 
-/// The maximum of set-ups that front nodes which knew of a start sent to one server within a window. The list tells of the
-/// start within `spread`.
+/// Returns the maximum number of set-ups that front nodes which knew of a start sent to one server within a window. The list
+/// informs them of the start within `spread`.
 fn max_informed_set_ups(settings: ClusterSettings, restart: Restart, spread: Micros, seed: u64) -> usize {
     let mut cluster = Cluster::start(settings, SERVERS, seed);
     cluster.run_for(settings.cold_period_us + S);
@@ -42,7 +43,7 @@
     for server in 0..RESTARTED_SERVERS {
         cluster.restart_server(server, spread);
     }
-    // Ten times the allowed rate, and one front node in ten gets eight times the load of the others.
+    // The load is ten times the allowed rate, and one front node in ten receives eight times the load of the others.
     let allowed_per_second =
         settings.allowed_set_ups() * 1e6 / settings.overload_window_us as f64 * RESTARTED_SERVERS as f64;
     cluster.request_sessions_weighted(10.0 * allowed_per_second + 100.0, 5 * S, Micros(100 * MS), |at| {
@@ -123,11 +124,11 @@
     assert_each_cluster_within_bound(Restart::Twice);
 }
 
-/// A set-up that waits for its connection arrives in the next window.
+/// Guards against set-ups that wait for a late connection and arrive in the next window.
 #[test]
 fn cold_servers_are_not_overloaded_when_connections_are_established_late() {
     let late = |t: ClusterSettings| ClusterSettings { late_one_in: 1, connect_timeout_us: 300 * MS, ..t };
-    // All know of it at once, and nothing is left to chance: each front node's part bounds what arrives.
+    // All front nodes know of the start at once, so that the parts of the front nodes bound the arrivals without chance.
     for (fronts, streams) in CLUSTERS {
         let settings = late(settings(fronts, streams));
         assert_within_bound(settings, Restart::Never, Micros(1), settings.allowed_set_ups());
--- a/crates/testing/fleet-simulation/tests/machine_hash/canonical.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/canonical.rs
@@ -1,16 +1,16 @@
-//! A byte form of inputs and outputs that depends on no name of a type, so that renames leave the hash alone.
+//! A byte encoding of inputs and outputs that does not depend on type names, so that renames do not change the hash.
 
 use beechloft_front_node::{AttemptFailure, Input, Output};
 use beechloft_protocol::bus::{Status, Topology};
 use beechloft_protocol::server::{FromServer, Measurement, ServerMessage};
 use beechloft_protocol::viewer::{FromViewer, SetUp, SetUpError};
 
-/// Number of input kinds; their tags are `0..INPUT_KINDS`.
+/// Number of input kinds. Their tags are `0..INPUT_KINDS`.
 pub const INPUT_KINDS: usize = 11;
-/// Number of output kinds; their tags are `0..OUTPUT_KINDS`.
+/// Number of output kinds. Their tags are `0..OUTPUT_KINDS`.
 pub const OUTPUT_KINDS: usize = 11;
 
-/// Collects the bytes of one value.
+/// Encoder of one value.
 #[derive(Default)]
 pub struct Encoder {
     pub bytes: Vec<u8>,
@@ -43,7 +43,7 @@
         self.text(text.unwrap_or_default());
     }
 
-    /// An input: its tag, then its fields. Returns the tag.
+    /// Encodes an input as its tag and its fields. Returns the tag.
     pub fn input(&mut self, input: &Input) -> u8 {
         let tag = input_tag(input);
         self.tag(tag);
@@ -80,7 +80,7 @@
         tag
     }
 
-    /// An output: its tag, then its fields; for messages to viewers the bytes on the wire. Returns the tag.
+    /// Encodes an output as its tag and its fields, or for messages to viewers the bytes on the wire. Returns the tag.
     pub fn output(&mut self, output: &Output) -> u8 {
         let tag = output_tag(output);
         self.tag(tag);
@@ -123,7 +123,7 @@
                 self.number(id.0);
                 self.block(line);
             }
-            // The text of a log line is free to change.
+            // The text of a log line is not part of the recorded behavior.
             Output::Log(_) => {}
         }
         tag
--- a/crates/testing/fleet-simulation/tests/machine_hash/driver.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/driver.rs
@@ -1,5 +1,7 @@
-//! Drives one front node's machine by a seed: media servers that answer, refuse, fall silent, break off, restart and
-//! drain; viewers that come, leave and send malformed set-ups; restarts of the machine itself.
+//! Drives the state machine of one front node with seeded inputs.
+//!
+//! Media servers answer, refuse, stop answering, disconnect, restart and drain. Viewers arrive, leave and send malformed
+//! set-ups. The state machine itself restarts.
 
 use std::collections::BTreeMap;
 
@@ -22,17 +24,17 @@
 const LOADS: [&str; 4] =
     ["utilization:0.2;x1:0.1", "utilization:0.95;x1:1.1", "utilization:NaN;x1:-3;y", "utilization:0.6"];
 
-/// What a run has fed to the machine and has got from it.
+/// The inputs and outputs of a run.
 pub struct Record {
-    /// FNV-1a over all inputs and outputs, in order.
+    /// FNV-1a hash of all inputs and outputs in order.
     pub hash: u64,
-    /// How often each kind of input was given.
+    /// Number of inputs of each kind.
     pub inputs: [usize; INPUT_KINDS],
-    /// How often each kind of output came.
+    /// Number of outputs of each kind.
     pub outputs: [usize; OUTPUT_KINDS],
-    /// How often each operation was written to media servers.
+    /// Number of operations of each kind that were sent to media servers.
     pub operations: BTreeMap<String, usize>,
-    /// How often each message type was sent to viewers.
+    /// Number of messages of each type that were sent to viewers.
     pub to_viewers: BTreeMap<u8, usize>,
 }
 
@@ -42,13 +44,13 @@
     pub(super) node: Node,
     pub(super) now: Micros,
     pub(super) endpoints: Vec<Endpoint>,
-    /// Attempts sent to media servers and not over, with the machine's number of the server.
+    /// Pending attempts at media servers, with the state machine's number of the server.
     pub(super) attempts: BTreeMap<CallId, u32>,
-    /// Sessions that media servers play, with the machine's number of the server.
+    /// Sessions that media servers play, with the state machine's number of the server.
     pub(super) playing: BTreeMap<CallId, u32>,
-    /// Probes that wait for an answer.
+    /// Probes without an answer.
     pub(super) probes: BTreeMap<CallId, u32>,
-    /// Server numbers that the machine has stated, and not dropped.
+    /// Server numbers that the state machine has announced and not dropped.
     pub(super) servers: BTreeMap<u32, String>,
     pub(super) next_call: u64,
     pub(super) record: Record,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// The whole run: SIGTERM four times, each long enough before a restart that the last call comes.
+    /// Performs the run, with four SIGTERMs. A restart follows each of them after enough time for the last call.
     pub fn run(mut self) -> Record {
         self.learn_list();
         for step in 0..STEPS {
@@ -105,7 +107,7 @@
                 self.restart();
             }
         }
-        self.pass(10_000);
+        self.advance(10_000);
         self.record
     }
 
@@ -131,7 +133,7 @@
             85 if self.rng.random_range(0..10) == 0 => self.restart(),
             _ => {
                 let ms = self.rng.random_range(0..400);
-                self.pass(ms);
+                self.advance(ms);
             }
         }
     }
@@ -146,7 +148,7 @@
         for output in &outputs {
             let output_tag = encoder.output(output);
             self.record.outputs[usize::from(output_tag)] += 1;
-            self.follow(output);
+            self.apply_output(output);
         }
         encoder.number(self.node.next_due().map_or(0, |due| due.0));
         for byte in encoder.bytes {
@@ -154,8 +156,8 @@
         }
     }
 
-    /// Keeps the media servers' and viewers' side of what the machine puts out.
-    fn follow(&mut self, output: &Output) {
+    /// Updates the state of media servers and viewers after an output.
+    fn apply_output(&mut self, output: &Output) {
         match output {
             Output::AddIncarnation(server, address) => {
                 let address = address.to_string();
@@ -223,12 +225,12 @@
     }
 
     fn learn_list(&mut self) {
-        let whole = Topology { snapshot: true, endpoints: self.endpoints.clone() };
+        let snapshot = Topology { snapshot: true, endpoints: self.endpoints.clone() };
         let change = Topology { snapshot: false, endpoints: vec![self.endpoints[0].clone()] };
-        self.input(Input::InitialTopologies(vec![whole, change]));
+        self.input(Input::InitialTopologies(vec![snapshot, change]));
     }
 
-    /// The front node starts again: a new machine, to which viewers name the sessions that play.
+    /// Restarts the front node with a new state machine, to which viewers present the playing sessions.
     fn restart(&mut self) {
         self.node = fresh_node(&self.settings, &mut self.rng);
         let playing = std::mem::take(&mut self.playing);
@@ -248,8 +250,8 @@
         }
     }
 
-    /// Time passes; what is due comes when it is due.
-    fn pass(&mut self, ms: u64) {
+    /// Advances the time, and runs timers when they are due.
+    fn advance(&mut self, ms: u64) {
         let end = self.now + Micros(ms * 1_000);
         while let Some(due) = self.node.next_due().filter(|due| *due <= end) {
             self.now = self.now.max(due);
--- a/crates/testing/fleet-simulation/tests/machine_hash/main.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/main.rs
@@ -1,6 +1,8 @@
-//! The front node's state machine, input by input: seeded runs with faults, restarts, draining and changes of the list
-//! give the outputs that were recorded, byte by byte. A change of behaviour changes a hash; a rename does not.
-// Counts of a test are small.
+//! Compares seeded runs of the front node's state machine with recorded hashes of all inputs and outputs.
+//!
+//! The runs include faults, restarts, draining and changes of the list. A change of behavior changes a hash, and a rename
+//! does not.
+// The casts lose nothing, since the counts are small.
 #![allow(clippy::cast_possible_truncation)]
 
 mod canonical;
@@ -11,7 +13,7 @@
 
 use driver::{Driver, Record};
 
-/// Seed and hash of all inputs and outputs, as recorded.
+/// Seeds with the recorded hashes of all inputs and outputs.
 const RECORDED: [(u64, u64); 6] = [
     (1, 0x5dbe_03ce_59b2_5f0e),
     (2, 0x6c24_314c_9838_411a),
@@ -44,6 +46,6 @@
     assert!(inputs.iter().all(|count| *count > 0), "{inputs:?}");
     assert!(outputs.iter().all(|count| *count > 0), "{outputs:?}");
     assert_eq!(operations.keys().copied().collect::<Vec<_>>(), ["end", "offer", "set", "test"]);
-    // The decision module never moves a session, so type 51 does not come.
+    // Type 51 is absent, since the decision module never moves a session.
     assert_eq!(to_viewers.keys().copied().collect::<Vec<_>>(), [9, 12, 16, 53]);
 }
--- a/crates/testing/fleet-simulation/tests/machine_hash/steps.rs
+++ b/crates/testing/fleet-simulation/tests/machine_hash/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of a run: what viewers, media servers and the list do.
+//! The steps of a run: actions of viewers, media servers and the list.
 
 use beechloft::api::SlotAssignment;
 use beechloft_front_node::{AttemptFailure, Input};
@@ -133,7 +133,7 @@
         self.input(Input::ViewerMessage(conn, FromViewer::SetUp(id, setup)));
     }
 
-    /// Changes one endpoint: drained, removed, restarted, back, or with the address of another.
+    /// Changes one endpoint: it is drained, removed, restarted, restored, or receives the address of another one.
     pub(super) fn change_list(&mut self) {
         let index = self.rng.random_range(0..self.endpoints.len());
         let now_ms = self.now.0 / 1_000;
@@ -174,7 +174,7 @@
         self.server_line(server, FromServer::TestResult(id, passed));
     }
 
-    /// A line about any session from any server.
+    /// Sends a line about a random session from a random server.
     pub(super) fn unexpected_line(&mut self) {
         let (id, server) =
             (CallId(self.rng.random_range(0..self.next_call)), self.rng.random_range(0..SERVERS.into()));
@@ -196,7 +196,7 @@
         self.input(Input::ViewerMessage(conn, FromViewer::Test(CallId(1 << 42))));
     }
 
-    /// A session that plays is named by its viewer, at a server that is known or not.
+    /// Presents a playing session on behalf of its viewer, at a known or an unknown server.
     pub(super) fn hand_over(&mut self) {
         let id = CallId(self.next_call);
         self.next_call += 1;
--- a/crates/testing/fleet-simulation/tests/recorded_run.rs
+++ b/crates/testing/fleet-simulation/tests/recorded_run.rs
@@ -1,5 +1,5 @@
-//! The simulation itself, run by a seed: what media servers received and viewers got is as recorded, so that a change of
-//! the simulation's order of events or of its random draws is noticed.
+//! Compares a seeded run of the simulation with recorded results of media servers and viewers, which detects changes of the
+//! order of events and of the random numbers.
 
 use beechloft::api::Micros;
 use beechloft_fleet_simulation::Cluster;
--- a/crates/testing/fleet-simulation/tests/simultaneous_load.rs
+++ b/crates/testing/fleet-simulation/tests/simultaneous_load.rs
@@ -1,6 +1,5 @@
-//! What is harmless in one front node, summed over three hundred that do it at the same instant. Each test states its
-//! bounds.
-// Counts of a test are small.
+//! Tests of load that is harmless from one front node, summed over three hundred front nodes at the same instant.
+// The casts lose nothing, since the counts are small.
 #![allow(clippy::cast_possible_truncation)]
 
 use beechloft::api::Micros;
@@ -12,24 +11,24 @@
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 const S: u64 = 1_000_000;
-/// The length of sessions.
+/// Duration of sessions.
 const SESSION_LENGTH: Micros = Micros(20 * S);
 
 fn settings() -> ClusterSettings {
     ClusterSettings::default()
 }
 
-/// A cluster with sessions, past the time after its start in which all servers count as cold.
+/// Returns a cluster with sessions, after the period at its start in which all servers count as cold.
 fn in_service(seed: u64, servers: u16) -> Cluster {
     let mut cluster = Cluster::start(settings(), servers, seed);
     cluster.run_for(settings().cold_period_us + S);
     cluster.request_sessions(300.0, 10 * S, SESSION_LENGTH);
-    // The last have their answers.
+    // Waits for the last answers.
     cluster.run_for(11 * S);
     cluster
 }
 
-/// No media server received more set-ups while it was cold, from all front nodes together, than the rule allows.
+/// Asserts that no cold media server received more set-ups from all front nodes together than the rule allows.
 fn assert_no_cold_server_is_overloaded(cluster: &Cluster, since: Micros) {
     let most =
         cluster.servers.iter().map(|m| (m.max_set_ups_while_cold(since, &cluster.settings), m.number)).max();
@@ -47,13 +46,13 @@
     for seed in SEEDS {
         let mut cluster = Cluster::start(settings(), 100, seed);
         let since = cluster.now();
-        // High load from the first second on.
+        // The load is high from the first second on.
         cluster.request_sessions(2_000.0, 4 * S, SESSION_LENGTH);
         cluster.run_for(10 * S);
         assert_no_cold_server_is_overloaded(&cluster, since);
         assert_all_answered(cluster.totals);
         assert!(cluster.totals.established * 10 >= cluster.totals.requested * 3, "{:?}", cluster.totals);
-        // Where answers report load, there are no health checks.
+        // There are no health checks if answers report the load.
         assert_eq!(cluster.servers.iter().map(|m| m.health_checks.len()).sum::<usize>(), 0);
     }
 }
@@ -77,8 +76,8 @@
         cluster.run_for(6 * S);
         assert_no_cold_server_is_overloaded(&cluster, Micros(0));
         assert_all_answered(cluster.totals);
-        // A new server's connections come with its set-ups, which are paced: no more front nodes open one within a span
-        // than the rule lets set-ups come, and none opens a second.
+        // Connections to a new server are opened for its rate-limited set-ups. The number of front nodes that open one within
+        // a window is at most the allowed number of set-ups, and none opens a second connection.
         let bound = cluster.settings.max_cold_set_ups();
         for m in &cluster.servers[count..] {
             let OpenedConnections { front_nodes, connections } =
@@ -92,12 +91,12 @@
     }
 }
 
-/// The rule: a cold server fails above N + 3 √N + 3 set-ups within a window. It is broken by a server's first failure if over
-/// two thirds of the set-ups came from front nodes that knew of the start.
+/// A cold server fails above N + 3 √N + 3 set-ups within a window. The first failure of a server violates the rule if more
+/// than two thirds of the set-ups came from front nodes that knew of the start.
 #[test]
 fn restarted_servers_are_not_overloaded_by_front_nodes_that_know_of_the_start() {
     for seed in SEEDS {
-        // Small servers, where a front node's part is under one set-up, and large ones.
+        // With small servers the part of a front node is less than one set-up.
         for streams in [20, 200] {
             let settings = ClusterSettings { streams, ..settings() };
             let mut cluster = Cluster::start(settings, 100, seed);
@@ -107,7 +106,7 @@
             for server in 0..30 {
                 cluster.restart_server(server, Micros(2 * S));
             }
-            // Sessions end soon, so that no server is full.
+            // Sessions are short, so that no server becomes full.
             cluster.request_sessions(1_500.0, 4 * S, Micros(200_000));
             cluster.run_for(5 * S);
             assert_all_answered(cluster.totals);
@@ -128,7 +127,7 @@
                 all().any(|s| s.total > s.informed),
                 "all that sent knew of the start, so the list came at once"
             );
-            // The cause of a failure is what came before it: the first window above the bound.
+            // A failure is caused by the set-ups before it, which are those of the first window above the bound.
             for failure in windows.iter().filter_map(|m| m.iter().find(|s| s.total as f64 > bound)) {
                 assert!(
                     failure.informed * 3 <= failure.total * 2,
@@ -149,11 +148,11 @@
         let interrupted = cluster.totals.interrupted;
         assert!(interrupted > 0, "it had sessions");
         cluster.run_for(2 * S);
-        // Without requests the loss alone causes no connection, health check or set-up anywhere.
+        // Without requests the loss of a server causes no connections, health checks or set-ups.
         let after = cluster.servers.iter().map(|m| m.connections.len()).sum::<usize>();
         assert_eq!(after, before);
         assert_eq!(cluster.servers.iter().map(|m| m.health_checks.len()).sum::<usize>(), 0);
-        // Viewers of interrupted sessions retry, and are served elsewhere without an attempt at the dead server.
+        // Viewers of interrupted sessions retry, and are served elsewhere without an attempt at the failed server.
         cluster.request_sessions(interrupted as f64, S, SESSION_LENGTH);
         cluster.run_for(3 * S);
         assert_all_answered(cluster.totals);
@@ -171,7 +170,7 @@
         let (now, all) = (cluster.now(), cluster.front_node_count());
         cluster.restart_front_nodes((0..all).filter(|n| n % 10 < 7));
         cluster.run_for(S);
-        // Every session that plays is known again, and for each pair of front node and server there is one connection.
+        // All playing sessions are known again, and there is one connection for each pair of front node and server.
         assert_eq!(cluster.established_sessions(), established);
         for m in &cluster.servers {
             let OpenedConnections { front_nodes, connections } = m.connections_opened(now, cluster.now());
@@ -189,7 +188,7 @@
 }
 
 #[test]
-fn health_checks_of_the_whole_cluster_stay_within_their_price() {
+fn health_checks_stay_within_budget() {
     for seed in SEEDS {
         let settings = ClusterSettings { reporting: "pull", ..settings() };
         let mut cluster = Cluster::start(settings, 100, seed);
@@ -197,17 +196,17 @@
         cluster.request_sessions(300.0, 20 * S, SESSION_LENGTH);
         cluster.run_for(25 * S);
         let health_checks = cluster.servers.iter().map(|m| m.health_checks.len()).sum::<usize>();
-        // A health check costs 0.08 of a session's result: at 0.01 of it for health checks, one for eight sessions.
+        // A health check costs 0.08 of the value of a session. A budget of 0.01 allows one health check for eight sessions.
         assert!(
             health_checks * 8 <= cluster.totals.requested,
             "{health_checks} health checks for {} sessions",
             cluster.totals.requested
         );
-        assert!(health_checks > 0, "nothing was checked, so nothing was checked");
+        assert!(health_checks > 0, "no health check was sent");
     }
 }
 
-/// The times at which all front nodes try to reconnect to an event bus that is lost for all at once and back later.
+/// Returns the times at which front nodes try to reconnect to an event bus that fails for all of them at the same instant.
 fn reconnections(fronts: u64, seed: u64, back_after: u64) -> Vec<u64> {
     let mut all = Vec::new();
     for front in 0..fronts {
@@ -223,12 +222,12 @@
 }
 
 #[test]
-fn reconnections_to_the_event_bus_are_few_and_spread() {
+fn event_bus_reconnections_are_spread_out() {
     for seed in SEEDS {
         let all = reconnections(300, seed, 5 * S);
-        // Between a quarter and half of a second apart once the ladder is climbed: 20 each at most, and some at its foot.
+        // At the maximum backoff, attempts are 250 to 500 ms apart: at most 20 per front node, and some at shorter backoffs.
         assert!(all.len() <= 300 * 24, "{} calls", all.len());
-        // At the foot of the ladder they fall into 25 ms; from its top on no 10 ms have more than a tenth of them all.
+        // The first attempts fall into 25 ms. At the maximum backoff no 10 ms have more than a tenth of all attempts.
         let top = all.iter().filter(|at| **at > 2 * S).copied().collect::<Vec<_>>();
         let most =
             top.iter().map(|from| top.iter().filter(|t| (*from..from + 10_000).contains(*t)).count()).max();
@@ -237,7 +236,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run() {
+fn runs_with_the_same_seed_are_identical() {
     let run = |seed| {
         let cluster = in_service(seed, 40);
         (cluster.totals, cluster.servers.iter().map(|m| m.set_ups.clone()).collect::<Vec<_>>())
--- a/crates/testing/model-checker/src/explorer.rs
+++ b/crates/testing/model-checker/src/explorer.rs
@@ -6,14 +6,14 @@
 use crate::fingerprint::fingerprint_of;
 use crate::model::{Counterexample, Exploration, Limits, Model};
 
-/// The index of a state in the record of predecessors.
+/// Index of a state in the record of predecessors.
 type StateId = usize;
 
 /// How a state was reached.
 enum Origin<A> {
-    /// It is an initial state, with this index.
+    /// The state is the initial state with this index.
     Initial(usize),
-    /// By an event from an earlier state.
+    /// The state was reached by an event from an earlier state.
     Event(StateId, A),
 }
 
@@ -38,7 +38,7 @@
     events: usize,
 }
 
-/// What is known so far.
+/// Progress of an exploration.
 struct Explorer<'a, M: Model> {
     model: &'a M,
     limits: Limits,
@@ -49,10 +49,10 @@
     depth: usize,
 }
 
-/// Explores a model.
+/// Explores a model in breadth-first order.
 ///
 /// # Errors
-/// A shortest sequence of events that violates an invariant.
+/// Returns a shortest sequence of events that violates an invariant, if there is one within the limits.
 pub fn explore<M: Model>(model: &M, limits: Limits) -> Result<Exploration, Counterexample<M::Action>> {
     let started_at = Instant::now();
     let mut explorer = Explorer {
@@ -96,7 +96,7 @@
         self.depth < self.limits.depth && !self.level.is_empty() && self.visited.len() < self.limits.states
     }
 
-    /// Replaces the level by the next one. Returns false if the limit of states was reached.
+    /// Replaces the current level by the next one. Returns false if the limit of states was reached.
     fn expand_level(&mut self) -> Result<bool, Counterexample<M::Action>> {
         let expansions = self.expand_in_parallel();
         self.level.clear();
@@ -117,7 +117,7 @@
             let parts = self.level.chunks(part_len);
             let threads: Vec<_> =
                 parts.map(|part| scope.spawn(|| expand(self.model, part, &self.visited))).collect();
-            // A panic of the model is passed on.
+            // Propagates a panic of the model.
             let join = |thread: std::thread::ScopedJoinHandle<'_, Expansion<M>>| {
                 thread.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))
             };
@@ -157,7 +157,7 @@
     }
 }
 
-/// The successors of a part of a level that were not visited before.
+/// Returns the successors of a part of a level that were not visited before.
 fn expand<M: Model>(model: &M, part: &[LevelState<M>], visited: &HashSet<u128>) -> Expansion<M> {
     let mut successors = Vec::new();
     let mut events = 0;
--- a/crates/testing/model-checker/src/model.rs
+++ b/crates/testing/model-checker/src/model.rs
@@ -7,27 +7,27 @@
 
 /// A system whose states are explored.
 pub trait Model: Sync {
-    /// A state of everything: processes, storage, messages in flight, and the history that invariants need.
+    /// State of the whole system: processes, storage, messages in flight, and the history that invariants need.
     type State: Clone + Send + Sync;
-    /// An event.
+    /// Event that changes the state.
     type Action: Clone + fmt::Debug + Send + Sync;
 
-    /// The initial states. There may be several, if interesting states are far from the first one.
+    /// Returns the initial states. There may be several, for example if interesting states are far from the first one.
     fn initial_states(&self) -> Vec<Self::State>;
-    /// All events that are possible in a state.
+    /// Returns all events that are possible in a state.
     fn actions(&self, state: &Self::State) -> Vec<Self::Action>;
-    /// Performs an event.
+    /// Applies an event to a state.
     fn step(&self, state: &mut Self::State, action: &Self::Action);
     /// Hashes everything that determines the further behavior of a state, and nothing else.
     fn fingerprint(&self, state: &Self::State, hasher: &mut FingerprintHasher);
-    /// The invariant that a state violates, described as text.
+    /// Returns a description of the invariant that a state violates. Returns `None` if the state violates none.
     fn violation(&self, state: &Self::State) -> Option<String>;
 }
 
 /// The limits of an exploration.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Maximum number of events in a row.
+    /// Maximum number of events in a sequence.
     pub depth: usize,
     /// Maximum number of states. The exploration ends incomplete when it is reached.
     pub states: usize,
@@ -38,32 +38,32 @@
 /// The result of an exploration without a violation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Exploration {
-    /// Distinct states.
+    /// Number of distinct states.
     pub states: usize,
-    /// Events that were performed.
+    /// Number of events that were performed.
     pub events: usize,
-    /// The depth up to which all states were visited.
+    /// Depth up to which all states were visited.
     pub depth: usize,
     /// Whether all states up to the requested depth were visited.
     pub complete: bool,
-    /// The duration of the exploration.
+    /// Duration of the exploration.
     pub elapsed: Duration,
 }
 
 /// A violation of an invariant, and a shortest sequence of events that leads to it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Counterexample<A> {
-    /// The violated invariant.
+    /// Description of the violated invariant.
     pub violation: String,
-    /// The index of the initial state.
+    /// Index of the initial state.
     pub initial_state: usize,
-    /// The events, in order.
+    /// Events in order.
     pub trace: Vec<A>,
-    /// Distinct states that were visited until then.
+    /// Number of distinct states that were visited until then.
     pub states: usize,
 }
 
-/// The violation, and how it was found.
+/// Formats the violation with the numbers of events and states.
 impl<A> fmt::Display for Counterexample<A> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} in {} events, {} states", self.violation, self.trace.len(), self.states)
