--- a/crates/fleet/topic/src/messages.rs
+++ b/crates/fleet/topic/src/messages.rs
@@ -7,7 +7,7 @@
 
 /// Maximum number of keys in a topic, including retained tombstones.
 pub const MAX_KEYS: u32 = 1 << 20;
-/// Maximum size of a topic and of all topics: keys, latest values, and [`KEY_COST`] for each key. Including superseded
+/// Maximum size of a topic and of all topics: keys, latest values, and the constant `KEY_COST` for each key. Including superseded
 /// messages that are not cleaned yet, this is within the maximum size of a replica's snapshot.
 pub const MAX_BYTES: u64 = 96 << 20;
 /// Bytes that count for each key in addition to the key and its latest value.
@@ -73,7 +73,7 @@
     pub retention_ms: u32,
     /// Maximum number of keys, including retained tombstones.
     pub keys: u32,
-    /// Maximum size of keys and latest values in bytes, plus [`KEY_COST`] for each key.
+    /// Maximum size of keys and latest values in bytes, plus the constant `KEY_COST` for each key.
     pub bytes: u64,
 }
 
--- a/crates/fleet/topic/src/topic.rs
+++ b/crates/fleet/topic/src/topic.rs
@@ -23,7 +23,7 @@
 struct LatestMessage {
     offset: Offset,
     tombstone: bool,
-    /// Bytes of key and value plus [`KEY_COST`].
+    /// Bytes of key and value plus the constant `KEY_COST`.
     size: usize,
 }
 
@@ -177,7 +177,7 @@
         self.index.len() - self.tombstones.len()
     }
 
-    /// Returns the size of keys and latest values in bytes, plus [`KEY_COST`] for each key.
+    /// Returns the size of keys and latest values in bytes, plus the constant `KEY_COST` for each key.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
