--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -412,7 +412,7 @@
     assert!(twice.contains("twice"), "{twice}");
     let not_listed =
         run("fleet:\n  name: a\n  listen: 127.0.0.1:3\n  store: x\n  keepers: ['127.0.0.1:1']\n");
-    assert!(not_listed.contains("none of fleet.keepers"), "{not_listed}");
+    assert!(not_listed.contains("is not listed in fleet.keepers"), "{not_listed}");
     // The store of another fleet is rejected and not changed.
     let mut fleet = Fleet::new(1);
     fleet.leader(1);
