--- a/tests/size.rs
+++ b/tests/size.rs
@@ -6,7 +6,7 @@
 
 /// Maximum number of lines of one policy file, blank lines included.
 const MAX_FILE_LINES: usize = 400;
-/// Minimum number of lines of all policy files together; fewer mean that the list or a file was cut off.
+/// Minimum number of lines of all policy files together, blank lines excluded; fewer mean that the list or a file was cut off.
 const MIN_TOTAL_LINES: usize = 300;
 /// Maximum number of characters in a line.
 const MAX_LINE_CHARACTERS: usize = 110;
@@ -38,7 +38,7 @@
         assert!(lines <= MAX_FILE_LINES, "{} has {lines} lines", file.display());
         let widest = text.lines().map(|line| line.chars().count()).max().unwrap_or(0);
         assert!(widest <= MAX_LINE_CHARACTERS, "{} has a line of {widest} characters", file.display());
-        total_lines += lines;
+        total_lines += text.lines().filter(|line| !line.trim().is_empty()).count();
     }
     assert!(total_lines >= MIN_TOTAL_LINES, "the policy has {total_lines} lines");
 }
